--- a/src/ruddergate/entry/leaving_check.py
+++ b/src/ruddergate/entry/drain_check.py
@@ -23,7 +23,7 @@
 _PAUSE_LEAST_MS = 1.0
 
 
-class LeavingCheck:
+class DrainCheck:
     """Asks each target in doubt until it has answered.
 
     What an answer says of leaving is heard as all that targets say is; this
@@ -56,7 +56,7 @@
         self._changed = asyncio.Event()
         self._log = logs.make_logger("target")
 
-    def look(self) -> None:
+    def wake(self) -> None:
         """Has it looked whether any target is to be asked."""
         if len(self._withdrawn.doubts):
             self._changed.set()
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -17,7 +17,7 @@
 from ruddergate.decisions import withdrawals
 from ruddergate.entry import canceller as cancellers
 from ruddergate.entry import config as configs
-from ruddergate.entry import leaving_check
+from ruddergate.entry import drain_check
 from ruddergate.entry import life_watch
 from ruddergate.entry import open_calls
 from ruddergate.entry import peer_exchange
@@ -185,12 +185,12 @@
             lambda target: scheduler.post(placement.LifeEnded(target)),
             self._rate_limiter.limits.is_limited,
         )
-        self._leaving_check = leaving_check.LeavingCheck(
+        self._drain_check = drain_check.DrainCheck(
             outside,
             withdrawn,
             view,
             self._keeper.ask_sign,
-            lambda: self._sync.mark_leaving(),
+            lambda: self._sync.mark_draining(),
             metrics,
         )
         self._lives = life_watch.LifeWatch(
@@ -249,7 +249,7 @@
                 self._peers.questions.ask_targets,
             ),
             withdrawn,
-            self._leaving_check.look,
+            self._drain_check.wake,
         )
 
     def _observe(self, said: statements.Statement) -> None:
@@ -299,8 +299,8 @@
 
     def _note_leaving(self) -> None:
         """Has a target that was found to leave marked, and peers told."""
-        self._sync.mark_leaving()
-        self._leaving_check.look()
+        self._sync.mark_draining()
+        self._drain_check.wake()
         self._peers.note_change()
 
     def _divide_retries(self, peers: int) -> None:
@@ -317,7 +317,7 @@
             asyncio.ensure_future(self._sync.run()),
             asyncio.ensure_future(self._peers.run()),
             asyncio.ensure_future(self._suspects.run()),
-            asyncio.ensure_future(self._leaving_check.run()),
+            asyncio.ensure_future(self._drain_check.run()),
             asyncio.ensure_future(
                 self._rate_limiter.run(self._orders.ask_sign)
             ),
--- a/src/ruddergate/entry/source_sync.py
+++ b/src/ruddergate/entry/source_sync.py
@@ -398,7 +398,7 @@
         self._publish(asked_ms)
         self._note_listed()
 
-    def mark_leaving(self) -> None:
+    def mark_draining(self) -> None:
         """Has the view go by what other ways told of targets that leave."""
         self._publish(self._proven_ms)
 
