--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -34,7 +34,7 @@
 from ruddergate.entry import source_sync
 from ruddergate.entry import status
 from ruddergate.entry import suspect_exchange
-from ruddergate.entry import target_notices
+from ruddergate.entry import target_availability
 from ruddergate.entry import tools as tool_types
 from ruddergate.entry import view as views
 from ruddergate.fleet import store_position
@@ -156,7 +156,7 @@
             lambda: self._peers.loads.names(),
             lambda told, peers: self._peers.tell_suspects(told, peers),
         )
-        self._notices = target_notices.TargetNotices(
+        self._availability = target_availability.TargetAvailability(
             outside, withdrawn, metrics, self._note_leaving
         )
         self.tools = tool_types.Tools(
@@ -220,8 +220,8 @@
             scheduler.summarize_lost,
             self._suspects.take,
             self._greet,
-            summarize_leaving=self._notices.summarize,
-            take_leaving=self._notices.take_told,
+            summarize_leaving=self._availability.summarize,
+            take_leaving=self._availability.merge_gossip,
             summarize_rate_limits=self._rate_limiter.summarize,
             merge_rate_limits=self._rate_limiter.merge,
             find_settings_revision=lambda: view.catalog.revision,
@@ -254,14 +254,14 @@
 
     def _observe(self, said: statements.Statement) -> None:
         """Takes in what a target says of itself in an answer."""
-        self._notices.hear(said)
+        self._availability.on_hints(said)
         self._rate_limiter.observe(said)
 
     def _refuse_send(
         self, asked: Sequence[targets.Target]
     ) -> outcomes.NotServed | None:
         """Returns a refusal if a target or a helper takes no calls now."""
-        refusal = self._notices.refuse_send(asked)
+        refusal = self._availability.check_admission(asked)
         return refusal or self._rate_limiter.refuse_helpers(asked[1:])
 
     def answer_peer(
@@ -294,8 +294,8 @@
 
     def _greet(self, peer: str) -> None:
         """Tells a VM that has just started what it should know."""
-        self._suspects.greet(peer)
-        self._notices.greet(len(self._peers.loads))
+        self._suspects.on_peer_started(peer)
+        self._availability.on_peer_started(len(self._peers.loads))
 
     def _note_leaving(self) -> None:
         """Has a target that was found to leave marked, and peers told."""
@@ -412,7 +412,7 @@
         metrics.quarantined.set({}, len(quarantined))
         metrics.entries_refused.set({}, self._sync.count_refused())
         self._rate_limiter.set_gauges()
-        metrics.quiet_targets.set({}, self._notices.count_quiet())
+        metrics.quiet_targets.set({}, self._availability.count_backing_off())
         metrics.log_lines_left_out.set({}, logs.count_left_out())
         return metric_types.render(metrics.registry)
 
--- a/src/ruddergate/entry/target_notices.py
+++ b/src/ruddergate/entry/target_availability.py
@@ -37,7 +37,7 @@
 _LEAVING_RETRY_MS = 200.0
 
 
-class TargetNotices:
+class TargetAvailability:
     """Hears targets, and keeps calls off those that want none; one a process.
 
     Args:
@@ -62,16 +62,16 @@
         self._told = told_once.ToldOnce()
         self._log = logs.make_logger("target")
 
-    def hear(self, said: statements.Statement) -> None:
+    def on_hints(self, said: statements.Statement) -> None:
         """Takes in what a target said of itself in an answer."""
         if said.is_leaving:
-            self._hear_leaving(said)
+            self._apply_draining(said)
         if said.quiet_ms is not None:
-            self._hear_quiet(said, said.quiet_ms)
+            self._apply_backoff(said, said.quiet_ms)
         for detail in said.unread:
-            self._hear_unread(said, detail)
+            self._report_unreadable(said, detail)
 
-    def take_told(self, words: Iterable[str], peer: str) -> None:
+    def merge_gossip(self, words: Iterable[str], peer: str) -> None:
         """Takes in the leavings of which a peer has heard in answers.
 
         Targets that are not listed are no matter yet; a peer says it again.
@@ -97,7 +97,7 @@
         if is_news:
             self._note_leaving()
 
-    def refuse_send(
+    def check_admission(
         self, asked: Iterable[targets.Target]
     ) -> outcomes.NotServed | None:
         """Returns a refusal if one of these takes no calls now.
@@ -134,7 +134,7 @@
         """Returns the leavings that peers are to be told now."""
         return self._withdrawn.summarize(self._outside.now_ms())
 
-    def greet(self, peers: int) -> None:
+    def on_peer_started(self, peers: int) -> None:
         """Has a VM that has just started told what targets have said.
 
         Args:
@@ -147,11 +147,11 @@
         if self._withdrawn.tell_again(self._outside.now_ms()):
             self._note_leaving()
 
-    def count_quiet(self) -> int:
+    def count_backing_off(self) -> int:
         """Returns how many targets want no calls of this VM now."""
         return self._withdrawn.count_quiet(self._outside.now_ms())
 
-    def _hear_leaving(self, said: statements.Statement) -> None:
+    def _apply_draining(self, said: statements.Statement) -> None:
         now_ms = self._outside.now_ms()
         is_new = self._withdrawn.note_answered(said.life, now_ms, said.is_dated)
         if not is_new:
@@ -165,7 +165,9 @@
         )
         self._note_leaving()
 
-    def _hear_quiet(self, said: statements.Statement, quiet_ms: float) -> None:
+    def _apply_backoff(
+        self, said: statements.Statement, quiet_ms: float
+    ) -> None:
         spread_ms = min(_SPREAD_MOST_MS, _SPREAD_PART * quiet_ms)
         spread_ms = self._outside.random.uniform(0.0, spread_ms)
         until_ms = self._outside.now_ms() + quiet_ms + spread_ms
@@ -179,7 +181,9 @@
                 born_ms=said.life.born_ms,
             )
 
-    def _hear_unread(self, said: statements.Statement, detail: str) -> None:
+    def _report_unreadable(
+        self, said: statements.Statement, detail: str
+    ) -> None:
         self._metrics.statements_unread.inc({})
         name = lives.format_life(said.life)
         if self._told.is_new(name, detail):
--- a/tests/test_leaving_told.py
+++ b/tests/test_leaving_told.py
@@ -8,7 +8,7 @@
 
 from ruddergate import environment
 from ruddergate.decisions import withdrawals
-from ruddergate.entry import target_notices
+from ruddergate.entry import target_availability
 from ruddergate.fleet import life as lives
 from ruddergate.messages import load_digest
 from ruddergate.telemetry import metrics
@@ -226,14 +226,14 @@
 
     def test_word_that_is_no_life_is_dropped(self) -> None:
         withdrawn = withdrawals.Withdrawals()
-        notices = target_notices.TargetNotices(
+        notices = target_availability.TargetAvailability(
             environment.make_system_environment(),
             withdrawn,
             metrics.EntryMetrics(),
         )
         withdrawn.note_listed(lives.Life("i" * 1_000), 0.0)
         withdrawn.note_listed(lives.Life("i-1", 5), 0.0)
-        notices.take_told(["i" * 1_000, "i-1@5"], "peer")
+        notices.merge_gossip(["i" * 1_000, "i-1@5"], "peer")
         self.assertFalse(withdrawn.has_left(lives.Life("i" * 1_000)))
         self.assertTrue(withdrawn.has_left(lives.Life("i-1", 5)))
 
