--- a/src/ruddergate/entry/life_watch.py
+++ b/src/ruddergate/entry/crash_detector.py
@@ -20,18 +20,18 @@
 # A target from which nothing came back is asked again after these pauses: a
 # packet is lost now and then, and a VM that is slow reads answers late. One
 # behind a cut stays silent, and nothing is concluded.
-_ASK_AGAIN_MS = (300.0, 1_000.0)
+_REPROBE_PAUSES_MS = (300.0, 1_000.0)
 
 
 @dataclasses.dataclass(slots=True)
-class _Question:
+class _Probe:
     """A target that is being asked, and the calls that wait to know."""
 
     task: asyncio.Task
     lost: list[lost_call.LostCall]
 
 
-class LifeWatch:
+class CrashDetector:
     """Asks each target once for all the calls that it lost together.
 
     Args:
@@ -52,29 +52,29 @@
         self._note_ended = note_ended
         self._note_life = note_life
         self._metrics = metrics
-        self._questions: dict[lives.Life, _Question] = {}
+        self._probes: dict[lives.Life, _Probe] = {}
         self._log = logs.make_logger("attempt")
 
-    def post(self, lost: lost_call.LostCall) -> None:
+    def on_lost_call(self, lost: lost_call.LostCall) -> None:
         """Has it found out whether a call's target has ended."""
         life = lost.target.life
-        question = self._questions.get(life)
-        if question is not None:
-            question.lost.append(lost)
+        probe = self._probes.get(life)
+        if probe is not None:
+            probe.lost.append(lost)
             return
-        task = asyncio.ensure_future(self._find_out(lost.target))
-        self._questions[life] = _Question(task, [lost])
+        task = asyncio.ensure_future(self._probe_target(lost.target))
+        self._probes[life] = _Probe(task, [lost])
 
-    async def _find_out(self, target: targets.Target) -> None:
-        told = await self._ask_again(target)
-        question = self._questions.pop(target.life)
+    async def _probe_target(self, target: targets.Target) -> None:
+        told = await self._probe_repeatedly(target)
+        probe = self._probes.pop(target.life)
         if not _has_ended(target.life, told):
             return
         self._metrics.targets_ended.inc({})
         self._note_life(target)
-        streams = max(each.streams for each in question.lost)
-        streams = max(streams, float(len(question.lost)))
-        for each in question.lost:
+        streams = max(each.streams for each in probe.lost)
+        streams = max(streams, float(len(probe.lost)))
+        for each in probe.lost:
             self._log.warning(
                 "Target {} has ended under a call.",
                 target.target_id,
@@ -87,10 +87,10 @@
             )
             self._note_ended(each)
 
-    async def _ask_again(self, target: targets.Target) -> orders.Told:
+    async def _probe_repeatedly(self, target: targets.Target) -> orders.Told:
         """Asks until something comes back, a few times at most."""
         told = await self._ask_sign(target)
-        for pause_ms in _ASK_AGAIN_MS:
+        for pause_ms in _REPROBE_PAUSES_MS:
             if told.sign is not orders.Sign.SILENT:
                 break
             await asyncio.sleep(pause_ms / 1000.0)
--- a/src/ruddergate/entry/life_ends.py
+++ b/src/ruddergate/entry/ended_incarnations.py
@@ -15,7 +15,7 @@
 _KEPT_MOST = 512
 
 
-class LifeEnds:
+class EndedIncarnations:
     """Lives that have certainly ended; owned by the scheduler task."""
 
     def __init__(self) -> None:
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -17,8 +17,8 @@
 from ruddergate.decisions import withdrawals
 from ruddergate.entry import canceller as cancellers
 from ruddergate.entry import config as configs
+from ruddergate.entry import crash_detector
 from ruddergate.entry import drain_check
-from ruddergate.entry import life_watch
 from ruddergate.entry import open_calls
 from ruddergate.entry import peer_exchange
 from ruddergate.entry import peer_questions
@@ -172,7 +172,7 @@
             tracer=tracer,
             suspects=self._suspects.table,
             secure_retry=lambda is_great: self._loans.secure(is_great),
-            note_lost=lambda lost: self._lives.post(lost),
+            note_lost=lambda lost: self._crash_detector.on_lost_call(lost),
             refuse_send=self._refuse_send,
             admit=self._rate_limiter.admit,
             give_back=self._rate_limiter.give_back,
@@ -193,7 +193,7 @@
             lambda: self._sync.mark_draining(),
             metrics,
         )
-        self._lives = life_watch.LifeWatch(
+        self._crash_detector = crash_detector.CrashDetector(
             self._keeper.ask_sign,
             self._suspects.table.note_ended,
             lambda target: scheduler.post(placement.LifeEnded(target)),
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -105,7 +105,7 @@
         self._is_blind = is_blind
         self._collect_lost = collect_lost
         self._losses = target_losses.TargetLosses(outside.random)
-        self.ends = self._losses.ends
+        self.ends = self._losses.ended
         self._outside = outside
         self._config = config
         self._view = view
@@ -314,9 +314,9 @@
             return
         estimate.end(message.seat.attempt_id)
         if message.unreachable:
-            self._losses.note_silent(target, now_ms)
+            self._losses.note_unreachable(target, now_ms)
         elif message.gone:
-            self._losses.note_gone(target, now_ms)
+            self._losses.note_ended(target, now_ms)
         if message.failed:
             estimate.note_fault(now_ms)
         elif message.answered:
@@ -329,13 +329,13 @@
         estimate = self._table.find(target)
         if estimate is not None:
             estimate.note_fault(now_ms)
-            self._losses.note_gone(target, now_ms)
+            self._losses.note_ended(target, now_ms)
             self._note_change()
 
     def _take_lost(self, told: bad_news.BadNews) -> None:
         if told is not bad_news.NOTHING:
             now_ms = self._outside.now_ms()
-            self._losses.take_told(told, self._table.find_told, now_ms)
+            self._losses.merge_gossip(told, self._table.find_told, now_ms)
 
     def _take_report(
         self, report: load_report.LoadReport, now_ms: float
--- a/src/ruddergate/entry/target_losses.py
+++ b/src/ruddergate/entry/target_losses.py
@@ -6,7 +6,7 @@
 from ruddergate.decisions import estimate as estimates
 from ruddergate.decisions import losses_found
 from ruddergate.decisions import reachability
-from ruddergate.entry import life_ends
+from ruddergate.entry import ended_incarnations
 from ruddergate.fleet import bad_news
 from ruddergate.fleet import life as lives
 from ruddergate.fleet import target as targets
@@ -24,13 +24,13 @@
     """
 
     def __init__(self, chance: random.Random) -> None:
-        self.ends = life_ends.LifeEnds()
+        self.ended = ended_incarnations.EndedIncarnations()
         self._chance = chance
         self._found = losses_found.LossesFound()
         self._reachability = reachability.Reachability()
         self._log = logs.make_logger("scheduler")
 
-    def note_silent(self, target: targets.Target, now_ms: float) -> None:
+    def note_unreachable(self, target: targets.Target, now_ms: float) -> None:
         """Notes that nothing came back from a target."""
         hall = target.hall
         if self._reachability.note_missed(hall, target.target_id, now_ms):
@@ -38,10 +38,10 @@
             self._found.note_hall_lost(hall, now_ms)
         self._found.note_lost(hall, target.life, True, now_ms)
 
-    def note_gone(self, target: targets.Target, now_ms: float) -> None:
+    def note_ended(self, target: targets.Target, now_ms: float) -> None:
         """Notes that a target's life has certainly ended."""
         self._found.note_lost(target.hall, target.life, False, now_ms)
-        self.ends.note(target.life)
+        self.ended.note(target.life)
 
     def note_answered(self, target: targets.Target, now_ms: float) -> None:
         """Notes that a target has answered."""
@@ -56,7 +56,7 @@
         """Returns what peers are to be told now."""
         return self._found.summarize(now_ms)
 
-    def take_told(
+    def merge_gossip(
         self,
         told: bad_news.BadNews,
         find_estimate: Callable[[lives.Life], estimates.Estimate | None],
@@ -64,7 +64,7 @@
     ) -> None:
         """Passes over for a moment what peers found out of reach."""
         for name in told.gone:
-            self.ends.note(lives.parse_life(name))
+            self.ended.note(lives.parse_life(name))
         for name in (*told.gone, *told.silent):
             estimate = find_estimate(lives.parse_life(name))
             if estimate is not None:
