--- a/src/ruddergate/entry/attempt_log.py
+++ b/src/ruddergate/entry/attempt_log.py
@@ -3,8 +3,8 @@
 from ruddergate import outcomes
 from ruddergate import request as requests
 from ruddergate.entry import placement
+from ruddergate.entry import quarantine
 from ruddergate.entry import relay_progress
-from ruddergate.entry import suspects
 from ruddergate.entry import tools as tool_types
 from ruddergate.telemetry import logs
 
@@ -53,7 +53,7 @@
         ended.detail,
         request_id=request.request_id,
         target=seat.target.target_id,
-        content=suspects.name_content(request),
+        content=quarantine.find_fingerprint(request),
         route=request.payload.route.name,
         sent=progress.sent,
         blamed=progress.blamed,
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -23,6 +23,7 @@
 from ruddergate.entry import peer_exchange
 from ruddergate.entry import peer_questions
 from ruddergate.entry import placement
+from ruddergate.entry import quarantine_gossip
 from ruddergate.entry import rate_limiter
 from ruddergate.entry import relay_admit
 from ruddergate.entry import relay_handler
@@ -33,7 +34,6 @@
 from ruddergate.entry import source_peers
 from ruddergate.entry import source_sync
 from ruddergate.entry import status
-from ruddergate.entry import suspect_exchange
 from ruddergate.entry import target_availability
 from ruddergate.entry import tools as tool_types
 from ruddergate.entry import view as views
@@ -150,7 +150,7 @@
             withdrawn=withdrawn,
             limits=self._rate_limiter.limits,
         )
-        self._suspects = suspect_exchange.SuspectExchange(
+        self._quarantine_gossip = quarantine_gossip.QuarantineGossip(
             outside,
             gateway_config.peers.listen,
             lambda: self._peers.loads.names(),
@@ -170,7 +170,7 @@
             budget=retries.Budget(gateway_config.retry_share, 0.0, 0.0),
             metrics=metrics,
             tracer=tracer,
-            suspects=self._suspects.table,
+            suspects=self._quarantine_gossip.table,
             secure_retry=lambda is_great: self._loans.secure(is_great),
             note_lost=lambda lost: self._crash_detector.on_lost_call(lost),
             refuse_send=self._refuse_send,
@@ -195,7 +195,7 @@
         )
         self._crash_detector = crash_detector.CrashDetector(
             self._keeper.ask_sign,
-            self._suspects.table.note_ended,
+            self._quarantine_gossip.table.on_target_ended,
             lambda target: scheduler.post(placement.LifeEnded(target)),
             self.tools.metrics,
         )
@@ -218,7 +218,7 @@
             self._divide_retries,
             self.answer_peer,
             scheduler.summarize_lost,
-            self._suspects.take,
+            self._quarantine_gossip.merge_gossip,
             self._greet,
             summarize_leaving=self._availability.summarize,
             take_leaving=self._availability.merge_gossip,
@@ -294,7 +294,7 @@
 
     def _greet(self, peer: str) -> None:
         """Tells a VM that has just started what it should know."""
-        self._suspects.on_peer_started(peer)
+        self._quarantine_gossip.on_peer_started(peer)
         self._availability.on_peer_started(len(self._peers.loads))
 
     def _note_leaving(self) -> None:
@@ -316,7 +316,7 @@
             asyncio.ensure_future(self.tools.scheduler.run()),
             asyncio.ensure_future(self._sync.run()),
             asyncio.ensure_future(self._peers.run()),
-            asyncio.ensure_future(self._suspects.run()),
+            asyncio.ensure_future(self._quarantine_gossip.run()),
             asyncio.ensure_future(self._drain_check.run()),
             asyncio.ensure_future(
                 self._rate_limiter.run(self._orders.ask_sign)
--- a/src/ruddergate/entry/program.py
+++ b/src/ruddergate/entry/program.py
@@ -14,9 +14,9 @@
 from ruddergate.entry import keyed as keyed_runs
 from ruddergate.entry import limits as limit_types
 from ruddergate.entry import open_calls
+from ruddergate.entry import quarantine
 from ruddergate.entry import scheduler as schedulers
 from ruddergate.entry import status
-from ruddergate.entry import suspects
 from ruddergate.entry import tools as tool_types
 from ruddergate.entry import view as views
 from ruddergate.http import server as http_server
@@ -54,7 +54,7 @@
             budget=retries.Budget(),
             metrics=metric_types.EntryMetrics(),
             tracer=tracer,
-            suspects=suspects.Suspects(outside),
+            suspects=quarantine.Quarantine(outside),
         )
         limits = limit_types.Limits(outside, view)
         self._keyed = keyed_runs.KeyedRuns(self.tools, limits)
--- a/src/ruddergate/entry/suspects.py
+++ b/src/ruddergate/entry/quarantine.py
@@ -16,7 +16,7 @@
 from ruddergate.telemetry import logs
 
 
-class Suspects:
+class Quarantine:
     """Contents under which targets have ended.
 
     Args:
@@ -39,34 +39,36 @@
     def __len__(self) -> int:
         return len(self._suspicion)
 
-    def note_ended(self, lost: lost_call.LostCall) -> None:
+    def on_target_ended(self, lost: lost_call.LostCall) -> None:
         """Notes that a target ended under a call."""
         now_ms = self._outside.now_ms()
         life = lost.target.life
         weight = suspicion.find_weight(lost.there_ms, lost.reading_ms)
         if self._suspicion.note_ended(lost.content, life, weight, now_ms):
-            self._note_news(lost.content, lost.request_id)
+            self._announce(lost.content, lost.request_id)
 
-    def note_finished(self, request: requests.Request) -> None:
+    def on_request_finished(self, request: requests.Request) -> None:
         """Notes that a call ran to its end.
 
         Nothing is computed while no content is suspect.
         """
         if not len(self._suspicion):
             return
-        content = name_content(request)
+        content = find_fingerprint(request)
         if self._suspicion.note_finished(content, self._outside.now_ms()):
-            self._note_news(content, request.request_id)
+            self._announce(content, request.request_id)
 
-    def is_suspect(self, request: requests.Request) -> bool:
+    def is_suspected(self, request: requests.Request) -> bool:
         """Returns whether a target has ended under a call's content."""
         if not len(self._suspicion):
             return False
         now_ms = self._outside.now_ms()
-        content = name_content(request)
+        content = find_fingerprint(request)
         return self._suspicion.count_against(content, now_ms) > 0
 
-    def refuse(self, request: requests.Request) -> outcomes.NotServed | None:
+    def check_admission(
+        self, request: requests.Request
+    ) -> outcomes.NotServed | None:
         """Returns a refusal if a call is not to be sent to any target.
 
         It holds for this moment, and is to be asked for in the step that sends:
@@ -74,7 +76,7 @@
         """
         if not len(self._suspicion):
             return None
-        content = name_content(request)
+        content = find_fingerprint(request)
         left_ms = self._suspicion.find_left_ms(content, self._outside.now_ms())
         if left_ms <= 0.0:
             return None
@@ -84,7 +86,7 @@
             left_ms,
         )
 
-    def take(self, told: messages.Suspects) -> set[str]:
+    def merge_gossip(self, told: messages.Suspects) -> set[str]:
         """Takes in what a peer told; returns the contents that are news."""
         fault = suspicion.find_fault(told.rows)
         if fault:
@@ -95,16 +97,18 @@
         now_ms = self._outside.now_ms()
         news = self._suspicion.take(told.rows, now_ms)
         for content in news:
-            self._tell_operators(content, "", told.sender)
+            self._log_change(content, "", told.sender)
         return news
 
-    def describe(self, contents: list[str]) -> tuple[messages.Suspect, ...]:
+    def list_evidence(
+        self, contents: list[str]
+    ) -> tuple[messages.Suspect, ...]:
         """Returns what is known of contents, to be told to peers."""
         now_ms = self._outside.now_ms()
         rows = [self._suspicion.describe(each, now_ms) for each in contents]
         return tuple(row for row in rows if row is not None)
 
-    def rank(self) -> list[str]:
+    def rank_fingerprints(self) -> list[str]:
         """Returns the contents, those under which most ended first."""
         return self._suspicion.rank(self._outside.now_ms())
 
@@ -112,11 +116,11 @@
         """Returns the contents that are quarantined."""
         return self._suspicion.list_quarantined(self._outside.now_ms())
 
-    def _note_news(self, content: str, request_id: str) -> None:
-        self._tell_operators(content, request_id, "")
+    def _announce(self, content: str, request_id: str) -> None:
+        self._log_change(content, request_id, "")
         self._note_change(content)
 
-    def _tell_operators(self, content: str, request_id: str, peer: str) -> None:
+    def _log_change(self, content: str, request_id: str, peer: str) -> None:
         """Logs what changed for a content, with the lives that say so."""
         now_ms = self._outside.now_ms()
         left_ms = self._suspicion.find_left_ms(content, now_ms)
@@ -143,7 +147,7 @@
         )
 
 
-def name_content(request: requests.Request) -> str:
+def find_fingerprint(request: requests.Request) -> str:
     """Returns the name that all tries of the same call share."""
     payload = request.payload
     return call_content.name_content(
--- a/src/ruddergate/entry/suspect_exchange.py
+++ b/src/ruddergate/entry/quarantine_gossip.py
@@ -12,26 +12,26 @@
 
 from ruddergate import environment
 from ruddergate.decisions import suspicion
-from ruddergate.entry import suspects as suspect_tables
+from ruddergate.entry import quarantine as quarantines
 from ruddergate.messages import suspects as messages
 
 # What is new within this time goes into one datagram: calls that shared a
 # target are lost together.
-GATHER_MS = 5.0
+BATCH_DELAY_MS = 5.0
 # Peers written to with what is new, and again by each that had not heard of it.
 # In a fleet of up to so many VMs that is everybody. With one datagram in a
 # hundred lost the last VM knew after 12 ms of 9 VMs, 24 ms of 195 and, by the
 # rounds below, 2.0 s of 940, for 0.9 KB/s a VM (standins.suspect_spread, worst
 # of five seeds).
-DIRECT_MOST = 16
+MAX_DIRECT_PEERS = 16
 FANOUT = 6
 # Time between two rounds, and peers written to in each: a VM is missed by all
 # for 3 s with a chance of 6 in a million (e to the -12).
-ROUND_MS = 1_000.0
+ROUND_INTERVAL_MS = 1_000.0
 ROUND_PEERS = 4
 
 
-class SuspectExchange:
+class QuarantineGossip:
     """Passes on what VMs know of contents; owns what is to be told.
 
     Args:
@@ -52,39 +52,39 @@
         self._own = str(own)
         self._list_peers = list_peers
         self._send = send
-        self._news: dict[str, None] = {}
+        self._pending: dict[str, None] = {}
         self._changed = asyncio.Event()
-        self._round_due_ms = outside.now_ms()
-        self.table = suspect_tables.Suspects(outside, self._note_news)
+        self._next_round_ms = outside.now_ms()
+        self.table = quarantines.Quarantine(outside, self._queue_change)
 
     async def run(self) -> None:
         """Tells peers until cancelled; sleeps while nothing is suspect."""
         while True:
             await self._wait()
-            await asyncio.sleep(GATHER_MS / 1000.0)
+            await asyncio.sleep(BATCH_DELAY_MS / 1000.0)
             self._changed.clear()
-            self._tell_news()
-            if self._outside.now_ms() >= self._round_due_ms:
-                self._round_due_ms = self._outside.now_ms() + ROUND_MS
-                self._tell_all(self._draw_peers(ROUND_PEERS))
+            self._send_pending()
+            if self._outside.now_ms() >= self._next_round_ms:
+                self._next_round_ms = self._outside.now_ms() + ROUND_INTERVAL_MS
+                self._send_ranked(self._draw_peers(ROUND_PEERS))
 
-    def take(self, told: messages.Suspects) -> None:
+    def merge_gossip(self, told: messages.Suspects) -> None:
         """Takes in what a peer told, and passes on what was news."""
-        news = self.table.take(told)
+        news = self.table.merge_gossip(told)
         self._changed.set()
-        if len(self._list_peers()) <= DIRECT_MOST:
+        if len(self._list_peers()) <= MAX_DIRECT_PEERS:
             return
         for content in news:
-            self._note_news(content)
+            self._queue_change(content)
 
-    def greet(self, peer: str) -> None:
+    def on_peer_started(self, peer: str) -> None:
         """Tells a VM that has just started what it should know."""
         chance = FANOUT / max(1, len(self._list_peers()))
         if len(self.table) and self._outside.random.random() < chance:
-            self._tell_all([peer])
+            self._send_ranked([peer])
 
-    def _note_news(self, content: str) -> None:
-        self._news[content] = None
+    def _queue_change(self, content: str) -> None:
+        self._pending[content] = None
         self._changed.set()
 
     async def _wait(self) -> None:
@@ -92,28 +92,30 @@
         if not len(self.table):
             await self._changed.wait()
             return
-        wait_ms = max(0.0, self._round_due_ms - self._outside.now_ms())
+        wait_ms = max(0.0, self._next_round_ms - self._outside.now_ms())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_ms / 1000.0):
                 await self._changed.wait()
 
-    def _tell_news(self) -> None:
-        contents = list(self._news)
-        self._news.clear()
+    def _send_pending(self) -> None:
+        contents = list(self._pending)
+        self._pending.clear()
         peers = self._list_peers()
-        if len(peers) > DIRECT_MOST:
+        if len(peers) > MAX_DIRECT_PEERS:
             peers = self._draw_peers(FANOUT)
         for begin in range(0, len(contents), suspicion.TOLD_MOST):
             part = contents[begin : begin + suspicion.TOLD_MOST]
-            self._tell(part, peers)
+            self._send_evidence(part, peers)
 
-    def _tell_all(self, peers: list[str]) -> None:
+    def _send_ranked(self, peers: list[str]) -> None:
         """Tells those contents under which most targets ended."""
         if len(self.table):
-            self._tell(self.table.rank()[: suspicion.TOLD_MOST], peers)
+            self._send_evidence(
+                self.table.rank_fingerprints()[: suspicion.TOLD_MOST], peers
+            )
 
-    def _tell(self, contents: list[str], peers: list[str]) -> None:
-        rows = self.table.describe(contents)
+    def _send_evidence(self, contents: list[str], peers: list[str]) -> None:
+        rows = self.table.list_evidence(contents)
         if rows and peers:
             self._send(messages.Suspects(self._own, rows), peers)
 
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -12,9 +12,9 @@
 from ruddergate.entry import first_event
 from ruddergate.entry import lost_call
 from ruddergate.entry import placement
+from ruddergate.entry import quarantine
 from ruddergate.entry import relay_progress
 from ruddergate.entry import reservation_keeper
-from ruddergate.entry import suspects
 from ruddergate.entry import tools as tool_types
 from ruddergate.relay import answer as answers
 from ruddergate.relay import errand as errands
@@ -130,7 +130,7 @@
 
     def _refuse_send(self) -> outcomes.NotServed | None:
         """Returns why the call may not be sent in this moment, if so."""
-        refusal = self._tools.suspects.refuse(self._request)
+        refusal = self._tools.suspects.check_admission(self._request)
         refusal = refusal or self._refuse_withdrawn()
         if refusal is not None:
             return refusal
@@ -299,7 +299,7 @@
         target = self._seats[0].target
         return lost_call.LostCall(
             self._request.request_id,
-            suspects.name_content(self._request),
+            quarantine.find_fingerprint(self._request),
             target,
             self._tools.outside.now_ms() - self._sent_ms,
             costs.predict_prefill_ms(
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -74,7 +74,7 @@
 ) -> AsyncIterator[answers.Event]:
     """Yields the answer in order, each event once; the last tells the end."""
     progress = relay_progress.Progress(request.payload.last_event)
-    refusal = tools.suspects.refuse(request)
+    refusal = tools.suspects.check_admission(request)
     if refusal is not None:
         yield refusal
         return
@@ -95,7 +95,7 @@
                 else:
                     ended = event
         if isinstance(ended, answers.StreamEnd | answers.WholeAnswer):
-            tools.suspects.note_finished(request)
+            tools.suspects.on_request_finished(request)
         if isinstance(ended, answers.StreamEnd):
             yield ended
             return
@@ -297,7 +297,7 @@
             pause_aim_ms=route.gap_aim_ms if route.is_stream else math.inf,
             home_hall=tools.config.hall,
             pinned_target=progress.pinned,
-            is_suspect=tools.suspects.is_suspect(request),
+            is_suspect=tools.suspects.is_suspected(request),
             salt=tools.outside.random.getrandbits(32),
         ),
         pool=pool,
--- a/src/ruddergate/entry/tools.py
+++ b/src/ruddergate/entry/tools.py
@@ -11,8 +11,8 @@
 from ruddergate.entry import canceller
 from ruddergate.entry import config as configs
 from ruddergate.entry import lost_call
+from ruddergate.entry import quarantine as quarantines
 from ruddergate.entry import scheduler
-from ruddergate.entry import suspects as suspect_tables
 from ruddergate.entry import view as views
 from ruddergate.fleet import target as targets
 from ruddergate.telemetry import metrics
@@ -79,7 +79,7 @@
     budget: retries.Budget
     metrics: metrics.EntryMetrics
     tracer: traces.Tracer
-    suspects: suspect_tables.Suspects
+    suspects: quarantines.Quarantine
     secure_retry: Callable[[bool], Awaitable[bool]] = _lend_nothing
     note_lost: Callable[[lost_call.LostCall], None] = _note_nothing
     refuse_send: Callable[
--- a/standins/suspect_spread.py
+++ b/standins/suspect_spread.py
@@ -13,7 +13,7 @@
 
 from ruddergate import environment
 from ruddergate.entry import lost_call
-from ruddergate.entry import suspect_exchange
+from ruddergate.entry import quarantine_gossip
 from ruddergate.fleet import condition
 from ruddergate.fleet import target as targets
 from ruddergate.messages import suspects as messages
@@ -38,7 +38,7 @@
         knew_s: When it knew enough to refuse; None if it never did.
     """
 
-    exchange: suspect_exchange.SuspectExchange
+    exchange: quarantine_gossip.QuarantineGossip
     sent_bytes: int = 0
     knew_s: float | None = None
 
@@ -71,7 +71,7 @@
                         0.001, self._deliver, receiver, told
                     )
 
-        exchange = suspect_exchange.SuspectExchange(
+        exchange = quarantine_gossip.QuarantineGossip(
             outside, where, list_peers, send
         )
         self.vms[name] = _Vm(exchange)
@@ -79,7 +79,7 @@
 
     def _deliver(self, receiver: str, told: messages.Suspects) -> None:
         vm = self.vms[receiver]
-        vm.exchange.take(told)
+        vm.exchange.merge_gossip(told)
         if vm.knew_s is None and vm.exchange.table.list_quarantined():
             vm.knew_s = asyncio.get_running_loop().time()
 
@@ -91,7 +91,7 @@
     began_s = asyncio.get_running_loop().time()
     seers = list(fleet.vms.values())[:3]
     for number, vm in enumerate(seers):
-        vm.exchange.table.note_ended(_make_lost(number))
+        vm.exchange.table.on_target_ended(_make_lost(number))
     await asyncio.sleep(_PLAY_S)
     knew = [vm.knew_s for vm in fleet.vms.values()]
     if None in knew:
