--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -21,14 +21,14 @@
 from ruddergate.entry import drain_check
 from ruddergate.entry import open_calls
 from ruddergate.entry import peer_exchange
-from ruddergate.entry import peer_questions
+from ruddergate.entry import peer_rpc
 from ruddergate.entry import placement
 from ruddergate.entry import quarantine_gossip
 from ruddergate.entry import rate_limiter
 from ruddergate.entry import relay_admit
 from ruddergate.entry import relay_handler
 from ruddergate.entry import reservation_keeper
-from ruddergate.entry import retry_loans
+from ruddergate.entry import retry_transfers
 from ruddergate.entry import scheduler as schedulers
 from ruddergate.entry import source_pace
 from ruddergate.entry import source_peers
@@ -171,7 +171,9 @@
             metrics=metrics,
             tracer=tracer,
             suspects=self._quarantine_gossip.table,
-            secure_retry=lambda is_great: self._loans.secure(is_great),
+            secure_retry=lambda is_great: self._retry_transfers.acquire(
+                is_great
+            ),
             note_lost=lambda lost: self._crash_detector.on_lost_call(lost),
             refuse_send=self._refuse_send,
             admit=self._rate_limiter.admit,
@@ -227,10 +229,10 @@
             find_settings_revision=lambda: view.catalog.revision,
             note_newer_settings=self.note_newer_settings,
         )
-        self._loans = retry_loans.RetryLoans(
+        self._retry_transfers = retry_transfers.RetryTransfers(
             outside,
             self.tools.budget,
-            self._peers.questions,
+            self._peers.rpc,
             self._peers.find_hall_peers,
         )
         self._vms_most = 1
@@ -244,9 +246,9 @@
             source_peers.SourcePeers(
                 self._peers.rank_hall,
                 str(gateway_config.peers.listen),
-                self._peers.questions.ask_news,
-                self._peers.questions.ask_settings,
-                self._peers.questions.ask_targets,
+                self._peers.rpc.request_changes,
+                self._peers.rpc.request_settings,
+                self._peers.rpc.request_targets,
             ),
             withdrawn,
             self._drain_check.wake,
@@ -264,9 +266,7 @@
         refusal = self._availability.check_admission(asked)
         return refusal or self._rate_limiter.refuse_helpers(asked[1:])
 
-    def answer_peer(
-        self, question: peer_questions.Question
-    ) -> peer_questions.Answer | None:
+    def answer_peer(self, question: peer_rpc.Request) -> peer_rpc.Reply | None:
         """Returns the answer to a peer's question, if there is one."""
         match question:
             case news.NewsWanted():
--- a/src/ruddergate/entry/peer_exchange.py
+++ b/src/ruddergate/entry/peer_exchange.py
@@ -17,7 +17,7 @@
 from ruddergate.decisions import peer_groups
 from ruddergate.decisions import peer_loads
 from ruddergate.entry import digest_relay
-from ruddergate.entry import peer_questions
+from ruddergate.entry import peer_rpc
 from ruddergate.fleet import bad_news
 from ruddergate.fleet import dispatched
 from ruddergate.fleet import rate_limit
@@ -51,9 +51,7 @@
 _BIND_AGAIN_MS = 2_000.0
 
 
-Answerer: TypeAlias = Callable[
-    [peer_questions.Question], peer_questions.Answer | None
-]
+Answerer: TypeAlias = Callable[[peer_rpc.Request], peer_rpc.Reply | None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -149,7 +147,7 @@
         self.loads = peer_loads.PeerLoads(
             self._own, peer_groups.Place(hall, config.link_mbps)
         )
-        self.questions = peer_questions.PeerQuestions(
+        self.rpc = peer_rpc.PeerRpc(
             outside,
             config.listen,
             lambda message, peer: self._send(message, (peer,)),
@@ -312,10 +310,8 @@
                 self.loads.note_written_by(message.sender)
             case suspect_messages.Suspects():
                 self._take_suspects(message)
-            case _ if isinstance(
-                message, peer_questions.QUESTIONS + peer_questions.ANSWERS
-            ):
-                self.questions.take(message)
+            case _ if isinstance(message, peer_rpc.REQUESTS + peer_rpc.REPLIES):
+                self.rpc.receive(message)
             case _:
                 self._log.warning("Datagram dropped, it is no digest.")
 
@@ -362,8 +358,8 @@
         self,
         message: load_digest.LoadDigest
         | load_bundle.LoadBundle
-        | peer_questions.Question
-        | peer_questions.Answer
+        | peer_rpc.Request
+        | peer_rpc.Reply
         | suspect_messages.Suspects,
         receivers: Iterable[str],
     ) -> None:
@@ -381,7 +377,7 @@
         self._send(told, receivers)
 
 
-def _answer_nothing(question: peer_questions.Question) -> None:
+def _answer_nothing(question: peer_rpc.Request) -> None:
     """Stands where questions are not answered."""
     return
 
--- a/src/ruddergate/entry/peer_source.py
+++ b/src/ruddergate/entry/peer_source.py
@@ -46,10 +46,10 @@
         self._peers = peers
         self._read_settings = read_settings
         self.settings = document_exchange.DocumentExchange(
-            peers.ask_settings, find_settings
+            peers.request_settings, find_settings
         )
         self.targets = document_exchange.DocumentExchange(
-            peers.ask_targets, find_targets
+            peers.request_targets, find_targets
         )
         self._log = logs.make_logger("store")
 
--- a/src/ruddergate/entry/retry_loans.py
+++ b/src/ruddergate/entry/retry_transfers.py
@@ -10,26 +10,26 @@
 
 from ruddergate import environment
 from ruddergate.decisions import retries
-from ruddergate.entry import peer_questions
+from ruddergate.entry import peer_rpc
 from ruddergate.telemetry import logs
 
 # Peers asked for one second send: some have little or nothing left.
-PEERS_ASKED = 4
+MAX_PEERS_ASKED = 4
 # No further peer is asked after this time: one that is silent takes 120 ms, and
 # a VM that is cut off has many such peers while its caller waits.
-BORROWING_MS = 100.0
+REQUEST_WINDOW_MS = 100.0
 # With nothing to be had, peers are not asked again for this time: when all
 # have spent theirs, questions are no use to anybody.
-REFUSED_PAUSE_MS = 200.0
+EMPTY_PAUSE_MS = 200.0
 
 
-class RetryLoans:
+class RetryTransfers:
     """Borrows second sends; peers give them up for good.
 
     Args:
         outside: Clock and chance.
         budget: This VM's own second sends.
-        questions: Asks peers.
+        rpc: Asks peers.
         find_peers: Returns the peers of this VM's hall.
     """
 
@@ -37,17 +37,17 @@
         self,
         outside: environment.Environment,
         budget: retries.Budget,
-        questions: peer_questions.PeerQuestions,
+        rpc: peer_rpc.PeerRpc,
         find_peers: Callable[[], Sequence[str]],
     ) -> None:
         self._outside = outside
         self._budget = budget
-        self._questions = questions
+        self._rpc = rpc
         self._find_peers = find_peers
         self._paused_until_ms = {True: 0.0, False: 0.0}
         self._log = logs.make_logger("retries")
 
-    async def secure(self, is_great: bool) -> bool:
+    async def acquire(self, is_great: bool) -> bool:
         """Sees to it that a second send can be made; returns whether it can.
 
         Args:
@@ -58,10 +58,10 @@
         now_ms = self._outside.now_ms()
         if now_ms < self._paused_until_ms[is_great]:
             return False
-        asked, lent = await self._borrow(is_great)
+        asked, lent = await self._request_transfers(is_great)
         is_had = self._budget.has_one()
         if not is_had:
-            self._paused_until_ms[is_great] = now_ms + REFUSED_PAUSE_MS
+            self._paused_until_ms[is_great] = now_ms + EMPTY_PAUSE_MS
         self._log.info(
             "Second send borrowed." if is_had else "No second send to borrow.",
             peers_asked=asked,
@@ -70,7 +70,7 @@
         )
         return is_had
 
-    async def _borrow(self, is_great: bool) -> tuple[int, float]:
+    async def _request_transfers(self, is_great: bool) -> tuple[int, float]:
         """Asks one peer after the other for what is missing.
 
         Several at once would give up more than is used.
@@ -78,9 +78,9 @@
         Returns:
             How many peers were asked, and what they gave.
         """
-        until_ms = self._outside.now_ms() + BORROWING_MS
+        until_ms = self._outside.now_ms() + REQUEST_WINDOW_MS
         peers = list(self._find_peers())
-        count = min(PEERS_ASKED, len(peers))
+        count = min(MAX_PEERS_ASKED, len(peers))
         asked = 0
         given = 0.0
         for peer in self._outside.random.sample(peers, count):
@@ -88,7 +88,7 @@
                 break
             asked += 1
             missing = retries.ONE - self._budget.tokens
-            lent = await self._questions.ask_retries(peer, missing, is_great)
+            lent = await self._rpc.request_retries(peer, missing, is_great)
             self._budget.take_loan(lent)
             given += lent
         return asked, given
--- a/src/ruddergate/entry/source_peers.py
+++ b/src/ruddergate/entry/source_peers.py
@@ -28,5 +28,5 @@
     ask: Callable[
         [str, store_position.StorePosition], Awaitable[news.News | None]
     ]
-    ask_settings: document_exchange.AskPart[int]
-    ask_targets: document_exchange.AskPart[store_position.StorePosition]
+    request_settings: document_exchange.AskPart[int]
+    request_targets: document_exchange.AskPart[store_position.StorePosition]
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -108,10 +108,10 @@
             exchange = scene.cluster.vms["vm-0"].gateway._peers
             (peer,) = exchange.find_hall_peers()
             lender = scene.cluster.vms[peer.partition(":")[0]].gateway
-            lender._peers.questions._answer = lambda wanted: (
+            lender._peers.rpc._handle_request = lambda wanted: (
                 retry_loan.RetriesLent(wanted.question, 1_000.0)
             )
-            lent = await exchange.questions.ask_retries(peer, 1.0, True)
+            lent = await exchange.rpc.request_retries(peer, 1.0, True)
             self.assertEqual(lent, 0.0)
 
         loguru.logger.remove()
