--- a/src/ruddergate/cli/gateway.py
+++ b/src/ruddergate/cli/gateway.py
@@ -12,7 +12,7 @@
 from ruddergate.cli import _private
 from ruddergate.entry import config as configs
 from ruddergate.entry import gateway as gateways
-from ruddergate.entry import peer_exchange
+from ruddergate.entry import peer_gossip
 from ruddergate.entry import source_pace
 from ruddergate.http import client
 from ruddergate.http import server
@@ -139,7 +139,7 @@
         pace=make_pace(min(apply_ms, leave_ms), ready_age_max_ms),
         retry_share=retry_ratio * _RETRY_PART,
         retry_slack=retry_slack,
-        peers=peer_exchange.PeerConfig(
+        peers=peer_gossip.PeerConfig(
             environment.parse_address(peer_listen),
             _parse_seeds(seeds, environment.parse_address(peer_listen).port),
             round(link_mbps),
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -20,7 +20,7 @@
 from ruddergate.entry import crash_detector
 from ruddergate.entry import drain_check
 from ruddergate.entry import open_calls
-from ruddergate.entry import peer_exchange
+from ruddergate.entry import peer_gossip
 from ruddergate.entry import peer_rpc
 from ruddergate.entry import placement
 from ruddergate.entry import quarantine_gossip
@@ -88,7 +88,7 @@
     pace: source_pace.Pace
     retry_share: float
     retry_slack: float
-    peers: peer_exchange.PeerConfig
+    peers: peer_gossip.PeerConfig
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -154,7 +154,7 @@
             outside,
             gateway_config.peers.listen,
             lambda: self._peers.loads.names(),
-            lambda told, peers: self._peers.tell_suspects(told, peers),
+            lambda told, peers: self._peers.send_evidence(told, peers),
         )
         self._availability = target_availability.TargetAvailability(
             outside, withdrawn, metrics, self._note_leaving
@@ -211,7 +211,7 @@
                 gateway_config.certain_age_max_ms,
             ),
         )
-        self._peers = peer_exchange.PeerExchange(
+        self._peers = peer_gossip.PeerGossip(
             outside,
             gateway_config.peers,
             config.hall,
@@ -222,8 +222,8 @@
             scheduler.summarize_lost,
             self._quarantine_gossip.merge_gossip,
             self._greet,
-            summarize_leaving=self._availability.summarize,
-            take_leaving=self._availability.merge_gossip,
+            summarize_draining=self._availability.summarize,
+            merge_draining=self._availability.merge_gossip,
             summarize_rate_limits=self._rate_limiter.summarize,
             merge_rate_limits=self._rate_limiter.merge,
             find_settings_revision=lambda: view.catalog.revision,
--- a/src/ruddergate/entry/peer_exchange.py
+++ b/src/ruddergate/entry/peer_gossip.py
@@ -29,29 +29,29 @@
 
 # Changes are told at once, but for those that follow within this time: several
 # requests often begin together.
-CHANGE_GAP_MS = 25.0
+CHANGE_BATCH_MS = 25.0
 # Without a change a VM tells its work again in this time, in case that a
 # datagram was lost, and keeps itself known.
-ROUND_MS = 1_000.0
+ROUND_INTERVAL_MS = 1_000.0
 # All sums are handed over anew in this time, since the scheduler takes what it
 # was not told for 2 s for unknown. What is silent is forgotten then, too.
-RENEW_MS = 500.0
+FULL_REFRESH_MS = 500.0
 # Seeds are written to once in this time while no peer is known. VMs that start
 # together find the seeds' ports closed at first, and callers that come back
 # then must not all be sent to the same few engines.
-SEEDS_FIRST_MS = 100.0
+SEED_INTERVAL_AT_START_MS = 100.0
 # For so long after its start; later, a VM without peers is alone for a reason.
-SEEDS_FIRST_FOR_MS = 3_000.0
+SEED_START_PHASE_MS = 3_000.0
 # And so often then.
-SEEDS_ALONE_MS = 1_000.0
+SEED_INTERVAL_ALONE_MS = 1_000.0
 # And so often later, for parts of a fleet that have lost each other for longer
 # than they remember.
-SEEDS_LATER_MS = 10_000.0
+SEED_INTERVAL_MS = 10_000.0
 # A port that another process holds is tried again after this time.
-_BIND_AGAIN_MS = 2_000.0
+_REBIND_MS = 2_000.0
 
 
-Answerer: TypeAlias = Callable[[peer_rpc.Request], peer_rpc.Reply | None]
+RequestHandler: TypeAlias = Callable[[peer_rpc.Request], peer_rpc.Reply | None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -69,7 +69,7 @@
     link_mbps: int = 0
 
 
-class PeerExchange:
+class PeerGossip:
     """Sends, takes and passes on digests; owns the port for datagrams.
 
     Args:
@@ -78,12 +78,12 @@
         hall: Data hall of this VM.
         incarnation: Name of this run of the VM.
         summarize: Returns this VM's own work.
-        summarize_lost: Returns what this VM has found out of reach.
-        note_peers: Is told how many peers are known, whenever that changes.
+        summarize_losses: Returns what this VM has found out of reach.
+        on_peer_count: Is told how many peers are known, whenever that changes.
         answer: Returns this VM's answer to a peer's question.
-        summarize_lost: Returns what this VM has found out of reach.
-        take_suspects: Takes what a peer tells of contents.
-        greet: Is told of each run of a VM that is heard of for the first time.
+        summarize_losses: Returns what this VM has found out of reach.
+        merge_evidence: Takes what a peer tells of contents.
+        on_peer_started: Is told of each run of a VM that is heard of for the first time.
         summarize_leaving: Returns targets that this VM has heard to leave.
         take_leaving: Takes those of a peer, and the peer's name.
         summarize_rate_limits: Returns the rate limits to tell peers.
@@ -104,17 +104,17 @@
         hall: str,
         incarnation: str,
         summarize: Callable[[], tuple[dispatched.Dispatched, ...]],
-        note_peers: Callable[[int], None] = lambda count: None,
-        answer: Answerer | None = None,
-        summarize_lost: Callable[[], bad_news.BadNews] = lambda: (
+        on_peer_count: Callable[[int], None] = lambda count: None,
+        answer: RequestHandler | None = None,
+        summarize_losses: Callable[[], bad_news.BadNews] = lambda: (
             bad_news.NOTHING
         ),
-        take_suspects: Callable[
+        merge_evidence: Callable[
             [suspect_messages.Suspects], None
         ] = lambda told: None,
-        greet: Callable[[str], None] = lambda peer: None,
-        summarize_leaving: Callable[[], tuple[str, ...]] = lambda: (),
-        take_leaving: Callable[
+        on_peer_started: Callable[[str], None] = lambda peer: None,
+        summarize_draining: Callable[[], tuple[str, ...]] = lambda: (),
+        merge_draining: Callable[
             [Sequence[str], str], None
         ] = lambda words, peer: None,
         summarize_rate_limits: Callable[
@@ -133,16 +133,16 @@
         self._hall = hall
         self._incarnation = incarnation
         self._summarize = summarize
-        self._summarize_lost = summarize_lost
-        self._take_suspects = take_suspects
-        self._greet = greet
-        self._summarize_leaving = summarize_leaving
-        self._take_leaving = take_leaving
+        self._summarize_losses = summarize_losses
+        self._merge_evidence = merge_evidence
+        self._notify_peer_started = on_peer_started
+        self._summarize_leaving = summarize_draining
+        self._take_leaving = merge_draining
         self._summarize_rate_limits = summarize_rate_limits
         self._merge_rate_limits = merge_rate_limits
         self._find_settings_revision = find_settings_revision
         self._note_newer_settings = note_newer_settings
-        self._report_peers = note_peers
+        self._notify_peer_count = on_peer_count
         self._own = str(config.listen)
         self.loads = peer_loads.PeerLoads(
             self._own, peer_groups.Place(hall, config.link_mbps)
@@ -151,18 +151,18 @@
             outside,
             config.listen,
             lambda message, peer: self._send(message, (peer,)),
-            answer or _answer_nothing,
+            answer or _answer_no_request,
         )
         self._port: environment.DatagramPort | None = None
         self._number = 0
         self._began_ms = outside.now_ms()
-        self._seeds_due_ms = float("-inf")
+        self._next_seed_ms = float("-inf")
         self._changed = asyncio.Event()
-        self._renewed_ms = float("-inf")
-        self._passed_on = digest_relay.DigestRelay(
+        self._refreshed_ms = float("-inf")
+        self._digest_relay = digest_relay.DigestRelay(
             outside, self._own, self.loads, self._send
         )
-        self._known = 0
+        self._known_count = 0
         # The relay that was last written to, for logs.
         self._relay = ""
         self._log = logs.make_logger("peers")
@@ -173,8 +173,8 @@
         try:
             while True:
                 await self._wait()
-                self._tell()
-                await asyncio.sleep(CHANGE_GAP_MS / 1000.0)
+                self._publish()
+                await asyncio.sleep(CHANGE_BATCH_MS / 1000.0)
         finally:
             self._port.close()
             self._port = None
@@ -201,10 +201,12 @@
         """Takes the port, whenever it is free; callers are served meanwhile."""
         while True:
             try:
-                return await self._outside.bind(self._take, self._config.listen)
+                return await self._outside.bind(
+                    self._receive, self._config.listen
+                )
             except OSError as error:
                 self._log.error("No port for peers' datagrams. {}", error)
-            await asyncio.sleep(_BIND_AGAIN_MS / 1000.0)
+            await asyncio.sleep(_REBIND_MS / 1000.0)
 
     def collect_sums(self) -> tuple[dispatched.Dispatched, ...]:
         """Returns what peers have running, as far as it is news.
@@ -213,8 +215,8 @@
         would cost more than the datagram.
         """
         now_ms = self._outside.now_ms()
-        if now_ms >= self._renewed_ms + RENEW_MS:
-            self._renewed_ms = now_ms
+        if now_ms >= self._refreshed_ms + FULL_REFRESH_MS:
+            self._refreshed_ms = now_ms
             self.loads.forget_silent(now_ms)
             self.loads.renew_sums()
         return self.loads.collect_sums()
@@ -224,10 +226,10 @@
 
         While seeds are to be written to soon, a round is as short as that.
         """
-        round_ms = ROUND_MS
+        round_ms = ROUND_INTERVAL_MS
         if not len(self.loads):
-            due_ms = self._seeds_due_ms - self._outside.now_ms()
-            round_ms = max(0.0, min(ROUND_MS, due_ms))
+            due_ms = self._next_seed_ms - self._outside.now_ms()
+            round_ms = max(0.0, min(ROUND_INTERVAL_MS, due_ms))
         try:
             async with asyncio.timeout(round_ms / 1000.0):
                 await self._changed.wait()
@@ -235,28 +237,28 @@
             return
         self._changed.clear()
 
-    def _tell(self) -> None:
+    def _publish(self) -> None:
         """Sends this VM's digest on its way."""
-        self._note_peers()
+        self._check_peer_count()
         digest = self._make_digest()
         now_ms = self._outside.now_ms()
-        self._tell_seeds(digest, now_ms)
+        self._send_to_seeds(digest, now_ms)
         if len(self.loads) <= peer_groups.DIRECT_MOST:
             bundle = load_bundle.LoadBundle(self._own, False, (digest,))
             self._send(bundle, self.loads.names())
             return
         relay = self._find_relay(now_ms)
         if relay == self._own:
-            self._passed_on.add_member(digest)
+            self._digest_relay.add_from_member(digest)
             return
         self.loads.note_written_to(relay, now_ms)
         self._send(digest, (relay,))
 
-    def _note_peers(self) -> None:
-        if len(self.loads) != self._known:
-            self._known = len(self.loads)
-            self._log.info("Peers known: {}.", self._known)
-            self._report_peers(self._known)
+    def _check_peer_count(self) -> None:
+        if len(self.loads) != self._known_count:
+            self._known_count = len(self.loads)
+            self._log.info("Peers known: {}.", self._known_count)
+            self._notify_peer_count(self._known_count)
 
     def _make_digest(self) -> load_digest.LoadDigest:
         self._number += 1
@@ -267,71 +269,75 @@
             incarnation=self._incarnation,
             number=self._number,
             rows=self._summarize(),
-            lost=self._summarize_lost(),
+            lost=self._summarize_losses(),
             leaving=self._summarize_leaving(),
             rate_limits=self._summarize_rate_limits(),
             settings_revision=self._find_settings_revision(),
         )
 
-    def _tell_seeds(
+    def _send_to_seeds(
         self, digest: load_digest.LoadDigest, now_ms: float
     ) -> None:
         """Makes this VM known to the seeds, which pass its digest on."""
-        if now_ms < self._seeds_due_ms:
+        if now_ms < self._next_seed_ms:
             return
-        self._seeds_due_ms = now_ms + self._find_seeds_pause_ms(now_ms)
+        self._next_seed_ms = now_ms + self._find_seed_interval_ms(now_ms)
         self._send(digest, map(str, self._config.seeds))
 
-    def _find_seeds_pause_ms(self, now_ms: float) -> float:
+    def _find_seed_interval_ms(self, now_ms: float) -> float:
         if len(self.loads):
-            return SEEDS_LATER_MS
-        if now_ms - self._began_ms < SEEDS_FIRST_FOR_MS:
-            return SEEDS_FIRST_MS
-        return SEEDS_ALONE_MS
+            return SEED_INTERVAL_MS
+        if now_ms - self._began_ms < SEED_START_PHASE_MS:
+            return SEED_INTERVAL_AT_START_MS
+        return SEED_INTERVAL_ALONE_MS
 
     def _find_relay(self, now_ms: float) -> str:
         relay = self.loads.find_relay(now_ms)
         if relay != self._relay:
             self._relay = relay
-            self._log.info("Digests go by {}.", relay, peers=self._known)
+            self._log.info("Digests go by {}.", relay, peers=self._known_count)
         return relay
 
-    def _take(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         message = codec.decode(data)
         match message:
             case load_digest.LoadDigest():
-                self._take_digests((message,), self._passed_on.add_member)
+                self._merge_digests(
+                    (message,), self._digest_relay.add_from_member
+                )
                 self.loads.note_written_by(message.sender)
             case load_bundle.LoadBundle():
-                pass_on = (
-                    self._passed_on.add_other if message.for_group else None
+                forward = (
+                    self._digest_relay.add_from_relay
+                    if message.for_group
+                    else None
                 )
-                self._take_digests(message.digests, pass_on)
+                self._merge_digests(message.digests, forward)
                 self.loads.note_written_by(message.sender)
             case suspect_messages.Suspects():
-                self._take_suspects(message)
+                self._merge_evidence(message)
             case _ if isinstance(message, peer_rpc.REQUESTS + peer_rpc.REPLIES):
                 self.rpc.receive(message)
             case _:
                 self._log.warning("Datagram dropped, it is no digest.")
 
-    def _take_digests(
+    def _merge_digests(
         self,
         digests: Sequence[load_digest.LoadDigest],
-        pass_on: Callable[[load_digest.LoadDigest], None] | None,
+        forward: Callable[[load_digest.LoadDigest], None] | None,
     ) -> None:
         """Takes digests in, and has those passed on that are news."""
         now_ms = self._outside.now_ms()
         own_revision = self._find_settings_revision()
         for digest in digests:
-            if not _is_sound(digest):
+            if not _has_valid_sender(digest):
                 self._log.warning("Digest dropped, its sender is no address.")
                 continue
             is_new_run = self.loads.is_new_run(digest)
             if not self.loads.take(digest, now_ms):
                 continue
             if is_new_run:
-                self._welcome(digest.sender)
+                self._on_peer_started(digest.sender)
             if digest.leaving:
                 self._take_leaving(digest.leaving, digest.sender)
             if digest.rate_limits:
@@ -340,17 +346,17 @@
                 self._note_newer_settings(
                     digest.sender, digest.settings_revision
                 )
-            if pass_on is not None:
-                pass_on(digest)
+            if forward is not None:
+                forward(digest)
 
-    def _welcome(self, peer: str) -> None:
+    def _on_peer_started(self, peer: str) -> None:
         """Tells a VM that has just started what it should know.
 
         In a small fleet that is this VM's load, too: it would place calls
         blindly until the next round otherwise. In a large one each start would
         have all VMs write.
         """
-        self._greet(peer)
+        self._notify_peer_started(peer)
         if len(self.loads) <= peer_groups.DIRECT_MOST:
             self._changed.set()
 
@@ -370,19 +376,19 @@
             if name != self._own:
                 self._port.send(data, environment.parse_address(name))
 
-    def tell_suspects(
+    def send_evidence(
         self, told: suspect_messages.Suspects, receivers: Iterable[str]
     ) -> None:
         """Tells peers of contents under which targets have ended."""
         self._send(told, receivers)
 
 
-def _answer_nothing(question: peer_rpc.Request) -> None:
+def _answer_no_request(question: peer_rpc.Request) -> None:
     """Stands where questions are not answered."""
     return
 
 
-def _is_sound(digest: load_digest.LoadDigest) -> bool:
+def _has_valid_sender(digest: load_digest.LoadDigest) -> bool:
     """Returns whether a digest's sender can be written to."""
     try:
         environment.parse_address(digest.sender)
--- a/standins/gateway_cluster.py
+++ b/standins/gateway_cluster.py
@@ -7,7 +7,7 @@
 from ruddergate import environment
 from ruddergate.entry import config as configs
 from ruddergate.entry import gateway as gateways
-from ruddergate.entry import peer_exchange
+from ruddergate.entry import peer_gossip
 from ruddergate.entry import source_pace
 from ruddergate.http import client
 from ruddergate.http import server
@@ -234,7 +234,7 @@
             pace=self.layout.pace,
             retry_share=0.15,
             retry_slack=RETRY_SLACK,
-            peers=peer_exchange.PeerConfig(
+            peers=peer_gossip.PeerConfig(
                 environment.Address(node.name, PEER_PORT), seeds
             ),
         )
--- a/standins/peer_fleet.py
+++ b/standins/peer_fleet.py
@@ -14,7 +14,7 @@
 import cyclopts
 
 from ruddergate import environment
-from ruddergate.entry import peer_exchange
+from ruddergate.entry import peer_gossip
 from ruddergate.fleet import dispatched
 from standins import virtual_network
 from standins import virtual_process
@@ -47,7 +47,7 @@
     """
 
     process: virtual_process.VirtualProcess
-    exchange: peer_exchange.PeerExchange
+    exchange: peer_gossip.PeerGossip
     now_ms: Callable[[], float]
     own: int = 0
     told: dict[str, int] = dataclasses.field(default_factory=dict)
@@ -93,21 +93,21 @@
         def summarize() -> tuple[dispatched.Dispatched, ...]:
             return _make_rows(name, self.members[name].own)
 
-        def take_leaving(words: Sequence[str], peer: str) -> None:
+        def merge_draining(words: Sequence[str], peer: str) -> None:
             now_s = asyncio.get_running_loop().time()
             for word in words:
                 self.members[name].heard_s.setdefault(word, now_s)
 
-        exchange = peer_exchange.PeerExchange(
+        exchange = peer_gossip.PeerGossip(
             self._count_sent(outside, name),
-            peer_exchange.PeerConfig(
+            peer_gossip.PeerConfig(
                 environment.Address(name, _PORT), self._seeds
             ),
             hall,
             f"{name}.{starts}",
             summarize,
-            summarize_leaving=lambda: self.members[name].leaving,
-            take_leaving=take_leaving,
+            summarize_draining=lambda: self.members[name].leaving,
+            merge_draining=merge_draining,
         )
         self.members[name] = Member(
             process, exchange, outside.now_ms, starts=starts
--- a/standins/rate_limit_fleet.py
+++ b/standins/rate_limit_fleet.py
@@ -19,7 +19,7 @@
 
 from ruddergate import environment
 from ruddergate.decisions import rate_limits
-from ruddergate.entry import peer_exchange
+from ruddergate.entry import peer_gossip
 from ruddergate.entry import rate_limiter
 from ruddergate.fleet import condition
 from ruddergate.fleet import life as lives
@@ -79,7 +79,7 @@
     """
 
     process: virtual_process.VirtualProcess
-    exchange: peer_exchange.PeerExchange
+    exchange: peer_gossip.PeerGossip
     limiter: rate_limiter.RateLimiter
     outside: environment.Environment
     passed_on_s: dict[str, float]
@@ -154,9 +154,9 @@
             lambda: self.vms[name].exchange.note_change(),
             metrics.EntryMetrics(),
         )
-        exchange = peer_exchange.PeerExchange(
+        exchange = peer_gossip.PeerGossip(
             outside,
-            peer_exchange.PeerConfig(listen, self._seeds),
+            peer_gossip.PeerConfig(listen, self._seeds),
             hall,
             f"{name}.{self._starts[name]}",
             lambda: (),
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,7 +13,7 @@
 from ruddergate.decisions import peer_groups
 from ruddergate.decisions import peer_loads
 from ruddergate.entry import digest_relay
-from ruddergate.entry import peer_exchange
+from ruddergate.entry import peer_gossip
 from ruddergate.fleet import dispatched
 from ruddergate.messages import load_bundle
 from ruddergate.messages import load_digest
@@ -23,7 +23,10 @@
 from standins import virtual_process
 
 # A change passes two relays at most, each of which waits for its turn.
-_TOLD_MS = 2.0 * (digest_relay.GATHER_MS + digest_relay.PASS_GAP_MS) + 30.0
+_TOLD_MS = (
+    2.0 * (digest_relay.BATCH_DELAY_MS + digest_relay.FORWARD_INTERVAL_MS)
+    + 30.0
+)
 
 
 def _row(streams: int = 1, target: str = "e") -> dispatched.Dispatched:
@@ -172,7 +175,8 @@
             for name in relays:
                 fleet.kill(name)
             await asyncio.sleep(
-                (peer_loads.NEWS_MS + 4.0 * peer_exchange.ROUND_MS) / 1000.0
+                (peer_loads.NEWS_MS + 4.0 * peer_gossip.ROUND_INTERVAL_MS)
+                / 1000.0
             )
             await self._check_change(fleet)
 
@@ -188,7 +192,7 @@
             self.assertEqual(fleet.members["vm-4"].count_told(), 4)
             self.assertEqual(fleet.members["vm-3"].count_told(), 0)
             fleet.network.cuts.remove(cut)
-            await asyncio.sleep(4.0 * peer_exchange.ROUND_MS / 1000.0)
+            await asyncio.sleep(4.0 * peer_gossip.ROUND_INTERVAL_MS / 1000.0)
             self.assertEqual(fleet.find_wrong(), [])
 
         self._play(scene, 40, ("vm-0",))
@@ -227,7 +231,7 @@
             fleet.members[relay].process.freeze()
             await asyncio.sleep(4.0)
             fleet.members[relay].process.wake()
-            await asyncio.sleep(4.0 * peer_exchange.ROUND_MS / 1000.0)
+            await asyncio.sleep(4.0 * peer_gossip.ROUND_INTERVAL_MS / 1000.0)
             await self._check_change(fleet)
 
         self._play(scene, 40)
@@ -297,7 +301,9 @@
             (_row(), _row(2, "i-7f3a91c2")),
         )
         bundle = load_bundle.LoadBundle(
-            "10.100.200.30:7341", True, (digest,) * digest_relay.BUNDLE_MOST
+            "10.100.200.30:7341",
+            True,
+            (digest,) * digest_relay.MAX_BUNDLE_DIGESTS,
         )
         data = codec.encode(bundle)
         self.assertEqual(codec.decode(data), bundle)
