--- a/src/ruddergate/cli/gateway.py
+++ b/src/ruddergate/cli/gateway.py
@@ -13,7 +13,7 @@
 from ruddergate.entry import config as configs
 from ruddergate.entry import gateway as gateways
 from ruddergate.entry import peer_gossip
-from ruddergate.entry import source_pace
+from ruddergate.entry import poll_config
 from ruddergate.http import client
 from ruddergate.http import server
 from ruddergate.platform import callers
@@ -171,7 +171,9 @@
     _private.run_program(run_gateway)
 
 
-def make_pace(bound_ms: float, ready_age_max_ms: float) -> source_pace.Pace:
+def make_pace(
+    bound_ms: float, ready_age_max_ms: float
+) -> poll_config.PollConfig:
     """Returns how often the store is asked.
 
     Args:
@@ -180,10 +182,10 @@
     """
     every_ms = min(bound_ms * _STORE_PART, ready_age_max_ms * _FRESH_PART)
     two_rounds_ms = 2.0 * every_ms
-    return source_pace.Pace(
-        every_ms=every_ms,
-        behind_ms=max(source_pace.BEHIND_LEAST_MS, two_rounds_ms),
-        outage_ms=max(source_pace.BEHIND_LEAST_MS, two_rounds_ms),
+    return poll_config.PollConfig(
+        interval_ms=every_ms,
+        full_read_age_ms=max(poll_config.MIN_FULL_READ_AGE_MS, two_rounds_ms),
+        outage_ms=max(poll_config.MIN_FULL_READ_AGE_MS, two_rounds_ms),
     )
 
 
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -23,6 +23,7 @@
 from ruddergate.entry import peer_gossip
 from ruddergate.entry import peer_rpc
 from ruddergate.entry import placement
+from ruddergate.entry import poll_config
 from ruddergate.entry import quarantine_gossip
 from ruddergate.entry import rate_limiter
 from ruddergate.entry import relay_admit
@@ -30,7 +31,6 @@
 from ruddergate.entry import reservation_keeper
 from ruddergate.entry import retry_transfers
 from ruddergate.entry import scheduler as schedulers
-from ruddergate.entry import source_pace
 from ruddergate.entry import source_peers
 from ruddergate.entry import source_sync
 from ruddergate.entry import status
@@ -85,7 +85,7 @@
     certain_age_max_ms: float
     stop_lag_ms: float
     stop_limit_ms: float
-    pace: source_pace.Pace
+    pace: poll_config.PollConfig
     retry_share: float
     retry_slack: float
     peers: peer_gossip.PeerConfig
--- a/src/ruddergate/entry/source_pace.py
+++ b/src/ruddergate/entry/poll_config.py
@@ -3,11 +3,11 @@
 import dataclasses
 
 # A view this old has missed a round of calls.
-BEHIND_LEAST_MS = 2_500.0
+MIN_FULL_READ_AGE_MS = 2_500.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pace:
+class PollConfig:
     """How often the store is asked, in milliseconds.
 
     Attributes:
@@ -33,15 +33,15 @@
         outage_ms: Time without an answer that counts as out of reach.
     """
 
-    every_ms: float = 1_300.0
-    wait_ms: float = 0.0
-    retry_ms: float = 150.0
-    retry_most_ms: float = 500.0
-    follower_retry_most_ms: float = 2_000.0
-    behind_ms: float = BEHIND_LEAST_MS
-    spoilt_grace_ms: float = 1_500.0
-    restored_every_ms: float = 300.0
-    restored_for_ms: float = 2_000.0
+    interval_ms: float = 1_300.0
+    long_poll_ms: float = 0.0
+    retry_initial_ms: float = 150.0
+    retry_max_ms: float = 500.0
+    follower_retry_max_ms: float = 2_000.0
+    full_read_age_ms: float = MIN_FULL_READ_AGE_MS
+    malformed_grace_ms: float = 1_500.0
+    restored_interval_ms: float = 300.0
+    restored_phase_ms: float = 2_000.0
     rewrite_ms: float = 1_000.0
-    stale_ms: float = 1_300.0
-    outage_ms: float = BEHIND_LEAST_MS
+    stale_reread_ms: float = 1_300.0
+    outage_ms: float = MIN_FULL_READ_AGE_MS
--- a/src/ruddergate/entry/source_sync.py
+++ b/src/ruddergate/entry/source_sync.py
@@ -19,8 +19,8 @@
 from ruddergate.decisions import settings_claims
 from ruddergate.decisions import withdrawals
 from ruddergate.entry import peer_source
+from ruddergate.entry import poll_config
 from ruddergate.entry import scheduler as schedulers
-from ruddergate.entry import source_pace
 from ruddergate.entry import source_peers
 from ruddergate.entry import store_reader
 from ruddergate.entry import target_list
@@ -64,7 +64,7 @@
         source: published.Source,
         view: views.View,
         scheduler: schedulers.Scheduler,
-        pace: source_pace.Pace,
+        pace: poll_config.PollConfig,
         peers: source_peers.SourcePeers,
         withdrawn: withdrawals.Withdrawals,
         note_listed: Callable[[], None] = lambda: None,
@@ -183,7 +183,7 @@
         pace = self._pace
         found = await self._reader.read(
             None if self._must_read_all() else self._position,
-            pace.retry_most_ms if is_urgent else pace.follower_retry_most_ms,
+            pace.retry_max_ms if is_urgent else pace.follower_retry_max_ms,
         )
         if found is None:
             return False
@@ -193,11 +193,13 @@
     def _must_read_all(self) -> bool:
         if self._is_history_lost:
             return True
-        if self._find_age_ms() > self._pace.behind_ms:
+        if self._find_age_ms() > self._pace.full_read_age_ms:
             return True
         # Only a second read of everything tells which of them are written.
         read_ms = self._outside.now_ms() - self._all_read_ms
-        return self._targets.has_stale() and read_ms > self._pace.stale_ms
+        return (
+            self._targets.has_stale() and read_ms > self._pace.stale_reread_ms
+        )
 
     def _find_age_ms(self) -> float:
         return self._outside.now_ms() - self._proven_ms
@@ -209,11 +211,11 @@
             part: The part of it that a VM takes in a hall with a reader.
         """
         since_ms = self._outside.now_ms() - self._restored_ms
-        if since_ms < self._pace.restored_for_ms:
-            return self._pace.restored_every_ms
+        if since_ms < self._pace.restored_phase_ms:
+            return self._pace.restored_interval_ms
         if self._peers.is_shared():
-            return self._pace.every_ms * part
-        return self._pace.every_ms
+            return self._pace.interval_ms * part
+        return self._pace.interval_ms
 
     async def _ask_peers(self) -> bool:
         """Returns whether a peer had a proof that is fresh enough."""
@@ -252,7 +254,7 @@
         return any(map(self._targets.is_vague, changes.targets))
 
     def _is_fresh(self) -> bool:
-        return proof.is_fresh(self._find_age_ms(), self._pace.every_ms)
+        return proof.is_fresh(self._find_age_ms(), self._pace.interval_ms)
 
     async def _fetch_claimed(self) -> None:
         """Gets the settings that a peer goes by and the store has lost."""
@@ -301,7 +303,7 @@
             self._targets.note_restored()
             self._restored_ms = now_ms
         grace = target_list.Grace(
-            self._lapsed_until_ms, now_ms + self._pace.spoilt_grace_ms
+            self._lapsed_until_ms, now_ms + self._pace.malformed_grace_ms
         )
         self._proven_ms = max(self._proven_ms, asked_ms)
         for problem in changes.problems:
--- a/src/ruddergate/entry/store_reader.py
+++ b/src/ruddergate/entry/store_reader.py
@@ -5,7 +5,7 @@
 
 from ruddergate import environment
 from ruddergate.entry import epochs
-from ruddergate.entry import source_pace
+from ruddergate.entry import poll_config
 from ruddergate.entry import view as views
 from ruddergate.fleet import store_position
 from ruddergate.relay import published
@@ -51,7 +51,7 @@
         outside: environment.Environment,
         source: published.Source,
         view: views.View,
-        pace: source_pace.Pace,
+        pace: poll_config.PollConfig,
         find_age_ms: Callable[[], float],
     ) -> None:
         self._outside = outside
@@ -113,7 +113,7 @@
             found = await self._source.read_all()
         else:
             found = await self._source.read_changes(
-                since.revision, self._pace.wait_ms
+                since.revision, self._pace.long_poll_ms
             )
         if isinstance(found, published.Changes):
             return epochs.check(found, since, self._epoch)
@@ -121,7 +121,9 @@
 
     def _draw_pause_ms(self, most_ms: float) -> float:
         """Returns the time to the next try; VMs are not to ask in step."""
-        grown_ms = self._pace.retry_ms * _RETRY_GROWTH**self._tries_failed
+        grown_ms = (
+            self._pace.retry_initial_ms * _RETRY_GROWTH**self._tries_failed
+        )
         return min(most_ms, grown_ms) * self._outside.random.uniform(0.7, 1.0)
 
     def _note_answered(self) -> None:
--- a/standins/gateway_cluster.py
+++ b/standins/gateway_cluster.py
@@ -8,7 +8,7 @@
 from ruddergate.entry import config as configs
 from ruddergate.entry import gateway as gateways
 from ruddergate.entry import peer_gossip
-from ruddergate.entry import source_pace
+from ruddergate.entry import poll_config
 from ruddergate.http import client
 from ruddergate.http import server
 from ruddergate.platform import callers
@@ -74,7 +74,7 @@
     aim_scale: float = 1.0
     keeps_names: bool = False
     epoch: str = "1"
-    pace: source_pace.Pace = source_pace.Pace()
+    pace: poll_config.PollConfig = poll_config.PollConfig()
 
 
 _LAYOUT = Layout()
--- a/tests/test_gateway_store.py
+++ b/tests/test_gateway_store.py
@@ -116,9 +116,9 @@
             (4_000.0, math.inf, 2_600.0),
         ):
             pace = gateway_cli.make_pace(bound_ms, ready_age_ms)
-            self.assertAlmostEqual(pace.every_ms, every_ms)
+            self.assertAlmostEqual(pace.interval_ms, every_ms)
             # A VM that is asked in time is never taken for behind.
-            self.assertGreaterEqual(pace.behind_ms, 2.0 * every_ms - 0.1)
+            self.assertGreaterEqual(pace.full_read_age_ms, 2.0 * every_ms - 0.1)
             self.assertGreaterEqual(pace.outage_ms, 2.0 * every_ms - 0.1)
 
     def test_vm_without_settings_is_not_ready(self) -> None:
--- a/tests/test_leaving_delay.py
+++ b/tests/test_leaving_delay.py
@@ -12,7 +12,7 @@
 
 import loguru
 
-from ruddergate.entry import source_pace
+from ruddergate.entry import poll_config
 from ruddergate.fleet import condition
 from standins import gateway_cluster
 from standins import virtual_network
@@ -98,7 +98,7 @@
 
 
 def _find_worst_s(
-    trouble: _Trouble, vms: int, pace: source_pace.Pace | None = None
+    trouble: _Trouble, vms: int, pace: poll_config.PollConfig | None = None
 ) -> float:
     """Returns the longest time of all moments."""
     found: list[float] = []
@@ -111,7 +111,7 @@
             found.append(await _measure(scene, trouble))
 
         gateway_scene.play(
-            scene, vms=vms, halls=1, pace=pace or source_pace.Pace()
+            scene, vms=vms, halls=1, pace=pace or poll_config.PollConfig()
         )
     return max(found)
 
@@ -130,7 +130,7 @@
         self.assertLess(_find_worst_s(_play_nothing, 2), _LEAVE_S)
 
     def test_turns_half_as_often_would_not(self) -> None:
-        pace = source_pace.Pace(every_ms=2_600.0)
+        pace = poll_config.PollConfig(interval_ms=2_600.0)
         self.assertGreater(_find_worst_s(_play_nothing, _VMS, pace), _LEAVE_S)
         self.assertGreater(_find_worst_s(_play_nothing, 2, pace), _LEAVE_S)
 
