--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -31,9 +31,9 @@
 from ruddergate.entry import reservation_keeper
 from ruddergate.entry import retry_transfers
 from ruddergate.entry import scheduler as schedulers
-from ruddergate.entry import source_peers
-from ruddergate.entry import source_sync
 from ruddergate.entry import status
+from ruddergate.entry import store_peers
+from ruddergate.entry import store_sync
 from ruddergate.entry import target_availability
 from ruddergate.entry import tools as tool_types
 from ruddergate.entry import view as views
@@ -237,13 +237,13 @@
         )
         self._vms_most = 1
         self._divide_retries(0)
-        self._sync = source_sync.SourceSync(
+        self._sync = store_sync.StoreSync(
             outside,
             platform.source,
             view,
             scheduler,
             gateway_config.pace,
-            source_peers.SourcePeers(
+            store_peers.StorePeers(
                 self._peers.rank_hall,
                 str(gateway_config.peers.listen),
                 self._peers.rpc.request_changes,
@@ -270,7 +270,7 @@
         """Returns the answer to a peer's question, if there is one."""
         match question:
             case news.NewsWanted():
-                return self._sync.answer_news(question)
+                return self._sync.answer_changes_request(question)
             case document_part.SettingsWanted():
                 return self._sync.settings.answer(
                     question.question, question.revision, question.part
--- a/src/ruddergate/entry/peer_source.py
+++ b/src/ruddergate/entry/peer_reader.py
@@ -5,7 +5,7 @@
 from ruddergate import environment
 from ruddergate.decisions import proof
 from ruddergate.entry import document_exchange
-from ruddergate.entry import source_peers
+from ruddergate.entry import store_peers
 from ruddergate.fleet import store_position
 from ruddergate.fleet import target as targets
 from ruddergate.messages import document_part
@@ -19,7 +19,7 @@
 PEERS_ASKED = 2
 
 
-class PeerSource:
+class PeerReader:
     """Asks peers, and hands them the documents of this VM.
 
     Args:
@@ -37,7 +37,7 @@
     def __init__(
         self,
         outside: environment.Environment,
-        peers: source_peers.SourcePeers,
+        peers: store_peers.StorePeers,
         read_settings: Callable[[bytes], catalogs.Catalog | str],
         find_settings: Callable[[int], bytes | None],
         find_targets: Callable[[store_position.StorePosition], bytes | None],
--- a/src/ruddergate/entry/epochs.py
+++ b/src/ruddergate/entry/store_epochs.py
@@ -6,7 +6,7 @@
 from ruddergate.relay import published
 
 
-def check(
+def check_epoch(
     found: published.Changes,
     since: store_position.StorePosition | None,
     known_epoch: int,
--- a/src/ruddergate/entry/source_peers.py
+++ b/src/ruddergate/entry/store_peers.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SourcePeers:
+class StorePeers:
     """What is asked of peers.
 
     Attributes:
--- a/src/ruddergate/entry/store_reader.py
+++ b/src/ruddergate/entry/store_reader.py
@@ -4,8 +4,8 @@
 import dataclasses
 
 from ruddergate import environment
-from ruddergate.entry import epochs
 from ruddergate.entry import poll_config
+from ruddergate.entry import store_epochs
 from ruddergate.entry import view as views
 from ruddergate.fleet import store_position
 from ruddergate.relay import published
@@ -116,7 +116,7 @@
                 since.revision, self._pace.long_poll_ms
             )
         if isinstance(found, published.Changes):
-            return epochs.check(found, since, self._epoch)
+            return store_epochs.check_epoch(found, since, self._epoch)
         return found
 
     def _draw_pause_ms(self, most_ms: float) -> float:
--- a/src/ruddergate/entry/source_sync.py
+++ b/src/ruddergate/entry/store_sync.py
@@ -18,10 +18,10 @@
 from ruddergate.decisions import proof
 from ruddergate.decisions import settings_claims
 from ruddergate.decisions import withdrawals
-from ruddergate.entry import peer_source
+from ruddergate.entry import peer_reader
 from ruddergate.entry import poll_config
 from ruddergate.entry import scheduler as schedulers
-from ruddergate.entry import source_peers
+from ruddergate.entry import store_peers
 from ruddergate.entry import store_reader
 from ruddergate.entry import target_list
 from ruddergate.entry import view as views
@@ -40,7 +40,7 @@
 PEERS_AGAIN_MS = 300.0
 
 
-class SourceSync:
+class StoreSync:
     """Keeps the view up to date from a store, or from peers that read it.
 
     Args:
@@ -65,11 +65,11 @@
         view: views.View,
         scheduler: schedulers.Scheduler,
         pace: poll_config.PollConfig,
-        peers: source_peers.SourcePeers,
+        peers: store_peers.StorePeers,
         withdrawn: withdrawals.Withdrawals,
         note_listed: Callable[[], None] = lambda: None,
     ) -> None:
-        self._peers = peer_source.PeerSource(
+        self._peers = peer_reader.PeerReader(
             outside,
             peers,
             source.read_settings,
@@ -123,7 +123,9 @@
         """Notes that a peer goes by later settings than this VM."""
         self._claims.note(peer, revision, self._outside.now_ms())
 
-    def answer_news(self, wanted: news.NewsWanted) -> news.News | None:
+    def answer_changes_request(
+        self, wanted: news.NewsWanted
+    ) -> news.News | None:
         """Returns what this VM knows, for a peer that follows it."""
         position = self._position
         if position is None:
--- a/standins/soak_ablations.py
+++ b/standins/soak_ablations.py
@@ -12,9 +12,9 @@
 from ruddergate.decisions import change_log
 from ruddergate.decisions import proof
 from ruddergate.decisions import withdrawals
-from ruddergate.entry import epochs
 from ruddergate.entry import rate_limiter
-from ruddergate.entry import source_sync
+from ruddergate.entry import store_epochs
+from ruddergate.entry import store_sync
 from ruddergate.entry import view as views
 from ruddergate.platform import store
 
@@ -32,8 +32,8 @@
 
     store._read_epoch = lambda fields: 0
     change_log.ChangeLog.find_since = find
-    epochs.check = lambda found, since, known_epoch: found
-    source_sync._is_behind = lambda found, position: False
+    store_epochs.check_epoch = lambda found, since, known_epoch: found
+    store_sync._is_behind = lambda found, position: False
 
 
 def _keep_keys() -> None:
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -328,7 +328,7 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             for node in scene.cluster.vms.values():
                 sync = node.gateway._sync
-                sync.answer_news = lambda wanted: news.News(
+                sync.answer_changes_request = lambda wanted: news.News(
                     wanted.question, 9_999, -5_000.0, True
                 )
             scene.cluster.keys = {"w1": ["another"]}
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -16,7 +16,7 @@
 
 import loguru
 
-from ruddergate.entry import epochs
+from ruddergate.entry import store_epochs
 from ruddergate.fleet import condition
 from ruddergate.fleet import store_position
 from ruddergate.messages import news
@@ -230,9 +230,12 @@
 def _make_liar(node: gateway_cluster.Node) -> None:
     """Has a VM tell its peers of an epoch that the store has not named."""
     sync = node.gateway._sync
-    answer_news, find_targets = sync.answer_news, sync._find_targets
-    sync.answer_news = lambda wanted: dataclasses.replace(
-        answer_news(wanted), epoch=10**9, is_whole=False
+    answer_changes_request, find_targets = (
+        sync.answer_changes_request,
+        sync._find_targets,
+    )
+    sync.answer_changes_request = lambda wanted: dataclasses.replace(
+        answer_changes_request(wanted), epoch=10**9, is_whole=False
     )
     sync.targets._find = lambda position: find_targets(
         dataclasses.replace(position, epoch=1)
@@ -291,7 +294,7 @@
         position = store_position.StorePosition(epoch, revision)
         found = published.Changes(position, None, (), (), ())
         asked = since and store_position.StorePosition(*since)
-        return epochs.check(found, asked, 3)
+        return store_epochs.check_epoch(found, asked, 3)
 
     def test_later_answer_is_gone_by(self) -> None:
         found = self._check(3, 8, (3, 7))
