--- a/src/ruddergate/entry/store_sync.py
+++ b/src/ruddergate/entry/store_sync.py
@@ -253,7 +253,7 @@
         return False
 
     def _is_vague(self, changes: published.Changes) -> bool:
-        return any(map(self._targets.is_vague, changes.targets))
+        return any(map(self._targets.lacks_incarnation, changes.targets))
 
     def _is_fresh(self) -> bool:
         return proof.is_fresh(self._find_age_ms(), self._pace.interval_ms)
@@ -397,7 +397,7 @@
         grace: target_list.Grace,
     ) -> None:
         now_ms = self._outside.now_ms()
-        self._targets.take(changes, is_all, now_ms, grace)
+        self._targets.apply_changes(changes, is_all, now_ms, grace)
         self._await_grace_end()
         self._publish(asked_ms)
         self._note_listed()
@@ -425,13 +425,13 @@
         Its next answer may be a round away, and a target that has left is to
         get no calls for longer than it must.
         """
-        self._targets.forget_lapsed(self._outside.now_ms())
+        self._targets.drop_expired(self._outside.now_ms())
         self._await_grace_end()
         self._publish(self._proven_ms)
 
     def _publish(self, asked_ms: float) -> None:
         """Has the view and the scheduler go by the list as it is now."""
-        self._view.take_targets(self._targets.listed(), asked_ms)
+        self._view.take_targets(self._targets.list_targets(), asked_ms)
         self._scheduler.post(schedulers.ViewChanged())
 
 
--- a/src/ruddergate/entry/target_list.py
+++ b/src/ruddergate/entry/target_list.py
@@ -26,13 +26,13 @@
     """Until when targets are kept that are not listed.
 
     Attributes:
-        lapsed_ms: Those that went off the list.
-        spoilt_ms: Those whose entry is none of a target any more. A target
+        removed_until_ms: Those that went off the list.
+        malformed_until_ms: Those whose entry is none of a target any more. A target
             writes its own again within a heartbeat.
     """
 
-    lapsed_ms: float
-    spoilt_ms: float
+    removed_until_ms: float
+    malformed_until_ms: float
 
 
 class TargetList:
@@ -55,10 +55,10 @@
         self._removals = removals.Removals()
         # Listed, but by nothing newer than a copy from before their removal.
         self._stale: dict[str, targets.Target] = {}
-        self._told = told_once.ToldOnce()
+        self._logged = told_once.ToldOnce()
         self._log = logs.make_logger("store")
 
-    def listed(self) -> tuple[targets.Target, ...]:
+    def list_targets(self) -> tuple[targets.Target, ...]:
         """Returns the targets that may be used or are leaving."""
         return tuple(map(self._mark, self._targets.values()))
 
@@ -79,7 +79,7 @@
         """Notes that the store was restored from an older copy."""
         self._removals.note_restored()
 
-    def take(
+    def apply_changes(
         self,
         changes: published.Changes,
         is_all: bool,
@@ -98,7 +98,7 @@
         spoilt = {each.target_id for each in changes.spoilt}
         listed = self._find_newest(changes.targets)
         for each in changes.spoilt:
-            self._tell_spoilt(each)
+            self._log_malformed(each)
         if is_all:
             off |= self._targets.keys() - listed.keys() - spoilt
             off |= self._stale.keys() - listed.keys()
@@ -106,23 +106,23 @@
             del self._stale[target_id]
         for target_id in off & self._targets.keys():
             self._removals.note_removed(self._targets[target_id])
-            self._keep_until(target_id, grace.lapsed_ms, now_ms)
+            self._keep_until(target_id, grace.removed_until_ms, now_ms)
         for target_id in spoilt & self._targets.keys():
-            self._keep_until(target_id, grace.spoilt_ms, now_ms)
+            self._keep_until(target_id, grace.malformed_until_ms, now_ms)
         for target_id, each in listed.items():
             if target_id in off | spoilt:
                 continue
             if self._removals.take_entry(each, is_all):
-                self._put(each, now_ms)
+                self._list(each, now_ms)
             else:
                 self._hold_back(each)
-        self.forget_lapsed(now_ms)
+        self.drop_expired(now_ms)
 
     def find_grace_end_ms(self) -> float | None:
         """Returns when the next target that is not listed is to be dropped."""
         return min(self._kept_until_ms.values(), default=None)
 
-    def is_vague(self, target: targets.Target) -> bool:
+    def lacks_incarnation(self, target: targets.Target) -> bool:
         """Returns whether an entry does not say which life it is of.
 
         A peer of an earlier release hands entries on without it.
@@ -130,7 +130,7 @@
         is_untold = target.born_ms == lives.BORN_UNKNOWN
         return is_untold and self._born_ms.get(target.target_id, 0) > 0
 
-    def forget_lapsed(self, now_ms: float) -> None:
+    def drop_expired(self, now_ms: float) -> None:
         """Takes off targets that have not come back in time."""
         for target_id, until_ms in list(self._kept_until_ms.items()):
             if now_ms >= until_ms:
@@ -147,7 +147,7 @@
         for each in found:
             name = each.target_id
             if each.born_ms < self._born_ms.get(name, each.born_ms):
-                self._tell_once(name, f"Target {name}: older life dropped.")
+                self._log_once(name, f"Target {name}: older life dropped.")
                 continue
             self._born_ms[name] = each.born_ms
             if each.condition is condition.Condition.LEAVING:
@@ -159,14 +159,14 @@
         """Keeps an entry that an older copy holds; it names nobody to use."""
         name = target.target_id
         self._stale[name] = target
-        self._tell_once(name, f"Target {name}: entry from before its removal.")
+        self._log_once(name, f"Target {name}: entry from before its removal.")
 
-    def _put(self, target: targets.Target, now_ms: float) -> None:
+    def _list(self, target: targets.Target, now_ms: float) -> None:
         """Lists a target as the store does; `listed` says whether it leaves."""
         name = target.target_id
         self._stale.pop(name, None)
         self._kept_until_ms.pop(name, None)
-        self._told.forget(name)
+        self._logged.forget(name)
         self._withdrawn.note_listed(target.life, now_ms)
         if self._targets.get(name) != target:
             self._log.info(
@@ -202,11 +202,11 @@
         self._withdrawn.note_unlisted(target_id)
         self._log.info("Target {} is off the list.", target_id)
 
-    def _tell_spoilt(self, entry: published.Spoilt) -> None:
+    def _log_malformed(self, entry: published.Spoilt) -> None:
         self.refused += 1
-        self._tell_once(entry.target_id, f"Entry refused. {entry.detail}")
+        self._log_once(entry.target_id, f"Entry refused. {entry.detail}")
 
-    def _tell_once(self, name: str, sentence: str) -> None:
+    def _log_once(self, name: str, sentence: str) -> None:
         """Logs a sentence unless it was the last one of that name."""
-        if self._told.is_new(name, sentence):
+        if self._logged.is_new(name, sentence):
             self._log.warning("{}", sentence)
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -130,10 +130,10 @@
 
     def _take(self, items: list[object], now_ms: float, is_all=False) -> None:
         grace = target_list.Grace(float("-inf"), now_ms + 1_500.0)
-        self.list.take(_read(items), is_all, now_ms, grace)
+        self.list.apply_changes(_read(items), is_all, now_ms, grace)
 
     def _names(self) -> list[str]:
-        return [each.target_id for each in self.list.listed()]
+        return [each.target_id for each in self.list.list_targets()]
 
     def test_spoilt_target_is_kept_until_it_writes_again(self) -> None:
         sound = [_make_item(name, _make_entry(name)) for name in "ab"]
@@ -141,14 +141,14 @@
         self._take([_make_item("a", b"?")], 100.0)
         self.assertEqual(self._names(), ["a", "b"])
         self._take(sound[:1], 1_200.0)
-        self.list.forget_lapsed(9_000.0)
+        self.list.drop_expired(9_000.0)
         self.assertEqual(self._names(), ["a", "b"])
 
     def test_entry_that_stays_spoilt_names_no_target(self) -> None:
         sound = [_make_item(name, _make_entry(name)) for name in "ab"]
         self._take(sound, 0.0, is_all=True)
         self._take([_make_item("a", b"?"), sound[1]], 100.0, is_all=True)
-        self.list.forget_lapsed(1_700.0)
+        self.list.drop_expired(1_700.0)
         self.assertEqual(self._names(), ["b"])
 
     def test_each_refused_entry_is_told_once(self) -> None:
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -75,10 +75,10 @@
 
     def _take(self, *found: targets.Target, gone: tuple[str, ...] = ()) -> None:
         changes = published.Changes(_POSITION, None, found, gone, ())
-        self.list.take(changes, False, 0.0, _GRACE)
+        self.list.apply_changes(changes, False, 0.0, _GRACE)
 
     def _find(self) -> targets.Target | None:
-        return next(iter(self.list.listed()), None)
+        return next(iter(self.list.list_targets()), None)
 
     def test_leaving_binds_the_life_that_left(self) -> None:
         leaving = _make_target(5, condition.Condition.LEAVING)
@@ -98,10 +98,10 @@
 
     def test_peer_that_does_not_tell_lives_is_not_gone_by(self) -> None:
         self._take(_make_target(6))
-        self.assertTrue(self.list.is_vague(_make_target(0)))
-        self.assertFalse(self.list.is_vague(_make_target(6)))
+        self.assertTrue(self.list.lacks_incarnation(_make_target(0)))
+        self.assertFalse(self.list.lacks_incarnation(_make_target(6)))
         other = dataclasses.replace(_make_target(0), target_id="engine-2")
-        self.assertFalse(self.list.is_vague(other))
+        self.assertFalse(self.list.lacks_incarnation(other))
 
 
 class SchedulerTest(unittest.TestCase):
