--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -169,14 +169,14 @@
 
     def count_streams(self, target_id: str) -> float:
         """Returns how many answers a target is believed to be writing."""
-        estimate = self._table.find_named(target_id)
+        estimate = self._table.find_by_id(target_id)
         if estimate is None:
             return 0.0
         return estimate.recent_streams(self._outside.now_ms())
 
     def find_target(self, target_id: str) -> targets.Target | None:
         """Returns a listed target by name."""
-        estimate = self._table.find_named(target_id)
+        estimate = self._table.find_by_id(target_id)
         return estimate.target if estimate else None
 
     def find_rate_limit(
@@ -270,7 +270,7 @@
             ahead: Calls that wait for it already.
             now_ms: Time.
         """
-        first_ms = self._table.find_first_ms(pool, now_ms)
+        first_ms = self._table.find_next_available_ms(pool, now_ms)
         if not ahead or not len(self._limits):
             return first_ms
         capacity_per_s = self._table.find_capacity_per_s(pool, now_ms)
@@ -335,12 +335,12 @@
     def _take_lost(self, told: bad_news.BadNews) -> None:
         if told is not bad_news.NOTHING:
             now_ms = self._outside.now_ms()
-            self._losses.merge_gossip(told, self._table.find_told, now_ms)
+            self._losses.merge_gossip(told, self._table.find_reported, now_ms)
 
     def _take_report(
         self, report: load_report.LoadReport, now_ms: float
     ) -> None:
-        estimate = self._table.find_named(report.target_id)
+        estimate = self._table.find_by_id(report.target_id)
         if estimate is None or report.born_ms != estimate.target.born_ms:
             return
         estimate.take_report(report, now_ms)
@@ -350,21 +350,21 @@
             self._take_report(report, now_ms)
         self._take_peers(loads.peers)
         for event in loads.events:
-            estimate = self._table.find_named(event.target_id)
+            estimate = self._table.find_by_id(event.target_id)
             if estimate is not None:
                 estimate.take_event(event)
 
     def _take_peers(self, rows: Sequence[dispatched.Dispatched]) -> None:
         now_ms = self._outside.now_ms()
         for row in rows:
-            estimate = self._table.find_named(row.target_id)
+            estimate = self._table.find_by_id(row.target_id)
             if estimate is not None:
                 estimate.take_peers(row, now_ms)
 
     def _take_view(self, now_ms: float) -> None:
         if self._view.age_ms(now_ms) < self._config.wake_gap_ms:
             self._held_until_ms = 0.0
-        self._table.take_view(now_ms)
+        self._table.refresh(now_ms)
 
     def _find_queue(self, pool: str) -> queueing.Queue:
         queue = self._queues.get(pool)
@@ -444,7 +444,7 @@
         self, pool: str, queue: queueing.Queue, now_ms: float
     ) -> None:
         """Refuses at once what can't have a target before its time is up."""
-        first_ms = self._table.find_first_ms(pool, now_ms)
+        first_ms = self._table.find_next_available_ms(pool, now_ms)
         hopeless = [job for job in queue.jobs() if first_ms > job.deadline_ms]
         for job in hopeless:
             queue.withdraw(job)
@@ -480,7 +480,7 @@
         When all look bad, this VM is more likely at fault than all of them, and
         any that may take work is better than none.
         """
-        taking = self._table.list_taking(pool, now_ms)
+        taking = self._table.list_accepting(pool, now_ms)
         good = [
             each
             for each in taking
--- a/src/ruddergate/entry/target_table.py
+++ b/src/ruddergate/entry/target_table.py
@@ -39,7 +39,7 @@
         """Returns whether a pool has any target, whatever state it is in."""
         return bool(self._by_pool.get(pool))
 
-    def find_named(self, target_id: str) -> estimates.Estimate | None:
+    def find_by_id(self, target_id: str) -> estimates.Estimate | None:
         """Returns what is believed of a target, whichever life it is in."""
         return self._by_name.get(target_id)
 
@@ -54,7 +54,7 @@
             return None
         return estimate
 
-    def find_told(self, life: lives.Life) -> estimates.Estimate | None:
+    def find_reported(self, life: lives.Life) -> estimates.Estimate | None:
         """Returns what is believed of a target that a peer has told of.
 
         Peers of an earlier release name no life.
@@ -65,7 +65,7 @@
         is_same = life.born_ms in (lives.BORN_UNKNOWN, estimate.target.born_ms)
         return estimate if is_same else None
 
-    def take_view(self, now_ms: float) -> None:
+    def refresh(self, now_ms: float) -> None:
         """Goes by the list and the settings as they are now."""
         listed = {each.life: each for each in self._view.listing.targets}
         names = {life.target_id for life in listed}
@@ -92,15 +92,17 @@
         """
         return {each.target.hall for each in self._by_pool.get(pool, [])}
 
-    def list_taking(self, pool: str, now_ms: float) -> list[estimates.Estimate]:
+    def list_accepting(
+        self, pool: str, now_ms: float
+    ) -> list[estimates.Estimate]:
         """Returns the targets of a pool that take calls, however they fare."""
         return [
             each
             for each in self._by_pool.get(pool, [])
-            if self.takes_calls(each, now_ms)
+            if self.accepts_requests(each, now_ms)
         ]
 
-    def takes_calls(self, each: estimates.Estimate, now_ms: float) -> bool:
+    def accepts_requests(self, each: estimates.Estimate, now_ms: float) -> bool:
         """Returns whether a target takes calls, however it fares.
 
         One whose quiet time has ended takes one call of this VM first: 36 calls
@@ -120,7 +122,7 @@
         is_busy = self._withdrawn.is_on_trial(life) and each.own_streams() > 0
         return self._withdrawn.takes_calls(life, now_ms) and not is_busy
 
-    def find_first_ms(self, pool: str, now_ms: float) -> float:
+    def find_next_available_ms(self, pool: str, now_ms: float) -> float:
         """Returns when the first target of a pool takes calls.
 
         Returns:
@@ -158,7 +160,7 @@
 
     def is_usable(self, each: estimates.Estimate, now_ms: float) -> bool:
         """Returns whether a target may be sent calls and had better be."""
-        return each.is_usable(now_ms) and self.takes_calls(each, now_ms)
+        return each.is_usable(now_ms) and self.accepts_requests(each, now_ms)
 
     def count_usable(self, pool: str, now_ms: float) -> int:
         """Returns how many targets of a pool may and had better be used.
@@ -168,7 +170,7 @@
         return sum(
             each.is_usable(now_ms)
             and (
-                self.takes_calls(each, now_ms)
+                self.accepts_requests(each, now_ms)
                 or self._has_share(each.target.target_id, now_ms)
             )
             for each in self._by_pool.get(pool, [])
