--- a/src/ruddergate/entry/feed.py
+++ b/src/ruddergate/entry/feed.py
@@ -88,15 +88,15 @@
         now_ms = self._outside.now_ms()
         match message:
             case tree_parts.TreeParts():
-                if self._view.take_tree(message):
+                if self._view.apply_tree(message):
                     revision = message.manifest.revision
                     self._log.info("Settings {} in force.", revision)
                     self._scheduler.post(schedulers.ViewChanged())
             case fleet_view.FleetView():
-                self._view.take_fleet(message, now_ms)
+                self._view.apply_fleet(message, now_ms)
                 self._scheduler.post(schedulers.ViewChanged())
             case shares.Shares():
-                self._view.take_shares(message, now_ms)
+                self._view.apply_shares(message, now_ms)
             case loads.Loads():
                 self._scheduler.post(message)
             case _:
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -183,7 +183,7 @@
         self._keeper = reservation_keeper.ReservationKeeper(
             outside,
             self._rate_limiter.charge_orders(self._orders),
-            view.is_over,
+            view.is_superseded,
             lambda target: scheduler.post(placement.LifeEnded(target)),
             self._rate_limiter.limits.is_limited,
         )
--- a/src/ruddergate/entry/relay_handler.py
+++ b/src/ruddergate/entry/relay_handler.py
@@ -89,11 +89,11 @@
         tools = self._tools
         starts_for_ms = tools.began_ms + STARTING_MS - tools.outside.now_ms()
         wait_ms = min(FIRST_SETTINGS_WAIT_MS, starts_for_ms)
-        if tools.view.catalog_came.is_set() or wait_ms <= 0.0:
+        if tools.view.catalog_loaded.is_set() or wait_ms <= 0.0:
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_ms / 1000.0):
-                await tools.view.catalog_came.wait()
+                await tools.view.catalog_loaded.wait()
 
     async def _hand_on(
         self,
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -377,7 +377,7 @@
         def drain_rate() -> float:
             now_ms = self._outside.now_ms()
             usable = self._table.count_usable(pool, now_ms)
-            return usable / self._view.live_vms()
+            return usable / self._view.count_live_vms()
 
         return drain_rate
 
--- a/src/ruddergate/entry/status.py
+++ b/src/ruddergate/entry/status.py
@@ -101,7 +101,7 @@
         "problems": [str(each) for each in view.in_force.problems],
         "listing_version": view.listing.version,
         "view_age_ms": _round_age(age_ms),
-        "peers": list(view.listed_vms()),
+        "peers": list(view.list_vm_ids()),
         "waiting_cost_ms": tools.scheduler.waiting_by_class(),
         "targets": targets,
     }
--- a/src/ruddergate/entry/store_sync.py
+++ b/src/ruddergate/entry/store_sync.py
@@ -371,7 +371,7 @@
         self, catalog: catalogs.Catalog, document: bytes
     ) -> None:
         """Goes by settings, unless later ones are in force."""
-        if not self._view.take_catalog(catalog):
+        if not self._view.apply_catalog(catalog):
             return
         self._settings_document = document
         self._log.info(
@@ -431,7 +431,7 @@
 
     def _publish(self, asked_ms: float) -> None:
         """Has the view and the scheduler go by the list as it is now."""
-        self._view.take_targets(self._targets.list_targets(), asked_ms)
+        self._view.apply_targets(self._targets.list_targets(), asked_ms)
         self._scheduler.post(schedulers.ViewChanged())
 
 
--- a/src/ruddergate/entry/view.py
+++ b/src/ruddergate/entry/view.py
@@ -40,7 +40,7 @@
         self.store_position = store_position.StorePosition(
             store_position.EPOCH_UNKNOWN, 0
         )
-        self.catalog_came = asyncio.Event()
+        self.catalog_loaded = asyncio.Event()
         self._confirmed_ms = _NEVER
         self._settled_since_ms = float("inf")
         self._shares: Mapping[str, share_messages.Share] = {}
@@ -48,7 +48,7 @@
         self._shares_ms = _NEVER
         self._settings_confirmed_ms = _NEVER
 
-    def take_tree(self, parts: tree_parts.TreeParts) -> bool:
+    def apply_tree(self, parts: tree_parts.TreeParts) -> bool:
         """Adopts a newer revision; returns whether it is now in force."""
         found = adoption.consider(self.in_force, parts.manifest, parts.shards)
         if isinstance(found, adoption.Missing):
@@ -59,7 +59,7 @@
             self.index = indexes.Index(found.tree)
         return changed
 
-    def take_fleet(self, view: fleet_view.FleetView, now_ms: float) -> None:
+    def apply_fleet(self, view: fleet_view.FleetView, now_ms: float) -> None:
         """Takes in a list, never an older one."""
         self.listing = listings.merge(self.listing, view.listing)
         if view.listing.version < self.listing.version:
@@ -67,16 +67,16 @@
         self._confirmed_ms = max(self._confirmed_ms, now_ms - view.age_ms)
         self._settled_since_ms = now_ms - view.settled_ms
 
-    def take_catalog(self, offered: catalogs.Catalog) -> bool:
+    def apply_catalog(self, offered: catalogs.Catalog) -> bool:
         """Adopts a newer catalog; returns whether it is now in force."""
         if offered.revision <= self.catalog.revision:
             return False
         self.catalog = offered
         self.index = offered
-        self.catalog_came.set()
+        self.catalog_loaded.set()
         return True
 
-    def take_targets(
+    def apply_targets(
         self, found: Sequence[targets.Target], asked_ms: float
     ) -> None:
         """Takes in the targets as they stood at or after `asked_ms`.
@@ -87,7 +87,7 @@
         self.listing = listings.Listing(version, self.listing.vms, tuple(found))
         self._confirmed_ms = max(self._confirmed_ms, asked_ms)
 
-    def is_over(self, life: lives.Life) -> bool:
+    def is_superseded(self, life: lives.Life) -> bool:
         """Returns whether a younger life of the same target is listed."""
         return any(
             each.target_id == life.target_id and each.born_ms > life.born_ms
@@ -102,7 +102,9 @@
         """Returns how long ago the settings were certainly the newest."""
         return now_ms - self._settings_confirmed_ms
 
-    def take_shares(self, shares: share_messages.Shares, now_ms: float) -> None:
+    def apply_shares(
+        self, shares: share_messages.Shares, now_ms: float
+    ) -> None:
         """Takes in this VM's parts of the limits."""
         self._shares = {each.workspace: each for each in shares.shares}
         self._base_fraction = shares.base_fraction
@@ -127,13 +129,13 @@
             return min(share.fraction, self._base_fraction)
         return share.fraction
 
-    def live_vms(self) -> int:
+    def count_live_vms(self) -> int:
         """Returns the number of VMs that are not leaving; at least 1."""
         live = sum(
             vm.condition is condition.Condition.LIVE for vm in self.listing.vms
         )
         return max(1, live)
 
-    def listed_vms(self) -> Sequence[str]:
+    def list_vm_ids(self) -> Sequence[str]:
         """Returns the listed VMs."""
         return [vm.vm_id for vm in self.listing.vms]
--- a/standins/soak_ablations.py
+++ b/standins/soak_ablations.py
@@ -38,16 +38,16 @@
 
 def _keep_keys() -> None:
     """Has keys work that were removed."""
-    take = views.View.take_catalog
+    take = views.View.apply_catalog
 
-    def take_catalog(view: views.View, offered: object) -> bool:
+    def apply_catalog(view: views.View, offered: object) -> bool:
         before = view.catalog.workspaces
         is_taken = take(view, offered)
         if is_taken:
             view.catalog.workspaces = {**before, **view.catalog.workspaces}
         return is_taken
 
-    views.View.take_catalog = take_catalog
+    views.View.apply_catalog = apply_catalog
 
 
 def _ignore_ages() -> None:
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -126,7 +126,7 @@
             )
             process.start(scheduler.run)
             for born_ms in (5, 6):
-                view.take_targets((_make_target(born_ms),), outside.now_ms())
+                view.apply_targets((_make_target(born_ms),), outside.now_ms())
                 scheduler.post(schedulers.ViewChanged())
                 await asyncio.sleep(0.1)
             told.extend([bad_news.BadNews(gone=(lost,))] if lost else [])
@@ -179,12 +179,12 @@
                     lambda held: note("release"),
                     lambda target: note("sign"),
                 ),
-                view.is_over,
+                view.is_superseded,
             )
             held = orders.Reservation(_make_target(5), "m", 1_000)
             await keeper.take([held], "r")
             await asyncio.sleep(1.0)
-            view.take_targets((_make_target(6),), 0.0)
+            view.apply_targets((_make_target(6),), 0.0)
             await asyncio.sleep(3.0)
 
         virtual_process.run(run)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -41,9 +41,9 @@
     manifest = manifests.make_manifest(1, shards)
     by_digest = {manifests.digest(data): data for data in shards.values()}
     view = views.View()
-    view.take_tree(tree_parts.TreeParts(manifest, by_digest))
+    view.apply_tree(tree_parts.TreeParts(manifest, by_digest))
     listing = listings.Listing(1, (), (_TARGET,))
-    view.take_fleet(fleet_view.FleetView(listing, 0.0, 0.0), 0.0)
+    view.apply_fleet(fleet_view.FleetView(listing, 0.0, 0.0), 0.0)
     return view
 
 
