--- a/src/ruddergate/entry/crash_detector.py
+++ b/src/ruddergate/entry/crash_detector.py
@@ -35,22 +35,22 @@
     """Asks each target once for all the calls that it lost together.
 
     Args:
-        ask_sign: Asks a target for a sign of life.
-        note_ended: Is told each call under which a target ended.
-        note_life: Is told each target that has ended, once.
+        probe: Asks a target for a sign of life.
+        on_crash: Is told each call under which a target ended.
+        on_target_ended: Is told each target that has ended, once.
         metrics: Metrics of the process.
     """
 
     def __init__(
         self,
-        ask_sign: Callable[[targets.Target], Awaitable[orders.Told]],
-        note_ended: Callable[[lost_call.LostCall], None],
-        note_life: Callable[[targets.Target], None],
+        probe: Callable[[targets.Target], Awaitable[orders.Told]],
+        on_crash: Callable[[lost_call.LostCall], None],
+        on_target_ended: Callable[[targets.Target], None],
         metrics: metric_types.EntryMetrics,
     ) -> None:
-        self._ask_sign = ask_sign
-        self._note_ended = note_ended
-        self._note_life = note_life
+        self._probe = probe
+        self._on_crash = on_crash
+        self._on_target_ended = on_target_ended
         self._metrics = metrics
         self._probes: dict[lives.Life, _Probe] = {}
         self._log = logs.make_logger("attempt")
@@ -71,7 +71,7 @@
         if not _has_ended(target.life, told):
             return
         self._metrics.targets_ended.inc({})
-        self._note_life(target)
+        self._on_target_ended(target)
         streams = max(each.streams for each in probe.lost)
         streams = max(streams, float(len(probe.lost)))
         for each in probe.lost:
@@ -85,16 +85,16 @@
                 there_ms=round(each.there_ms),
                 hall=target.hall,
             )
-            self._note_ended(each)
+            self._on_crash(each)
 
     async def _probe_repeatedly(self, target: targets.Target) -> orders.Told:
         """Asks until something comes back, a few times at most."""
-        told = await self._ask_sign(target)
+        told = await self._probe(target)
         for pause_ms in _REPROBE_PAUSES_MS:
             if told.sign is not orders.Sign.SILENT:
                 break
             await asyncio.sleep(pause_ms / 1000.0)
-            told = await self._ask_sign(target)
+            told = await self._probe(target)
         return told
 
 
--- a/src/ruddergate/entry/drain_check.py
+++ b/src/ruddergate/entry/drain_check.py
@@ -33,8 +33,8 @@
         outside: Clock.
         withdrawn: Which lives of targets take no calls.
         view: The list of targets.
-        ask_sign: Asks a target for a sign of life.
-        note_staying: Is called when targets turned out not to leave.
+        probe: Asks a target for a sign of life.
+        on_staying: Is called when targets turned out not to leave.
         metrics: Metrics of the process.
     """
 
@@ -43,15 +43,15 @@
         outside: environment.Environment,
         withdrawn: withdrawals.Withdrawals,
         view: views.View,
-        ask_sign: Callable[[targets.Target], Awaitable[orders.Told]],
-        note_staying: Callable[[], None],
+        probe: Callable[[targets.Target], Awaitable[orders.Told]],
+        on_staying: Callable[[], None],
         metrics: metric_types.EntryMetrics,
     ) -> None:
         self._outside = outside
         self._withdrawn = withdrawn
         self._view = view
-        self._ask_sign = ask_sign
-        self._note_staying = note_staying
+        self._probe = probe
+        self._on_staying = on_staying
         self._metrics = metrics
         self._changed = asyncio.Event()
         self._log = logs.make_logger("target")
@@ -65,7 +65,7 @@
         """Asks until cancelled; sleeps while nothing is in doubt."""
         while True:
             await self._wait()
-            await self._ask_due()
+            await self._probe_due()
 
     async def _wait(self) -> None:
         """Returns when a target is to be asked, or when that may be."""
@@ -77,19 +77,19 @@
                 await self._changed.wait()
         self._changed.clear()
 
-    async def _ask_due(self) -> None:
+    async def _probe_due(self) -> None:
         due = self._withdrawn.doubts.find_due(self._outside.now_ms())
         listed = {each.life: each for each in self._view.listing.targets}
         asked = [listed[life] for life in due if life in listed]
         for life in due:
             self._withdrawn.doubts.put_off(life, self._outside.now_ms())
-        told = await asyncio.gather(*map(self._ask, asked))
+        told = await asyncio.gather(*map(self._probe_target, asked))
         if any(told):
-            self._note_staying()
+            self._on_staying()
 
-    async def _ask(self, target: targets.Target) -> bool:
+    async def _probe_target(self, target: targets.Target) -> bool:
         """Returns whether a target turned out not to leave."""
-        told = await self._ask_sign(target)
+        told = await self._probe(target)
         is_its_own = told.born_ms in (lives.BORN_UNKNOWN, target.born_ms)
         if not told.is_staying or not is_its_own:
             return False
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -191,12 +191,12 @@
             outside,
             withdrawn,
             view,
-            self._keeper.ask_sign,
+            self._keeper.probe,
             lambda: self._sync.mark_draining(),
             metrics,
         )
         self._crash_detector = crash_detector.CrashDetector(
-            self._keeper.ask_sign,
+            self._keeper.probe,
             self._quarantine_gossip.table.on_target_ended,
             lambda target: scheduler.post(placement.LifeEnded(target)),
             self.tools.metrics,
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -108,7 +108,7 @@
             if refusal is not None:
                 yield refusal
                 return
-            missing = await self._keeper.take(
+            missing = await self._keeper.reserve(
                 tuple(reservations.values()), self._request.request_id
             )
             if missing:
@@ -125,7 +125,7 @@
                         if self._note(event):
                             yield event
         finally:
-            self._keeper.give_back(tuple(reservations.values()))
+            self._keeper.release(tuple(reservations.values()))
             self._post_ends()
 
     def _refuse_send(self) -> outcomes.NotServed | None:
@@ -152,7 +152,7 @@
         """
         if not self._progress.helpers_failed:
             return ()
-        return await self._keeper.ask_signs(
+        return await self._keeper.probe_all(
             [seat.target for seat in self._seats]
         )
 
@@ -204,7 +204,7 @@
 
     async def _wait_for_silence(self) -> outcomes.NotServed:
         """Returns how the attempt ends when the target is silent."""
-        await self._keeper.wait_for_silence(self._seats[0].target)
+        await self._keeper.wait_until_unresponsive(self._seats[0].target)
         return outcomes.NotServed(
             outcomes.Reason.TARGET_LOST,
             outcomes.Ran.UNKNOWN,
@@ -237,7 +237,7 @@
         )
 
     def _give_up_memory(
-        self, missing: tuple[reservation_keeper.Missing, ...]
+        self, missing: tuple[reservation_keeper.FailedReservation, ...]
     ) -> outcomes.NotServed:
         """Returns the outcome; a reservation runs nothing, whatever happens."""
         names = [each.reservation.target.target_id for each in missing]
--- a/src/ruddergate/entry/reservation_keeper.py
+++ b/src/ruddergate/entry/reservation_keeper.py
@@ -17,28 +17,28 @@
 from ruddergate.telemetry import logs
 
 # Memory is to lapse well within 4 s of its last use when this VM has died.
-HOLD_MS = 2_500.0
+LEASE_MS = 2_500.0
 # Two renewals may fail before the memory lapses.
-RENEW_MS = 800.0
+RENEW_INTERVAL_MS = 800.0
 # Where a target names a rate limit, memory is renewed seldom; it still lapses
 # within 4 s of the end of this VM.
-HOLD_LIMITED_MS = 3_500.0
-RENEW_LIMITED_MS = 2_000.0
+LEASE_RATE_LIMITED_MS = 3_500.0
+RENEW_RATE_LIMITED_MS = 2_000.0
 # It is also probed less often, but again soon after silence.
-PROBE_LIMITED_MS = 1_600.0
-SILENT_PAUSE_MS = 300.0
+PROBE_RATE_LIMITED_MS = 1_600.0
+REPROBE_MS = 300.0
 # A release is answered in a few milliseconds, or not before its time-out.
-RELEASE_WAIT_MS = 50.0
+RELEASE_TIMEOUT_MS = 50.0
 # A target that lives answers in a few milliseconds.
-SIGN_WAIT_MS = 150.0
+PROBE_TIMEOUT_MS = 150.0
 # The engine for which memory is held is asked for a sign of life as often. This
 # many times without one it is taken for dead: with the time-out of a call that
 # is 2.6 s after its end at most, when 4 s are allowed to set the memory free.
-SILENT_MOST = 2
+MAX_MISSED_PROBES = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Missing:
+class FailedReservation:
     """Memory that could not be set aside, and what the target answered."""
 
     reservation: orders.Reservation
@@ -46,11 +46,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Kept:
+class _Renewal:
     """The task that renews a reservation, and what tells it to release."""
 
     task: asyncio.Task
-    is_over: asyncio.Event
+    released: asyncio.Event
 
 
 class ReservationKeeper:
@@ -59,8 +59,8 @@
     Args:
         outside: Clock.
         given: Orders that targets take.
-        is_over: Returns whether a life is known to be over.
-        note_life: Is told targets that are found to have ended.
+        has_ended: Returns whether a life is known to be over.
+        on_ended: Is told targets that are found to have ended.
         is_limited: Returns whether a target names a rate limit.
     """
 
@@ -68,37 +68,37 @@
         self,
         outside: environment.Environment,
         given: orders.Orders,
-        is_over: Callable[[lives.Life], bool] = lambda life: False,
-        note_life: Callable[[targets.Target], None] = lambda target: None,
+        has_ended: Callable[[lives.Life], bool] = lambda life: False,
+        on_ended: Callable[[targets.Target], None] = lambda target: None,
         is_limited: Callable[[str], bool] = lambda target_id: False,
     ) -> None:
         self._outside = outside
         self._orders = given
-        self._is_over = is_over
-        self._note_life = note_life
+        self._has_ended = has_ended
+        self._on_ended = on_ended
         self._is_limited = is_limited
-        self._kept: dict[str, _Kept] = {}
+        self._renewals: dict[str, _Renewal] = {}
         self._log = logs.make_logger("memory")
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._renewals)
 
-    async def take(
+    async def reserve(
         self, wanted: Sequence[orders.Reservation], request_id: str
-    ) -> tuple[Missing, ...]:
+    ) -> tuple[FailedReservation, ...]:
         """Sets memory aside everywhere; returns what could not be had.
 
         When something could not be had, all is given back.
         """
         answers = await asyncio.gather(
-            *(self._orders.reserve(each, HOLD_MS) for each in wanted)
+            *(self._orders.reserve(each, LEASE_MS) for each in wanted)
         )
-        missing: list[Missing] = []
+        missing: list[FailedReservation] = []
         for each, answer in zip(wanted, answers, strict=True):
             if answer is orders.Answer.DONE:
-                self._keep(each)
+                self._start_renewal(each)
                 continue
-            missing.append(Missing(each, answer))
+            missing.append(FailedReservation(each, answer))
             self._log.info(
                 "Memory not had at {}: {}.",
                 each.target.target_id,
@@ -108,87 +108,91 @@
             )
             if answer is orders.Answer.UNKNOWN:
                 # It may have been set aside all the same.
-                self._keep(each)
+                self._start_renewal(each)
         if missing:
-            await self._give_back_now(wanted)
+            await self._release_and_wait(wanted)
         return tuple(missing)
 
-    def give_back(self, held: Sequence[orders.Reservation]) -> None:
+    def release(self, held: Sequence[orders.Reservation]) -> None:
         """Has memory released; does not wait for it."""
         for each in held:
-            kept = self._kept.get(each.name)
-            if kept is not None:
-                kept.is_over.set()
+            renewal = self._renewals.get(each.name)
+            if renewal is not None:
+                renewal.released.set()
 
-    async def _give_back_now(self, held: Sequence[orders.Reservation]) -> None:
+    async def _release_and_wait(
+        self, held: Sequence[orders.Reservation]
+    ) -> None:
         """Has memory released, and waits where that is soon done.
 
         The next try would find its own memory in its way otherwise.
         """
-        kept = [self._kept.get(each.name) for each in held]
-        releasing = [each.task for each in kept if each is not None]
-        self.give_back(held)
+        renewals = [self._renewals.get(each.name) for each in held]
+        releasing = [each.task for each in renewals if each is not None]
+        self.release(held)
         if releasing:
-            await asyncio.wait(releasing, timeout=RELEASE_WAIT_MS / 1000.0)
+            await asyncio.wait(releasing, timeout=RELEASE_TIMEOUT_MS / 1000.0)
 
-    async def ask_signs(
+    async def probe_all(
         self, asked: Sequence[targets.Target]
     ) -> tuple[orders.Sign, ...]:
         """Returns the signs of life that targets give at once, in order."""
-        told = await asyncio.gather(*map(self.ask_sign, asked))
+        told = await asyncio.gather(*map(self.probe, asked))
         return tuple(each.sign for each in told)
 
-    async def ask_sign(self, target: targets.Target) -> orders.Told:
+    async def probe(self, target: targets.Target) -> orders.Told:
         """Returns the sign of life that a target gives at once."""
         try:
-            async with asyncio.timeout(SIGN_WAIT_MS / 1000.0):
+            async with asyncio.timeout(PROBE_TIMEOUT_MS / 1000.0):
                 return await self._orders.ask_sign(target)
         except TimeoutError:
             return orders.Told(orders.Sign.SILENT)
 
-    async def wait_for_silence(self, target: targets.Target) -> None:
+    async def wait_until_unresponsive(self, target: targets.Target) -> None:
         """Returns when a target does not answer any more.
 
         Memory elsewhere is held for what runs there, and an engine that dies
         in silence would have it held until the request's own patience ends.
         """
         silent = 0
-        while silent < SILENT_MOST:
-            pause_ms = RENEW_MS
+        while silent < MAX_MISSED_PROBES:
+            pause_ms = RENEW_INTERVAL_MS
             if self._is_limited(target.target_id):
-                pause_ms = SILENT_PAUSE_MS if silent else PROBE_LIMITED_MS
+                pause_ms = REPROBE_MS if silent else PROBE_RATE_LIMITED_MS
             await asyncio.sleep(pause_ms / 1000.0)
             told = await self._orders.ask_sign(target)
             silent = 0 if told.sign is orders.Sign.ALIVE else silent + 1
         self._log.warning("Target {} is silent.", target.target_id)
 
-    def _keep(self, held: orders.Reservation) -> None:
-        is_over = asyncio.Event()
-        task = asyncio.ensure_future(self._renew(held, is_over))
-        self._kept[held.name] = _Kept(task, is_over)
-        task.add_done_callback(lambda _: self._kept.pop(held.name, None))
+    def _start_renewal(self, held: orders.Reservation) -> None:
+        released = asyncio.Event()
+        task = asyncio.ensure_future(self._renew(held, released))
+        self._renewals[held.name] = _Renewal(task, released)
+        task.add_done_callback(lambda _: self._renewals.pop(held.name, None))
 
     async def _renew(
-        self, held: orders.Reservation, is_over: asyncio.Event
+        self, held: orders.Reservation, released: asyncio.Event
     ) -> None:
         """Renews until it is over, and then releases.
 
         Over is told by an event: a task that is cancelled before its first
         step would end without the release.
         """
-        pause_ms = RENEW_MS
-        while not await _is_set_within(is_over, pause_ms):
-            if self._is_over(held.target.life):
+        pause_ms = RENEW_INTERVAL_MS
+        while not await _is_set_within(released, pause_ms):
+            if self._has_ended(held.target.life):
                 # The next life holds nothing: to renew there would set memory
                 # aside for nobody.
                 return
             is_limited = self._is_limited(held.target.target_id)
-            hold_ms = HOLD_LIMITED_MS if is_limited else HOLD_MS
+            hold_ms = LEASE_RATE_LIMITED_MS if is_limited else LEASE_MS
             answer = await self._orders.reserve(held, hold_ms)
-            is_seldom = is_limited and answer is orders.Answer.DONE
-            pause_ms = RENEW_LIMITED_MS if is_seldom else RENEW_MS
+            is_relaxed = is_limited and answer is orders.Answer.DONE
+            pause_ms = (
+                RENEW_RATE_LIMITED_MS if is_relaxed else RENEW_INTERVAL_MS
+            )
             if answer is orders.Answer.GONE:
-                self._note_life(held.target)
+                self._on_ended(held.target)
             if answer is orders.Answer.REFUSED:
                 self._log.warning("Memory lost at {}.", held.target.target_id)
                 return
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -182,7 +182,7 @@
                 view.is_superseded,
             )
             held = orders.Reservation(_make_target(5), "m", 1_000)
-            await keeper.take([held], "r")
+            await keeper.reserve([held], "r")
             await asyncio.sleep(1.0)
             view.apply_targets((_make_target(6),), 0.0)
             await asyncio.sleep(3.0)
