--- a/src/ruddergate/cli/gateway.py
+++ b/src/ruddergate/cli/gateway.py
@@ -137,7 +137,7 @@
         stop_lag_ms=_STOP_LAG_MS,
         stop_limit_ms=grace_s * 1_000.0 - _STOP_MARGIN_MS,
         pace=make_pace(min(apply_ms, leave_ms), ready_age_max_ms),
-        retry_share=retry_ratio * _RETRY_PART,
+        retry_ratio=retry_ratio * _RETRY_PART,
         retry_slack=retry_slack,
         peers=peer_gossip.PeerConfig(
             environment.parse_address(peer_listen),
@@ -146,7 +146,7 @@
         ),
     )
     platform = gateways.Platform(
-        door=callers.make_door(),
+        caller_protocol=callers.make_door(),
         make_send=lambda hear: replicas.make_send(outside, hear),
         make_orders=lambda hear: orders.make_orders(
             outside, _ORDER_LIMITS, hear
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -86,7 +86,7 @@
     stop_lag_ms: float
     stop_limit_ms: float
     pace: poll_config.PollConfig
-    retry_share: float
+    retry_ratio: float
     retry_slack: float
     peers: peer_gossip.PeerConfig
 
@@ -96,14 +96,14 @@
     """What a platform's adapter provides.
 
     Attributes:
-        door: How callers are understood and answered.
+        caller_protocol: How callers are understood and answered.
         make_send: Returns what sends a call to a target, given what is to
             hear whatever targets say of themselves.
         make_orders: Returns the orders that targets take, given the same.
         source: Calls of the store.
     """
 
-    door: doors.Door
+    caller_protocol: doors.Door
     make_send: Callable[[statements.Hear], errands.Send]
     make_orders: Callable[[statements.Hear], orders.Orders]
     source: published.Source
@@ -126,7 +126,9 @@
         self._log = logs.make_logger("entry")
         self._is_stopping = False
         self._connections = http_server.Connections()
-        self._open = open_calls.OpenCalls(platform.door.write_failure)
+        self._open_requests = open_calls.OpenCalls(
+            platform.caller_protocol.write_failure
+        )
         view = views.View()
         withdrawn = withdrawals.Withdrawals()
         metrics = metric_types.EntryMetrics()
@@ -157,7 +159,7 @@
             lambda told, peers: self._peers.send_evidence(told, peers),
         )
         self._availability = target_availability.TargetAvailability(
-            outside, withdrawn, metrics, self._note_leaving
+            outside, withdrawn, metrics, self._on_draining
         )
         self.tools = tool_types.Tools(
             outside=outside,
@@ -167,7 +169,7 @@
             view=view,
             scheduler=scheduler,
             canceller=cancellers.Canceller(outside, view),
-            budget=retries.Budget(gateway_config.retry_share, 0.0, 0.0),
+            budget=retries.Budget(gateway_config.retry_ratio, 0.0, 0.0),
             metrics=metrics,
             tracer=tracer,
             suspects=self._quarantine_gossip.table,
@@ -175,7 +177,7 @@
                 is_great
             ),
             note_lost=lambda lost: self._crash_detector.on_lost_call(lost),
-            refuse_send=self._refuse_send,
+            refuse_send=self._check_admission,
             admit=self._rate_limiter.admit,
             give_back=self._rate_limiter.give_back,
         )
@@ -203,7 +205,7 @@
         )
         self._handler = relay_handler.RelayHandler(
             self.tools,
-            platform.door,
+            platform.caller_protocol,
             platform.make_send(self._observe),
             self._keeper,
             relay_admit.Trust(
@@ -217,8 +219,8 @@
             config.hall,
             self.tools.incarnation,
             scheduler.summarize,
-            self._divide_retries,
-            self.answer_peer,
+            self._resize_retry_budget,
+            self.handle_peer_request,
             scheduler.summarize_lost,
             self._quarantine_gossip.merge_gossip,
             self._greet,
@@ -235,8 +237,8 @@
             self._peers.rpc,
             self._peers.find_hall_peers,
         )
-        self._vms_most = 1
-        self._divide_retries(0)
+        self._vms_max = 1
+        self._resize_retry_budget(0)
         self._sync = store_sync.StoreSync(
             outside,
             platform.source,
@@ -259,14 +261,16 @@
         self._availability.on_hints(said)
         self._rate_limiter.observe(said)
 
-    def _refuse_send(
+    def _check_admission(
         self, asked: Sequence[targets.Target]
     ) -> outcomes.NotServed | None:
         """Returns a refusal if a target or a helper takes no calls now."""
         refusal = self._availability.check_admission(asked)
         return refusal or self._rate_limiter.refuse_helpers(asked[1:])
 
-    def answer_peer(self, question: peer_rpc.Request) -> peer_rpc.Reply | None:
+    def handle_peer_request(
+        self, question: peer_rpc.Request
+    ) -> peer_rpc.Reply | None:
         """Returns the answer to a peer's question, if there is one."""
         match question:
             case news.NewsWanted():
@@ -297,17 +301,17 @@
         self._quarantine_gossip.on_peer_started(peer)
         self._availability.on_peer_started(len(self._peers.loads))
 
-    def _note_leaving(self) -> None:
+    def _on_draining(self) -> None:
         """Has a target that was found to leave marked, and peers told."""
         self._sync.mark_draining()
         self._drain_check.wake()
         self._peers.note_change()
 
-    def _divide_retries(self, peers: int) -> None:
+    def _resize_retry_budget(self, peers: int) -> None:
         """Sizes this VM's part of the fleet's second sends."""
-        self._vms_most = max(self._vms_most, peers + 1)
+        self._vms_max = max(self._vms_max, peers + 1)
         slack = self._gateway_config.retry_slack
-        most = retries.find_saved_most(slack, self._vms_most)
+        most = retries.find_saved_most(slack, self._vms_max)
         self.tools.budget.resize(most)
 
     async def run(self, stop: asyncio.Event) -> None:
@@ -360,9 +364,9 @@
     ) -> None:
         """Serves one connection, by the limits in force when it comes up."""
         handler = http_server.make_stream_handler(
-            self._open.guard(self._handler.handle),
+            self._open_requests.guard(self._handler.handle),
             self._find_limits(),
-            self._must_close,
+            self._should_close,
             self._connections,
         )
         await handler(reader, writer)
@@ -377,7 +381,7 @@
             idle_timeout_ms=given.idle_timeout_ms or own.idle_timeout_ms,
         )
 
-    def _must_close(self) -> bool:
+    def _should_close(self) -> bool:
         """Returns whether callers are to go to another VM."""
         return self._is_stopping or not self._is_fresh()
 
@@ -418,7 +422,7 @@
 
     async def _stop(self, callers: asyncio.Server) -> None:
         config = self._gateway_config
-        self._log.info("Planned stop begins.", open=len(self._open))
+        self._log.info("Planned stop begins.", open=len(self._open_requests))
         began_ms = self._outside.now_ms()
         self._is_stopping = True
         # Callers come for as long as the balancer has not noticed.
@@ -429,4 +433,4 @@
         while len(self._connections) and self._outside.now_ms() < until_ms:
             await asyncio.sleep(_POLL_MS / 1000.0)
             self._connections.close_idle()
-        self._log.info("Planned stop ends.", open=len(self._open))
+        self._log.info("Planned stop ends.", open=len(self._open_requests))
--- a/standins/gateway_cluster.py
+++ b/standins/gateway_cluster.py
@@ -232,7 +232,7 @@
             stop_lag_ms=2_600.0,
             stop_limit_ms=7_600.0,
             pace=self.layout.pace,
-            retry_share=0.15,
+            retry_ratio=0.15,
             retry_slack=RETRY_SLACK,
             peers=peer_gossip.PeerConfig(
                 environment.Address(node.name, PEER_PORT), seeds
@@ -367,7 +367,7 @@
 
 def _make_platform(outside: environment.Environment) -> gateways.Platform:
     return gateways.Platform(
-        door=callers.make_door(),
+        caller_protocol=callers.make_door(),
         make_send=lambda hear: replicas.make_send(outside, hear),
         make_orders=lambda hear: orders.make_orders(
             outside, _ORDER_LIMITS, hear
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -259,7 +259,7 @@
             question = news.NewsWanted(
                 "vm-1:83", "q", position.revision + ahead, epoch
             )
-            told.append(gateway.answer_peer(question))
+            told.append(gateway.handle_peer_request(question))
 
         gateway_scene.play(scene, vms=1, halls=1)
         return told[0]
@@ -275,7 +275,9 @@
     def test_peer_that_makes_up_an_epoch_costs_a_read(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             gateway = scene.cluster.vms["vm-0"].gateway
-            gateway.answer_peer(news.NewsWanted("vm-1:83", "q", 5, 10**9))
+            gateway.handle_peer_request(
+                news.NewsWanted("vm-1:83", "q", 5, 10**9)
+            )
             await asyncio.sleep(_APPLY_S)
             self.assertEqual(gateway.tools.view.store_position.epoch, 1)
             before = scene.cluster.store.calls
