--- a/src/ruddergate/cli/gateway.py
+++ b/src/ruddergate/cli/gateway.py
@@ -136,7 +136,7 @@
         certain_age_max_ms=key_age_max_ms,
         stop_lag_ms=_STOP_LAG_MS,
         stop_limit_ms=grace_s * 1_000.0 - _STOP_MARGIN_MS,
-        pace=make_pace(min(apply_ms, leave_ms), ready_age_max_ms),
+        polling=make_pace(min(apply_ms, leave_ms), ready_age_max_ms),
         retry_ratio=retry_ratio * _RETRY_PART,
         retry_slack=retry_slack,
         peers=peer_gossip.PeerConfig(
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -72,7 +72,7 @@
             certainly unknown.
         stop_lag_ms: Time for the balancer to see that this VM stops.
         stop_limit_ms: Time after which a planned stop ends with calls open.
-        pace: How often the store is asked.
+        polling: How often the store is polled.
         retry_share: Second sends allowed for each first one.
         retry_slack: Second sends that the fleet may make besides.
         peers: Where peers are found.
@@ -85,7 +85,7 @@
     certain_age_max_ms: float
     stop_lag_ms: float
     stop_limit_ms: float
-    pace: poll_config.PollConfig
+    polling: poll_config.PollConfig
     retry_ratio: float
     retry_slack: float
     peers: peer_gossip.PeerConfig
@@ -244,7 +244,7 @@
             platform.source,
             view,
             scheduler,
-            gateway_config.pace,
+            gateway_config.polling,
             store_peers.StorePeers(
                 self._peers.rank_hall,
                 str(gateway_config.peers.listen),
--- a/src/ruddergate/entry/store_sync.py
+++ b/src/ruddergate/entry/store_sync.py
@@ -1,11 +1,12 @@
-"""The task that follows what the platform's store publishes.
+"""The task that keeps the view in sync with the platform's store.
 
-It alone writes the view's catalog and targets. Each successful call proves
-that the view was the newest when the call began; keys rest on that proof.
+It is the only writer of the view's catalog and targets. Each successful call
+proves that the view was current when the call began; whether an API key may
+still be used depends on the age of that proof.
 
 In each hall one VM reads the store and the others ask it, see
-decisions/proof.py: calls of the store do not grow with the fleet, and a VM
-that the store turns away goes by its neighbours' proofs.
+decisions/freshness.py. So the number of calls to the store does not grow with
+the fleet, and a VM that the store rejects relies on what its peers have read.
 """
 
 import asyncio
@@ -33,29 +34,29 @@
 from ruddergate.telemetry import logs
 from ruddergate.wire import codec
 
-# A turn never follows at once: what is left of a pause may round to nothing.
-_PAUSE_LEAST_MS = 1.0
-# Without news from peers they are asked again after this time, while the store
-# is not asked yet again.
-PEERS_AGAIN_MS = 300.0
+# What is left of a pause may round to zero, and the loop would not yield.
+_MIN_PAUSE_MS = 1.0
+# While the next call to the store is not due, peers that had no current answer
+# are asked again after this time.
+PEER_RETRY_MS = 300.0
 
 
 class StoreSync:
-    """Keeps the view up to date from a store, or from peers that read it.
+    """Updates the view from the store, or from peers that have read it.
 
     Args:
-        outside: Clock and chance.
-        source: Calls of the store.
-        view: Is kept up to date.
-        scheduler: Is told of each change.
-        pace: How often the store is asked.
-        peers: Peers that may have read it.
-        withdrawn: Which lives of targets take no calls.
-        note_listed: Is called when targets were listed.
+        env: Clock and random numbers.
+        source: Calls to the store.
+        view: The view to update.
+        scheduler: Notified of each change.
+        polling: How often the store is polled.
+        peers: Requests to peers that may have read the store.
+        drain_state: Which incarnations of targets accept no requests.
+        on_listed: Called after the list of targets was updated.
 
     Attributes:
-        settings: Hands the settings in force to peers.
-        targets: Hands all targets that the store lists to peers.
+        settings: Serves the settings in force to peers.
+        targets: Serves all targets that the store lists to peers.
     """
 
     def __init__(
@@ -64,10 +65,10 @@
         source: published.Source,
         view: views.View,
         scheduler: schedulers.Scheduler,
-        pace: poll_config.PollConfig,
+        polling: poll_config.PollConfig,
         peers: store_peers.StorePeers,
-        withdrawn: withdrawals.Withdrawals,
-        note_listed: Callable[[], None] = lambda: None,
+        drain_state: withdrawals.Withdrawals,
+        on_listed: Callable[[], None] = lambda: None,
     ) -> None:
         self._peers = peer_reader.PeerReader(
             outside,
@@ -79,27 +80,27 @@
         self.settings = self._peers.settings
         self.targets = self._peers.targets
         self._reader = store_reader.StoreReader(
-            outside, source, view, pace, self._find_age_ms
+            outside, source, view, polling, self._find_age_ms
         )
-        self._note_listed = note_listed
+        self._on_listed = on_listed
         self._outside = outside
         self._view = view
         self._scheduler = scheduler
-        self._pace = pace
+        self._polling = polling
         self._position: store_position.StorePosition | None = None
         self._settings_document = b""
-        # Whether the newest settings of the store could not be read.
+        # Whether the latest settings in the store could not be parsed.
         self._is_unreadable = False
-        self._targets = target_list.TargetList(withdrawn)
-        # When what is known was last proven to be the newest; at first, when
-        # this VM began.
-        self._proven_ms = outside.now_ms()
-        # Until when targets are kept that lapsed in an outage.
-        self._lapsed_until_ms = float("-inf")
-        # When everything was last read.
-        self._all_read_ms = float("-inf")
+        self._targets = target_list.TargetList(drain_state)
+        # The view is known to be current as of this time; at first the time
+        # at which this VM started.
+        self._current_as_of_ms = outside.now_ms()
+        # Targets whose entries expired in an outage are kept until this time.
+        self._removed_until_ms = float("-inf")
+        # Time of the last full read.
+        self._full_read_ms = float("-inf")
         self._grace_timer: asyncio.TimerHandle | None = None
-        # When this VM saw that the store had been restored.
+        # When this VM noticed that the store had been restored from a copy.
         self._restored_ms = float("-inf")
         self._is_history_lost = False
         self._changes = change_log.ChangeLog()
@@ -107,36 +108,36 @@
         self._log = logs.make_logger("store")
 
     async def run(self) -> None:
-        """Asks again and again until cancelled."""
+        """Polls the store or peers until cancelled."""
         while True:
             began_ms = self._outside.now_ms()
-            pause_ms = await self._take_turn()
-            await self._fetch_claimed()
+            pause_ms = await self._poll()
+            await self._fetch_claimed_settings()
             pause_ms -= self._outside.now_ms() - began_ms
-            await asyncio.sleep(max(_PAUSE_LEAST_MS, pause_ms) / 1000.0)
+            await asyncio.sleep(max(_MIN_PAUSE_MS, pause_ms) / 1000.0)
 
     def count_refused(self) -> int:
-        """Returns how many entries were none of a target, in all."""
+        """Returns how many entries did not describe a target, in total."""
         return self._targets.refused
 
     def note_newer_settings(self, peer: str, revision: int) -> None:
-        """Notes that a peer goes by later settings than this VM."""
+        """Records that a peer uses a later settings revision than this VM."""
         self._claims.note(peer, revision, self._outside.now_ms())
 
     def answer_changes_request(
-        self, wanted: news.NewsWanted
+        self, request: news.NewsWanted
     ) -> news.News | None:
-        """Returns what this VM knows, for a peer that follows it."""
+        """Returns the changes that this VM knows, for a peer that follows."""
         position = self._position
         if position is None:
             return None
-        if wanted.epoch > position.epoch:
+        if request.epoch > position.epoch:
             self._is_history_lost = True
         step = None
-        if wanted.epoch == position.epoch:
-            step = self._changes.find_since(wanted.position, position.revision)
-        told = news.News(
-            wanted.question,
+        if request.epoch == position.epoch:
+            step = self._changes.find_since(request.position, position.revision)
+        reply = news.News(
+            request.question,
             position.revision,
             self._find_age_ms(),
             False,
@@ -144,9 +145,9 @@
             epoch=position.epoch,
         )
         if step is None:
-            return told
+            return reply
         return dataclasses.replace(
-            told,
+            reply,
             is_whole=True,
             listed=step.listed,
             gone=step.gone,
@@ -154,7 +155,7 @@
         )
 
     def _find_settings(self, revision: int) -> bytes | None:
-        """Returns the settings in force, if they are of that revision."""
+        """Returns the settings document if that revision is in force."""
         if revision != self._view.catalog.revision:
             return None
         return self._settings_document
@@ -162,174 +163,185 @@
     def _find_targets(
         self, position: store_position.StorePosition
     ) -> bytes | None:
-        """Returns all targets, if this VM knows them up to that position."""
+        """Returns all targets if this VM is exactly at that position."""
         if position != self._position or self._is_unreadable:
             return None
         listed = self._targets.list_published()
         return codec.encode(document_part.TargetsDocument(listed))
 
-    async def _take_turn(self) -> float:
-        """Asks the store or peers; returns the time from turn to turn."""
+    async def _poll(self) -> float:
+        """Asks the store or peers; returns the interval to the next poll."""
         is_reading = self._peers.is_reader() or self._position is None
         if is_reading and self._reader.is_due() and await self._read_store():
-            return self._find_every_ms(proof.READER_PART)
-        if self._position is not None and await self._ask_peers():
-            return self._find_every_ms(proof.FOLLOWER_PART)
+            return self._find_interval_ms(proof.READER_PART)
+        if self._position is not None and await self._read_peers():
+            return self._find_interval_ms(proof.FOLLOWER_PART)
         if self._reader.is_due() and await self._read_store():
-            return self._find_every_ms(proof.FOLLOWER_PART)
-        return min(PEERS_AGAIN_MS, self._reader.find_wait_ms())
+            return self._find_interval_ms(proof.FOLLOWER_PART)
+        return min(PEER_RETRY_MS, self._reader.find_wait_ms())
 
     async def _read_store(self) -> bool:
-        """Returns whether the store has answered."""
+        """Reads the store; returns whether it answered."""
         is_urgent = self._peers.is_reader() and not self._is_fresh()
-        pace = self._pace
+        polling = self._polling
         found = await self._reader.read(
-            None if self._must_read_all() else self._position,
-            pace.retry_max_ms if is_urgent else pace.follower_retry_max_ms,
+            None if self._needs_full_read() else self._position,
+            polling.retry_max_ms
+            if is_urgent
+            else polling.follower_retry_max_ms,
         )
         if found is None:
             return False
-        self._take(found.changes, found.asked_ms, found.since)
+        self._apply(found.changes, found.asked_ms, found.since)
         return True
 
-    def _must_read_all(self) -> bool:
+    def _needs_full_read(self) -> bool:
         if self._is_history_lost:
             return True
-        if self._find_age_ms() > self._pace.full_read_age_ms:
+        if self._find_age_ms() > self._polling.full_read_age_ms:
             return True
-        # Only a second read of everything tells which of them are written.
-        read_ms = self._outside.now_ms() - self._all_read_ms
+        # Only another full read shows which stale entries were rewritten.
+        read_ms = self._outside.now_ms() - self._full_read_ms
         return (
-            self._targets.has_stale() and read_ms > self._pace.stale_reread_ms
+            self._targets.has_stale()
+            and read_ms > self._polling.stale_reread_ms
         )
 
     def _find_age_ms(self) -> float:
-        return self._outside.now_ms() - self._proven_ms
+        return self._outside.now_ms() - self._current_as_of_ms
 
-    def _find_every_ms(self, part: float) -> float:
-        """Returns the time from turn to turn.
+    def _find_interval_ms(self, part: float) -> float:
+        """Returns the interval to the next poll.
 
         Args:
-            part: The part of it that a VM takes in a hall with a reader.
+            part: Share of the interval that applies in a hall with a reader.
         """
         since_ms = self._outside.now_ms() - self._restored_ms
-        if since_ms < self._pace.restored_phase_ms:
-            return self._pace.restored_interval_ms
+        if since_ms < self._polling.restored_phase_ms:
+            return self._polling.restored_interval_ms
         if self._peers.is_shared():
-            return self._pace.interval_ms * part
-        return self._pace.interval_ms
+            return self._polling.interval_ms * part
+        return self._polling.interval_ms
 
-    async def _ask_peers(self) -> bool:
-        """Returns whether a peer had a proof that is fresh enough."""
+    async def _read_peers(self) -> bool:
+        """Returns whether a peer's reply made this VM's view fresh."""
         for peer in self._peers.choose():
             asked_ms = self._outside.now_ms()
             position = self._position
             found = await self._peers.ask(peer, position)
             if found is None or found.epoch < position.epoch:
-                # What it knows, the store has lost.
+                # The peer is in an older epoch: the store was restored since,
+                # and may have lost what the peer knows.
                 continue
             proven_ms = proof.find_proven_ms(asked_ms, found.age_ms)
             if proven_ms is None:
                 self._log.warning(
-                    "News dropped, their age can't be true.", peer=peer
+                    "Ignoring peer's changes: their age is invalid.", peer=peer
                 )
                 continue
             if _is_behind(found, position):
                 if self._is_fresh():
                     return True
-                if proven_ms > self._proven_ms:
-                    # A store without epochs may have been restored.
+                if proven_ms > self._current_as_of_ms:
+                    # The peer read the store later than this VM and is at a
+                    # lower revision: a store without epochs may have been
+                    # restored, so only the store itself can tell.
                     return False
                 continue
             changes = await self._peers.complete(
                 peer, found, self._view.catalog.revision
             )
-            if changes is None or self._is_vague(changes):
+            if changes is None or self._lacks_incarnation(changes):
                 return False
             is_since = found.is_whole and found.epoch == position.epoch
-            self._take(changes, proven_ms, position if is_since else None)
+            self._apply(changes, proven_ms, position if is_since else None)
             if self._is_fresh():
                 return True
         return False
 
-    def _is_vague(self, changes: published.Changes) -> bool:
+    def _lacks_incarnation(self, changes: published.Changes) -> bool:
         return any(map(self._targets.lacks_incarnation, changes.targets))
 
     def _is_fresh(self) -> bool:
-        return proof.is_fresh(self._find_age_ms(), self._pace.interval_ms)
+        return proof.is_fresh(self._find_age_ms(), self._polling.interval_ms)
 
-    async def _fetch_claimed(self) -> None:
-        """Gets the settings that a peer goes by and the store has lost."""
+    async def _fetch_claimed_settings(self) -> None:
+        """Fetches settings that a peer uses and the store has lost."""
         own = self._view.catalog.revision
-        claim = self._claims.find_unmet(own, self._proven_ms)
+        claim = self._claims.find_unmet(own, self._current_as_of_ms)
         if claim is None:
             return
         fetched = await self._peers.fetch_settings(claim.peer, claim.revision)
         if fetched is None or fetched[0].revision < claim.revision:
             self._log.warning(
-                "Peer's settings can't be had.",
+                "Could not fetch settings from peer.",
                 peer=claim.peer,
                 revision=claim.revision,
             )
             self._claims.reject(claim.peer, self._outside.now_ms())
             return
-        self._log.info("Settings of a peer, as the store has lost them.")
+        self._log.info("Using settings of a peer, as the store has lost them.")
         self._adopt_catalog(*fetched)
-        self._confirm_settings(self._proven_ms)
+        self._confirm_settings(self._current_as_of_ms)
         self._scheduler.post(schedulers.ViewChanged())
 
-    def _take(
+    def _apply(
         self,
         changes: published.Changes,
         asked_ms: float,
         since: store_position.StorePosition | None,
     ) -> None:
-        """Takes in what the store or a peer told.
+        """Applies changes from the store or a peer.
 
         Args:
-            changes: What was told.
-            asked_ms: When it was certainly the newest.
-            since: The position behind which it begins; None for everything.
+            changes: The changes.
+            asked_ms: The changes are known to be current as of this time.
+            since: The position after which they start; None for a full read.
         """
-        # Nobody could prove anything while the store was away. Answers of peers
-        # come all the while, so an outage is a gap between proofs. A restore is
-        # one as well: entries may be missing until they are written again.
+        # No VM can show that its data is current while the store is down, but
+        # peers keep answering. So an outage is a gap in the times as of which
+        # the view is known to be current. A restore counts as an outage, too:
+        # entries may be missing until they are written again.
         now_ms = self._outside.now_ms()
         is_restored = self._is_restored(changes.position)
-        if is_restored or asked_ms - self._proven_ms > self._pace.outage_ms:
-            away_ms = max(self._proven_ms, self._reader.failed_ms)
-            self._lapsed_until_ms = absence.find_end_ms(
+        if (
+            is_restored
+            or asked_ms - self._current_as_of_ms > self._polling.outage_ms
+        ):
+            away_ms = max(self._current_as_of_ms, self._reader.failed_ms)
+            self._removed_until_ms = absence.find_end_ms(
                 now_ms, away_ms, is_restored
             )
         if is_restored:
             self._targets.note_restored()
             self._restored_ms = now_ms
         grace = target_list.Grace(
-            self._lapsed_until_ms, now_ms + self._pace.malformed_grace_ms
+            self._removed_until_ms,
+            now_ms + self._polling.malformed_grace_ms,
         )
-        self._proven_ms = max(self._proven_ms, asked_ms)
+        self._current_as_of_ms = max(self._current_as_of_ms, asked_ms)
         for problem in changes.problems:
-            self._log.warning("Published item refused. {}", problem)
+            self._log.warning("Rejected published item. {}", problem)
         if since is None:
             self._is_history_lost = False
-            self._all_read_ms = now_ms
-        self._take_catalog(changes, asked_ms)
-        self._note_step(changes, since)
-        self._move_to(changes.position)
-        self._take_targets(changes, since is None, asked_ms, grace)
+            self._full_read_ms = now_ms
+        self._apply_catalog(changes, asked_ms)
+        self._record_changes(changes, since)
+        self._set_position(changes.position)
+        self._apply_targets(changes, since is None, asked_ms, grace)
 
     def _is_restored(self, position: store_position.StorePosition) -> bool:
-        """Returns whether a position tells that the store was restored."""
+        """Returns whether a position shows that the store was restored."""
         known = self._position
         if known is None:
             return False
         return position.epoch > known.epoch or position < known
 
-    def _move_to(self, position: store_position.StorePosition) -> None:
-        """Notes up to where this VM knows the store."""
+    def _set_position(self, position: store_position.StorePosition) -> None:
+        """Sets the position in the store that this VM has reached."""
         if self._is_restored(position):
             self._log.warning(
-                "Store restored from a copy.",
+                "Store was restored from a copy.",
                 store_epoch=position.epoch,
                 store_revision=position.revision,
                 **self._view.store_position.describe(),
@@ -337,12 +349,12 @@
         self._position = position
         self._view.store_position = position
 
-    def _note_step(
+    def _record_changes(
         self,
         changes: published.Changes,
         since: store_position.StorePosition | None,
     ) -> None:
-        """Keeps the changes for peers that ask for them."""
+        """Records the changes for peers that request them."""
         if since is None:
             self._changes.restart()
             return
@@ -357,7 +369,7 @@
             )
         )
 
-    def _take_catalog(
+    def _apply_catalog(
         self, changes: published.Changes, asked_ms: float
     ) -> None:
         if changes.problems or changes.catalog is not None:
@@ -370,7 +382,7 @@
     def _adopt_catalog(
         self, catalog: catalogs.Catalog, document: bytes
     ) -> None:
-        """Goes by settings, unless later ones are in force."""
+        """Applies settings unless later ones are in force."""
         if not self._view.apply_catalog(catalog):
             return
         self._settings_document = document
@@ -383,13 +395,19 @@
         )
 
     def _confirm_settings(self, asked_ms: float) -> None:
-        """Notes that nothing newer was published, if a read can prove it."""
+        """Records that the settings are current, if a read can show it.
+
+        Not while a peer has later ones, or a restored store may lack some.
+        """
         own = self._view.catalog.revision
         is_known = self._claims.find_unmet(own, asked_ms) is None
-        if is_known and asked_ms >= self._restored_ms + self._pace.rewrite_ms:
+        if (
+            is_known
+            and asked_ms >= self._restored_ms + self._polling.rewrite_ms
+        ):
             self._view.confirm_settings(asked_ms)
 
-    def _take_targets(
+    def _apply_targets(
         self,
         changes: published.Changes,
         is_all: bool,
@@ -398,15 +416,15 @@
     ) -> None:
         now_ms = self._outside.now_ms()
         self._targets.apply_changes(changes, is_all, now_ms, grace)
-        self._await_grace_end()
-        self._publish(asked_ms)
-        self._note_listed()
+        self._start_grace_timer()
+        self._publish_targets(asked_ms)
+        self._on_listed()
 
     def mark_draining(self) -> None:
-        """Has the view go by what other ways told of targets that leave."""
-        self._publish(self._proven_ms)
+        """Updates the view after targets were found to drain elsewhere."""
+        self._publish_targets(self._current_as_of_ms)
 
-    def _await_grace_end(self) -> None:
+    def _start_grace_timer(self) -> None:
         if self._grace_timer is not None:
             self._grace_timer.cancel()
             self._grace_timer = None
@@ -414,23 +432,23 @@
         if until_ms is None:
             return
         grace_ms = until_ms - self._outside.now_ms()
-        grace_ms = max(_PAUSE_LEAST_MS, grace_ms)
+        grace_ms = max(_MIN_PAUSE_MS, grace_ms)
         self._grace_timer = asyncio.get_running_loop().call_later(
             grace_ms / 1000.0, self._end_grace
         )
 
     def _end_grace(self) -> None:
-        """Takes off what has not come back, without waiting for the store.
+        """Drops targets that were not listed again in time.
 
-        Its next answer may be a round away, and a target that has left is to
-        get no calls for longer than it must.
+        This does not wait for the store's next answer, which may be a whole
+        poll away: a removed target must get no requests longer than necessary.
         """
         self._targets.drop_expired(self._outside.now_ms())
-        self._await_grace_end()
-        self._publish(self._proven_ms)
+        self._start_grace_timer()
+        self._publish_targets(self._current_as_of_ms)
 
-    def _publish(self, asked_ms: float) -> None:
-        """Has the view and the scheduler go by the list as it is now."""
+    def _publish_targets(self, asked_ms: float) -> None:
+        """Hands the current list to the view and the scheduler."""
         self._view.apply_targets(self._targets.list_targets(), asked_ms)
         self._scheduler.post(schedulers.ViewChanged())
 
@@ -438,6 +456,6 @@
 def _is_behind(
     found: news.News, position: store_position.StorePosition
 ) -> bool:
-    """Returns whether a peer has read less of the same epoch."""
+    """Returns whether a peer is at a lower revision of the same epoch."""
     is_same = found.epoch == position.epoch
     return is_same and found.position < position.revision
--- a/standins/gateway_cluster.py
+++ b/standins/gateway_cluster.py
@@ -231,7 +231,7 @@
             certain_age_max_ms=key_age_max_ms,
             stop_lag_ms=2_600.0,
             stop_limit_ms=7_600.0,
-            pace=self.layout.pace,
+            polling=self.layout.pace,
             retry_ratio=0.15,
             retry_slack=RETRY_SLACK,
             peers=peer_gossip.PeerConfig(
