--- a/src/ruddergate/entry/store_reader.py
+++ b/src/ruddergate/entry/store_reader.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's store: pauses after failures, and what logs tell."""
+"""Reads the platform's store, with a growing delay after failed calls."""
 
 from collections.abc import Callable
 import dataclasses
@@ -11,19 +11,19 @@
 from ruddergate.relay import published
 from ruddergate.telemetry import logs
 
-# Each pause between tries is so much longer than the one before.
-_RETRY_GROWTH = 1.3
-# While the store is away, the log says so again after this time.
-_TELL_EVERY_MS = 2_000.0
+# Factor by which the delay grows after each failed call.
+_RETRY_FACTOR = 1.3
+# While the store is unavailable, this is logged again after this time.
+_LOG_INTERVAL_MS = 2_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Read:
-    """What the store has told.
+    """An answer of the store.
 
     Attributes:
-        changes: What was told.
-        since: The position behind which it begins; None for everything.
+        changes: The changes.
+        since: The position after which they start; None for a full read.
         asked_ms: When the call began.
     """
 
@@ -33,14 +33,14 @@
 
 
 class StoreReader:
-    """Reads the store, if it is there; owned by one task.
+    """Reads the store and backs off while it fails; owned by one task.
 
     Args:
-        outside: Clock and chance.
-        source: Calls of the store.
-        view: What this VM goes by, for logs.
-        pace: Pauses after failures.
-        find_age_ms: Returns the age of what this VM knows.
+        env: Clock and random numbers.
+        source: Calls to the store.
+        view: The current view, for logs.
+        polling: Delays after failed calls.
+        find_age_ms: Returns the age of this VM's view.
 
     Attributes:
         failed_ms: When the last call began that the store did not answer.
@@ -51,90 +51,90 @@
         outside: environment.Environment,
         source: published.Source,
         view: views.View,
-        pace: poll_config.PollConfig,
+        polling: poll_config.PollConfig,
         find_age_ms: Callable[[], float],
     ) -> None:
         self._outside = outside
         self._source = source
         self._view = view
-        self._pace = pace
+        self._polling = polling
         self._find_age_ms = find_age_ms
         self.failed_ms = float("-inf")
-        # The last epoch that the store itself has named; a peer may be wrong.
-        self._epoch = store_position.EPOCH_UNKNOWN
-        self._is_lost = False
-        self._told_ms = 0.0
-        self._tries_failed = 0
-        # Before this time the store is not asked again after a failure.
-        self._due_ms = float("-inf")
+        # The last epoch read from the store itself; a peer may be wrong.
+        self._known_epoch = store_position.EPOCH_UNKNOWN
+        self._is_unavailable = False
+        self._logged_ms = 0.0
+        self._failed_calls = 0
+        # After a failure the store is not called again before this time.
+        self._next_call_ms = float("-inf")
         self._log = logs.make_logger("store")
 
     def is_due(self) -> bool:
-        """Returns whether the store may be asked now."""
-        return self._outside.now_ms() >= self._due_ms
+        """Returns whether the store may be called now."""
+        return self._outside.now_ms() >= self._next_call_ms
 
     def find_wait_ms(self) -> float:
-        """Returns the time until the store may be asked."""
-        return self._due_ms - self._outside.now_ms()
+        """Returns the time until the store may be called."""
+        return self._next_call_ms - self._outside.now_ms()
 
     async def read(
-        self, since: store_position.StorePosition | None, retry_most_ms: float
+        self, since: store_position.StorePosition | None, retry_max_ms: float
     ) -> Read | None:
-        """Reads what came behind a position, or everything where that is lost.
+        """Reads the changes since a position, or all if their history is lost.
 
         Args:
-            since: The position; None for everything.
-            retry_most_ms: Longest pause after a call that failed.
+            since: The position; None for a full read.
+            retry_max_ms: Longest delay after a failed call.
 
         Returns:
-            What the store told, or None if it did not answer with sense.
+            The answer, or None if there was no valid one.
         """
         asked_ms = self._outside.now_ms()
-        found = await self._ask(since)
+        found = await self._call_store(since)
         if isinstance(found, published.HistoryLost):
             self._log_history_lost(found)
             since, asked_ms = None, self._outside.now_ms()
-            found = await self._ask(since)
+            found = await self._call_store(since)
         if isinstance(found, published.Changes):
-            self._epoch = found.position.epoch
+            self._known_epoch = found.position.epoch
             self._note_answered()
             return Read(found, since, asked_ms)
         self._note_failed(found, asked_ms)
-        self._due_ms = self._outside.now_ms() + self._draw_pause_ms(
-            retry_most_ms
+        self._next_call_ms = self._outside.now_ms() + self._draw_retry_delay_ms(
+            retry_max_ms
         )
-        self._tries_failed += 1
+        self._failed_calls += 1
         return None
 
-    async def _ask(
+    async def _call_store(
         self, since: store_position.StorePosition | None
     ) -> published.Changes | published.HistoryLost | published.Unavailable:
         if since is None:
             found = await self._source.read_all()
         else:
             found = await self._source.read_changes(
-                since.revision, self._pace.long_poll_ms
+                since.revision, self._polling.long_poll_ms
             )
         if isinstance(found, published.Changes):
-            return store_epochs.check_epoch(found, since, self._epoch)
+            return store_epochs.check_epoch(found, since, self._known_epoch)
         return found
 
-    def _draw_pause_ms(self, most_ms: float) -> float:
-        """Returns the time to the next try; VMs are not to ask in step."""
+    def _draw_retry_delay_ms(self, max_ms: float) -> float:
+        """Returns the delay, with jitter so that VMs do not retry in step."""
         grown_ms = (
-            self._pace.retry_initial_ms * _RETRY_GROWTH**self._tries_failed
+            self._polling.retry_initial_ms * _RETRY_FACTOR**self._failed_calls
         )
-        return min(most_ms, grown_ms) * self._outside.random.uniform(0.7, 1.0)
+        return min(max_ms, grown_ms) * self._outside.random.uniform(0.7, 1.0)
 
     def _note_answered(self) -> None:
-        self._tries_failed = 0
-        self._due_ms = float("-inf")
-        if self._is_lost:
-            self._is_lost = False
+        self._failed_calls = 0
+        self._next_call_ms = float("-inf")
+        if self._is_unavailable:
+            self._is_unavailable = False
             self._log.info(
-                "Store regained.",
+                "Store is available again.",
                 away_ms=round(self._find_age_ms()),
-                **self._show_position(),
+                **self._describe_position(),
             )
 
     def _note_failed(
@@ -147,14 +147,14 @@
             return
         self.failed_ms = asked_ms
         now_ms = self._outside.now_ms()
-        if not self._is_lost:
-            self._is_lost = True
-            self._told_ms = now_ms
-            self._log.warning("Store lost. {}", found.detail)
-        elif now_ms - self._told_ms >= _TELL_EVERY_MS:
-            self._told_ms = now_ms
+        if not self._is_unavailable:
+            self._is_unavailable = True
+            self._logged_ms = now_ms
+            self._log.warning("Store is unavailable. {}", found.detail)
+        elif now_ms - self._logged_ms >= _LOG_INTERVAL_MS:
+            self._logged_ms = now_ms
             self._log.warning(
-                "Store still lost. {}",
+                "Store is still unavailable. {}",
                 found.detail,
                 away_ms=round(self._find_age_ms()),
                 revision=self._view.catalog.revision,
@@ -162,10 +162,10 @@
 
     def _log_history_lost(self, found: published.HistoryLost) -> None:
         self._log.info(
-            "History lost, all is read anew.",
+            "Store no longer has the change history; reading everything.",
             store_epoch=found.epoch,
-            **self._show_position(),
+            **self._describe_position(),
         )
 
-    def _show_position(self) -> dict[str, int]:
+    def _describe_position(self) -> dict[str, int]:
         return self._view.store_position.describe()
--- a/src/ruddergate/entry/target_availability.py
+++ b/src/ruddergate/entry/target_availability.py
@@ -1,7 +1,8 @@
-"""What targets say of themselves in their answers, and what follows from it.
+"""Applies response hints of targets, and checks admission before each send.
 
-One object of a process hears all answers, before anybody sees what else stands
-in them, and is asked in the step that sends, whatever the way to a target is.
+One object per process receives the hints of all responses, before the rest of
+the response is processed. It is asked in the step that sends a request, for
+requests of every kind.
 """
 
 from collections.abc import Callable
@@ -20,96 +21,98 @@
 from ruddergate.telemetry import metrics as metric_types
 from ruddergate.telemetry import told_once
 
-# A time for which a target wants no calls is drawn out by up to this part of
-# it, and by no more than this: VMs that were told the same at once must not all
-# come back together.
-_SPREAD_PART = 0.25
-_SPREAD_MOST_MS = 500.0
-# A target that peers say to leave is asked this much later at most than others,
-# so that it is not asked by a whole fleet at once.
-_CONFIRM_SPREAD_MS = 1_500.0
-# VMs of a large fleet that tell one that has just started what targets said. In
-# a small one all do: it may be that one alone has heard it.
+# Jitter added to a backoff: up to this share of it, and at most this time. VMs
+# that got the same backoff at once must not all return together.
+_BACKOFF_JITTER_SHARE = 0.25
+_MAX_BACKOFF_JITTER_MS = 500.0
+# Jitter before a target that peers report as draining is probed, so that it is
+# not probed by the whole fleet at once.
+_CONFIRM_JITTER_MS = 1_500.0
+# VMs of a large fleet that pass on hints to a VM that has just started. In a
+# small fleet all do, as only one of them may have received a hint.
 _GREETING_VMS = 6
-# Longest word that a peer may use for a life: a key of the store has 200 bytes.
-_WORD_MOST = 220
-# What a target that leaves was to do another one can do at once.
-_LEAVING_RETRY_MS = 200.0
+# Longest name of an incarnation that a peer may send: a key of the store has at
+# most 200 bytes.
+_MAX_INCARNATION_LENGTH = 220
+# Retry delay sent to the caller: another target can take the request at once.
+_DRAINING_RETRY_MS = 200.0
 
 
 class TargetAvailability:
-    """Hears targets, and keeps calls off those that want none; one a process.
+    """Keeps requests off targets that drain or back off; one per process.
 
     Args:
-        outside: Clock and chance.
-        withdrawn: Which lives of targets take no calls.
+        env: Clock and random numbers.
+        drain_state: Which incarnations of targets accept no requests.
         metrics: Metrics of the process.
-        note_leaving: Is called when a target was newly found to leave, or may
-            be leaving.
+        on_draining: Called when a target was newly found to be draining, or is
+            newly suspected of it.
     """
 
     def __init__(
         self,
         outside: environment.Environment,
-        withdrawn: withdrawals.Withdrawals,
+        drain_state: withdrawals.Withdrawals,
         metrics: metric_types.EntryMetrics,
-        note_leaving: Callable[[], None] = lambda: None,
+        on_draining: Callable[[], None] = lambda: None,
     ) -> None:
         self._outside = outside
-        self._withdrawn = withdrawn
+        self._drain_state = drain_state
         self._metrics = metrics
-        self._note_leaving = note_leaving
-        self._told = told_once.ToldOnce()
+        self._on_draining = on_draining
+        self._logged = told_once.ToldOnce()
         self._log = logs.make_logger("target")
 
-    def on_hints(self, said: statements.Statement) -> None:
-        """Takes in what a target said of itself in an answer."""
-        if said.is_leaving:
-            self._apply_draining(said)
-        if said.quiet_ms is not None:
-            self._apply_backoff(said, said.quiet_ms)
-        for detail in said.unread:
-            self._report_unreadable(said, detail)
+    def on_hints(self, hints: statements.Statement) -> None:
+        """Applies the hints in a target's response."""
+        if hints.is_leaving:
+            self._apply_draining(hints)
+        if hints.quiet_ms is not None:
+            self._apply_backoff(hints, hints.quiet_ms)
+        for detail in hints.unread:
+            self._report_unreadable(hints, detail)
 
-    def merge_gossip(self, words: Iterable[str], peer: str) -> None:
-        """Takes in the leavings of which a peer has heard in answers.
+    def merge_gossip(self, names: Iterable[str], peer: str) -> None:
+        """Merges the draining targets that a peer learned of from responses.
 
-        Targets that are not listed are no matter yet; a peer says it again.
+        Targets that are not listed are ignored for now; peers repeat them.
         """
-        is_news = False
+        is_new = False
         now_ms = self._outside.now_ms()
-        for word in itertools.islice(words, withdrawals.TOLD_MOST):
-            if len(word) > _WORD_MOST:
-                self._log.warning("Leaving dropped, no life.", peer=peer)
+        for name in itertools.islice(names, withdrawals.TOLD_MOST):
+            if len(name) > _MAX_INCARNATION_LENGTH:
+                self._log.warning(
+                    "Ignoring draining target: its name is too long.", peer=peer
+                )
                 continue
-            life = lives.parse_life(word)
-            spread_ms = self._outside.random.uniform(0.0, _CONFIRM_SPREAD_MS)
-            due_ms = now_ms + doubts.CONFIRM_MS + spread_ms
-            if self._withdrawn.note_told(life, peer, now_ms, due_ms):
-                is_news = True
+            incarnation = lives.parse_life(name)
+            jitter_ms = self._outside.random.uniform(0.0, _CONFIRM_JITTER_MS)
+            due_ms = now_ms + doubts.CONFIRM_MS + jitter_ms
+            if self._drain_state.note_told(incarnation, peer, now_ms, due_ms):
+                is_new = True
                 self._metrics.leavings_heard.inc({"from": "peer"})
                 self._log.info(
-                    "Target {} leaves, as a peer has heard.",
-                    life.target_id,
-                    born_ms=life.born_ms,
+                    "Target {} is draining, according to a peer.",
+                    incarnation.target_id,
+                    born_ms=incarnation.born_ms,
                     peer=peer,
                 )
-        if is_news:
-            self._note_leaving()
+        if is_new:
+            self._on_draining()
 
     def check_admission(
-        self, asked: Iterable[targets.Target]
+        self, chosen: Iterable[targets.Target]
     ) -> outcomes.NotServed | None:
-        """Returns a refusal if one of these takes no calls now.
+        """Returns a refusal if one of these targets accepts no requests now.
 
-        It holds for this moment: an answer may have told so while the call
-        waited for a place, for memory or for a connection.
+        The result is valid at this moment only: a hint may have arrived while
+        the request waited for a placement, for memory or for a connection.
         """
         now_ms = self._outside.now_ms()
-        for number, target in enumerate(asked):
-            if self._withdrawn.takes_calls(target.life, now_ms):
+        for number, target in enumerate(chosen):
+            if self._drain_state.takes_calls(target.life, now_ms):
                 continue
-            is_leaving = self._withdrawn.has_left(target.life)
+            is_leaving = self._drain_state.has_left(target.life)
             self._metrics.sends_withheld.inc(
                 {
                     "reason": "leaving" if is_leaving else "quiet",
@@ -119,78 +122,82 @@
             if is_leaving:
                 return outcomes.refuse(
                     outcomes.Reason.TARGET_LEAVING,
-                    f"target {target.target_id} leaves",
-                    _LEAVING_RETRY_MS,
+                    f"target {target.target_id} is draining",
+                    _DRAINING_RETRY_MS,
                 )
-            until_ms = self._withdrawn.find_until_ms(target.life, now_ms)
+            until_ms = self._drain_state.find_until_ms(target.life, now_ms)
             return outcomes.refuse(
                 outcomes.Reason.TARGET_QUIET,
-                f"target {target.target_id} wants no calls now",
+                f"target {target.target_id} has asked for a backoff",
                 until_ms - now_ms,
             )
         return None
 
     def summarize(self) -> tuple[str, ...]:
-        """Returns the leavings that peers are to be told now."""
-        return self._withdrawn.summarize(self._outside.now_ms())
+        """Returns the draining targets to send to peers now."""
+        return self._drain_state.summarize(self._outside.now_ms())
 
     def on_peer_started(self, peers: int) -> None:
-        """Has a VM that has just started told what targets have said.
+        """Schedules gossip for a VM that has just started.
 
         Args:
             peers: How many peers this VM knows.
         """
         is_large = peers > peer_groups.DIRECT_MOST
-        chance = _GREETING_VMS / peers if is_large else 1.0
-        if chance < 1.0 and self._outside.random.random() >= chance:
+        probability = _GREETING_VMS / peers if is_large else 1.0
+        if probability < 1.0 and self._outside.random.random() >= probability:
             return
-        if self._withdrawn.tell_again(self._outside.now_ms()):
-            self._note_leaving()
+        if self._drain_state.tell_again(self._outside.now_ms()):
+            self._on_draining()
 
     def count_backing_off(self) -> int:
-        """Returns how many targets want no calls of this VM now."""
-        return self._withdrawn.count_quiet(self._outside.now_ms())
+        """Returns how many targets have asked this VM to back off now."""
+        return self._drain_state.count_quiet(self._outside.now_ms())
 
-    def _apply_draining(self, said: statements.Statement) -> None:
+    def _apply_draining(self, hints: statements.Statement) -> None:
         now_ms = self._outside.now_ms()
-        is_new = self._withdrawn.note_answered(said.life, now_ms, said.is_dated)
+        is_new = self._drain_state.note_answered(
+            hints.life, now_ms, hints.is_dated
+        )
         if not is_new:
             return
         self._metrics.leavings_heard.inc({"from": "answer"})
         self._log.info(
-            "Target {} says that it leaves.",
-            said.life.target_id,
-            request_id=said.request_id,
-            born_ms=said.life.born_ms,
+            "Target {} reports that it is draining.",
+            hints.life.target_id,
+            request_id=hints.request_id,
+            born_ms=hints.life.born_ms,
         )
-        self._note_leaving()
+        self._on_draining()
 
     def _apply_backoff(
-        self, said: statements.Statement, quiet_ms: float
+        self, hints: statements.Statement, quiet_ms: float
     ) -> None:
-        spread_ms = min(_SPREAD_MOST_MS, _SPREAD_PART * quiet_ms)
-        spread_ms = self._outside.random.uniform(0.0, spread_ms)
-        until_ms = self._outside.now_ms() + quiet_ms + spread_ms
-        said_wall_ms = None if said.is_dated else self._outside.wall_ms()
-        if self._withdrawn.note_quiet(said.life, until_ms, said_wall_ms):
+        jitter_ms = min(
+            _MAX_BACKOFF_JITTER_MS, _BACKOFF_JITTER_SHARE * quiet_ms
+        )
+        jitter_ms = self._outside.random.uniform(0.0, jitter_ms)
+        until_ms = self._outside.now_ms() + quiet_ms + jitter_ms
+        received_wall_ms = None if hints.is_dated else self._outside.wall_ms()
+        if self._drain_state.note_quiet(hints.life, until_ms, received_wall_ms):
             self._log.info(
-                "Target {} wants no calls for {:.0f} ms.",
-                said.life.target_id,
+                "Target {} asks for a backoff of {:.0f} ms.",
+                hints.life.target_id,
                 quiet_ms,
-                request_id=said.request_id,
-                born_ms=said.life.born_ms,
+                request_id=hints.request_id,
+                born_ms=hints.life.born_ms,
             )
 
     def _report_unreadable(
-        self, said: statements.Statement, detail: str
+        self, hints: statements.Statement, detail: str
     ) -> None:
         self._metrics.statements_unread.inc({})
-        name = lives.format_life(said.life)
-        if self._told.is_new(name, detail):
+        name = lives.format_life(hints.life)
+        if self._logged.is_new(name, detail):
             self._log.warning(
-                "Target {} says what has no meaning: {}.",
-                said.life.target_id,
+                "Target {} sent an unreadable hint: {}.",
+                hints.life.target_id,
                 detail,
-                request_id=said.request_id,
-                born_ms=said.life.born_ms,
+                request_id=hints.request_id,
+                born_ms=hints.life.born_ms,
             )
