--- a/src/ruddergate/entry/drain_check.py
+++ b/src/ruddergate/entry/drain_check.py
@@ -1,7 +1,7 @@
-"""The task that asks targets of which it is in doubt whether they leave.
+"""The task that probes targets suspected of draining.
 
-A sign of life is no work, and its answer says whether the target leaves and, in
-most cases, when it started.
+A health probe causes no work on the target. Its response says whether the
+target is draining and, in most cases, when it started.
 """
 
 import asyncio
@@ -19,58 +19,58 @@
 from ruddergate.telemetry import metrics as metric_types
 
 _NEVER_MS = float("inf")
-# What is left of a pause may round to nothing, so that it would end at once.
-_PAUSE_LEAST_MS = 1.0
+# What is left of a pause may round to zero, and the loop would not yield.
+_MIN_PAUSE_MS = 1.0
 
 
 class DrainCheck:
-    """Asks each target in doubt until it has answered.
+    """Probes each suspected target until it has answered.
 
-    What an answer says of leaving is heard as all that targets say is; this
-    takes in that it says nothing of it.
+    A response that says the target is draining is applied with all other
+    response hints. This class only handles responses that refute a suspicion.
 
     Args:
-        outside: Clock.
-        withdrawn: Which lives of targets take no calls.
+        env: Clock.
+        drain_state: Which incarnations of targets accept no requests.
         view: The list of targets.
-        probe: Asks a target for a sign of life.
-        on_staying: Is called when targets turned out not to leave.
+        probe: Sends a health probe to a target.
+        on_refuted: Called when a suspicion was refuted.
         metrics: Metrics of the process.
     """
 
     def __init__(
         self,
         outside: environment.Environment,
-        withdrawn: withdrawals.Withdrawals,
+        drain_state: withdrawals.Withdrawals,
         view: views.View,
         probe: Callable[[targets.Target], Awaitable[orders.Told]],
-        on_staying: Callable[[], None],
+        on_refuted: Callable[[], None],
         metrics: metric_types.EntryMetrics,
     ) -> None:
         self._outside = outside
-        self._withdrawn = withdrawn
+        self._drain_state = drain_state
         self._view = view
         self._probe = probe
-        self._on_staying = on_staying
+        self._on_refuted = on_refuted
         self._metrics = metrics
         self._changed = asyncio.Event()
         self._log = logs.make_logger("target")
 
     def wake(self) -> None:
-        """Has it looked whether any target is to be asked."""
-        if len(self._withdrawn.doubts):
+        """Makes the task look for suspected targets now."""
+        if len(self._drain_state.doubts):
             self._changed.set()
 
     async def run(self) -> None:
-        """Asks until cancelled; sleeps while nothing is in doubt."""
+        """Probes until cancelled; sleeps while no target is suspected."""
         while True:
             await self._wait()
             await self._probe_due()
 
     async def _wait(self) -> None:
-        """Returns when a target is to be asked, or when that may be."""
-        due_ms = self._withdrawn.doubts.find_next_ms()
-        left_ms = max(_PAUSE_LEAST_MS, due_ms - self._outside.now_ms())
+        """Waits until a probe is due or a suspicion may have been added."""
+        due_ms = self._drain_state.doubts.find_next_ms()
+        left_ms = max(_MIN_PAUSE_MS, due_ms - self._outside.now_ms())
         wait_s = None if due_ms == _NEVER_MS else left_ms / 1000.0
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
@@ -78,27 +78,34 @@
         self._changed.clear()
 
     async def _probe_due(self) -> None:
-        due = self._withdrawn.doubts.find_due(self._outside.now_ms())
+        due = self._drain_state.doubts.find_due(self._outside.now_ms())
         listed = {each.life: each for each in self._view.listing.targets}
-        asked = [listed[life] for life in due if life in listed]
-        for life in due:
-            self._withdrawn.doubts.put_off(life, self._outside.now_ms())
-        told = await asyncio.gather(*map(self._probe_target, asked))
+        probed = [
+            listed[incarnation] for incarnation in due if incarnation in listed
+        ]
+        for incarnation in due:
+            self._drain_state.doubts.put_off(
+                incarnation, self._outside.now_ms()
+            )
+        told = await asyncio.gather(*map(self._probe_target, probed))
         if any(told):
-            self._on_staying()
+            self._on_refuted()
 
     async def _probe_target(self, target: targets.Target) -> bool:
-        """Returns whether a target turned out not to leave."""
+        """Probes a target; returns whether that refuted the suspicion."""
         told = await self._probe(target)
-        is_its_own = told.born_ms in (lives.BORN_UNKNOWN, target.born_ms)
-        if not told.is_staying or not is_its_own:
+        is_same_incarnation = told.born_ms in (
+            lives.BORN_UNKNOWN,
+            target.born_ms,
+        )
+        if not told.is_staying or not is_same_incarnation:
             return False
         now_ms = self._outside.now_ms()
-        if not self._withdrawn.note_staying(target.life, now_ms):
+        if not self._drain_state.note_staying(target.life, now_ms):
             return False
         self._metrics.leavings_denied.inc({})
         self._log.info(
-            "Target {} does not leave, as it was asked.",
+            "Target {} is not draining, as a probe shows.",
             target.target_id,
             born_ms=target.born_ms,
         )
--- a/src/ruddergate/entry/rate_limiter.py
+++ b/src/ruddergate/entry/rate_limiter.py
@@ -1,7 +1,8 @@
-"""Enforces the rate limits that targets name, together with all other VMs.
+"""Enforces the rate limits that targets announce, shared among all VMs.
 
-decisions/rate_limits.py has the rules. This applies answers and updates of
-peers, admits calls in the step that sends, and probes silent targets.
+The rules are in decisions/rate_limits.py. This module applies response hints
+and updates of peers, admits requests in the step that sends them, and probes
+targets that have announced nothing for some time.
 """
 
 import asyncio
@@ -27,23 +28,23 @@
 
 # Peers send a digest each second, so all are known after this time.
 SETTLE_MS = 1_500.0
-# A VM without a peer this long after its start is alone.
+# A VM that knows no peer this long after its start is taken to be the only one.
 ALONE_MS = 6_000.0
 # A longer gap between two ticks means that the process was suspended.
-_STOPPED_MS = 1_500.0
+_SUSPENDED_MS = 1_500.0
 _TICK_MS = 500.0
-# Members are looked up again after this time.
-_MEMBERS_MS = 250.0
+# The list of members is refreshed after this time.
+_MEMBERS_REFRESH_MS = 250.0
 _PROBE_TIMEOUT_MS = 150.0
-# Another target may take the call at once.
+# Retry delay where none is known: another target may take the request at once.
 _RETRY_MS = 200.0
-# A key of the store has 200 bytes.
-_MAX_NAME = 200
+# A key of the store has at most 200 bytes.
+_MAX_NAME_LENGTH = 200
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _ShareKey:
-    """What decides, besides the members, who shares a limit.
+    """Cache key: what decides, besides the members, which VMs share a limit.
 
     Attributes:
         target_id: The target.
@@ -62,7 +63,7 @@
     """Owns this VM's shares of all targets' limits.
 
     Args:
-        outside: Clock and chance.
+        env: Clock and random numbers.
         own: Name of this VM among its peers.
         find_members: Returns the halls of this VM and of live peers by name,
             given the time.
@@ -93,14 +94,14 @@
         self._note_change = note_change
         self._metrics = metrics
         self._ticked_ms = outside.now_ms()
-        self._began_ms = outside.now_ms()
+        self._settling_since_ms = outside.now_ms()
         self._changed = asyncio.Event()
         self._members: Mapping[str, str] = {}
-        self._members_ms = float("-inf")
-        # Kept while members are the same: ranking a large hall is costly.
+        self._members_refreshed_ms = float("-inf")
+        # Cached while the members stay the same: ranking a large hall is slow.
         self._holders: dict[_ShareKey, int] = {}
-        # A gauge stays, so one whose limit has ended is set to infinity.
-        self._gauged: set[str] = set()
+        # A gauge cannot be removed, so one whose limit ended is set to infinity.
+        self._gauge_targets: set[str] = set()
         self._log = logs.make_logger("target")
         self.limits = rate_limits.RateLimits(
             outside.random,
@@ -108,22 +109,24 @@
             lambda: len(self._members),
         )
 
-    def observe(self, said: statements.Statement) -> None:
-        """Applies the limit in a target's answer, or its absence."""
+    def observe(self, hints: statements.Statement) -> None:
+        """Applies the rate limit in a target's response, or its absence."""
         now_ms = self._outside.now_ms()
-        target_id = said.life.target_id
-        if said.rate_limit_per_s is not None:
-            is_news = self.limits.observe_limit(
-                target_id, said.rate_limit_per_s, said.sent_ms, now_ms
+        target_id = hints.life.target_id
+        if hints.rate_limit_per_s is not None:
+            is_new = self.limits.observe_limit(
+                target_id, hints.rate_limit_per_s, hints.sent_ms, now_ms
             )
-        elif said.is_unlimited:
-            is_news = self.limits.observe_no_limit(
-                target_id, said.is_call, said.sent_ms, now_ms
+        elif hints.is_unlimited:
+            is_new = self.limits.observe_no_limit(
+                target_id, hints.is_call, hints.sent_ms, now_ms
             )
         else:
             return
-        if is_news:
-            self._log_change(target_id, said.rate_limit_per_s, said.request_id)
+        if is_new:
+            self._log_change(
+                target_id, hints.rate_limit_per_s, hints.request_id
+            )
             self._note_change()
 
     def summarize(self) -> tuple[rate_limit.RateLimitUpdate, ...]:
@@ -133,10 +136,10 @@
     def merge(
         self, updates: Sequence[rate_limit.RateLimitUpdate], peer: str
     ) -> None:
-        """Merges a peer's updates of listed targets."""
+        """Merges a peer's updates for listed targets."""
         now_ms = self._outside.now_ms()
         for update in updates[: rate_limits.MAX_UPDATES]:
-            if not _is_sound(update):
+            if not _is_valid(update):
                 self._log.warning("Ignoring malformed rate limit.", peer=peer)
                 continue
             if self._find_target(update.target_id) is None:
@@ -157,9 +160,10 @@
     def refuse_helpers(
         self, helpers: Iterable[targets.Target]
     ) -> outcomes.NotServed | None:
-        """Returns a refusal if an engine that is to help names a limit.
+        """Returns a refusal if a chosen helper engine has a rate limit.
 
-        Help takes several requests: memory is set aside, renewed and released.
+        A helper gets several requests: memory is reserved, renewed and
+        released.
         """
         for helper in helpers:
             if self.limits.is_limited(helper.target_id):
@@ -167,11 +171,11 @@
         return None
 
     def give_back(self, target: targets.Target) -> None:
-        """Returns the token of a call that was not sent after all."""
+        """Returns the token of a request that was not sent after all."""
         self.limits.give_back(target.target_id)
 
-    def charge_orders(self, given: orders.Orders) -> orders.Orders:
-        """Returns orders that count against the limits of their targets."""
+    def charge_orders(self, inner: orders.Orders) -> orders.Orders:
+        """Wraps orders so that they count against their targets' limits."""
 
         def charge(target: targets.Target) -> None:
             self.limits.charge(target.target_id, self._outside.now_ms())
@@ -180,15 +184,15 @@
             wanted: orders.Reservation, hold_ms: float
         ) -> orders.Answer:
             charge(wanted.target)
-            return await given.reserve(wanted, hold_ms)
+            return await inner.reserve(wanted, hold_ms)
 
         async def release(held: orders.Reservation) -> orders.Answer:
             charge(held.target)
-            return await given.release(held)
+            return await inner.release(held)
 
         async def ask_sign(target: targets.Target) -> orders.Told:
             charge(target)
-            return await given.ask_sign(target)
+            return await inner.ask_sign(target)
 
         return orders.Orders(reserve, release, ask_sign)
 
@@ -198,7 +202,7 @@
         """Probes limited targets until cancelled.
 
         Args:
-            probe: Sends a target a request that is no call.
+            probe: Sends a health probe to a target.
         """
         while True:
             with contextlib.suppress(TimeoutError):
@@ -206,7 +210,7 @@
                     await self._changed.wait()
             self._changed.clear()
             now_ms = self._outside.now_ms()
-            self._note_time(now_ms)
+            self._detect_suspension(now_ms)
             self.limits.forget_old(now_ms)
             due = map(self._find_target, self.limits.take_due_probes(now_ms))
             probes = [self._probe(probe, each) for each in due if each]
@@ -214,10 +218,10 @@
                 await asyncio.gather(*probes)
 
     def set_gauges(self) -> None:
-        """Brings the gauges up to date before they are read."""
+        """Updates the gauges before they are read."""
         now_ms = self._outside.now_ms()
-        self._gauged |= set(self.limits.list_limited())
-        for target_id in self._gauged:
+        self._gauge_targets |= set(self.limits.list_limited())
+        for target_id in self._gauge_targets:
             limit, own = self.limits.find_share(target_id, now_ms)
             self._metrics.rate_limits.set({"target": target_id}, limit)
             self._metrics.rate_limit_shares.set({"target": target_id}, own)
@@ -234,13 +238,13 @@
     def _count_holders(
         self, target_id: str, rate_per_s: float, now_ms: float
     ) -> int:
-        """Returns how many VMs share a limit; 0 if this VM does not."""
-        self._note_time(now_ms)
+        """Returns how many VMs share a limit; 0 if this VM has no share."""
+        self._detect_suspension(now_ms)
         self._refresh_members(now_ms)
         is_alone = len(self._members) == 1
         settle_ms = ALONE_MS if is_alone else SETTLE_MS
         target = self._find_target(target_id)
-        if now_ms - self._began_ms < settle_ms or target is None:
+        if now_ms - self._settling_since_ms < settle_ms or target is None:
             return 0
         pool_halls = frozenset(self._find_pool_halls(target.pool))
         key = _ShareKey(target_id, target.hall, rate_per_s, pool_halls)
@@ -261,28 +265,28 @@
         return len(holders) if self._own in holders else 0
 
     def _refresh_members(self, now_ms: float) -> None:
-        if now_ms - self._members_ms < _MEMBERS_MS:
+        if now_ms - self._members_refreshed_ms < _MEMBERS_REFRESH_MS:
             return
-        self._members_ms = now_ms
+        self._members_refreshed_ms = now_ms
         members = self._find_members(now_ms)
         if members != self._members:
             self._members = members
             self._holders.clear()
 
-    def _note_time(self, now_ms: float) -> None:
-        if now_ms - self._ticked_ms > _STOPPED_MS:
-            self._began_ms = now_ms
+    def _detect_suspension(self, now_ms: float) -> None:
+        if now_ms - self._ticked_ms > _SUSPENDED_MS:
+            self._settling_since_ms = now_ms
         self._ticked_ms = now_ms
 
     def _refuse(
-        self, target_id: str, part: str, retry_ms: float
+        self, target_id: str, role: str, retry_ms: float
     ) -> outcomes.NotServed:
-        self._metrics.sends_withheld.inc({"reason": "rate_limit", "part": part})
+        self._metrics.sends_withheld.inc({"reason": "rate_limit", "part": role})
         if math.isinf(retry_ms):
             retry_ms = _RETRY_MS
         return outcomes.refuse(
             outcomes.Reason.TARGET_RATE_LIMITED,
-            f"target {target_id} takes no more requests now",
+            f"target {target_id} is rate-limited",
             retry_ms,
         )
 
@@ -299,14 +303,14 @@
         _, own = self.limits.find_share(target_id, now_ms)
         if rate_per_s is None:
             self._log.info(
-                "Target {} names no rate limit any more.",
+                "Target {} has no rate limit any more.",
                 target_id,
                 request_id=request_id,
                 peer=peer,
             )
             return
         self._log.info(
-            "Target {} names a rate limit of {:g} requests/s.",
+            "Target {} has a rate limit of {:g} requests/s.",
             target_id,
             rate_per_s,
             own_share=round(own, 3),
@@ -315,10 +319,14 @@
         )
 
 
-def _is_sound(update: rate_limit.RateLimitUpdate) -> bool:
+def _is_valid(update: rate_limit.RateLimitUpdate) -> bool:
     rate_per_s = update.rate_per_s
-    is_rate = rate_per_s is None or (
+    is_valid_rate = rate_per_s is None or (
         math.isfinite(rate_per_s) and rate_per_s >= 0.0
     )
-    is_age = math.isfinite(update.age_ms) and update.age_ms >= 0.0
-    return is_rate and is_age and len(update.target_id) <= _MAX_NAME
+    is_valid_age = math.isfinite(update.age_ms) and update.age_ms >= 0.0
+    return (
+        is_valid_rate
+        and is_valid_age
+        and len(update.target_id) <= _MAX_NAME_LENGTH
+    )
--- a/src/ruddergate/entry/target_list.py
+++ b/src/ruddergate/entry/target_list.py
@@ -1,11 +1,13 @@
-"""The targets that the store lists, with what must outlast its answers.
-
-A life of a target that was ever found to leave stays so, whichever way told it;
-the target may start again under its name, and is then another life. A target
-that went off the list while the store was out of reach is kept for a moment,
-since those that live are listed again soon; so is one whose entry another
-writer has spoilt. One that was removed does not come back by an older copy of
-the store.
+"""The targets that the store lists, with state that outlasts its answers.
+
+An incarnation of a target that was ever found to be draining stays so, however
+this became known. A target may start again under the same name, and is then a
+new incarnation.
+
+A target whose entry disappeared while the store was unreachable is kept for a
+grace period, as live targets are soon listed again. So is one whose entry was
+overwritten by another client with something malformed. A target that was
+removed does not come back through an older copy of the store.
 """
 
 from collections.abc import Iterable
@@ -23,12 +25,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grace:
-    """Until when targets are kept that are not listed.
+    """Until when targets without a valid entry are kept.
 
     Attributes:
-        removed_until_ms: Those that went off the list.
-        malformed_until_ms: Those whose entry is none of a target any more. A target
-            writes its own again within a heartbeat.
+        removed_until_ms: Applies to targets whose entry was removed.
+        malformed_until_ms: Applies to targets whose entry is malformed. A
+            target rewrites its entry with its next heartbeat.
     """
 
     removed_until_ms: float
@@ -39,135 +41,139 @@
     """Targets by name; owned by one task.
 
     Args:
-        withdrawn: Which lives of targets were found to leave.
+        drain_state: Which incarnations of targets were found to be draining.
 
     Attributes:
-        refused: Entries that were none of a target, in all.
+        refused: Total number of entries that did not describe a target.
     """
 
-    def __init__(self, withdrawn: withdrawals.Withdrawals) -> None:
+    def __init__(self, drain_state: withdrawals.Withdrawals) -> None:
         self.refused = 0
-        self._withdrawn = withdrawn
+        self._drain_state = drain_state
         self._targets: dict[str, targets.Target] = {}
         self._kept_until_ms: dict[str, float] = {}
-        # The youngest life of each target that was seen.
-        self._born_ms: dict[str, int] = {}
+        # When the latest known incarnation of each target started.
+        self._started_ms: dict[str, int] = {}
         self._removals = removals.Removals()
-        # Listed, but by nothing newer than a copy from before their removal.
+        # Targets that were removed, and that the store lists again only because
+        # it was restored from a copy made before their removal.
         self._stale: dict[str, targets.Target] = {}
         self._logged = told_once.ToldOnce()
         self._log = logs.make_logger("store")
 
     def list_targets(self) -> tuple[targets.Target, ...]:
-        """Returns the targets that may be used or are leaving."""
-        return tuple(map(self._mark, self._targets.values()))
+        """Returns the targets, with those that drain marked so."""
+        return tuple(map(self._mark_draining, self._targets.values()))
 
     def list_published(self) -> tuple[targets.Target, ...]:
-        """Returns what the store lists, as it does."""
-        used = (
+        """Returns the targets as the store lists them."""
+        current = (
             each
             for target_id, each in self._targets.items()
             if target_id not in self._kept_until_ms
         )
-        return (*used, *self._stale.values())
+        return (*current, *self._stale.values())
 
     def has_stale(self) -> bool:
-        """Returns whether the store lists targets as an older copy did."""
+        """Returns whether the store lists removed targets from an older copy."""
         return bool(self._stale)
 
     def note_restored(self) -> None:
-        """Notes that the store was restored from an older copy."""
+        """Records that the store was restored from an older copy."""
         self._removals.note_restored()
 
     def apply_changes(
         self,
         changes: published.Changes,
-        is_all: bool,
+        is_full: bool,
         now_ms: float,
         grace: Grace,
     ) -> None:
-        """Takes in what the store tells of targets.
+        """Applies changes of the list.
 
         Args:
-            changes: Entries in order, and names that are off the list.
-            is_all: Whether everything that is listed is in it.
-            now_ms: Time.
-            grace: Until when targets are kept that are not listed.
+            changes: Entries in order, and names of removed targets.
+            is_full: Whether the changes contain every listed target.
+            now_ms: Current time.
+            grace: Until when targets without a valid entry are kept.
         """
-        off = set(changes.gone)
-        spoilt = {each.target_id for each in changes.spoilt}
-        listed = self._find_newest(changes.targets)
+        removed = set(changes.gone)
+        malformed = {each.target_id for each in changes.spoilt}
+        listed = self._find_latest(changes.targets)
         for each in changes.spoilt:
             self._log_malformed(each)
-        if is_all:
-            off |= self._targets.keys() - listed.keys() - spoilt
-            off |= self._stale.keys() - listed.keys()
-        for target_id in off & self._stale.keys():
+        if is_full:
+            removed |= self._targets.keys() - listed.keys() - malformed
+            removed |= self._stale.keys() - listed.keys()
+        for target_id in removed & self._stale.keys():
             del self._stale[target_id]
-        for target_id in off & self._targets.keys():
+        for target_id in removed & self._targets.keys():
             self._removals.note_removed(self._targets[target_id])
-            self._keep_until(target_id, grace.removed_until_ms, now_ms)
-        for target_id in spoilt & self._targets.keys():
-            self._keep_until(target_id, grace.malformed_until_ms, now_ms)
+            self._keep(target_id, grace.removed_until_ms, now_ms)
+        for target_id in malformed & self._targets.keys():
+            self._keep(target_id, grace.malformed_until_ms, now_ms)
         for target_id, each in listed.items():
-            if target_id in off | spoilt:
+            if target_id in removed | malformed:
                 continue
-            if self._removals.take_entry(each, is_all):
-                self._list(each, now_ms)
+            if self._removals.take_entry(each, is_full):
+                self._add(each, now_ms)
             else:
-                self._hold_back(each)
+                self._set_aside(each)
         self.drop_expired(now_ms)
 
     def find_grace_end_ms(self) -> float | None:
-        """Returns when the next target that is not listed is to be dropped."""
+        """Returns when the next grace period of a target ends."""
         return min(self._kept_until_ms.values(), default=None)
 
     def lacks_incarnation(self, target: targets.Target) -> bool:
-        """Returns whether an entry does not say which life it is of.
+        """Returns whether an entry lacks an incarnation that is known here.
 
-        A peer of an earlier release hands entries on without it.
+        A peer of an earlier release passes entries on without it.
         """
-        is_untold = target.born_ms == lives.BORN_UNKNOWN
-        return is_untold and self._born_ms.get(target.target_id, 0) > 0
+        is_unknown = target.born_ms == lives.BORN_UNKNOWN
+        return is_unknown and self._started_ms.get(target.target_id, 0) > 0
 
     def drop_expired(self, now_ms: float) -> None:
-        """Takes off targets that have not come back in time."""
+        """Drops targets whose grace period has ended."""
         for target_id, until_ms in list(self._kept_until_ms.items()):
             if now_ms >= until_ms:
                 self._forget(target_id)
 
-    def _find_newest(
+    def _find_latest(
         self, found: Iterable[targets.Target]
     ) -> dict[str, targets.Target]:
-        """Returns the last entry of the youngest life of each target.
+        """Returns the last entry of each target's latest incarnation.
 
-        Leavings are noted of all of them: one may have been replaced since.
+        Draining is recorded from all entries that are not of an older
+        incarnation, as a later entry may have replaced the one that says so.
         """
-        newest: dict[str, targets.Target] = {}
+        latest: dict[str, targets.Target] = {}
         for each in found:
             name = each.target_id
-            if each.born_ms < self._born_ms.get(name, each.born_ms):
-                self._log_once(name, f"Target {name}: older life dropped.")
+            if each.born_ms < self._started_ms.get(name, each.born_ms):
+                self._log_once(
+                    name, f"Target {name}: ignoring an older incarnation."
+                )
                 continue
-            self._born_ms[name] = each.born_ms
+            self._started_ms[name] = each.born_ms
             if each.condition is condition.Condition.LEAVING:
-                self._withdrawn.note_published(each.life)
-            newest[name] = each
-        return newest
+                self._drain_state.note_published(each.life)
+            latest[name] = each
+        return latest
 
-    def _hold_back(self, target: targets.Target) -> None:
-        """Keeps an entry that an older copy holds; it names nobody to use."""
+    def _set_aside(self, target: targets.Target) -> None:
+        """Keeps an entry from an older copy aside; its target is not used."""
         name = target.target_id
         self._stale[name] = target
-        self._log_once(name, f"Target {name}: entry from before its removal.")
+        self._log_once(name, f"Target {name}: entry predates its removal.")
 
-    def _list(self, target: targets.Target, now_ms: float) -> None:
-        """Lists a target as the store does; `listed` says whether it leaves."""
+    def _add(self, target: targets.Target, now_ms: float) -> None:
+        """Adds a target as listed; `list_targets` marks it if it drains."""
         name = target.target_id
         self._stale.pop(name, None)
         self._kept_until_ms.pop(name, None)
         self._logged.forget(name)
-        self._withdrawn.note_listed(target.life, now_ms)
+        self._drain_state.note_listed(target.life, now_ms)
         if self._targets.get(name) != target:
             self._log.info(
                 "Target {} is {}.",
@@ -180,17 +186,15 @@
             )
         self._targets[name] = target
 
-    def _mark(self, target: targets.Target) -> targets.Target:
-        """Returns a target as leaving, if its life was ever found to leave."""
-        if not self._withdrawn.has_left(target.life):
+    def _mark_draining(self, target: targets.Target) -> targets.Target:
+        """Returns a target, marked if its incarnation ever began to drain."""
+        if not self._drain_state.has_left(target.life):
             return target
         return dataclasses.replace(
             target, condition=condition.Condition.LEAVING
         )
 
-    def _keep_until(
-        self, target_id: str, until_ms: float, now_ms: float
-    ) -> None:
+    def _keep(self, target_id: str, until_ms: float, now_ms: float) -> None:
         if until_ms > now_ms:
             self._kept_until_ms.setdefault(target_id, until_ms)
         else:
@@ -199,14 +203,14 @@
     def _forget(self, target_id: str) -> None:
         self._kept_until_ms.pop(target_id, None)
         del self._targets[target_id]
-        self._withdrawn.note_unlisted(target_id)
-        self._log.info("Target {} is off the list.", target_id)
+        self._drain_state.note_unlisted(target_id)
+        self._log.info("Target {} was removed from the list.", target_id)
 
     def _log_malformed(self, entry: published.Spoilt) -> None:
         self.refused += 1
-        self._log_once(entry.target_id, f"Entry refused. {entry.detail}")
+        self._log_once(entry.target_id, f"Rejected entry. {entry.detail}")
 
-    def _log_once(self, name: str, sentence: str) -> None:
-        """Logs a sentence unless it was the last one of that name."""
-        if self._logged.is_new(name, sentence):
-            self._log.warning("{}", sentence)
+    def _log_once(self, name: str, message: str) -> None:
+        """Logs a message unless it is the last one logged for that name."""
+        if self._logged.is_new(name, message):
+            self._log.warning("{}", message)
--- a/src/ruddergate/entry/target_losses.py
+++ b/src/ruddergate/entry/target_losses.py
@@ -1,4 +1,4 @@
-"""Losses of targets and halls that this VM finds, or is told of by peers."""
+"""Losses of targets and halls, found by this VM or reported by peers."""
 
 from collections.abc import Callable
 import random
@@ -14,62 +14,62 @@
 
 
 class TargetLosses:
-    """What is known of losses; owned by the scheduler task.
+    """Tracks lost targets and halls; owned by the scheduler task.
 
     Args:
-        chance: For how long what peers have lost is passed over.
+        rng: Draws how long a target that a peer reported is avoided.
 
     Attributes:
-        ends: Tells of lives of targets that have ended.
+        ended: Incarnations of targets that have ended.
     """
 
-    def __init__(self, chance: random.Random) -> None:
+    def __init__(self, rng: random.Random) -> None:
         self.ended = ended_incarnations.EndedIncarnations()
-        self._chance = chance
-        self._found = losses_found.LossesFound()
+        self._rng = rng
+        self._loss_reports = losses_found.LossesFound()
         self._reachability = reachability.Reachability()
         self._log = logs.make_logger("scheduler")
 
     def note_unreachable(self, target: targets.Target, now_ms: float) -> None:
-        """Notes that nothing came back from a target."""
+        """Records that a target did not respond."""
         hall = target.hall
         if self._reachability.note_missed(hall, target.target_id, now_ms):
-            self._log.warning("Hall {} is out of reach.", hall)
-            self._found.note_hall_lost(hall, now_ms)
-        self._found.note_lost(hall, target.life, True, now_ms)
+            self._log.warning("Hall {} is unreachable.", hall)
+            self._loss_reports.note_hall_lost(hall, now_ms)
+        self._loss_reports.note_lost(hall, target.life, True, now_ms)
 
     def note_ended(self, target: targets.Target, now_ms: float) -> None:
-        """Notes that a target's life has certainly ended."""
-        self._found.note_lost(target.hall, target.life, False, now_ms)
+        """Records that a target's incarnation has certainly ended."""
+        self._loss_reports.note_lost(target.hall, target.life, False, now_ms)
         self.ended.note(target.life)
 
     def note_answered(self, target: targets.Target, now_ms: float) -> None:
-        """Notes that a target has answered."""
+        """Records that a target has responded."""
         self._reachability.note_reached(target.hall)
-        self._found.note_reached(target.hall, target.life, now_ms)
+        self._loss_reports.note_reached(target.hall, target.life, now_ms)
 
     def is_suspect(self, hall: str, now_ms: float) -> bool:
-        """Returns whether a hall is to be passed over now."""
+        """Returns whether a hall is to be avoided now."""
         return self._reachability.is_suspect(hall, now_ms)
 
     def summarize(self, now_ms: float) -> bad_news.BadNews:
-        """Returns what peers are to be told now."""
-        return self._found.summarize(now_ms)
+        """Returns the losses to report to peers now."""
+        return self._loss_reports.summarize(now_ms)
 
     def merge_gossip(
         self,
-        told: bad_news.BadNews,
+        report: bad_news.BadNews,
         find_estimate: Callable[[lives.Life], estimates.Estimate | None],
         now_ms: float,
     ) -> None:
-        """Passes over for a moment what peers found out of reach."""
-        for name in told.gone:
+        """Avoids for a short time what peers reported as unreachable."""
+        for name in report.gone:
             self.ended.note(lives.parse_life(name))
-        for name in (*told.gone, *told.silent):
+        for name in (*report.gone, *report.silent):
             estimate = find_estimate(lives.parse_life(name))
             if estimate is not None:
-                pause_ms = self._chance.uniform(*losses_found.PAUSE_MS)
+                pause_ms = self._rng.uniform(*losses_found.PAUSE_MS)
                 estimate.note_told_lost(now_ms, pause_ms)
-        for hall in told.halls:
+        for hall in report.halls:
             if self._reachability.note_told(hall, now_ms):
-                self._log.warning("Hall {} is out of reach of peers.", hall)
+                self._log.warning("Hall {} is unreachable for peers.", hall)
