--- a/src/ruddergate/entry/peer_gossip.py
+++ b/src/ruddergate/entry/peer_gossip.py
@@ -1,9 +1,9 @@
-"""The task that tells peers this VM's work on targets, and hears theirs.
+"""The task that gossips this VM's load on targets, and receives peers' loads.
 
-Digests are small datagrams: a lost one is made good by the next, and nothing
-waits for a peer. They carry load only; whatever a promise rests on each VM
-finds out for itself. In a large fleet they go by relays, see
-decisions/peer_groups.py.
+Digests are small datagrams: the next one makes up for one that is lost, and
+nothing waits for a peer. They carry load and other advisory state only: each VM
+finds out for itself whatever a guarantee depends on. In a large fleet digests
+are forwarded by relays, see decisions/peer_groups.py.
 """
 
 import asyncio
@@ -27,27 +27,28 @@
 from ruddergate.telemetry import logs
 from ruddergate.wire import codec
 
-# Changes are told at once, but for those that follow within this time: several
-# requests often begin together.
+# A change is sent at once; further changes within this time wait for the next
+# digest, as several requests often begin together.
 CHANGE_BATCH_MS = 25.0
-# Without a change a VM tells its work again in this time, in case that a
-# datagram was lost, and keeps itself known.
+# Without a change the digest is sent again after this time. That replaces lost
+# datagrams, and keeps peers from dropping this VM as silent.
 ROUND_INTERVAL_MS = 1_000.0
-# All sums are handed over anew in this time, since the scheduler takes what it
-# was not told for 2 s for unknown. What is silent is forgotten then, too.
+# All sums are handed to the scheduler again after this time, as it treats sums
+# that were not refreshed for 2 s as unknown. Silent peers are dropped, too.
 FULL_REFRESH_MS = 500.0
-# Seeds are written to once in this time while no peer is known. VMs that start
-# together find the seeds' ports closed at first, and callers that come back
-# then must not all be sent to the same few engines.
+# Interval of datagrams to the seeds just after the start, while no peer is
+# known. VMs that start together find the seeds' ports closed at first, and
+# callers that return then must not all be sent to the same few engines.
 SEED_INTERVAL_AT_START_MS = 100.0
-# For so long after its start; later, a VM without peers is alone for a reason.
+# How long that interval applies; a VM that still has no peers then is alone for
+# a reason.
 SEED_START_PHASE_MS = 3_000.0
-# And so often then.
+# Interval after that, while no peer is known.
 SEED_INTERVAL_ALONE_MS = 1_000.0
-# And so often later, for parts of a fleet that have lost each other for longer
-# than they remember.
+# Interval while peers are known. It lets parts of a fleet find each other after
+# a partition that outlasted their memory of each other.
 SEED_INTERVAL_MS = 10_000.0
-# A port that another process holds is tried again after this time.
+# If another process holds the port, binding is retried after this time.
 _REBIND_MS = 2_000.0
 
 
@@ -56,12 +57,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerConfig:
-    """Where peers are found.
+    """Addresses for communication with peers.
 
     Attributes:
-        listen: Where this VM takes datagrams.
-        seeds: Where some peers may take them; they may be gone.
-        link_mbps: How fast this VM's link is, in megabits a second.
+        listen: Where this VM receives datagrams.
+        seeds: Addresses of some peers; those may no longer exist.
+        link_mbps: Speed of this VM's network link in megabits per second.
     """
 
     listen: environment.Address
@@ -70,31 +71,33 @@
 
 
 class PeerGossip:
-    """Sends, takes and passes on digests; owns the port for datagrams.
+    """Sends, receives and forwards digests; owns the datagram port.
 
     Args:
-        outside: Clock, chance and datagrams.
-        config: Where peers are found.
+        env: Clock, random numbers and datagrams.
+        config: Addresses for communication with peers.
         hall: Data hall of this VM.
         incarnation: Name of this run of the VM.
-        summarize: Returns this VM's own work.
-        summarize_losses: Returns what this VM has found out of reach.
-        on_peer_count: Is told how many peers are known, whenever that changes.
-        answer: Returns this VM's answer to a peer's question.
-        summarize_losses: Returns what this VM has found out of reach.
-        merge_evidence: Takes what a peer tells of contents.
-        on_peer_started: Is told of each run of a VM that is heard of for the first time.
-        summarize_leaving: Returns targets that this VM has heard to leave.
-        take_leaving: Takes those of a peer, and the peer's name.
-        summarize_rate_limits: Returns the rate limits to tell peers.
-        merge_rate_limits: Takes those of a peer, and the peer's name.
+        summarize: Returns this VM's load on targets.
+        on_peer_count: Called with the number of known peers when it changes.
+        handle_request: Returns this VM's reply to a peer's request.
+        summarize_losses: Returns the losses that this VM has found.
+        merge_evidence: Called with a peer's evidence against poison requests.
+        on_peer_started: Called with the name of each VM of which a new run is
+            seen for the first time.
+        summarize_draining: Returns the draining targets to report to peers.
+        merge_draining: Called with the draining targets that a peer reports,
+            and the peer's name.
+        summarize_rate_limits: Returns the rate limits to report to peers.
+        merge_rate_limits: Called with the rate limits that a peer reports, and
+            the peer's name.
         find_settings_revision: Returns the revision of settings in force.
-        note_newer_settings: Takes a peer's name and its revision, if that is
-            a later one.
+        note_newer_settings: Called with a peer's name and its settings
+            revision, if that is later than this VM's.
 
     Attributes:
-        loads: What is known of peers.
-        questions: Asks peers.
+        loads: Known loads of peers.
+        rpc: Requests to peers.
     """
 
     def __init__(
@@ -105,18 +108,18 @@
         incarnation: str,
         summarize: Callable[[], tuple[dispatched.Dispatched, ...]],
         on_peer_count: Callable[[int], None] = lambda count: None,
-        answer: RequestHandler | None = None,
+        handle_request: RequestHandler | None = None,
         summarize_losses: Callable[[], bad_news.BadNews] = lambda: (
             bad_news.NOTHING
         ),
         merge_evidence: Callable[
             [suspect_messages.Suspects], None
-        ] = lambda told: None,
+        ] = lambda evidence: None,
         on_peer_started: Callable[[str], None] = lambda peer: None,
         summarize_draining: Callable[[], tuple[str, ...]] = lambda: (),
         merge_draining: Callable[
             [Sequence[str], str], None
-        ] = lambda words, peer: None,
+        ] = lambda names, peer: None,
         summarize_rate_limits: Callable[
             [], tuple[rate_limit.RateLimitUpdate, ...]
         ] = lambda: (),
@@ -136,8 +139,8 @@
         self._summarize_losses = summarize_losses
         self._merge_evidence = merge_evidence
         self._notify_peer_started = on_peer_started
-        self._summarize_leaving = summarize_draining
-        self._take_leaving = merge_draining
+        self._summarize_draining = summarize_draining
+        self._merge_draining = merge_draining
         self._summarize_rate_limits = summarize_rate_limits
         self._merge_rate_limits = merge_rate_limits
         self._find_settings_revision = find_settings_revision
@@ -151,11 +154,11 @@
             outside,
             config.listen,
             lambda message, peer: self._send(message, (peer,)),
-            answer or _answer_no_request,
+            handle_request or _answer_no_request,
         )
         self._port: environment.DatagramPort | None = None
-        self._number = 0
-        self._began_ms = outside.now_ms()
+        self._sequence_number = 0
+        self._started_ms = outside.now_ms()
         self._next_seed_ms = float("-inf")
         self._changed = asyncio.Event()
         self._refreshed_ms = float("-inf")
@@ -163,12 +166,12 @@
             outside, self._own, self.loads, self._send
         )
         self._known_count = 0
-        # The relay that was last written to, for logs.
+        # The relay that was last used, for logs.
         self._relay = ""
         self._log = logs.make_logger("peers")
 
     async def run(self) -> None:
-        """Sends a digest after each change and in each round."""
+        """Sends a digest after each change, and at least once per round."""
         self._port = await self._bind()
         try:
             while True:
@@ -180,39 +183,39 @@
             self._port = None
 
     def is_blind(self) -> bool:
-        """Returns whether there are peers, none of which is known yet."""
+        """Returns whether seeds are configured but no peer is known yet."""
         return not len(self.loads) and any(
             str(seed) != self._own for seed in self._config.seeds
         )
 
     def find_hall_peers(self) -> list[str]:
-        """Returns the peers of this hall that were lately heard of."""
+        """Returns the peers of this hall that were heard from recently."""
         return [name for name in self.rank_hall() if name != self._own]
 
     def rank_hall(self) -> list[str]:
-        """Returns this hall's VMs, with this one, in the order of readers."""
+        """Returns this hall's VMs, this one included, in order of readers."""
         return self.loads.rank_hall(self._outside.now_ms())
 
     def note_change(self) -> None:
-        """Has peers told soon that this VM's work has changed."""
+        """Schedules a digest after a change of this VM's load."""
         self._changed.set()
 
     async def _bind(self) -> environment.DatagramPort:
-        """Takes the port, whenever it is free; callers are served meanwhile."""
+        """Binds the port, retrying until it is free; callers are served."""
         while True:
             try:
                 return await self._outside.bind(
                     self._receive, self._config.listen
                 )
             except OSError as error:
-                self._log.error("No port for peers' datagrams. {}", error)
+                self._log.error("Could not bind the datagram port. {}", error)
             await asyncio.sleep(_REBIND_MS / 1000.0)
 
     def collect_sums(self) -> tuple[dispatched.Dispatched, ...]:
-        """Returns what peers have running, as far as it is news.
+        """Returns the changed sums of what peers have running.
 
-        The scheduler asks when it needs to know: waking it for each datagram
-        would cost more than the datagram.
+        The scheduler calls this when it needs them: waking it for each datagram
+        would cost more than handling the datagram.
         """
         now_ms = self._outside.now_ms()
         if now_ms >= self._refreshed_ms + FULL_REFRESH_MS:
@@ -222,9 +225,9 @@
         return self.loads.collect_sums()
 
     async def _wait(self) -> None:
-        """Returns after a change, or else after a round.
+        """Waits for a change or the end of the round.
 
-        While seeds are to be written to soon, a round is as short as that.
+        While no peer is known the round ends when seeds are to be contacted.
         """
         round_ms = ROUND_INTERVAL_MS
         if not len(self.loads):
@@ -238,7 +241,7 @@
         self._changed.clear()
 
     def _publish(self) -> None:
-        """Sends this VM's digest on its way."""
+        """Sends this VM's digest to the peers, or to its relay."""
         self._check_peer_count()
         digest = self._make_digest()
         now_ms = self._outside.now_ms()
@@ -257,20 +260,20 @@
     def _check_peer_count(self) -> None:
         if len(self.loads) != self._known_count:
             self._known_count = len(self.loads)
-            self._log.info("Peers known: {}.", self._known_count)
+            self._log.info("Known peers: {}.", self._known_count)
             self._notify_peer_count(self._known_count)
 
     def _make_digest(self) -> load_digest.LoadDigest:
-        self._number += 1
+        self._sequence_number += 1
         return load_digest.LoadDigest(
             sender=self._own,
             hall=self._hall,
             link_mbps=self._config.link_mbps,
             incarnation=self._incarnation,
-            number=self._number,
+            number=self._sequence_number,
             rows=self._summarize(),
             lost=self._summarize_losses(),
-            leaving=self._summarize_leaving(),
+            leaving=self._summarize_draining(),
             rate_limits=self._summarize_rate_limits(),
             settings_revision=self._find_settings_revision(),
         )
@@ -278,7 +281,7 @@
     def _send_to_seeds(
         self, digest: load_digest.LoadDigest, now_ms: float
     ) -> None:
-        """Makes this VM known to the seeds, which pass its digest on."""
+        """Sends the digest to the seeds, which forward it, if that is due."""
         if now_ms < self._next_seed_ms:
             return
         self._next_seed_ms = now_ms + self._find_seed_interval_ms(now_ms)
@@ -287,7 +290,7 @@
     def _find_seed_interval_ms(self, now_ms: float) -> float:
         if len(self.loads):
             return SEED_INTERVAL_MS
-        if now_ms - self._began_ms < SEED_START_PHASE_MS:
+        if now_ms - self._started_ms < SEED_START_PHASE_MS:
             return SEED_INTERVAL_AT_START_MS
         return SEED_INTERVAL_ALONE_MS
 
@@ -295,7 +298,9 @@
         relay = self.loads.find_relay(now_ms)
         if relay != self._relay:
             self._relay = relay
-            self._log.info("Digests go by {}.", relay, peers=self._known_count)
+            self._log.info(
+                "Digests are relayed by {}.", relay, peers=self._known_count
+            )
         return relay
 
     def _receive(self, data: bytes) -> None:
@@ -319,19 +324,19 @@
             case _ if isinstance(message, peer_rpc.REQUESTS + peer_rpc.REPLIES):
                 self.rpc.receive(message)
             case _:
-                self._log.warning("Datagram dropped, it is no digest.")
+                self._log.warning("Ignoring datagram of an unexpected type.")
 
     def _merge_digests(
         self,
         digests: Sequence[load_digest.LoadDigest],
         forward: Callable[[load_digest.LoadDigest], None] | None,
     ) -> None:
-        """Takes digests in, and has those passed on that are news."""
+        """Merges digests, and forwards those that are new."""
         now_ms = self._outside.now_ms()
         own_revision = self._find_settings_revision()
         for digest in digests:
             if not _has_valid_sender(digest):
-                self._log.warning("Digest dropped, its sender is no address.")
+                self._log.warning("Ignoring digest: sender is not an address.")
                 continue
             is_new_run = self.loads.is_new_run(digest)
             if not self.loads.take(digest, now_ms):
@@ -339,7 +344,7 @@
             if is_new_run:
                 self._on_peer_started(digest.sender)
             if digest.leaving:
-                self._take_leaving(digest.leaving, digest.sender)
+                self._merge_draining(digest.leaving, digest.sender)
             if digest.rate_limits:
                 self._merge_rate_limits(digest.rate_limits, digest.sender)
             if digest.settings_revision > own_revision:
@@ -350,11 +355,11 @@
                 forward(digest)
 
     def _on_peer_started(self, peer: str) -> None:
-        """Tells a VM that has just started what it should know.
+        """Sends a VM that has just started what it should know.
 
-        In a small fleet that is this VM's load, too: it would place calls
-        blindly until the next round otherwise. In a large one each start would
-        have all VMs write.
+        In a small fleet this includes this VM's load: otherwise the new VM
+        would place requests without it until the next round. In a large fleet
+        each start would make all VMs send.
         """
         self._notify_peer_started(peer)
         if len(self.loads) <= peer_groups.DIRECT_MOST:
@@ -377,19 +382,19 @@
                 self._port.send(data, environment.parse_address(name))
 
     def send_evidence(
-        self, told: suspect_messages.Suspects, receivers: Iterable[str]
+        self, evidence: suspect_messages.Suspects, receivers: Iterable[str]
     ) -> None:
-        """Tells peers of contents under which targets have ended."""
-        self._send(told, receivers)
+        """Sends evidence against poison requests to peers."""
+        self._send(evidence, receivers)
 
 
 def _answer_no_request(question: peer_rpc.Request) -> None:
-    """Stands where questions are not answered."""
+    """Handles requests where none are answered."""
     return
 
 
 def _has_valid_sender(digest: load_digest.LoadDigest) -> bool:
-    """Returns whether a digest's sender can be written to."""
+    """Returns whether a digest's sender is a valid address."""
     try:
         environment.parse_address(digest.sender)
     except ValueError:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -219,7 +219,11 @@
             lines.clear()
             fleet.kill(relay)
             await asyncio.sleep(2.0 * peer_loads.RELAY_TIMEOUT_MS / 1000.0)
-            told = [line for line in lines if line.startswith("Digests go by")]
+            told = [
+                line
+                for line in lines
+                if line.startswith("Digests are relayed by")
+            ]
             # Once by each other VM of the group.
             self.assertEqual(len(told), 40 // 3 - 1)
 
