--- a/src/ruddergate/entry/document_exchange.py
+++ b/src/ruddergate/entry/document_exchange.py
@@ -1,7 +1,8 @@
-"""Hands published documents from VM to VM, so that the store is asked by few.
+"""Transfers published documents between VMs, so that few VMs read the store.
 
-A VM that the store turns away hears of changes by its peers, and gets what no
-datagram holds from them: settings, and all targets after a restore.
+A VM that the store rejects learns of changes from its peers. What does not fit
+into one datagram is fetched from them in parts: settings, and all targets after
+a restore.
 """
 
 from collections.abc import Awaitable
@@ -13,39 +14,39 @@
 from ruddergate.decisions import document_copy
 from ruddergate.messages import document_part
 
-# A datagram may get lost; a part is asked for so often.
-TRIES = 2
+# Requests for each part, since a datagram may be lost.
+MAX_ATTEMPTS = 2
 
 Version = TypeVar("Version")
-AskPart: TypeAlias = Callable[
+RequestPart: TypeAlias = Callable[
     [str, Version, int], Awaitable[document_part.DocumentPart | None]
 ]
 
 
 class DocumentExchange(Generic[Version]):
-    """Gives peers the parts of a document, and gets theirs.
+    """Serves the parts of a document to peers, and fetches peers' documents.
 
     Args:
-        ask: Asks a peer for a part of a version.
-        find: Returns this VM's document of a version; None for any other.
+        request_part: Requests a part of a version from a peer.
+        find: Returns this VM's document if it has that version, else None.
     """
 
     def __init__(
         self,
-        ask: AskPart[Version],
+        request_part: RequestPart[Version],
         find: Callable[[Version], bytes | None],
     ) -> None:
-        self._ask = ask
+        self._send_request = request_part
         self._find = find
-        # The version that was last asked for. A peer gets all parts of it, also
-        # if this VM has a later one meanwhile.
+        # The version that was last requested. A peer can fetch all parts of it
+        # even if this VM moves on to a later version meanwhile.
         self._version: Version | None = None
         self._parts: tuple[bytes, ...] = ()
 
     def answer(
-        self, question: str, version: Version, part: int
+        self, request_id: str, version: Version, part: int
     ) -> document_part.DocumentPart | None:
-        """Returns a part, or None if it is not to be had here."""
+        """Returns a part, or None if this VM does not have it."""
         if version != self._version:
             document = self._find(version)
             if document is None:
@@ -55,25 +56,25 @@
         if not 0 <= part < len(self._parts):
             return None
         return document_part.DocumentPart(
-            question, len(self._parts), self._parts[part]
+            request_id, len(self._parts), self._parts[part]
         )
 
     async def fetch(self, peer: str, version: Version) -> bytes | None:
-        """Returns a peer's document, or None if it can't be had."""
+        """Returns a peer's document, or None if a part could not be fetched."""
         parts: list[bytes] = []
         while True:
-            found = await self._ask_part(peer, version, len(parts))
-            if found is None or found.parts > document_copy.PARTS_MOST:
+            reply = await self._request_part(peer, version, len(parts))
+            if reply is None or reply.parts > document_copy.PARTS_MOST:
                 return None
-            parts.append(found.data)
-            if len(parts) >= found.parts:
+            parts.append(reply.data)
+            if len(parts) >= reply.parts:
                 return document_copy.join(parts)
 
-    async def _ask_part(
+    async def _request_part(
         self, peer: str, version: Version, part: int
     ) -> document_part.DocumentPart | None:
-        for _ in range(TRIES):
-            found = await self._ask(peer, version, part)
-            if found is not None:
-                return found
+        for _ in range(MAX_ATTEMPTS):
+            reply = await self._send_request(peer, version, part)
+            if reply is not None:
+                return reply
         return None
--- a/src/ruddergate/entry/peer_reader.py
+++ b/src/ruddergate/entry/peer_reader.py
@@ -1,4 +1,4 @@
-"""Gets what the platform's store has published from peers that know it."""
+"""Reads from peers what the platform's store has published."""
 
 from collections.abc import Callable
 
@@ -15,23 +15,23 @@
 from ruddergate.telemetry import logs
 from ruddergate.wire import codec
 
-# Peers asked in one turn: a reader, and another VM if that one has no news.
-PEERS_ASKED = 2
+# Peers asked in one poll: a reader, and another VM if that one cannot help.
+MAX_PEERS_ASKED = 2
 
 
 class PeerReader:
-    """Asks peers, and hands them the documents of this VM.
+    """Reads from peers, and serves them the documents of this VM.
 
     Args:
-        outside: Chance.
-        peers: Who is asked, and how.
-        read_settings: Reads settings as published, or says what is wrong.
+        env: Random numbers.
+        peers: Requests to peers.
+        read_settings: Parses published settings, or returns an error message.
         find_settings: Returns this VM's settings of a revision.
         find_targets: Returns this VM's targets at a position, encoded.
 
     Attributes:
-        settings: Hands the settings in force to peers.
-        targets: Hands all targets that the store lists to peers.
+        settings: Serves the settings in force to peers.
+        targets: Serves all targets that the store lists to peers.
     """
 
     def __init__(
@@ -62,85 +62,85 @@
         return proof.is_shared(self._peers.rank_hall())
 
     def choose(self) -> list[str]:
-        """Returns whom to ask: a reader first, and then any other VM."""
+        """Returns the peers to ask: a reader first, then any other VM."""
         own = self._peers.own
         ranked = [name for name in self._peers.rank_hall() if name != own]
         if not ranked:
             return []
-        chance = self._outside.random
-        first = chance.choice(ranked[: proof.READERS])
+        rng = self._outside.random
+        first = rng.choice(ranked[: proof.READERS])
         rest = [name for name in ranked if name != first]
-        return [first, *chance.sample(rest, min(len(rest), PEERS_ASKED - 1))]
+        return [first, *rng.sample(rest, min(len(rest), MAX_PEERS_ASKED - 1))]
 
     async def ask(
         self, peer: str, position: store_position.StorePosition
     ) -> news.News | None:
-        """Returns a peer's news since a position, or None without any."""
-        return await self._peers.ask(peer, position)
+        """Returns a peer's changes since a position; None without a reply."""
+        return await self._peers.request_changes(peer, position)
 
     async def complete(
-        self, peer: str, found: news.News, own_revision: int
+        self, peer: str, reply: news.News, own_revision: int
     ) -> published.Changes | None:
-        """Returns what a peer told, with all that the datagram does not hold.
+        """Completes a peer's reply with what did not fit into the datagram.
 
-        That is its settings where they are newer, and all of its targets where
-        it could not tell what has changed.
+        That is the peer's settings if they are newer, and all of its targets if
+        it could not list the changes.
 
         Args:
             peer: The peer.
-            found: Its news.
+            reply: Its reply.
             own_revision: Revision of the settings in force here.
 
         Returns:
-            What was told, or None if the store is to be read for it.
+            The changes, or None if the store has to be read instead.
         """
-        listed = found.listed
-        if not found.is_whole:
-            listed = await self._fetch_targets(peer, found)
+        listed = reply.listed
+        if not reply.is_whole:
+            listed = await self._fetch_targets(peer, reply)
         if listed is None:
             return None
         catalog, document = None, b""
-        if found.settings_revision > own_revision:
-            fetched = await self.fetch_settings(peer, found.settings_revision)
+        if reply.settings_revision > own_revision:
+            fetched = await self.fetch_settings(peer, reply.settings_revision)
             if fetched is None:
                 return None
             catalog, document = fetched
         return published.Changes(
-            store_position.StorePosition(found.epoch, found.position),
+            store_position.StorePosition(reply.epoch, reply.position),
             catalog,
             listed,
-            found.gone,
+            reply.gone,
             (),
             document,
             tuple(
                 published.Spoilt(each, f"a peer could not read it: {peer}")
-                for each in found.spoilt
+                for each in reply.spoilt
             ),
         )
 
     async def fetch_settings(
         self, peer: str, revision: int
     ) -> tuple[catalogs.Catalog, bytes] | None:
-        """Returns a peer's settings and their document, if they can be had."""
+        """Fetches a peer's settings; returns them with their document."""
         document = await self.settings.fetch(peer, revision)
         if document is None:
             return None
         catalog = self._read_settings(document)
         if isinstance(catalog, str):
-            self._log.warning("Peer's settings refused. {}", catalog)
+            self._log.warning("Rejected settings of a peer. {}", catalog)
             return None
         return catalog, document
 
     async def _fetch_targets(
-        self, peer: str, found: news.News
+        self, peer: str, reply: news.News
     ) -> tuple[targets.Target, ...] | None:
-        """Returns all of a peer's targets, if they can be had."""
-        position = store_position.StorePosition(found.epoch, found.position)
+        """Fetches all of a peer's targets."""
+        position = store_position.StorePosition(reply.epoch, reply.position)
         data = await self.targets.fetch(peer, position)
         if data is None:
             return None
         document = codec.decode(data)
         if not isinstance(document, document_part.TargetsDocument):
-            self._log.warning("Peer's targets refused.", peer=peer)
+            self._log.warning("Rejected targets of a peer.", peer=peer)
             return None
         return document.listed
--- a/src/ruddergate/entry/peer_rpc.py
+++ b/src/ruddergate/entry/peer_rpc.py
@@ -1,6 +1,6 @@
-"""Questions to peers in datagrams, and their answers.
+"""Requests to peers and their replies, as datagrams.
 
-Either may get lost; the asker waits for a short time and goes on without.
+Either may be lost; the requester waits a short time and continues without.
 """
 
 import asyncio
@@ -30,18 +30,19 @@
     document_part.TargetsWanted,
 )
 REPLIES = (news.News, retry_loan.RetriesLent, document_part.DocumentPart)
-# Peers of a hall answer within a few milliseconds, a busy one within some tens.
+# Peers in the same hall reply within a few milliseconds, a busy one within some
+# tens of milliseconds.
 REPLY_TIMEOUT_MS = 120.0
 
 
 class PeerRpc:
-    """Asks peers, and answers theirs.
+    """Sends requests to peers, and replies to theirs.
 
     Args:
-        outside: Clock and chance.
-        own: Where this VM takes datagrams.
+        env: Clock and random numbers.
+        own: Where this VM receives datagrams.
         send: Sends a message to a peer.
-        answer: Returns this VM's answer to a peer's question, if it has one.
+        handle_request: Returns this VM's reply to a peer's request, or None.
     """
 
     def __init__(
@@ -49,107 +50,109 @@
         outside: environment.Environment,
         own: environment.Address,
         send: Callable[[Request | Reply, str], None],
-        answer: Callable[[Request], Reply | None],
+        handle_request: Callable[[Request], Reply | None],
     ) -> None:
         self._outside = outside
         self._own = str(own)
         self._send = send
-        self._handle_request = answer
+        self._handle_request = handle_request
         self._pending: dict[str, asyncio.Future[Reply]] = {}
         self._log = logs.make_logger("peers")
 
     async def request_changes(
         self, peer: str, position: store_position.StorePosition
     ) -> news.News | None:
-        """Returns what a peer knows of the store, or None without an answer."""
-        question = news.NewsWanted(
+        """Returns a peer's changes of the store, or None without a reply."""
+        request = news.NewsWanted(
             self._own,
             self._make_request_id(),
             position.revision,
             position.epoch,
         )
-        found = await self._call(question, peer)
-        return found if isinstance(found, news.News) else None
+        reply = await self._call(request, peer)
+        return reply if isinstance(reply, news.News) else None
 
     async def request_settings(
         self, peer: str, revision: int, part: int
     ) -> document_part.DocumentPart | None:
-        """Returns a part of a peer's settings, or None without an answer."""
-        question = document_part.SettingsWanted(
+        """Returns a part of a peer's settings, or None without a reply."""
+        request = document_part.SettingsWanted(
             self._own, self._make_request_id(), revision, part
         )
-        return await self._request_chunk(question, peer)
+        return await self._request_part(request, peer)
 
     async def request_targets(
         self, peer: str, position: store_position.StorePosition, part: int
     ) -> document_part.DocumentPart | None:
-        """Returns a part of a peer's targets, or None without an answer."""
-        question = document_part.TargetsWanted(
+        """Returns a part of a peer's targets, or None without a reply."""
+        request = document_part.TargetsWanted(
             self._own,
             self._make_request_id(),
             position.epoch,
             position.revision,
             part,
         )
-        return await self._request_chunk(question, peer)
+        return await self._request_part(request, peer)
 
-    async def _request_chunk(
-        self, question: Request, peer: str
+    async def _request_part(
+        self, request: Request, peer: str
     ) -> document_part.DocumentPart | None:
-        found = await self._call(question, peer)
-        return found if isinstance(found, document_part.DocumentPart) else None
+        reply = await self._call(request, peer)
+        return reply if isinstance(reply, document_part.DocumentPart) else None
 
     async def request_retries(
         self, peer: str, retries: float, is_great: bool
     ) -> float:
-        """Returns the second sends that a peer has given up for this VM."""
-        found = await self._call(
+        """Returns the retry budget that a peer transferred to this VM."""
+        reply = await self._call(
             retry_loan.RetriesWanted(
                 self._own, self._make_request_id(), retries, is_great
             ),
             peer,
         )
-        if not isinstance(found, retry_loan.RetriesLent):
+        if not isinstance(reply, retry_loan.RetriesLent):
             return 0.0
-        if not 0.0 <= found.retries <= retries:
-            self._log.warning("Loan dropped, it is not what was asked for.")
+        if not 0.0 <= reply.retries <= retries:
+            self._log.warning(
+                "Ignoring retry transfer: amount was not requested."
+            )
             return 0.0
-        return found.retries
+        return reply.retries
 
     def receive(self, message: Request | Reply) -> None:
-        """Takes in a datagram that is a question or an answer."""
+        """Handles a datagram that is a request or a reply."""
         if isinstance(message, REQUESTS):
             self._send_reply(message)
             return
-        waiting = self._pending.pop(message.question, None)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(message)
+        pending = self._pending.pop(message.question, None)
+        if pending is not None and not pending.done():
+            pending.set_result(message)
 
-    def _send_reply(self, question: Request) -> None:
+    def _send_reply(self, request: Request) -> None:
         try:
-            environment.parse_address(question.sender)
+            environment.parse_address(request.sender)
         except ValueError:
             self._log.warning("Request dropped, its sender is no address.")
             return
-        answer = self._handle_request(question)
-        if answer is not None:
-            self._send(answer, question.sender)
+        reply = self._handle_request(request)
+        if reply is not None:
+            self._send(reply, request.sender)
 
     def _make_request_id(self) -> str:
-        """Returns a name that no other question has, of any run of this VM.
+        """Returns an id that no other request has, in any run of this VM.
 
-        An answer that comes late, or after a restart, then fits no question.
+        A reply that arrives late, or after a restart, then matches no request.
         """
         return environment.make_token(self._outside.random, 16)
 
-    async def _call(self, question: Request, peer: str) -> Reply | None:
+    async def _call(self, request: Request, peer: str) -> Reply | None:
         loop = asyncio.get_running_loop()
-        waiting = self._pending[question.question] = loop.create_future()
-        self._send(question, peer)
+        pending = self._pending[request.question] = loop.create_future()
+        self._send(request, peer)
         try:
             async with asyncio.timeout(REPLY_TIMEOUT_MS / 1000.0):
-                return await waiting
+                return await pending
         except TimeoutError:
             return None
         finally:
-            self._pending.pop(question.question, None)
+            self._pending.pop(request.question, None)
--- a/src/ruddergate/entry/poll_config.py
+++ b/src/ruddergate/entry/poll_config.py
@@ -1,36 +1,38 @@
-"""How often a VM asks for what the platform's store publishes."""
+"""How often a VM polls the platform's store."""
 
 import dataclasses
 
-# A view this old has missed a round of calls.
+# A view this old has missed a poll.
 MIN_FULL_READ_AGE_MS = 2_500.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PollConfig:
-    """How often the store is asked, in milliseconds.
+    """Intervals of polling the store, in milliseconds.
 
     Attributes:
-        every_ms: Between the beginnings of two calls. Calls are paid for; a
-            change must be in force within two seconds.
-        wait_ms: Longest wait of a call for a change.
-        retry_ms: After a call that failed.
-        retry_most_ms: After many calls that failed; the pause grows to it.
-        follower_retry_most_ms: The same for a VM that others read for, or
-            that hears fresh proofs of them: they tell it when the store is
-            back, and its calls are paid for also while the store is away.
-        behind_ms: From a view this old on, all is read anew instead of the
-            changes: the settings come once then, and not once a change.
-        spoilt_grace_ms: How long targets may still be used whose entry another
-            writer has spoilt.
-        restored_every_ms: Between the beginnings of two calls right after a
-            restore: what was lost is written again in that time.
-        restored_for_ms: How long that lasts.
-        rewrite_ms: After a restore, reads prove nothing of settings for so
-            long: what the store has lost is written again meanwhile.
-        stale_ms: Everything is read again after this time while the store lists
-            targets as an older copy did; a heartbeat comes meanwhile.
-        outage_ms: Time without an answer that counts as out of reach.
+        interval_ms: Time from the start of one call to the start of the next.
+            Calls are paid for; a change must be in force within two seconds.
+        long_poll_ms: Longest time that a call waits for a change.
+        retry_initial_ms: Delay after the first failed call.
+        retry_max_ms: Longest delay; the delay grows to it while calls fail.
+        follower_retry_max_ms: The same for a VM for which others read the
+            store, or that gets current data from them. They let it know when
+            the store is back, and failed calls are paid for, too.
+        full_read_age_ms: If the view is older than this, everything is read
+            instead of the changes: the settings are then transferred once, and
+            not once per change.
+        malformed_grace_ms: How long a target may still be used after another
+            client overwrote its entry with something malformed.
+        restored_interval_ms: Used instead of `interval_ms` right after a
+            restore, while lost entries are written again.
+        restored_phase_ms: How long that interval is used.
+        rewrite_ms: For this time after a restore, a read does not show that
+            settings are current, as lost entries are still written again.
+        stale_reread_ms: While the store lists targets from an older copy,
+            everything is read again after this time. Each live target sends a
+            heartbeat meanwhile.
+        outage_ms: Time without an answer that counts as an outage.
     """
 
     interval_ms: float = 1_300.0
--- a/src/ruddergate/entry/rate_limiter.py
+++ b/src/ruddergate/entry/rate_limiter.py
@@ -100,7 +100,7 @@
         self._members_refreshed_ms = float("-inf")
         # Cached while the members stay the same: ranking a large hall is slow.
         self._holders: dict[_ShareKey, int] = {}
-        # A gauge cannot be removed, so one whose limit ended is set to infinity.
+        # Gauges cannot be removed, so one whose limit ended is set to infinity.
         self._gauge_targets: set[str] = set()
         self._log = logs.make_logger("target")
         self.limits = rate_limits.RateLimits(
--- a/src/ruddergate/entry/store_epochs.py
+++ b/src/ruddergate/entry/store_epochs.py
@@ -1,4 +1,4 @@
-"""Tells answers of the store that belong to different epochs apart."""
+"""Checks that an answer of the store belongs to the expected epoch."""
 
 import dataclasses
 
@@ -11,25 +11,26 @@
     since: store_position.StorePosition | None,
     known_epoch: int,
 ) -> published.Changes | published.HistoryLost | published.Unavailable:
-    """Returns an answer as far as it can be gone by.
+    """Returns an answer if it can be used, or what is wrong with it.
 
-    A store that has been restored from a copy may have passed the position that
-    it was asked for again; the changes before that position are others then.
+    A store that was restored from a copy may since have passed the requested
+    position again, with a different history before that position.
 
     Args:
-        found: The answer. One that names no epoch counts as of the known one.
-        since: The position behind which it begins; None for everything.
-        known_epoch: The last epoch that the store itself has named.
+        found: The answer. Without an epoch it counts as of the known one.
+        since: The position after which it starts; None for a full read.
+        known_epoch: The last epoch that was read from the store itself.
     """
     position = found.position
     if position.epoch == store_position.EPOCH_UNKNOWN:
         position = dataclasses.replace(position, epoch=known_epoch)
     if position.epoch < known_epoch:
         return published.Unavailable(
-            f"the answer is of epoch {position.epoch}, {known_epoch} is known"
+            f"the answer has epoch {position.epoch} but the store has already"
+            f" reached epoch {known_epoch}"
         )
     if since is not None:
-        is_other = position.epoch != since.epoch
-        if is_other or position.revision < since.revision:
+        is_other_epoch = position.epoch != since.epoch
+        if is_other_epoch or position.revision < since.revision:
             return published.HistoryLost(position.epoch)
     return dataclasses.replace(found, position=position)
--- a/src/ruddergate/entry/store_peers.py
+++ b/src/ruddergate/entry/store_peers.py
@@ -1,4 +1,4 @@
-"""What a VM asks its peers of the store."""
+"""Functions that request from peers what they have read from the store."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -12,21 +12,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StorePeers:
-    """What is asked of peers.
+    """Functions that make requests to peers.
 
     Attributes:
-        rank_hall: Returns this hall's VMs in the order of readers, this one
-            among them.
-        own: Name of this VM there.
-        ask: Asks one for news since a position; None without an answer.
-        ask_settings: Asks one for a part of a revision of the settings.
-        ask_targets: Asks one for a part of its targets at a position.
+        rank_hall: Returns this hall's VMs, this one included, in the order in
+            which they become readers.
+        own: Name of this VM among them.
+        request_changes: Requests a peer's changes since a position; returns
+            None without a reply.
+        request_settings: Requests a part of a revision of the settings.
+        request_targets: Requests a part of a peer's targets at a position.
     """
 
     rank_hall: Callable[[], Sequence[str]]
     own: str
-    ask: Callable[
+    request_changes: Callable[
         [str, store_position.StorePosition], Awaitable[news.News | None]
     ]
-    request_settings: document_exchange.AskPart[int]
-    request_targets: document_exchange.AskPart[store_position.StorePosition]
+    request_settings: document_exchange.RequestPart[int]
+    request_targets: document_exchange.RequestPart[store_position.StorePosition]
--- a/src/ruddergate/entry/store_sync.py
+++ b/src/ruddergate/entry/store_sync.py
@@ -228,7 +228,7 @@
         for peer in self._peers.choose():
             asked_ms = self._outside.now_ms()
             position = self._position
-            found = await self._peers.ask(peer, position)
+            found = await self._peers.request_changes(peer, position)
             if found is None or found.epoch < position.epoch:
                 # The peer is in an older epoch: the store was restored since,
                 # and may have lost what the peer knows.
--- a/src/ruddergate/entry/target_list.py
+++ b/src/ruddergate/entry/target_list.py
@@ -75,7 +75,7 @@
         return (*current, *self._stale.values())
 
     def has_stale(self) -> bool:
-        """Returns whether the store lists removed targets from an older copy."""
+        """Returns whether removed targets are listed, from an older copy."""
         return bool(self._stale)
 
     def note_restored(self) -> None:
