--- a/src/ruddergate/entry/crash_detector.py
+++ b/src/ruddergate/entry/crash_detector.py
@@ -1,8 +1,8 @@
-"""The tasks that find out whether targets have ended under calls.
+"""The tasks that find out whether targets crashed while serving requests.
 
-A connection that breaks off says little: answers get lost and connections are
-reset while their targets live. Where nobody listens any more, or a younger life
-does, the life that had the call is over.
+A broken connection shows little: responses get lost and connections are reset
+while their targets are alive. If nothing listens at the address any more, or a
+later incarnation does, the incarnation that had the request has ended.
 """
 
 import asyncio
@@ -17,27 +17,27 @@
 from ruddergate.telemetry import logs
 from ruddergate.telemetry import metrics as metric_types
 
-# A target from which nothing came back is asked again after these pauses: a
-# packet is lost now and then, and a VM that is slow reads answers late. One
-# behind a cut stays silent, and nothing is concluded.
+# A target that did not respond is probed again after these delays: packets are
+# lost, and a slow VM reads responses late. A target behind a network partition
+# stays silent, and nothing is concluded.
 _REPROBE_PAUSES_MS = (300.0, 1_000.0)
 
 
 @dataclasses.dataclass(slots=True)
 class _Probe:
-    """A target that is being asked, and the calls that wait to know."""
+    """A target being probed, and the requests it lost."""
 
     task: asyncio.Task
     lost: list[lost_call.LostCall]
 
 
 class CrashDetector:
-    """Asks each target once for all the calls that it lost together.
+    """Probes each target once for all the requests that it lost together.
 
     Args:
-        probe: Asks a target for a sign of life.
-        on_crash: Is told each call under which a target ended.
-        on_target_ended: Is told each target that has ended, once.
+        probe: Sends a health probe to a target.
+        on_crash: Called with each request during which a target ended.
+        on_target_ended: Called once with each target that has ended.
         metrics: Metrics of the process.
     """
 
@@ -56,19 +56,19 @@
         self._log = logs.make_logger("attempt")
 
     def on_lost_call(self, lost: lost_call.LostCall) -> None:
-        """Has it found out whether a call's target has ended."""
-        life = lost.target.life
-        probe = self._probes.get(life)
+        """Starts to find out whether the target of a lost request has ended."""
+        incarnation = lost.target.life
+        probe = self._probes.get(incarnation)
         if probe is not None:
             probe.lost.append(lost)
             return
         task = asyncio.ensure_future(self._probe_target(lost.target))
-        self._probes[life] = _Probe(task, [lost])
+        self._probes[incarnation] = _Probe(task, [lost])
 
     async def _probe_target(self, target: targets.Target) -> None:
-        told = await self._probe_repeatedly(target)
+        result = await self._probe_repeatedly(target)
         probe = self._probes.pop(target.life)
-        if not _has_ended(target.life, told):
+        if not _has_ended(target.life, result):
             return
         self._metrics.targets_ended.inc({})
         self._on_target_ended(target)
@@ -76,7 +76,7 @@
         streams = max(streams, float(len(probe.lost)))
         for each in probe.lost:
             self._log.warning(
-                "Target {} has ended under a call.",
+                "Target {} ended while serving a request.",
                 target.target_id,
                 request_id=each.request_id,
                 content=each.content,
@@ -88,19 +88,19 @@
             self._on_crash(each)
 
     async def _probe_repeatedly(self, target: targets.Target) -> orders.Told:
-        """Asks until something comes back, a few times at most."""
-        told = await self._probe(target)
+        """Probes a few times at most, until the target responds."""
+        result = await self._probe(target)
         for pause_ms in _REPROBE_PAUSES_MS:
-            if told.sign is not orders.Sign.SILENT:
+            if result.sign is not orders.Sign.SILENT:
                 break
             await asyncio.sleep(pause_ms / 1000.0)
-            told = await self._probe(target)
-        return told
+            result = await self._probe(target)
+        return result
 
 
-def _has_ended(life: lives.Life, told: orders.Told) -> bool:
-    """Returns whether a life is certainly over."""
-    if told.sign is orders.Sign.GONE:
+def _has_ended(incarnation: lives.Life, result: orders.Told) -> bool:
+    """Returns whether an incarnation has certainly ended."""
+    if result.sign is orders.Sign.GONE:
         return True
-    is_younger = told.born_ms > life.born_ms > lives.BORN_UNKNOWN
-    return told.sign is orders.Sign.ALIVE and is_younger
+    is_later = result.born_ms > incarnation.born_ms > lives.BORN_UNKNOWN
+    return result.sign is orders.Sign.ALIVE and is_later
--- a/src/ruddergate/entry/digest_relay.py
+++ b/src/ruddergate/entry/digest_relay.py
@@ -1,7 +1,8 @@
-"""Passes digests on for VMs of a large fleet, see decisions/peer_groups.py.
+"""Forwards digests between VMs of a large fleet, see decisions/peer_groups.py.
 
-What came since the last time goes into few datagrams: to the members of this
-VM's group all of it, to the relays of other groups what members sent.
+Digests received since the last time are bundled into few datagrams. Members of
+this VM's group get all of them, relays of other groups only those that members
+have sent.
 """
 
 import asyncio
@@ -15,26 +16,26 @@
 from ruddergate.messages import load_bundle
 from ruddergate.messages import load_digest
 
-# A relay passes digests on after this time, with others that come meanwhile.
+# A digest is forwarded after this time, with others that arrive meanwhile.
 BATCH_DELAY_MS = 3.0
-# And no sooner than so long after the last time: a receiver's cost goes by
-# datagrams more than by digests.
+# Shortest time between two forwards: a receiver's cost depends on the number of
+# datagrams more than on the number of digests.
 FORWARD_INTERVAL_MS = 20.0
-# For each VM of the fleet it waits so much longer, up to the most, so that what
-# a VM hears does not grow with the fleet. Work of others is told that much
-# later then, but there are the more targets on which it may be.
+# The interval grows by this much per VM of the fleet, up to a maximum, so that
+# the traffic to a VM does not grow with the fleet. Loads then arrive later, but
+# a larger fleet also spreads them over more targets.
 FORWARD_INTERVAL_PER_VM_MS = 0.25
 MAX_FORWARD_INTERVAL_MS = 100.0
-# Digests that go into one datagram; with two rows each they take about 2 KB.
+# Digests per datagram; with two rows each they take about 2 KB.
 MAX_BUNDLE_DIGESTS = 24
 
 
 class DigestRelay:
-    """Digests to be passed on, the newest of each VM; owned by one task.
+    """Digests to forward, the latest of each VM; owned by one task.
 
     Args:
-        outside: Clock and chance.
-        own: Where this VM takes datagrams.
+        env: Clock and random numbers.
+        own: Where this VM receives datagrams.
         loads: Knows the groups and their relays.
         send: Sends a message to VMs.
     """
@@ -57,48 +58,51 @@
         self._forwarded_ms = float("-inf")
 
     def add_from_member(self, digest: load_digest.LoadDigest) -> None:
-        """Has a digest passed on that a VM of this group has sent."""
+        """Queues a digest that a VM of this group has sent."""
         self._from_members[digest.sender] = digest
         self._schedule(_is_urgent(digest))
 
     def add_from_relay(self, digest: load_digest.LoadDigest) -> None:
-        """Has a digest passed on that the relay of another group has sent."""
+        """Queues a digest that the relay of another group has sent."""
         self._from_relays[digest.sender] = digest
         self._schedule(_is_urgent(digest))
 
     def _schedule(self, is_urgent: bool) -> None:
-        """Passes on after a pause, which is shorter for what is urgent."""
+        """Schedules forwarding, sooner if a digest is urgent."""
         due_ms = self._find_due_ms(is_urgent)
         if self._timer is not None:
             if due_ms >= self._due_ms:
                 return
             self._timer.cancel()
         self._due_ms = due_ms
-        pause_ms = max(0.0, due_ms - self._outside.now_ms())
+        delay_ms = max(0.0, due_ms - self._outside.now_ms())
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(pause_ms / 1000.0, self._forward)
+        self._timer = loop.call_later(delay_ms / 1000.0, self._forward)
 
     def _find_due_ms(self, is_urgent: bool) -> float:
-        gap_ms = FORWARD_INTERVAL_MS
+        interval_ms = FORWARD_INTERVAL_MS
         if not is_urgent:
-            gap_ms = max(gap_ms, FORWARD_INTERVAL_PER_VM_MS * len(self._loads))
-        gap_ms = min(gap_ms, MAX_FORWARD_INTERVAL_MS)
+            interval_ms = max(
+                interval_ms, FORWARD_INTERVAL_PER_VM_MS * len(self._loads)
+            )
+        interval_ms = min(interval_ms, MAX_FORWARD_INTERVAL_MS)
         return max(
-            self._outside.now_ms() + BATCH_DELAY_MS, self._forwarded_ms + gap_ms
+            self._outside.now_ms() + BATCH_DELAY_MS,
+            self._forwarded_ms + interval_ms,
         )
 
     def _forward(self) -> None:
-        """Sends gathered digests to the group, and its own to other groups."""
+        """Sends all digests to the group, and its members' to other groups."""
         self._timer = None
         now_ms = self._forwarded_ms = self._outside.now_ms()
         own = tuple(self._from_members.values())
-        all_ = (*own, *self._from_relays.values())
+        queued = (*own, *self._from_relays.values())
         self._from_members.clear()
         self._from_relays.clear()
-        self._send_bundles(all_, False, self._loads.find_members())
+        self._send_bundles(queued, False, self._loads.find_members())
         if own:
-            chance = self._outside.random
-            relays = self._loads.find_other_relays(now_ms, chance)
+            rng = self._outside.random
+            relays = self._loads.find_other_relays(now_ms, rng)
             self._send_bundles(own, True, relays)
 
     def _send_bundles(
@@ -108,11 +112,11 @@
         receivers: Iterable[str],
     ) -> None:
         for begin in range(0, len(digests), MAX_BUNDLE_DIGESTS):
-            part = tuple(digests[begin : begin + MAX_BUNDLE_DIGESTS])
-            bundle = load_bundle.LoadBundle(self._own, for_group, part)
+            batch = tuple(digests[begin : begin + MAX_BUNDLE_DIGESTS])
+            bundle = load_bundle.LoadBundle(self._own, for_group, batch)
             self._send(bundle, receivers)
 
 
 def _is_urgent(digest: load_digest.LoadDigest) -> bool:
-    """Returns whether a digest tells more than its VM's load."""
+    """Returns whether a digest contains more than its VM's load."""
     return bool(digest.leaving) or digest.lost != bad_news.NOTHING
--- a/src/ruddergate/entry/ended_incarnations.py
+++ b/src/ruddergate/entry/ended_incarnations.py
@@ -1,8 +1,8 @@
-"""Tells those that wait for it when lives of targets have ended.
+"""Notifies waiting attempts when incarnations of targets have ended.
 
-An engine whose helper has died stands still for a second and a half before it
-refuses the prompt. Others know of the end within milliseconds: their streams
-broke, or nobody listened any more.
+An engine whose helper has died stalls for 1.5 s before it refuses the prompt.
+Other requests learn of the helper's end within milliseconds: their streams
+break, or nothing listens at its address any more.
 """
 
 import asyncio
@@ -10,36 +10,38 @@
 
 from ruddergate.fleet import life as lives
 
-# Ends kept, for attempts that begin after them; the list of targets has dropped
-# them long before so many more have ended.
-_KEPT_MOST = 512
+# Ended incarnations kept for attempts that begin later. The list of targets has
+# dropped an incarnation long before this many others have ended.
+_MAX_KEPT = 512
 
 
 class EndedIncarnations:
-    """Lives that have certainly ended; owned by the scheduler task."""
+    """Incarnations that have certainly ended; owned by the scheduler task."""
 
     def __init__(self) -> None:
         self._ended: dict[lives.Life, None] = {}
-        self._waiting: dict[asyncio.Future[lives.Life], frozenset] = {}
+        self._waiters: dict[asyncio.Future[lives.Life], frozenset] = {}
 
-    def note(self, life: lives.Life) -> None:
-        """Notes that a life has ended."""
-        self._ended[life] = None
-        if len(self._ended) > _KEPT_MOST:
+    def note(self, incarnation: lives.Life) -> None:
+        """Records that an incarnation has ended."""
+        self._ended[incarnation] = None
+        if len(self._ended) > _MAX_KEPT:
             del self._ended[next(iter(self._ended))]
-        for waiting, awaited in self._waiting.items():
-            if life in awaited and not waiting.done():
-                waiting.set_result(life)
-
-    async def wait_for_any(self, awaited: Iterable[lives.Life]) -> lives.Life:
-        """Returns the first of some lives that has ended, once one has."""
-        wanted = frozenset(awaited)
-        for life in wanted:
-            if life in self._ended:
-                return life
-        waiting = asyncio.get_running_loop().create_future()
-        self._waiting[waiting] = wanted
+        for waiter, incarnations in self._waiters.items():
+            if incarnation in incarnations and not waiter.done():
+                waiter.set_result(incarnation)
+
+    async def wait_for_any(
+        self, incarnations: Iterable[lives.Life]
+    ) -> lives.Life:
+        """Waits until one of the incarnations has ended, and returns it."""
+        wanted = frozenset(incarnations)
+        for incarnation in wanted:
+            if incarnation in self._ended:
+                return incarnation
+        waiter = asyncio.get_running_loop().create_future()
+        self._waiters[waiter] = wanted
         try:
-            return await waiting
+            return await waiter
         finally:
-            del self._waiting[waiting]
+            del self._waiters[waiter]
--- a/src/ruddergate/entry/retry_transfers.py
+++ b/src/ruddergate/entry/retry_transfers.py
@@ -1,8 +1,9 @@
-"""Second sends borrowed from peers when this VM has none left.
+"""Transfers of retry budget from peers when this VM has none left.
 
-A VM's own part of the fleet's allowance is small, one second send at 195 VMs,
-and what fails comes in bursts at a few VMs: prompts of 300,000 tokens were
-given up within 13 to 74 ms while the fleet had spent a tenth of its allowance.
+A VM's share of the fleet's retry budget is small, one retry at 195 VMs, and
+failures come in bursts at a few VMs. Without transfers, prompts of 300,000
+tokens were given up within 13 to 74 ms while the fleet had spent a tenth of its
+budget.
 """
 
 from collections.abc import Callable
@@ -13,23 +14,24 @@
 from ruddergate.entry import peer_rpc
 from ruddergate.telemetry import logs
 
-# Peers asked for one second send: some have little or nothing left.
+# Peers asked for one retry, as some have little or no budget left.
 MAX_PEERS_ASKED = 4
-# No further peer is asked after this time: one that is silent takes 120 ms, and
-# a VM that is cut off has many such peers while its caller waits.
+# No further peer is asked after this time. A request to a silent peer takes
+# 120 ms to time out, and a VM that is cut off has many silent peers while its
+# caller waits.
 REQUEST_WINDOW_MS = 100.0
-# With nothing to be had, peers are not asked again for this time: when all
-# have spent theirs, questions are no use to anybody.
+# After a transfer that was not enough, peers are not asked again for this time:
+# once all have spent their budgets, requests only cause traffic.
 EMPTY_PAUSE_MS = 200.0
 
 
 class RetryTransfers:
-    """Borrows second sends; peers give them up for good.
+    """Gets retry budget from peers, which give it up for good.
 
     Args:
-        outside: Clock and chance.
-        budget: This VM's own second sends.
-        rpc: Asks peers.
+        env: Clock and random numbers.
+        budget: This VM's retry budget.
+        rpc: Requests to peers.
         find_peers: Returns the peers of this VM's hall.
     """
 
@@ -47,48 +49,51 @@
         self._paused_until_ms = {True: 0.0, False: 0.0}
         self._log = logs.make_logger("retries")
 
-    async def acquire(self, is_great: bool) -> bool:
-        """Sees to it that a second send can be made; returns whether it can.
+    async def acquire(self, is_large: bool) -> bool:
+        """Returns whether a retry can be made, after transfers if needed.
 
         Args:
-            is_great: Whether it is for a prompt worth many short ones.
+            is_large: Whether it is for a prompt that costs as much as many
+                short ones.
         """
         if self._budget.has_one():
             return True
         now_ms = self._outside.now_ms()
-        if now_ms < self._paused_until_ms[is_great]:
+        if now_ms < self._paused_until_ms[is_large]:
             return False
-        asked, lent = await self._request_transfers(is_great)
-        is_had = self._budget.has_one()
-        if not is_had:
-            self._paused_until_ms[is_great] = now_ms + EMPTY_PAUSE_MS
+        asked, received = await self._request_transfers(is_large)
+        is_available = self._budget.has_one()
+        if not is_available:
+            self._paused_until_ms[is_large] = now_ms + EMPTY_PAUSE_MS
         self._log.info(
-            "Second send borrowed." if is_had else "No second send to borrow.",
+            "Retry budget transferred from peers."
+            if is_available
+            else "No retry budget available from peers.",
             peers_asked=asked,
-            lent=round(lent, 2),
+            lent=round(received, 2),
             tokens=round(self._budget.tokens, 2),
         )
-        return is_had
+        return is_available
 
-    async def _request_transfers(self, is_great: bool) -> tuple[int, float]:
-        """Asks one peer after the other for what is missing.
+    async def _request_transfers(self, is_large: bool) -> tuple[int, float]:
+        """Asks one peer after the other for the missing budget.
 
-        Several at once would give up more than is used.
+        Several peers asked at once would give up more than is used.
 
         Returns:
-            How many peers were asked, and what they gave.
+            How many peers were asked, and how much they transferred.
         """
         until_ms = self._outside.now_ms() + REQUEST_WINDOW_MS
         peers = list(self._find_peers())
         count = min(MAX_PEERS_ASKED, len(peers))
         asked = 0
-        given = 0.0
+        total = 0.0
         for peer in self._outside.random.sample(peers, count):
             if self._budget.has_one() or self._outside.now_ms() >= until_ms:
                 break
             asked += 1
             missing = retries.ONE - self._budget.tokens
-            lent = await self._rpc.request_retries(peer, missing, is_great)
-            self._budget.take_loan(lent)
-            given += lent
-        return asked, given
+            received = await self._rpc.request_retries(peer, missing, is_large)
+            self._budget.take_loan(received)
+            total += received
+        return asked, total
