--- a/src/ruddergate/entry/peer_reader.py
+++ b/src/ruddergate/entry/peer_reader.py
@@ -72,7 +72,7 @@
         rest = [name for name in ranked if name != first]
         return [first, *rng.sample(rest, min(len(rest), MAX_PEERS_ASKED - 1))]
 
-    async def ask(
+    async def request_changes(
         self, peer: str, position: store_position.StorePosition
     ) -> news.News | None:
         """Returns a peer's changes since a position; None without a reply."""
--- a/src/ruddergate/entry/store_epochs.py
+++ b/src/ruddergate/entry/store_epochs.py
@@ -26,8 +26,8 @@
         position = dataclasses.replace(position, epoch=known_epoch)
     if position.epoch < known_epoch:
         return published.Unavailable(
-            f"the answer has epoch {position.epoch} but the store has already"
-            f" reached epoch {known_epoch}"
+            f"the answer is of epoch {position.epoch},"
+            f" but epoch {known_epoch} has been read before"
         )
     if since is not None:
         is_other_epoch = position.epoch != since.epoch
