--- a/src/ruddergate/entry/feed.py
+++ b/src/ruddergate/entry/feed.py
@@ -1,4 +1,4 @@
-"""The entry's side of the feed from its agent."""
+"""The entry's side of the connection to its agent."""
 
 import asyncio
 
@@ -18,16 +18,16 @@
 from ruddergate.wire import frames
 
 _RECONNECT_MS = 200.0
-_REPORT_MS = 250.0
-_GREET_TIMEOUT_MS = 1_000.0
+_REPORT_INTERVAL_MS = 250.0
+_HANDSHAKE_TIMEOUT_MS = 1_000.0
 
 
 class Feed:
-    """Keeps the view up to date for as long as the agent lives.
+    """Updates the view with messages from the agent while it is connected.
 
     Attributes:
-        is_connected: Whether the agent feeds this entry now.
-        is_stopping: Set by the process in a planned stop.
+        is_connected: Whether the agent has sent a message on this connection.
+        is_stopping: Set by the process during a planned stop.
     """
 
     def __init__(
@@ -50,28 +50,30 @@
         self._log = logs.make_logger("feed")
 
     async def run(self) -> None:
-        """Connects again and again until cancelled."""
+        """Connects, and reconnects, until cancelled."""
         while True:
             await self._run_once()
             if self.is_connected:
                 self.is_connected = False
-                self._log.warning("Agent lost, serving by the last view.")
+                self._log.warning(
+                    "Agent connection lost; serving with the last view."
+                )
             await asyncio.sleep(_RECONNECT_MS / 1000.0)
 
     async def _run_once(self) -> None:
         try:
-            async with asyncio.timeout(_GREET_TIMEOUT_MS / 1000.0):
+            async with asyncio.timeout(_HANDSHAKE_TIMEOUT_MS / 1000.0):
                 pair = await self._outside.connect(self._config.agent)
                 stream = frames.FrameStream(*pair, self._config.peer_key)
                 if await stream.greet() is not None:
                     return
         except (OSError, TimeoutError):
             return
-        reporting = asyncio.ensure_future(self._report(stream))
+        report_task = asyncio.ensure_future(self._report(stream))
         try:
             await self._receive(stream)
         finally:
-            reporting.cancel()
+            report_task.cancel()
             stream.close()
 
     async def _receive(self, stream: frames.FrameStream) -> None:
@@ -79,12 +81,14 @@
             message = await stream.receive()
             if isinstance(message, frames.Closed):
                 if message.detail:
-                    self._log.warning("Feed refused: {}.", message.detail)
+                    self._log.warning(
+                        "Connection to agent rejected: {}.", message.detail
+                    )
                 return
             self.is_connected = True
-            self._take(message)
+            self._apply(message)
 
-    def _take(self, message: codec.Message) -> None:
+    def _apply(self, message: codec.Message) -> None:
         now_ms = self._outside.now_ms()
         match message:
             case tree_parts.TreeParts():
@@ -100,14 +104,15 @@
             case loads.Loads():
                 self._scheduler.post(message)
             case _:
-                self._log.warning("Unexpected message from the agent.")
+                self._log.warning("Ignoring unexpected message from the agent.")
 
     async def _report(self, stream: frames.FrameStream) -> None:
         in_force = self._view.in_force
         revision = in_force.manifest.revision
         await stream.send(entry_hello.EntryHello(self._incarnation, revision))
         if revision > 0:
-            # A fresh agent must not fall back behind what is in force here.
+            # An agent that has just started must not go back to settings that
+            # are older than those in force here.
             shards = dict(in_force.shards)
             await stream.send(tree_parts.TreeParts(in_force.manifest, shards))
         while True:
@@ -118,4 +123,4 @@
             )
             if await stream.send(report) is not None:
                 return
-            await asyncio.sleep(_REPORT_MS / 1000.0)
+            await asyncio.sleep(_REPORT_INTERVAL_MS / 1000.0)
--- a/src/ruddergate/entry/quarantine.py
+++ b/src/ruddergate/entry/quarantine.py
@@ -1,7 +1,7 @@
-"""Keeps calls off targets whose content has ended several of them.
+"""Keeps poison requests, which have crashed several targets, off targets.
 
-Owns what this VM knows of such contents, and tells whoever is to pass it on of
-each change. See decisions/suspicion.py for what counts.
+Holds this VM's evidence by request fingerprint, and announces each change for
+gossip. The rules are in decisions/poison_requests.py.
 """
 
 from collections.abc import Callable
@@ -17,130 +17,134 @@
 
 
 class Quarantine:
-    """Contents under which targets have ended.
+    """Fingerprints of requests during which targets have ended.
 
     Args:
-        outside: Clock.
-        note_change: Is told the content of which there is news to be passed on.
+        env: Clock.
+        on_change: Called with a fingerprint whose evidence changed, to have it
+            sent to peers.
     """
 
     def __init__(
         self,
         outside: environment.Environment,
-        note_change: Callable[[str], None] = lambda content: None,
+        on_change: Callable[[str], None] = lambda fingerprint: None,
     ) -> None:
         self._outside = outside
-        self._note_change = note_change
-        self._suspicion = suspicion.Suspicion()
-        # What the log last said of a content: whether it is quarantined.
-        self._told: dict[str, bool] = {}
+        self._on_change = on_change
+        self._evidence = suspicion.Suspicion()
+        # Fingerprints that were last logged as quarantined.
+        self._logged: dict[str, bool] = {}
         self._log = logs.make_logger("suspects")
 
     def __len__(self) -> int:
-        return len(self._suspicion)
+        return len(self._evidence)
 
     def on_target_ended(self, lost: lost_call.LostCall) -> None:
-        """Notes that a target ended under a call."""
+        """Records that a target ended while it served a request."""
         now_ms = self._outside.now_ms()
         life = lost.target.life
         weight = suspicion.find_weight(lost.there_ms, lost.reading_ms)
-        if self._suspicion.note_ended(lost.content, life, weight, now_ms):
+        if self._evidence.note_ended(lost.content, life, weight, now_ms):
             self._announce(lost.content, lost.request_id)
 
     def on_request_finished(self, request: requests.Request) -> None:
-        """Notes that a call ran to its end.
+        """Records that a request ran to its end.
 
-        Nothing is computed while no content is suspect.
+        Nothing is computed while there is no evidence.
         """
-        if not len(self._suspicion):
+        if not len(self._evidence):
             return
-        content = find_fingerprint(request)
-        if self._suspicion.note_finished(content, self._outside.now_ms()):
-            self._announce(content, request.request_id)
+        fingerprint = find_fingerprint(request)
+        if self._evidence.note_finished(fingerprint, self._outside.now_ms()):
+            self._announce(fingerprint, request.request_id)
 
     def is_suspected(self, request: requests.Request) -> bool:
-        """Returns whether a target has ended under a call's content."""
-        if not len(self._suspicion):
+        """Returns whether there is evidence against requests like this."""
+        if not len(self._evidence):
             return False
         now_ms = self._outside.now_ms()
-        content = find_fingerprint(request)
-        return self._suspicion.count_against(content, now_ms) > 0
+        fingerprint = find_fingerprint(request)
+        return self._evidence.count_against(fingerprint, now_ms) > 0
 
     def check_admission(
         self, request: requests.Request
     ) -> outcomes.NotServed | None:
-        """Returns a refusal if a call is not to be sent to any target.
+        """Returns a refusal if a request must not be sent to any target.
 
-        It holds for this moment, and is to be asked for in the step that sends:
-        a peer may have told of the decisive end a millisecond ago.
+        The result is valid at this moment only, and must be obtained in the
+        step that sends: a peer may have reported the decisive crash a
+        millisecond ago.
         """
-        if not len(self._suspicion):
+        if not len(self._evidence):
             return None
-        content = find_fingerprint(request)
-        left_ms = self._suspicion.find_left_ms(content, self._outside.now_ms())
+        fingerprint = find_fingerprint(request)
+        left_ms = self._evidence.find_left_ms(
+            fingerprint, self._outside.now_ms()
+        )
         if left_ms <= 0.0:
             return None
         return outcomes.refuse(
             outcomes.Reason.QUARANTINED,
-            f"targets have ended under calls like this one, content {content}",
+            f"targets crashed under requests like this one, id {fingerprint}",
             left_ms,
         )
 
-    def merge_gossip(self, told: messages.Suspects) -> set[str]:
-        """Takes in what a peer told; returns the contents that are news."""
-        fault = suspicion.find_fault(told.rows)
+    def merge_gossip(self, message: messages.Suspects) -> set[str]:
+        """Merges a peer's evidence; returns the fingerprints that changed."""
+        fault = suspicion.find_fault(message.rows)
         if fault:
             self._log.warning(
-                "Suspects of a peer dropped: {}.", fault, peer=told.sender
+                "Ignoring evidence of a peer: {}.", fault, peer=message.sender
             )
             return set()
         now_ms = self._outside.now_ms()
-        news = self._suspicion.take(told.rows, now_ms)
-        for content in news:
-            self._log_change(content, "", told.sender)
-        return news
+        changed = self._evidence.take(message.rows, now_ms)
+        for fingerprint in changed:
+            self._log_change(fingerprint, "", message.sender)
+        return changed
 
     def list_evidence(
-        self, contents: list[str]
+        self, fingerprints: list[str]
     ) -> tuple[messages.Suspect, ...]:
-        """Returns what is known of contents, to be told to peers."""
+        """Returns the evidence on fingerprints, to be sent to peers."""
         now_ms = self._outside.now_ms()
-        rows = [self._suspicion.describe(each, now_ms) for each in contents]
+        rows = [self._evidence.describe(each, now_ms) for each in fingerprints]
         return tuple(row for row in rows if row is not None)
 
     def rank_fingerprints(self) -> list[str]:
-        """Returns the contents, those under which most ended first."""
-        return self._suspicion.rank(self._outside.now_ms())
+        """Returns the fingerprints, those that ended most targets first."""
+        return self._evidence.rank(self._outside.now_ms())
 
     def list_quarantined(self) -> list[str]:
-        """Returns the contents that are quarantined."""
-        return self._suspicion.list_quarantined(self._outside.now_ms())
+        """Returns the quarantined fingerprints."""
+        return self._evidence.list_quarantined(self._outside.now_ms())
 
-    def _announce(self, content: str, request_id: str) -> None:
-        self._log_change(content, request_id, "")
-        self._note_change(content)
+    def _announce(self, fingerprint: str, request_id: str) -> None:
+        self._log_change(fingerprint, request_id, "")
+        self._on_change(fingerprint)
 
-    def _log_change(self, content: str, request_id: str, peer: str) -> None:
-        """Logs what changed for a content, with the lives that say so."""
+    def _log_change(self, fingerprint: str, request_id: str, peer: str) -> None:
+        """Logs a change of a quarantine, with the evidence for it."""
         now_ms = self._outside.now_ms()
-        left_ms = self._suspicion.find_left_ms(content, now_ms)
+        left_ms = self._evidence.find_left_ms(fingerprint, now_ms)
         is_quarantined = left_ms > 0.0
-        if self._told.get(content, False) == is_quarantined:
+        if self._logged.get(fingerprint, False) == is_quarantined:
             return
-        self._told[content] = is_quarantined
+        self._logged[fingerprint] = is_quarantined
         if not is_quarantined:
-            del self._told[content]
-        row = self._suspicion.describe(content, now_ms)
+            del self._logged[fingerprint]
+        row = self._evidence.describe(fingerprint, now_ms)
         self._log.warning(
-            "Content {} is quarantined."
+            "Request fingerprint {} is quarantined."
             if is_quarantined
-            else "Content {} is quarantined no more.",
-            content,
+            else "Request fingerprint {} is no longer quarantined.",
+            fingerprint,
             request_id=request_id,
             peer=peer,
             left_ms=round(left_ms),
             ended=[
-                f"{each.life.target_id} born {each.life.born_ms}, "
+                f"{each.life.target_id} started at {each.life.born_ms}, "
                 f"{each.age_ms:.0f} ms ago, weight {each.weight}"
                 for each in (row.ended if row else ())
             ],
@@ -148,7 +152,7 @@
 
 
 def find_fingerprint(request: requests.Request) -> str:
-    """Returns the name that all tries of the same call share."""
+    """Returns the fingerprint that all attempts of a request share."""
     payload = request.payload
     return call_content.name_content(
         request.workload.workspace, payload.host, payload.target, payload.body
--- a/src/ruddergate/entry/quarantine_gossip.py
+++ b/src/ruddergate/entry/quarantine_gossip.py
@@ -1,8 +1,8 @@
-"""The task that tells peers of contents under which targets have ended.
+"""The task that gossips evidence against poison requests to peers.
 
-What is new goes out at once, and everything that matters most again in each
-round, to some peers drawn at random: a datagram that got lost, a VM that starts
-and a hall that was cut off are made good by the next rounds.
+New evidence is sent at once. In each round the most important evidence is sent
+again to some random peers, which makes up for lost datagrams, for VMs that have
+just started and for halls that were cut off.
 """
 
 import asyncio
@@ -15,30 +15,33 @@
 from ruddergate.entry import quarantine as quarantines
 from ruddergate.messages import suspects as messages
 
-# What is new within this time goes into one datagram: calls that shared a
+# New evidence within this time goes into one datagram: requests that shared a
 # target are lost together.
 BATCH_DELAY_MS = 5.0
-# Peers written to with what is new, and again by each that had not heard of it.
-# In a fleet of up to so many VMs that is everybody. With one datagram in a
-# hundred lost the last VM knew after 12 ms of 9 VMs, 24 ms of 195 and, by the
-# rounds below, 2.0 s of 940, for 0.9 KB/s a VM (standins.suspect_spread, worst
-# of five seeds).
+# In a fleet with up to MAX_DIRECT_PEERS peers new evidence is sent to all of
+# them. In a larger one it is sent to FANOUT peers, and each peer to which it is
+# new does the same. With 1% of datagrams lost, the last VM knew after 12 ms of
+# 9 VMs, 24 ms of 195 and, through the rounds below, 2.0 s of 940, at 0.9 KB/s
+# per VM (standins.suspect_spread, worst of five seeds).
 MAX_DIRECT_PEERS = 16
 FANOUT = 6
-# Time between two rounds, and peers written to in each: a VM is missed by all
-# for 3 s with a chance of 6 in a million (e to the -12).
+# Time between two rounds, and peers sent to in each: the probability that no VM
+# picks a given VM for 3 s is 6 in a million (e to the -12).
 ROUND_INTERVAL_MS = 1_000.0
 ROUND_PEERS = 4
 
 
 class QuarantineGossip:
-    """Passes on what VMs know of contents; owns what is to be told.
+    """Sends and merges evidence against poison requests.
 
     Args:
-        outside: Clock and chance.
-        own: Where this VM takes datagrams.
-        list_peers: Returns the peers that are known.
+        env: Clock and random numbers.
+        own: Where this VM receives datagrams.
+        list_peers: Returns the known peers.
         send: Sends a message to peers.
+
+    Attributes:
+        table: Evidence and quarantine of this VM.
     """
 
     def __init__(
@@ -58,7 +61,7 @@
         self.table = quarantines.Quarantine(outside, self._queue_change)
 
     async def run(self) -> None:
-        """Tells peers until cancelled; sleeps while nothing is suspect."""
+        """Gossips until cancelled; sleeps while there is no evidence."""
         while True:
             await self._wait()
             await asyncio.sleep(BATCH_DELAY_MS / 1000.0)
@@ -68,27 +71,27 @@
                 self._next_round_ms = self._outside.now_ms() + ROUND_INTERVAL_MS
                 self._send_ranked(self._draw_peers(ROUND_PEERS))
 
-    def merge_gossip(self, told: messages.Suspects) -> None:
-        """Takes in what a peer told, and passes on what was news."""
-        news = self.table.merge_gossip(told)
+    def merge_gossip(self, message: messages.Suspects) -> None:
+        """Merges a peer's evidence, and forwards what is new."""
+        changed = self.table.merge_gossip(message)
         self._changed.set()
         if len(self._list_peers()) <= MAX_DIRECT_PEERS:
             return
-        for content in news:
-            self._queue_change(content)
+        for fingerprint in changed:
+            self._queue_change(fingerprint)
 
     def on_peer_started(self, peer: str) -> None:
-        """Tells a VM that has just started what it should know."""
-        chance = FANOUT / max(1, len(self._list_peers()))
-        if len(self.table) and self._outside.random.random() < chance:
+        """Sends evidence to a VM that has just started, by chance."""
+        probability = FANOUT / max(1, len(self._list_peers()))
+        if len(self.table) and self._outside.random.random() < probability:
             self._send_ranked([peer])
 
-    def _queue_change(self, content: str) -> None:
-        self._pending[content] = None
+    def _queue_change(self, fingerprint: str) -> None:
+        self._pending[fingerprint] = None
         self._changed.set()
 
     async def _wait(self) -> None:
-        """Returns when there is news or a round is due."""
+        """Waits until there is new evidence or a round is due."""
         if not len(self.table):
             await self._changed.wait()
             return
@@ -98,24 +101,24 @@
                 await self._changed.wait()
 
     def _send_pending(self) -> None:
-        contents = list(self._pending)
+        fingerprints = list(self._pending)
         self._pending.clear()
         peers = self._list_peers()
         if len(peers) > MAX_DIRECT_PEERS:
             peers = self._draw_peers(FANOUT)
-        for begin in range(0, len(contents), suspicion.TOLD_MOST):
-            part = contents[begin : begin + suspicion.TOLD_MOST]
-            self._send_evidence(part, peers)
+        for begin in range(0, len(fingerprints), suspicion.TOLD_MOST):
+            batch = fingerprints[begin : begin + suspicion.TOLD_MOST]
+            self._send_evidence(batch, peers)
 
     def _send_ranked(self, peers: list[str]) -> None:
-        """Tells those contents under which most targets ended."""
+        """Sends the evidence on the requests that ended most targets."""
         if len(self.table):
             self._send_evidence(
                 self.table.rank_fingerprints()[: suspicion.TOLD_MOST], peers
             )
 
-    def _send_evidence(self, contents: list[str], peers: list[str]) -> None:
-        rows = self.table.list_evidence(contents)
+    def _send_evidence(self, fingerprints: list[str], peers: list[str]) -> None:
+        rows = self.table.list_evidence(fingerprints)
         if rows and peers:
             self._send(messages.Suspects(self._own, rows), peers)
 
--- a/src/ruddergate/entry/reservation_keeper.py
+++ b/src/ruddergate/entry/reservation_keeper.py
@@ -1,8 +1,8 @@
-"""The tasks that hold memory on targets while a request needs it.
+"""The tasks that hold memory reservations on targets while they are needed.
 
-Memory is set aside for a short time and renewed again and again, so that a VM
-that dies or sleeps leaves nothing behind for long. Each reservation has a task
-of its own, which ends with a release.
+Reservations are short leases that are renewed, so that memory is soon freed if
+a VM dies or is suspended. Each reservation has its own task, which ends with a
+release.
 """
 
 import asyncio
@@ -16,30 +16,31 @@
 from ruddergate.relay import orders
 from ruddergate.telemetry import logs
 
-# Memory is to lapse well within 4 s of its last use when this VM has died.
+# If this VM dies, memory must be freed well within 4 s of its last use.
 LEASE_MS = 2_500.0
-# Two renewals may fail before the memory lapses.
+# Two renewals may fail before the lease expires.
 RENEW_INTERVAL_MS = 800.0
-# Where a target names a rate limit, memory is renewed seldom; it still lapses
-# within 4 s of the end of this VM.
+# If a target has a rate limit, memory is renewed less often. The lease still
+# expires within 4 s of the end of this VM.
 LEASE_RATE_LIMITED_MS = 3_500.0
 RENEW_RATE_LIMITED_MS = 2_000.0
-# It is also probed less often, but again soon after silence.
+# Such a target is also probed less often, but again soon after a missed probe.
 PROBE_RATE_LIMITED_MS = 1_600.0
 REPROBE_MS = 300.0
-# A release is answered in a few milliseconds, or not before its time-out.
+# A release is answered within a few milliseconds, or only at its timeout.
 RELEASE_TIMEOUT_MS = 50.0
-# A target that lives answers in a few milliseconds.
+# A live target answers within a few milliseconds.
 PROBE_TIMEOUT_MS = 150.0
-# The engine for which memory is held is asked for a sign of life as often. This
-# many times without one it is taken for dead: with the time-out of a call that
-# is 2.6 s after its end at most, when 4 s are allowed to set the memory free.
+# The engine for which memory is held is probed as often as memory is renewed.
+# After this many missed probes in a row it is taken to be dead. With the timeout
+# of a probe that is at most 2.6 s after its end; 4 s are allowed until the memory
+# is free.
 MAX_MISSED_PROBES = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FailedReservation:
-    """Memory that could not be set aside, and what the target answered."""
+    """A reservation that was not made, and what the target answered."""
 
     reservation: orders.Reservation
     answer: orders.Answer
@@ -47,36 +48,36 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Renewal:
-    """The task that renews a reservation, and what tells it to release."""
+    """The task that renews a reservation, and the event that ends it."""
 
     task: asyncio.Task
     released: asyncio.Event
 
 
 class ReservationKeeper:
-    """Takes, renews and releases reservations.
+    """Makes, renews and releases reservations.
 
     Args:
-        outside: Clock.
-        given: Orders that targets take.
-        has_ended: Returns whether a life is known to be over.
-        on_ended: Is told targets that are found to have ended.
-        is_limited: Returns whether a target names a rate limit.
+        env: Clock.
+        target_orders: Orders to targets.
+        has_ended: Returns whether an incarnation is known to have ended.
+        on_ended: Called with each target that is found to have ended.
+        is_rate_limited: Returns whether a target has a rate limit.
     """
 
     def __init__(
         self,
         outside: environment.Environment,
-        given: orders.Orders,
+        target_orders: orders.Orders,
         has_ended: Callable[[lives.Life], bool] = lambda life: False,
         on_ended: Callable[[targets.Target], None] = lambda target: None,
-        is_limited: Callable[[str], bool] = lambda target_id: False,
+        is_rate_limited: Callable[[str], bool] = lambda target_id: False,
     ) -> None:
         self._outside = outside
-        self._orders = given
+        self._orders = target_orders
         self._has_ended = has_ended
         self._on_ended = on_ended
-        self._is_limited = is_limited
+        self._is_rate_limited = is_rate_limited
         self._renewals: dict[str, _Renewal] = {}
         self._log = logs.make_logger("memory")
 
@@ -86,9 +87,9 @@
     async def reserve(
         self, wanted: Sequence[orders.Reservation], request_id: str
     ) -> tuple[FailedReservation, ...]:
-        """Sets memory aside everywhere; returns what could not be had.
+        """Reserves memory on all targets; returns the failed reservations.
 
-        When something could not be had, all is given back.
+        If one fails, all are released.
         """
         answers = await asyncio.gather(
             *(self._orders.reserve(each, LEASE_MS) for each in wanted)
@@ -100,21 +101,21 @@
                 continue
             missing.append(FailedReservation(each, answer))
             self._log.info(
-                "Memory not had at {}: {}.",
+                "Could not reserve memory at {}: {}.",
                 each.target.target_id,
                 answer.value,
                 request_id=request_id,
                 tokens=each.tokens,
             )
             if answer is orders.Answer.UNKNOWN:
-                # It may have been set aside all the same.
+                # It may have been reserved nevertheless.
                 self._start_renewal(each)
         if missing:
             await self._release_and_wait(wanted)
         return tuple(missing)
 
     def release(self, held: Sequence[orders.Reservation]) -> None:
-        """Has memory released; does not wait for it."""
+        """Starts releasing memory; does not wait for it."""
         for each in held:
             renewal = self._renewals.get(each.name)
             if renewal is not None:
@@ -123,9 +124,9 @@
     async def _release_and_wait(
         self, held: Sequence[orders.Reservation]
     ) -> None:
-        """Has memory released, and waits where that is soon done.
+        """Releases memory, and waits a short time for that to complete.
 
-        The next try would find its own memory in its way otherwise.
+        Otherwise the memory would still be taken in the next attempt.
         """
         renewals = [self._renewals.get(each.name) for each in held]
         releasing = [each.task for each in renewals if each is not None]
@@ -136,12 +137,12 @@
     async def probe_all(
         self, asked: Sequence[targets.Target]
     ) -> tuple[orders.Sign, ...]:
-        """Returns the signs of life that targets give at once, in order."""
+        """Probes targets; returns what they signalled, in order."""
         told = await asyncio.gather(*map(self.probe, asked))
         return tuple(each.sign for each in told)
 
     async def probe(self, target: targets.Target) -> orders.Told:
-        """Returns the sign of life that a target gives at once."""
+        """Probes a target with a short timeout."""
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_MS / 1000.0):
                 return await self._orders.ask_sign(target)
@@ -149,20 +150,20 @@
             return orders.Told(orders.Sign.SILENT)
 
     async def wait_until_unresponsive(self, target: targets.Target) -> None:
-        """Returns when a target does not answer any more.
+        """Returns once a target does not answer probes any more.
 
-        Memory elsewhere is held for what runs there, and an engine that dies
-        in silence would have it held until the request's own patience ends.
+        Helpers hold memory for what runs on it. Without this, the memory would
+        stay reserved until the request times out if the engine dies silently.
         """
-        silent = 0
-        while silent < MAX_MISSED_PROBES:
-            pause_ms = RENEW_INTERVAL_MS
-            if self._is_limited(target.target_id):
-                pause_ms = REPROBE_MS if silent else PROBE_RATE_LIMITED_MS
-            await asyncio.sleep(pause_ms / 1000.0)
+        missed = 0
+        while missed < MAX_MISSED_PROBES:
+            delay_ms = RENEW_INTERVAL_MS
+            if self._is_rate_limited(target.target_id):
+                delay_ms = REPROBE_MS if missed else PROBE_RATE_LIMITED_MS
+            await asyncio.sleep(delay_ms / 1000.0)
             told = await self._orders.ask_sign(target)
-            silent = 0 if told.sign is orders.Sign.ALIVE else silent + 1
-        self._log.warning("Target {} is silent.", target.target_id)
+            missed = 0 if told.sign is orders.Sign.ALIVE else missed + 1
+        self._log.warning("Target {} does not answer.", target.target_id)
 
     def _start_renewal(self, held: orders.Reservation) -> None:
         released = asyncio.Event()
@@ -173,33 +174,35 @@
     async def _renew(
         self, held: orders.Reservation, released: asyncio.Event
     ) -> None:
-        """Renews until it is over, and then releases.
+        """Renews a reservation until the event is set, then releases it.
 
-        Over is told by an event: a task that is cancelled before its first
-        step would end without the release.
+        An event is used because a task that is cancelled before its first step
+        would end without the release.
         """
-        pause_ms = RENEW_INTERVAL_MS
-        while not await _is_set_within(released, pause_ms):
+        delay_ms = RENEW_INTERVAL_MS
+        while not await _is_set_within(released, delay_ms):
             if self._has_ended(held.target.life):
-                # The next life holds nothing: to renew there would set memory
-                # aside for nobody.
+                # The next incarnation has no reservation: renewing there would
+                # reserve memory that nothing uses.
                 return
-            is_limited = self._is_limited(held.target.target_id)
-            hold_ms = LEASE_RATE_LIMITED_MS if is_limited else LEASE_MS
+            is_rate_limited = self._is_rate_limited(held.target.target_id)
+            hold_ms = LEASE_RATE_LIMITED_MS if is_rate_limited else LEASE_MS
             answer = await self._orders.reserve(held, hold_ms)
-            is_relaxed = is_limited and answer is orders.Answer.DONE
-            pause_ms = (
+            is_relaxed = is_rate_limited and answer is orders.Answer.DONE
+            delay_ms = (
                 RENEW_RATE_LIMITED_MS if is_relaxed else RENEW_INTERVAL_MS
             )
             if answer is orders.Answer.GONE:
                 self._on_ended(held.target)
             if answer is orders.Answer.REFUSED:
-                self._log.warning("Memory lost at {}.", held.target.target_id)
+                self._log.warning(
+                    "Memory reservation lost at {}.", held.target.target_id
+                )
                 return
         answer = await self._orders.release(held)
         if answer is not orders.Answer.DONE:
             self._log.info(
-                "Memory at {} is left to lapse: {}.",
+                "Memory at {} was not released and will expire: {}.",
                 held.target.target_id,
                 answer.value,
             )
--- a/src/ruddergate/entry/target_table.py
+++ b/src/ruddergate/entry/target_table.py
@@ -1,4 +1,4 @@
-"""What is believed of each listed target, and which of them take calls."""
+"""Estimated load of each listed target, and which targets accept requests."""
 
 from ruddergate.decisions import estimate as estimates
 from ruddergate.decisions import rate_limits
@@ -14,64 +14,69 @@
     """Estimates by target and by pool; owned by the scheduler task.
 
     Args:
-        view: The list and the settings of pools.
-        withdrawn: Which lives of targets take no calls.
-        limits: Rate limits that targets name.
+        view: The list of targets and the settings of pools.
+        drain_state: Which incarnations of targets accept no requests.
+        limits: Rate limits of targets.
     """
 
     def __init__(
         self,
         view: views.View,
-        withdrawn: withdrawals.Withdrawals,
+        drain_state: withdrawals.Withdrawals,
         limits: rate_limits.RateLimits,
     ) -> None:
         self._view = view
-        self._withdrawn = withdrawn
+        self._drain_state = drain_state
         self._limits = limits
         self._by_name: dict[str, estimates.Estimate] = {}
         self._by_pool: dict[str, list[estimates.Estimate]] = {}
 
     def list_all(self) -> list[estimates.Estimate]:
-        """Returns what is believed of each target."""
+        """Returns the estimates of all targets."""
         return list(self._by_name.values())
 
     def has_pool(self, pool: str) -> bool:
-        """Returns whether a pool has any target, whatever state it is in."""
+        """Returns whether a pool has any target, whatever its state."""
         return bool(self._by_pool.get(pool))
 
     def find_by_id(self, target_id: str) -> estimates.Estimate | None:
-        """Returns what is believed of a target, whichever life it is in."""
+        """Returns the estimate of a target, whatever its incarnation."""
         return self._by_name.get(target_id)
 
     def find(self, target: targets.Target) -> estimates.Estimate | None:
-        """Returns what is believed of a target, if that is of the same life.
+        """Returns the estimate of a target, if it is of the same incarnation.
 
-        A target that has started again knows nothing of what was sent before,
-        and what comes late of its former life says nothing of it.
+        A restarted target knows nothing of earlier requests, and late results
+        of its previous incarnation say nothing about it.
         """
         estimate = self._by_name.get(target.target_id)
         if estimate is None or estimate.target.life != target.life:
             return None
         return estimate
 
-    def find_reported(self, life: lives.Life) -> estimates.Estimate | None:
-        """Returns what is believed of a target that a peer has told of.
+    def find_reported(
+        self, incarnation: lives.Life
+    ) -> estimates.Estimate | None:
+        """Returns the estimate of a target that a peer has reported.
 
-        Peers of an earlier release name no life.
+        Peers of an earlier release do not send the incarnation.
         """
-        estimate = self._by_name.get(life.target_id)
+        estimate = self._by_name.get(incarnation.target_id)
         if estimate is None:
             return None
-        is_same = life.born_ms in (lives.BORN_UNKNOWN, estimate.target.born_ms)
+        is_same = incarnation.born_ms in (
+            lives.BORN_UNKNOWN,
+            estimate.target.born_ms,
+        )
         return estimate if is_same else None
 
     def refresh(self, now_ms: float) -> None:
-        """Goes by the list and the settings as they are now."""
+        """Applies the current list of targets and settings."""
         listed = {each.life: each for each in self._view.listing.targets}
-        names = {life.target_id for life in listed}
+        names = {incarnation.target_id for incarnation in listed}
         for target_id in self._by_name.keys() - names:
             del self._by_name[target_id]
-        self._withdrawn.forget_quiet(listed, now_ms)
+        self._drain_state.forget_quiet(listed, now_ms)
         self._by_pool = {}
         for target in listed.values():
             pool = self._view.index.find_pool(target.pool)
@@ -88,14 +93,18 @@
     def find_halls(self, pool: str) -> set[str]:
         """Returns the halls with targets of a pool, whatever their state.
 
-        VMs have to agree on it, and states are known to some of them earlier.
+        All VMs have to agree on these halls, but some learn of a state earlier
+        than others.
         """
         return {each.target.hall for each in self._by_pool.get(pool, [])}
 
     def list_accepting(
         self, pool: str, now_ms: float
     ) -> list[estimates.Estimate]:
-        """Returns the targets of a pool that take calls, however they fare."""
+        """Returns the targets of a pool that accept requests.
+
+        Their load and circuit breakers do not matter.
+        """
         return [
             each
             for each in self._by_pool.get(pool, [])
@@ -103,69 +112,75 @@
         ]
 
     def accepts_requests(self, each: estimates.Estimate, now_ms: float) -> bool:
-        """Returns whether a target takes calls, however it fares.
+        """Returns whether a target accepts requests, even if its circuit is open.
 
-        One whose quiet time has ended takes one call of this VM first: 36 calls
-        of six VMs that waited for one target reached it within 90 ms otherwise,
-        now 6 at most (emulated fleet).
+        A target whose backoff has ended is half-open: it gets one request of
+        this VM as a probe. Otherwise all requests waiting for it would reach it
+        at once: 36 requests of six VMs within 90 ms, against at most 6 with the
+        probe (emulated fleet).
         """
         if not each.may_take_work():
             return False
         target_id = each.target.target_id
         if len(self._limits) and not self._limits.can_send(target_id, now_ms):
             return False
-        if not self._withdrawn.has_quiet():
-            # Those that leave are listed so. To look 150 targets up took 0.7 ms
-            # of a core (mean of 200), in each turn of the scheduler.
+        if not self._drain_state.has_quiet():
+            # Draining targets are marked in the list. Looking up 150 targets
+            # took 0.7 ms of CPU time (mean of 200) in each scheduler turn.
             return True
-        life = each.target.life
-        is_busy = self._withdrawn.is_on_trial(life) and each.own_streams() > 0
-        return self._withdrawn.takes_calls(life, now_ms) and not is_busy
+        incarnation = each.target.life
+        is_busy = (
+            self._drain_state.is_on_trial(incarnation)
+            and each.own_streams() > 0
+        )
+        return (
+            self._drain_state.takes_calls(incarnation, now_ms) and not is_busy
+        )
 
     def find_next_available_ms(self, pool: str, now_ms: float) -> float:
-        """Returns when the first target of a pool takes calls.
+        """Returns when the first target of a pool accepts requests.
 
         Returns:
-            A time not after now where one does; infinity where all leave.
+            A time not after now if one does already; infinity if all drain.
         """
-        able = (
+        eligible = (
             each for each in self._by_pool.get(pool, []) if each.may_take_work()
         )
-        if not self._withdrawn.has_quiet() and not len(self._limits):
-            return now_ms if any(True for _ in able) else _NEVER_MS
+        if not self._drain_state.has_quiet() and not len(self._limits):
+            return now_ms if any(True for _ in eligible) else _NEVER_MS
         return min(
             (
                 max(
-                    self._withdrawn.find_until_ms(each.target.life, now_ms),
+                    self._drain_state.find_until_ms(each.target.life, now_ms),
                     self._limits.find_next_ms(each.target.target_id, now_ms),
                 )
-                for each in able
+                for each in eligible
             ),
             default=_NEVER_MS,
         )
 
     def find_capacity_per_s(self, pool: str, now_ms: float) -> float:
-        """Returns how many calls of this VM a pool takes a second.
+        """Returns how many requests per second of this VM a pool accepts.
 
         Returns:
-            Infinity unless all targets that take calls name rate limits.
+            Infinity unless all targets that accept requests have rate limits.
         """
         shares = [
             self._limits.find_share(each.target.target_id, now_ms)[1]
             for each in self._by_pool.get(pool, [])
             if each.may_take_work()
-            and self._withdrawn.takes_calls(each.target.life, now_ms)
+            and self._drain_state.takes_calls(each.target.life, now_ms)
         ]
         return sum(shares)
 
     def is_usable(self, each: estimates.Estimate, now_ms: float) -> bool:
-        """Returns whether a target may be sent calls and had better be."""
+        """Returns whether a target accepts requests and its circuit is closed."""
         return each.is_usable(now_ms) and self.accepts_requests(each, now_ms)
 
     def count_usable(self, pool: str, now_ms: float) -> int:
-        """Returns how many targets of a pool may and had better be used.
+        """Returns how many targets of a pool are usable.
 
-        Those that wait for a token of their rate limit count.
+        Targets for which this VM waits for a token of the rate limit count.
         """
         return sum(
             each.is_usable(now_ms)
@@ -177,12 +192,12 @@
         )
 
     def _has_share(self, target_id: str, now_ms: float) -> bool:
-        """Returns whether this VM holds a part of a target's rate limit."""
+        """Returns whether this VM has a share of a target's rate limit."""
         if not self._limits.is_limited(target_id):
             return False
         return self._limits.find_share(target_id, now_ms)[1] > 0.0
 
 
 def _is_same(one: targets.Target, other: targets.Target) -> bool:
-    """Returns whether two entries are of the same life at the same place."""
+    """Returns whether two entries have the same incarnation and address."""
     return one.life == other.life and one.address == other.address
--- a/src/ruddergate/entry/view.py
+++ b/src/ruddergate/entry/view.py
@@ -1,4 +1,4 @@
-"""What an entry goes by: settings, fleet and shares, with their age."""
+"""The view that an entry uses: settings, fleet and shares, with their age."""
 
 import asyncio
 from collections.abc import Mapping
@@ -20,16 +20,16 @@
 
 
 class View:
-    """The last that this entry's agent has told; kept when the agent ends.
+    """The latest known state; kept while its source is unavailable.
 
     Attributes:
         in_force: Settings in force.
-        index: Look-ups in them.
-        catalog: Published routes, workspaces by key and pools, where settings
-            come in that form.
-        listing: Published list.
-        store_position: Up to where the platform's store is known.
-        catalog_came: Set once there is a catalog.
+        index: Look-ups in the settings.
+        catalog: Published routes, workspaces by key and pools, if settings are
+            published in that form.
+        listing: Published list of VMs and targets.
+        store_position: Position in the platform's store that was read last.
+        catalog_loaded: Set once there is a catalog.
     """
 
     def __init__(self) -> None:
@@ -42,14 +42,14 @@
         )
         self.catalog_loaded = asyncio.Event()
         self._confirmed_ms = _NEVER
-        self._settled_since_ms = float("inf")
+        self._unchanged_since_ms = float("inf")
         self._shares: Mapping[str, share_messages.Share] = {}
         self._base_fraction = 0.0
         self._shares_ms = _NEVER
         self._settings_confirmed_ms = _NEVER
 
     def apply_tree(self, parts: tree_parts.TreeParts) -> bool:
-        """Adopts a newer revision; returns whether it is now in force."""
+        """Applies a newer revision; returns whether it is now in force."""
         found = adoption.consider(self.in_force, parts.manifest, parts.shards)
         if isinstance(found, adoption.Missing):
             return False
@@ -60,15 +60,15 @@
         return changed
 
     def apply_fleet(self, view: fleet_view.FleetView, now_ms: float) -> None:
-        """Takes in a list, never an older one."""
+        """Merges a list; an older one does not replace the current one."""
         self.listing = listings.merge(self.listing, view.listing)
         if view.listing.version < self.listing.version:
             return
         self._confirmed_ms = max(self._confirmed_ms, now_ms - view.age_ms)
-        self._settled_since_ms = now_ms - view.settled_ms
+        self._unchanged_since_ms = now_ms - view.settled_ms
 
     def apply_catalog(self, offered: catalogs.Catalog) -> bool:
-        """Adopts a newer catalog; returns whether it is now in force."""
+        """Applies a newer catalog; returns whether it is now in force."""
         if offered.revision <= self.catalog.revision:
             return False
         self.catalog = offered
@@ -79,63 +79,64 @@
     def apply_targets(
         self, found: Sequence[targets.Target], asked_ms: float
     ) -> None:
-        """Takes in the targets as they stood at or after `asked_ms`.
+        """Sets the targets, as listed at or after `asked_ms`.
 
-        Which of them leave is found out by whoever hands them over.
+        The caller has marked the draining ones.
         """
         version = self.listing.version + 1
         self.listing = listings.Listing(version, self.listing.vms, tuple(found))
         self._confirmed_ms = max(self._confirmed_ms, asked_ms)
 
-    def is_superseded(self, life: lives.Life) -> bool:
-        """Returns whether a younger life of the same target is listed."""
+    def is_superseded(self, incarnation: lives.Life) -> bool:
+        """Returns whether a later incarnation of the target is listed."""
         return any(
-            each.target_id == life.target_id and each.born_ms > life.born_ms
+            each.target_id == incarnation.target_id
+            and each.born_ms > incarnation.born_ms
             for each in self.listing.targets
         )
 
     def confirm_settings(self, asked_ms: float) -> None:
-        """Notes that nothing newer was in force at `asked_ms`."""
+        """Records that the settings were current at `asked_ms`."""
         self._settings_confirmed_ms = max(self._settings_confirmed_ms, asked_ms)
 
     def settings_age_ms(self, now_ms: float) -> float:
-        """Returns how long ago the settings were certainly the newest."""
+        """Returns the time since the settings were known to be current."""
         return now_ms - self._settings_confirmed_ms
 
     def apply_shares(
         self, shares: share_messages.Shares, now_ms: float
     ) -> None:
-        """Takes in this VM's parts of the limits."""
+        """Sets this VM's shares of the limits."""
         self._shares = {each.workspace: each for each in shares.shares}
         self._base_fraction = shares.base_fraction
         self._shares_ms = now_ms
 
     def age_ms(self, now_ms: float) -> float:
-        """Returns the time since the platform last confirmed the list."""
+        """Returns the time since the list was known to be current."""
         return now_ms - self._confirmed_ms
 
-    def settled_ms(self, now_ms: float, process_began_ms: float) -> float:
-        """Returns for how long this process has known the same VMs."""
-        since_ms = max(self._settled_since_ms, process_began_ms)
+    def settled_ms(self, now_ms: float, process_started_ms: float) -> float:
+        """Returns for how long this process has seen the same VMs."""
+        since_ms = max(self._unchanged_since_ms, process_started_ms)
         return now_ms - since_ms
 
     def fraction(self, workspace: str, now_ms: float) -> float:
-        """Returns the part of a workspace's limits that is ours now."""
+        """Returns this VM's share of a workspace's limits."""
         share = self._shares.get(workspace)
         if share is None:
             return self._base_fraction
         if now_ms - self._shares_ms > share.valid_ms:
-            # What was borrowed has lapsed; the lender may use it again.
+            # Borrowed quota has expired; the lender may use it again.
             return min(share.fraction, self._base_fraction)
         return share.fraction
 
     def count_live_vms(self) -> int:
-        """Returns the number of VMs that are not leaving; at least 1."""
+        """Returns the number of VMs that are not draining; at least 1."""
         live = sum(
             vm.condition is condition.Condition.LIVE for vm in self.listing.vms
         )
         return max(1, live)
 
     def list_vm_ids(self) -> Sequence[str]:
-        """Returns the listed VMs."""
+        """Returns the ids of the listed VMs."""
         return [vm.vm_id for vm in self.listing.vms]
