--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -1,8 +1,8 @@
-"""An entry that follows the platform's store itself and passes calls on.
+"""An entry that reads the platform's store itself and relays requests.
 
-It needs no agent: what one VM must know, the store publishes, and what all of
-them must keep together, each keeps by its own part. Peers tell each other their
-load, and every promise holds without them.
+It needs no agent: the store publishes what each VM must know, and each VM
+enforces its own share of fleet-wide limits. Peers gossip their load, but every
+guarantee holds without them.
 """
 
 import asyncio
@@ -63,19 +63,20 @@
     """Settings of a gateway besides those of any entry.
 
     Attributes:
-        ready_listen: Where the balancer asks whether this VM takes callers.
-        metrics_listen: Where metrics are served.
-        settings_age_max_ms: Oldest settings by which a key may be used; without
-            bound where a removed key may be used until a VM hears of it.
-        ready_age_max_ms: Oldest settings with which new callers are taken.
-        certain_age_max_ms: Oldest settings by which an unknown route or key is
-            certainly unknown.
-        stop_lag_ms: Time for the balancer to see that this VM stops.
-        stop_limit_ms: Time after which a planned stop ends with calls open.
+        ready_listen: Address of the load balancer's readiness check.
+        metrics_listen: Address at which metrics are served.
+        settings_age_max_ms: Maximum age of settings for accepting a key;
+            infinite if a removed key may be used until a VM learns of it.
+        ready_age_max_ms: Maximum age of settings for accepting new callers.
+        certain_age_max_ms: Maximum age of settings for rejecting a route or key
+            as unknown with certainty.
+        stop_lag_ms: Time for the load balancer to notice that this VM stops.
+        stop_limit_ms: Time after which a planned stop ends even if requests are
+            still open.
         polling: How often the store is polled.
-        retry_share: Second sends allowed for each first one.
-        retry_slack: Second sends that the fleet may make besides.
-        peers: Where peers are found.
+        retry_ratio: Retries allowed per first attempt.
+        retry_slack: Retries that the fleet may make in addition.
+        peers: Addresses for communication with peers.
     """
 
     ready_listen: environment.Address
@@ -93,14 +94,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Platform:
-    """What a platform's adapter provides.
+    """The functions that a platform's adapter provides.
 
     Attributes:
-        caller_protocol: How callers are understood and answered.
-        make_send: Returns what sends a call to a target, given what is to
-            hear whatever targets say of themselves.
-        make_orders: Returns the orders that targets take, given the same.
-        source: Calls of the store.
+        caller_protocol: Parses requests of callers and writes responses.
+        make_send: Returns a function that sends a request to a target; given a
+            function that is called with each response's hints.
+        make_orders: Returns the orders to targets; given the same function.
+        source: Calls to the store.
     """
 
     caller_protocol: doors.Door
@@ -110,7 +111,7 @@
 
 
 class Gateway:
-    """One gateway process; `run` returns when its planned stop is over."""
+    """A gateway process; `run` returns when its planned stop is complete."""
 
     def __init__(
         self,
@@ -130,7 +131,7 @@
             platform.caller_protocol.write_failure
         )
         view = views.View()
-        withdrawn = withdrawals.Withdrawals()
+        drain_state = withdrawals.Withdrawals()
         metrics = metric_types.EntryMetrics()
         self._rate_limiter = rate_limiter.RateLimiter(
             outside,
@@ -149,17 +150,17 @@
             lambda: self._peers.collect_sums(),
             lambda: self._peers.is_blind(),
             lambda: self._peers.loads.collect_lost(),
-            withdrawn=withdrawn,
+            withdrawn=drain_state,
             limits=self._rate_limiter.limits,
         )
         self._quarantine_gossip = quarantine_gossip.QuarantineGossip(
             outside,
             gateway_config.peers.listen,
             lambda: self._peers.loads.names(),
-            lambda told, peers: self._peers.send_evidence(told, peers),
+            lambda message, peers: self._peers.send_evidence(message, peers),
         )
         self._availability = target_availability.TargetAvailability(
-            outside, withdrawn, metrics, self._on_draining
+            outside, drain_state, metrics, self._on_draining
         )
         self.tools = tool_types.Tools(
             outside=outside,
@@ -173,15 +174,15 @@
             metrics=metrics,
             tracer=tracer,
             suspects=self._quarantine_gossip.table,
-            secure_retry=lambda is_great: self._retry_transfers.acquire(
-                is_great
+            secure_retry=lambda is_large: self._retry_transfers.acquire(
+                is_large
             ),
             note_lost=lambda lost: self._crash_detector.on_lost_call(lost),
             refuse_send=self._check_admission,
             admit=self._rate_limiter.admit,
             give_back=self._rate_limiter.give_back,
         )
-        self._orders = platform.make_orders(self._observe)
+        self._orders = platform.make_orders(self._on_hints)
         self._keeper = reservation_keeper.ReservationKeeper(
             outside,
             self._rate_limiter.charge_orders(self._orders),
@@ -191,7 +192,7 @@
         )
         self._drain_check = drain_check.DrainCheck(
             outside,
-            withdrawn,
+            drain_state,
             view,
             self._keeper.probe,
             lambda: self._sync.mark_draining(),
@@ -206,7 +207,7 @@
         self._handler = relay_handler.RelayHandler(
             self.tools,
             platform.caller_protocol,
-            platform.make_send(self._observe),
+            platform.make_send(self._on_hints),
             self._keeper,
             relay_admit.Trust(
                 gateway_config.settings_age_max_ms,
@@ -223,7 +224,7 @@
             self.handle_peer_request,
             scheduler.summarize_lost,
             self._quarantine_gossip.merge_gossip,
-            self._greet,
+            self._on_peer_started,
             summarize_draining=self._availability.summarize,
             merge_draining=self._availability.merge_gossip,
             summarize_rate_limits=self._rate_limiter.summarize,
@@ -252,70 +253,70 @@
                 self._peers.rpc.request_settings,
                 self._peers.rpc.request_targets,
             ),
-            withdrawn,
+            drain_state,
             self._drain_check.wake,
         )
 
-    def _observe(self, said: statements.Statement) -> None:
-        """Takes in what a target says of itself in an answer."""
-        self._availability.on_hints(said)
-        self._rate_limiter.observe(said)
+    def _on_hints(self, hints: statements.Statement) -> None:
+        """Applies the hints in a target's response."""
+        self._availability.on_hints(hints)
+        self._rate_limiter.observe(hints)
 
     def _check_admission(
-        self, asked: Sequence[targets.Target]
+        self, chosen: Sequence[targets.Target]
     ) -> outcomes.NotServed | None:
-        """Returns a refusal if a target or a helper takes no calls now."""
-        refusal = self._availability.check_admission(asked)
-        return refusal or self._rate_limiter.refuse_helpers(asked[1:])
+        """Returns a refusal if a target or helper accepts no requests now."""
+        refusal = self._availability.check_admission(chosen)
+        return refusal or self._rate_limiter.refuse_helpers(chosen[1:])
 
     def handle_peer_request(
-        self, question: peer_rpc.Request
+        self, request: peer_rpc.Request
     ) -> peer_rpc.Reply | None:
-        """Returns the answer to a peer's question, if there is one."""
-        match question:
+        """Returns the reply to a peer's request, if there is one."""
+        match request:
             case news.NewsWanted():
-                return self._sync.answer_changes_request(question)
+                return self._sync.answer_changes_request(request)
             case document_part.SettingsWanted():
                 return self._sync.settings.answer(
-                    question.question, question.revision, question.part
+                    request.question, request.revision, request.part
                 )
             case document_part.TargetsWanted():
                 position = store_position.StorePosition(
-                    question.epoch, question.revision
+                    request.epoch, request.revision
                 )
                 return self._sync.targets.answer(
-                    question.question, position, question.part
+                    request.question, position, request.part
                 )
             case retry_loan.RetriesWanted():
-                lent = self.tools.budget.lend(
-                    question.retries, question.is_great
+                transferred = self.tools.budget.lend(
+                    request.retries, request.is_great
                 )
-                return retry_loan.RetriesLent(question.question, lent)
+                return retry_loan.RetriesLent(request.question, transferred)
 
     def note_newer_settings(self, peer: str, revision: int) -> None:
-        """Takes in that a peer goes by later settings than this VM."""
+        """Records that a peer uses a later settings revision than this VM."""
         self._sync.note_newer_settings(peer, revision)
 
-    def _greet(self, peer: str) -> None:
-        """Tells a VM that has just started what it should know."""
+    def _on_peer_started(self, peer: str) -> None:
+        """Sends a VM that has just started what it should know."""
         self._quarantine_gossip.on_peer_started(peer)
         self._availability.on_peer_started(len(self._peers.loads))
 
     def _on_draining(self) -> None:
-        """Has a target that was found to leave marked, and peers told."""
+        """Marks draining targets in the view, and schedules gossip on them."""
         self._sync.mark_draining()
         self._drain_check.wake()
         self._peers.note_change()
 
     def _resize_retry_budget(self, peers: int) -> None:
-        """Sizes this VM's part of the fleet's second sends."""
+        """Sets the size of this VM's share of the fleet's retry budget."""
         self._vms_max = max(self._vms_max, peers + 1)
         slack = self._gateway_config.retry_slack
-        most = retries.find_saved_most(slack, self._vms_max)
-        self.tools.budget.resize(most)
+        budget_max = retries.find_saved_most(slack, self._vms_max)
+        self.tools.budget.resize(budget_max)
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serves until `stop` is set, then ends as planned."""
+        """Serves until `stop` is set, then makes a planned stop."""
         tasks = [
             asyncio.ensure_future(self.tools.scheduler.run()),
             asyncio.ensure_future(self._sync.run()),
@@ -362,30 +363,33 @@
     async def _serve_caller(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serves one connection, by the limits in force when it comes up."""
+        """Serves a connection, with the limits in force when it is opened."""
         handler = http_server.make_stream_handler(
             self._open_requests.guard(self._handler.handle),
-            self._find_limits(),
+            self._find_http_limits(),
             self._should_close,
             self._connections,
         )
         await handler(reader, writer)
 
-    def _find_limits(self) -> http_server.Limits:
-        own = self._config.limits
-        given = self.tools.view.catalog.limits
+    def _find_http_limits(self) -> http_server.Limits:
+        default = self._config.limits
+        published_limits = self.tools.view.catalog.limits
         return dataclasses.replace(
-            own,
-            header_bytes_max=given.header_bytes_max or own.header_bytes_max,
-            body_bytes_max=given.body_bytes_max or own.body_bytes_max,
-            idle_timeout_ms=given.idle_timeout_ms or own.idle_timeout_ms,
+            default,
+            header_bytes_max=published_limits.header_bytes_max
+            or default.header_bytes_max,
+            body_bytes_max=published_limits.body_bytes_max
+            or default.body_bytes_max,
+            idle_timeout_ms=published_limits.idle_timeout_ms
+            or default.idle_timeout_ms,
         )
 
     def _should_close(self) -> bool:
-        """Returns whether callers are to go to another VM."""
-        return self._is_stopping or not self._is_fresh()
+        """Returns whether callers should connect to another VM."""
+        return self._is_stopping or not self._has_fresh_settings()
 
-    def _is_fresh(self) -> bool:
+    def _has_fresh_settings(self) -> bool:
         view = self.tools.view
         if view.catalog.revision == 0:
             return False
@@ -393,14 +397,16 @@
         return age_ms <= self._gateway_config.ready_age_max_ms
 
     def _has_room(self) -> bool:
-        """Returns whether a new connection of a caller would be served."""
+        """Returns whether another connection of a caller would be served."""
         return len(self._connections) < self._config.limits.connections_max
 
     async def _answer_ready(
         self, incoming: message.IncomingRequest
     ) -> message.Response:
         is_ready = (
-            not self._is_stopping and self._is_fresh() and self._has_room()
+            not self._is_stopping
+            and self._has_fresh_settings()
+            and self._has_room()
         )
         return message.Response(_OK if is_ready else _UNAVAILABLE, {}, b"")
 
@@ -425,7 +431,7 @@
         self._log.info("Planned stop begins.", open=len(self._open_requests))
         began_ms = self._outside.now_ms()
         self._is_stopping = True
-        # Callers come for as long as the balancer has not noticed.
+        # Callers still connect until the load balancer has noticed.
         await asyncio.sleep(config.stop_lag_ms / 1000.0)
         callers.close()
         self._connections.close_idle()
--- a/src/ruddergate/entry/reservation_keeper.py
+++ b/src/ruddergate/entry/reservation_keeper.py
@@ -32,9 +32,9 @@
 # A live target answers within a few milliseconds.
 PROBE_TIMEOUT_MS = 150.0
 # The engine for which memory is held is probed as often as memory is renewed.
-# After this many missed probes in a row it is taken to be dead. With the timeout
-# of a probe that is at most 2.6 s after its end; 4 s are allowed until the memory
-# is free.
+# After this many missed probes in a row it is considered dead. With the timeout
+# of a probe that is at most 2.6 s after its end; 4 s are allowed to free the
+# memory.
 MAX_MISSED_PROBES = 2
 
 
--- a/src/ruddergate/entry/target_table.py
+++ b/src/ruddergate/entry/target_table.py
@@ -112,7 +112,7 @@
         ]
 
     def accepts_requests(self, each: estimates.Estimate, now_ms: float) -> bool:
-        """Returns whether a target accepts requests, even if its circuit is open.
+        """Returns whether a target accepts requests, even with an open circuit.
 
         A target whose backoff has ended is half-open: it gets one request of
         this VM as a probe. Otherwise all requests waiting for it would reach it
@@ -174,7 +174,7 @@
         return sum(shares)
 
     def is_usable(self, each: estimates.Estimate, now_ms: float) -> bool:
-        """Returns whether a target accepts requests and its circuit is closed."""
+        """Returns whether a target accepts requests and has no open circuit."""
         return each.is_usable(now_ms) and self.accepts_requests(each, now_ms)
 
     def count_usable(self, pool: str, now_ms: float) -> int:
