--- a/src/ruddergate/entry/drain_check.py
+++ b/src/ruddergate/entry/drain_check.py
@@ -87,18 +87,18 @@
             self._drain_state.doubts.put_off(
                 incarnation, self._outside.now_ms()
             )
-        told = await asyncio.gather(*map(self._probe_target, probed))
-        if any(told):
+        refuted = await asyncio.gather(*map(self._probe_target, probed))
+        if any(refuted):
             self._on_refuted()
 
     async def _probe_target(self, target: targets.Target) -> bool:
         """Probes a target; returns whether that refuted the suspicion."""
-        told = await self._probe(target)
-        is_same_incarnation = told.born_ms in (
+        result = await self._probe(target)
+        is_same_incarnation = result.born_ms in (
             lives.BORN_UNKNOWN,
             target.born_ms,
         )
-        if not told.is_staying or not is_same_incarnation:
+        if not result.is_staying or not is_same_incarnation:
             return False
         now_ms = self._outside.now_ms()
         if not self._drain_state.note_staying(target.life, now_ms):
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -148,7 +148,7 @@
             view,
             lambda: self._peers.note_change(),
             lambda: self._peers.collect_sums(),
-            lambda: self._peers.is_blind(),
+            lambda: self._peers.lacks_peers(),
             lambda: self._peers.loads.collect_lost(),
             withdrawn=drain_state,
             limits=self._rate_limiter.limits,
--- a/src/ruddergate/entry/peer_gossip.py
+++ b/src/ruddergate/entry/peer_gossip.py
@@ -182,7 +182,7 @@
             self._port.close()
             self._port = None
 
-    def is_blind(self) -> bool:
+    def lacks_peers(self) -> bool:
         """Returns whether seeds are configured but no peer is known yet."""
         return not len(self.loads) and any(
             str(seed) != self._own for seed in self._config.seeds
@@ -388,7 +388,7 @@
         self._send(evidence, receivers)
 
 
-def _answer_no_request(question: peer_rpc.Request) -> None:
+def _answer_no_request(request: peer_rpc.Request) -> None:
     """Handles requests where none are answered."""
     return
 
--- a/src/ruddergate/entry/quarantine.py
+++ b/src/ruddergate/entry/quarantine.py
@@ -43,9 +43,9 @@
     def on_target_ended(self, lost: lost_call.LostCall) -> None:
         """Records that a target ended while it served a request."""
         now_ms = self._outside.now_ms()
-        life = lost.target.life
+        incarnation = lost.target.life
         weight = suspicion.find_weight(lost.there_ms, lost.reading_ms)
-        if self._evidence.note_ended(lost.content, life, weight, now_ms):
+        if self._evidence.note_ended(lost.content, incarnation, weight, now_ms):
             self._announce(lost.content, lost.request_id)
 
     def on_request_finished(self, request: requests.Request) -> None:
@@ -92,10 +92,10 @@
 
     def merge_gossip(self, message: messages.Suspects) -> set[str]:
         """Merges a peer's evidence; returns the fingerprints that changed."""
-        fault = suspicion.find_fault(message.rows)
-        if fault:
+        problem = suspicion.find_fault(message.rows)
+        if problem:
             self._log.warning(
-                "Ignoring evidence of a peer: {}.", fault, peer=message.sender
+                "Ignoring evidence of a peer: {}.", problem, peer=message.sender
             )
             return set()
         now_ms = self._outside.now_ms()
--- a/src/ruddergate/entry/reservation_keeper.py
+++ b/src/ruddergate/entry/reservation_keeper.py
@@ -85,21 +85,21 @@
         return len(self._renewals)
 
     async def reserve(
-        self, wanted: Sequence[orders.Reservation], request_id: str
+        self, reservations: Sequence[orders.Reservation], request_id: str
     ) -> tuple[FailedReservation, ...]:
         """Reserves memory on all targets; returns the failed reservations.
 
         If one fails, all are released.
         """
         answers = await asyncio.gather(
-            *(self._orders.reserve(each, LEASE_MS) for each in wanted)
+            *(self._orders.reserve(each, LEASE_MS) for each in reservations)
         )
-        missing: list[FailedReservation] = []
-        for each, answer in zip(wanted, answers, strict=True):
+        failed: list[FailedReservation] = []
+        for each, answer in zip(reservations, answers, strict=True):
             if answer is orders.Answer.DONE:
                 self._start_renewal(each)
                 continue
-            missing.append(FailedReservation(each, answer))
+            failed.append(FailedReservation(each, answer))
             self._log.info(
                 "Could not reserve memory at {}: {}.",
                 each.target.target_id,
@@ -110,9 +110,9 @@
             if answer is orders.Answer.UNKNOWN:
                 # It may have been reserved nevertheless.
                 self._start_renewal(each)
-        if missing:
-            await self._release_and_wait(wanted)
-        return tuple(missing)
+        if failed:
+            await self._release_and_wait(reservations)
+        return tuple(failed)
 
     def release(self, held: Sequence[orders.Reservation]) -> None:
         """Starts releasing memory; does not wait for it."""
@@ -137,9 +137,9 @@
     async def probe_all(
         self, asked: Sequence[targets.Target]
     ) -> tuple[orders.Sign, ...]:
-        """Probes targets; returns what they signalled, in order."""
-        told = await asyncio.gather(*map(self.probe, asked))
-        return tuple(each.sign for each in told)
+        """Probes targets at once; returns their signs of life, in order."""
+        results = await asyncio.gather(*map(self.probe, asked))
+        return tuple(each.sign for each in results)
 
     async def probe(self, target: targets.Target) -> orders.Told:
         """Probes a target with a short timeout."""
@@ -161,8 +161,8 @@
             if self._is_rate_limited(target.target_id):
                 delay_ms = REPROBE_MS if missed else PROBE_RATE_LIMITED_MS
             await asyncio.sleep(delay_ms / 1000.0)
-            told = await self._orders.ask_sign(target)
-            missed = 0 if told.sign is orders.Sign.ALIVE else missed + 1
+            result = await self._orders.ask_sign(target)
+            missed = 0 if result.sign is orders.Sign.ALIVE else missed + 1
         self._log.warning("Target {} does not answer.", target.target_id)
 
     def _start_renewal(self, held: orders.Reservation) -> None:
--- a/src/ruddergate/entry/store_sync.py
+++ b/src/ruddergate/entry/store_sync.py
@@ -201,26 +201,26 @@
         if self._find_age_ms() > self._polling.full_read_age_ms:
             return True
         # Only another full read shows which stale entries were rewritten.
-        read_ms = self._outside.now_ms() - self._full_read_ms
+        since_read_ms = self._outside.now_ms() - self._full_read_ms
         return (
             self._targets.has_stale()
-            and read_ms > self._polling.stale_reread_ms
+            and since_read_ms > self._polling.stale_reread_ms
         )
 
     def _find_age_ms(self) -> float:
         return self._outside.now_ms() - self._current_as_of_ms
 
-    def _find_interval_ms(self, part: float) -> float:
+    def _find_interval_ms(self, share: float) -> float:
         """Returns the interval to the next poll.
 
         Args:
-            part: Share of the interval that applies in a hall with a reader.
+            share: Share of the interval that applies in a hall with a reader.
         """
         since_ms = self._outside.now_ms() - self._restored_ms
         if since_ms < self._polling.restored_phase_ms:
             return self._polling.restored_interval_ms
         if self._peers.is_shared():
-            return self._polling.interval_ms * part
+            return self._polling.interval_ms * share
         return self._polling.interval_ms
 
     async def _read_peers(self) -> bool:
@@ -228,18 +228,18 @@
         for peer in self._peers.choose():
             asked_ms = self._outside.now_ms()
             position = self._position
-            found = await self._peers.request_changes(peer, position)
-            if found is None or found.epoch < position.epoch:
+            reply = await self._peers.request_changes(peer, position)
+            if reply is None or reply.epoch < position.epoch:
                 # The peer is in an older epoch: the store was restored since,
                 # and may have lost what the peer knows.
                 continue
-            proven_ms = proof.find_proven_ms(asked_ms, found.age_ms)
+            proven_ms = proof.find_proven_ms(asked_ms, reply.age_ms)
             if proven_ms is None:
                 self._log.warning(
                     "Ignoring peer's changes: their age is invalid.", peer=peer
                 )
                 continue
-            if _is_behind(found, position):
+            if _is_behind(reply, position):
                 if self._is_fresh():
                     return True
                 if proven_ms > self._current_as_of_ms:
@@ -249,12 +249,12 @@
                     return False
                 continue
             changes = await self._peers.complete(
-                peer, found, self._view.catalog.revision
+                peer, reply, self._view.catalog.revision
             )
             if changes is None or self._lacks_incarnation(changes):
                 return False
-            is_since = found.is_whole and found.epoch == position.epoch
-            self._apply(changes, proven_ms, position if is_since else None)
+            is_delta = reply.is_whole and reply.epoch == position.epoch
+            self._apply(changes, proven_ms, position if is_delta else None)
             if self._is_fresh():
                 return True
         return False
@@ -410,12 +410,12 @@
     def _apply_targets(
         self,
         changes: published.Changes,
-        is_all: bool,
+        is_full: bool,
         asked_ms: float,
         grace: target_list.Grace,
     ) -> None:
         now_ms = self._outside.now_ms()
-        self._targets.apply_changes(changes, is_all, now_ms, grace)
+        self._targets.apply_changes(changes, is_full, now_ms, grace)
         self._start_grace_timer()
         self._publish_targets(asked_ms)
         self._on_listed()
@@ -454,8 +454,8 @@
 
 
 def _is_behind(
-    found: news.News, position: store_position.StorePosition
+    reply: news.News, position: store_position.StorePosition
 ) -> bool:
     """Returns whether a peer is at a lower revision of the same epoch."""
-    is_same = found.epoch == position.epoch
-    return is_same and found.position < position.revision
+    is_same = reply.epoch == position.epoch
+    return is_same and reply.position < position.revision
--- a/src/ruddergate/entry/target_list.py
+++ b/src/ruddergate/entry/target_list.py
@@ -62,7 +62,7 @@
         self._log = logs.make_logger("store")
 
     def list_targets(self) -> tuple[targets.Target, ...]:
-        """Returns the targets, with those that drain marked so."""
+        """Returns the targets, with draining ones marked."""
         return tuple(map(self._mark_draining, self._targets.values()))
 
     def list_published(self) -> tuple[targets.Target, ...]:
