--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -303,7 +303,7 @@
             self.assertLess(_find_age_ms(scene.cluster.vms[reader]), 2_500.0)
             scene.cluster.network.cuts.clear()
             await asyncio.sleep(3.0)
-            self.assertFalse(sync._reader._is_lost)
+            self.assertFalse(sync._reader._is_unavailable)
 
         self.play(scene)
 
