--- a/src/ruddergate/cli/gateway.py
+++ b/src/ruddergate/cli/gateway.py
@@ -12,8 +12,8 @@
 from ruddergate.cli import _private
 from ruddergate.entry import config as configs
 from ruddergate.entry import gateway as gateways
-from ruddergate.entry import peer_exchange
-from ruddergate.entry import source_pace
+from ruddergate.entry import peer_gossip
+from ruddergate.entry import poll_config
 from ruddergate.http import client
 from ruddergate.http import server
 from ruddergate.platform import callers
@@ -136,17 +136,17 @@
         certain_age_max_ms=key_age_max_ms,
         stop_lag_ms=_STOP_LAG_MS,
         stop_limit_ms=grace_s * 1_000.0 - _STOP_MARGIN_MS,
-        pace=make_pace(min(apply_ms, leave_ms), ready_age_max_ms),
-        retry_share=retry_ratio * _RETRY_PART,
+        polling=make_pace(min(apply_ms, leave_ms), ready_age_max_ms),
+        retry_ratio=retry_ratio * _RETRY_PART,
         retry_slack=retry_slack,
-        peers=peer_exchange.PeerConfig(
+        peers=peer_gossip.PeerConfig(
             environment.parse_address(peer_listen),
             _parse_seeds(seeds, environment.parse_address(peer_listen).port),
             round(link_mbps),
         ),
     )
     platform = gateways.Platform(
-        door=callers.make_door(),
+        caller_protocol=callers.make_door(),
         make_send=lambda hear: replicas.make_send(outside, hear),
         make_orders=lambda hear: orders.make_orders(
             outside, _ORDER_LIMITS, hear
@@ -171,7 +171,9 @@
     _private.run_program(run_gateway)
 
 
-def make_pace(bound_ms: float, ready_age_max_ms: float) -> source_pace.Pace:
+def make_pace(
+    bound_ms: float, ready_age_max_ms: float
+) -> poll_config.PollConfig:
     """Returns how often the store is asked.
 
     Args:
@@ -180,10 +182,10 @@
     """
     every_ms = min(bound_ms * _STORE_PART, ready_age_max_ms * _FRESH_PART)
     two_rounds_ms = 2.0 * every_ms
-    return source_pace.Pace(
-        every_ms=every_ms,
-        behind_ms=max(source_pace.BEHIND_LEAST_MS, two_rounds_ms),
-        outage_ms=max(source_pace.BEHIND_LEAST_MS, two_rounds_ms),
+    return poll_config.PollConfig(
+        interval_ms=every_ms,
+        full_read_age_ms=max(poll_config.MIN_FULL_READ_AGE_MS, two_rounds_ms),
+        outage_ms=max(poll_config.MIN_FULL_READ_AGE_MS, two_rounds_ms),
     )
 
 
--- /dev/null
+++ b/src/ruddergate/entry/crash_detector.py
@@ -0,0 +1,106 @@
+"""The tasks that find out whether targets crashed while serving requests.
+
+A broken connection shows little: responses get lost and connections are reset
+while their targets are alive. If nothing listens at the address any more, or a
+later incarnation does, the incarnation that had the request has ended.
+"""
+
+import asyncio
+from collections.abc import Awaitable
+from collections.abc import Callable
+import dataclasses
+
+from ruddergate.entry import lost_call
+from ruddergate.fleet import life as lives
+from ruddergate.fleet import target as targets
+from ruddergate.relay import orders
+from ruddergate.telemetry import logs
+from ruddergate.telemetry import metrics as metric_types
+
+# A target that did not respond is probed again after these delays: packets are
+# lost, and a slow VM reads responses late. A target behind a network partition
+# stays silent, and nothing is concluded.
+_REPROBE_PAUSES_MS = (300.0, 1_000.0)
+
+
+@dataclasses.dataclass(slots=True)
+class _Probe:
+    """A target being probed, and the requests it lost."""
+
+    task: asyncio.Task
+    lost: list[lost_call.LostCall]
+
+
+class CrashDetector:
+    """Probes each target once for all the requests that it lost together.
+
+    Args:
+        probe: Sends a health probe to a target.
+        on_crash: Called with each request during which a target ended.
+        on_target_ended: Called once with each target that has ended.
+        metrics: Metrics of the process.
+    """
+
+    def __init__(
+        self,
+        probe: Callable[[targets.Target], Awaitable[orders.Told]],
+        on_crash: Callable[[lost_call.LostCall], None],
+        on_target_ended: Callable[[targets.Target], None],
+        metrics: metric_types.EntryMetrics,
+    ) -> None:
+        self._probe = probe
+        self._on_crash = on_crash
+        self._on_target_ended = on_target_ended
+        self._metrics = metrics
+        self._probes: dict[lives.Life, _Probe] = {}
+        self._log = logs.make_logger("attempt")
+
+    def on_lost_call(self, lost: lost_call.LostCall) -> None:
+        """Starts to find out whether the target of a lost request has ended."""
+        incarnation = lost.target.life
+        probe = self._probes.get(incarnation)
+        if probe is not None:
+            probe.lost.append(lost)
+            return
+        task = asyncio.ensure_future(self._probe_target(lost.target))
+        self._probes[incarnation] = _Probe(task, [lost])
+
+    async def _probe_target(self, target: targets.Target) -> None:
+        result = await self._probe_repeatedly(target)
+        probe = self._probes.pop(target.life)
+        if not _has_ended(target.life, result):
+            return
+        self._metrics.targets_ended.inc({})
+        self._on_target_ended(target)
+        streams = max(each.streams for each in probe.lost)
+        streams = max(streams, float(len(probe.lost)))
+        for each in probe.lost:
+            self._log.warning(
+                "Target {} ended while serving a request.",
+                target.target_id,
+                request_id=each.request_id,
+                content=each.content,
+                born_ms=target.born_ms,
+                streams=streams,
+                there_ms=round(each.there_ms),
+                hall=target.hall,
+            )
+            self._on_crash(each)
+
+    async def _probe_repeatedly(self, target: targets.Target) -> orders.Told:
+        """Probes a few times at most, until the target responds."""
+        result = await self._probe(target)
+        for pause_ms in _REPROBE_PAUSES_MS:
+            if result.sign is not orders.Sign.SILENT:
+                break
+            await asyncio.sleep(pause_ms / 1000.0)
+            result = await self._probe(target)
+        return result
+
+
+def _has_ended(incarnation: lives.Life, result: orders.Told) -> bool:
+    """Returns whether an incarnation has certainly ended."""
+    if result.sign is orders.Sign.GONE:
+        return True
+    is_later = result.born_ms > incarnation.born_ms > lives.BORN_UNKNOWN
+    return result.sign is orders.Sign.ALIVE and is_later
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -1,8 +1,8 @@
-"""An entry that follows the platform's store itself and passes calls on.
+"""An entry that reads the platform's store itself and relays requests.
 
-It needs no agent: what one VM must know, the store publishes, and what all of
-them must keep together, each keeps by its own part. Peers tell each other their
-load, and every promise holds without them.
+It needs no agent: the store publishes what each VM must know, and each VM
+enforces its own share of fleet-wide limits. Peers gossip their load, but every
+guarantee holds without them.
 """
 
 import asyncio
@@ -17,24 +17,24 @@
 from ruddergate.decisions import withdrawals
 from ruddergate.entry import canceller as cancellers
 from ruddergate.entry import config as configs
-from ruddergate.entry import leaving_check
-from ruddergate.entry import life_watch
+from ruddergate.entry import crash_detector
+from ruddergate.entry import drain_check
 from ruddergate.entry import open_calls
-from ruddergate.entry import peer_exchange
-from ruddergate.entry import peer_questions
+from ruddergate.entry import peer_gossip
+from ruddergate.entry import peer_rpc
 from ruddergate.entry import placement
+from ruddergate.entry import poll_config
+from ruddergate.entry import quarantine_gossip
 from ruddergate.entry import rate_limiter
 from ruddergate.entry import relay_admit
 from ruddergate.entry import relay_handler
 from ruddergate.entry import reservation_keeper
-from ruddergate.entry import retry_loans
+from ruddergate.entry import retry_transfers
 from ruddergate.entry import scheduler as schedulers
-from ruddergate.entry import source_pace
-from ruddergate.entry import source_peers
-from ruddergate.entry import source_sync
 from ruddergate.entry import status
-from ruddergate.entry import suspect_exchange
-from ruddergate.entry import target_notices
+from ruddergate.entry import store_peers
+from ruddergate.entry import store_sync
+from ruddergate.entry import target_availability
 from ruddergate.entry import tools as tool_types
 from ruddergate.entry import view as views
 from ruddergate.fleet import store_position
@@ -63,19 +63,20 @@
     """Settings of a gateway besides those of any entry.
 
     Attributes:
-        ready_listen: Where the balancer asks whether this VM takes callers.
-        metrics_listen: Where metrics are served.
-        settings_age_max_ms: Oldest settings by which a key may be used; without
-            bound where a removed key may be used until a VM hears of it.
-        ready_age_max_ms: Oldest settings with which new callers are taken.
-        certain_age_max_ms: Oldest settings by which an unknown route or key is
-            certainly unknown.
-        stop_lag_ms: Time for the balancer to see that this VM stops.
-        stop_limit_ms: Time after which a planned stop ends with calls open.
-        pace: How often the store is asked.
-        retry_share: Second sends allowed for each first one.
-        retry_slack: Second sends that the fleet may make besides.
-        peers: Where peers are found.
+        ready_listen: Address of the load balancer's readiness check.
+        metrics_listen: Address at which metrics are served.
+        settings_age_max_ms: Maximum age of settings for accepting a key;
+            infinite if a removed key may be used until a VM learns of it.
+        ready_age_max_ms: Maximum age of settings for accepting new callers.
+        certain_age_max_ms: Maximum age of settings for rejecting a route or key
+            as unknown with certainty.
+        stop_lag_ms: Time for the load balancer to notice that this VM stops.
+        stop_limit_ms: Time after which a planned stop ends even if requests are
+            still open.
+        polling: How often the store is polled.
+        retry_ratio: Retries allowed per first attempt.
+        retry_slack: Retries that the fleet may make in addition.
+        peers: Addresses for communication with peers.
     """
 
     ready_listen: environment.Address
@@ -85,32 +86,32 @@
     certain_age_max_ms: float
     stop_lag_ms: float
     stop_limit_ms: float
-    pace: source_pace.Pace
-    retry_share: float
+    polling: poll_config.PollConfig
+    retry_ratio: float
     retry_slack: float
-    peers: peer_exchange.PeerConfig
+    peers: peer_gossip.PeerConfig
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Platform:
-    """What a platform's adapter provides.
+    """The functions that a platform's adapter provides.
 
     Attributes:
-        door: How callers are understood and answered.
-        make_send: Returns what sends a call to a target, given what is to
-            hear whatever targets say of themselves.
-        make_orders: Returns the orders that targets take, given the same.
-        source: Calls of the store.
+        caller_protocol: Parses requests of callers and writes responses.
+        make_send: Returns a function that sends a request to a target; given a
+            function that is called with each response's hints.
+        make_orders: Returns the orders to targets; given the same function.
+        source: Calls to the store.
     """
 
-    door: doors.Door
+    caller_protocol: doors.Door
     make_send: Callable[[statements.Hear], errands.Send]
     make_orders: Callable[[statements.Hear], orders.Orders]
     source: published.Source
 
 
 class Gateway:
-    """One gateway process; `run` returns when its planned stop is over."""
+    """A gateway process; `run` returns when its planned stop is complete."""
 
     def __init__(
         self,
@@ -126,9 +127,11 @@
         self._log = logs.make_logger("entry")
         self._is_stopping = False
         self._connections = http_server.Connections()
-        self._open = open_calls.OpenCalls(platform.door.write_failure)
+        self._open_requests = open_calls.OpenCalls(
+            platform.caller_protocol.write_failure
+        )
         view = views.View()
-        withdrawn = withdrawals.Withdrawals()
+        drain_state = withdrawals.Withdrawals()
         metrics = metric_types.EntryMetrics()
         self._rate_limiter = rate_limiter.RateLimiter(
             outside,
@@ -145,19 +148,19 @@
             view,
             lambda: self._peers.note_change(),
             lambda: self._peers.collect_sums(),
-            lambda: self._peers.is_blind(),
+            lambda: self._peers.lacks_peers(),
             lambda: self._peers.loads.collect_lost(),
-            withdrawn=withdrawn,
+            withdrawn=drain_state,
             limits=self._rate_limiter.limits,
         )
-        self._suspects = suspect_exchange.SuspectExchange(
+        self._quarantine_gossip = quarantine_gossip.QuarantineGossip(
             outside,
             gateway_config.peers.listen,
             lambda: self._peers.loads.names(),
-            lambda told, peers: self._peers.tell_suspects(told, peers),
+            lambda message, peers: self._peers.send_evidence(message, peers),
         )
-        self._notices = target_notices.TargetNotices(
-            outside, withdrawn, metrics, self._note_leaving
+        self._availability = target_availability.TargetAvailability(
+            outside, drain_state, metrics, self._on_draining
         )
         self.tools = tool_types.Tools(
             outside=outside,
@@ -167,157 +170,159 @@
             view=view,
             scheduler=scheduler,
             canceller=cancellers.Canceller(outside, view),
-            budget=retries.Budget(gateway_config.retry_share, 0.0, 0.0),
+            budget=retries.Budget(gateway_config.retry_ratio, 0.0, 0.0),
             metrics=metrics,
             tracer=tracer,
-            suspects=self._suspects.table,
-            secure_retry=lambda is_great: self._loans.secure(is_great),
-            note_lost=lambda lost: self._lives.post(lost),
-            refuse_send=self._refuse_send,
+            suspects=self._quarantine_gossip.table,
+            secure_retry=lambda is_large: self._retry_transfers.acquire(
+                is_large
+            ),
+            note_lost=lambda lost: self._crash_detector.on_lost_call(lost),
+            refuse_send=self._check_admission,
             admit=self._rate_limiter.admit,
             give_back=self._rate_limiter.give_back,
         )
-        self._orders = platform.make_orders(self._observe)
+        self._orders = platform.make_orders(self._on_hints)
         self._keeper = reservation_keeper.ReservationKeeper(
             outside,
             self._rate_limiter.charge_orders(self._orders),
-            view.is_over,
+            view.is_superseded,
             lambda target: scheduler.post(placement.LifeEnded(target)),
             self._rate_limiter.limits.is_limited,
         )
-        self._leaving_check = leaving_check.LeavingCheck(
+        self._drain_check = drain_check.DrainCheck(
             outside,
-            withdrawn,
+            drain_state,
             view,
-            self._keeper.ask_sign,
-            lambda: self._sync.mark_leaving(),
+            self._keeper.probe,
+            lambda: self._sync.mark_draining(),
             metrics,
         )
-        self._lives = life_watch.LifeWatch(
-            self._keeper.ask_sign,
-            self._suspects.table.note_ended,
+        self._crash_detector = crash_detector.CrashDetector(
+            self._keeper.probe,
+            self._quarantine_gossip.table.on_target_ended,
             lambda target: scheduler.post(placement.LifeEnded(target)),
             self.tools.metrics,
         )
         self._handler = relay_handler.RelayHandler(
             self.tools,
-            platform.door,
-            platform.make_send(self._observe),
+            platform.caller_protocol,
+            platform.make_send(self._on_hints),
             self._keeper,
             relay_admit.Trust(
                 gateway_config.settings_age_max_ms,
                 gateway_config.certain_age_max_ms,
             ),
         )
-        self._peers = peer_exchange.PeerExchange(
+        self._peers = peer_gossip.PeerGossip(
             outside,
             gateway_config.peers,
             config.hall,
             self.tools.incarnation,
             scheduler.summarize,
-            self._divide_retries,
-            self.answer_peer,
+            self._resize_retry_budget,
+            self.handle_peer_request,
             scheduler.summarize_lost,
-            self._suspects.take,
-            self._greet,
-            summarize_leaving=self._notices.summarize,
-            take_leaving=self._notices.take_told,
+            self._quarantine_gossip.merge_gossip,
+            self._on_peer_started,
+            summarize_draining=self._availability.summarize,
+            merge_draining=self._availability.merge_gossip,
             summarize_rate_limits=self._rate_limiter.summarize,
             merge_rate_limits=self._rate_limiter.merge,
             find_settings_revision=lambda: view.catalog.revision,
             note_newer_settings=self.note_newer_settings,
         )
-        self._loans = retry_loans.RetryLoans(
+        self._retry_transfers = retry_transfers.RetryTransfers(
             outside,
             self.tools.budget,
-            self._peers.questions,
+            self._peers.rpc,
             self._peers.find_hall_peers,
         )
-        self._vms_most = 1
-        self._divide_retries(0)
-        self._sync = source_sync.SourceSync(
+        self._vms_max = 1
+        self._resize_retry_budget(0)
+        self._sync = store_sync.StoreSync(
             outside,
             platform.source,
             view,
             scheduler,
-            gateway_config.pace,
-            source_peers.SourcePeers(
+            gateway_config.polling,
+            store_peers.StorePeers(
                 self._peers.rank_hall,
                 str(gateway_config.peers.listen),
-                self._peers.questions.ask_news,
-                self._peers.questions.ask_settings,
-                self._peers.questions.ask_targets,
+                self._peers.rpc.request_changes,
+                self._peers.rpc.request_settings,
+                self._peers.rpc.request_targets,
             ),
-            withdrawn,
-            self._leaving_check.look,
+            drain_state,
+            self._drain_check.wake,
         )
 
-    def _observe(self, said: statements.Statement) -> None:
-        """Takes in what a target says of itself in an answer."""
-        self._notices.hear(said)
-        self._rate_limiter.observe(said)
+    def _on_hints(self, hints: statements.Statement) -> None:
+        """Applies the hints in a target's response."""
+        self._availability.on_hints(hints)
+        self._rate_limiter.observe(hints)
 
-    def _refuse_send(
-        self, asked: Sequence[targets.Target]
+    def _check_admission(
+        self, chosen: Sequence[targets.Target]
     ) -> outcomes.NotServed | None:
-        """Returns a refusal if a target or a helper takes no calls now."""
-        refusal = self._notices.refuse_send(asked)
-        return refusal or self._rate_limiter.refuse_helpers(asked[1:])
-
-    def answer_peer(
-        self, question: peer_questions.Question
-    ) -> peer_questions.Answer | None:
-        """Returns the answer to a peer's question, if there is one."""
-        match question:
+        """Returns a refusal if a target or helper accepts no requests now."""
+        refusal = self._availability.check_admission(chosen)
+        return refusal or self._rate_limiter.refuse_helpers(chosen[1:])
+
+    def handle_peer_request(
+        self, request: peer_rpc.Request
+    ) -> peer_rpc.Reply | None:
+        """Returns the reply to a peer's request, if there is one."""
+        match request:
             case news.NewsWanted():
-                return self._sync.answer_news(question)
+                return self._sync.answer_changes_request(request)
             case document_part.SettingsWanted():
                 return self._sync.settings.answer(
-                    question.question, question.revision, question.part
+                    request.question, request.revision, request.part
                 )
             case document_part.TargetsWanted():
                 position = store_position.StorePosition(
-                    question.epoch, question.revision
+                    request.epoch, request.revision
                 )
                 return self._sync.targets.answer(
-                    question.question, position, question.part
+                    request.question, position, request.part
                 )
             case retry_loan.RetriesWanted():
-                lent = self.tools.budget.lend(
-                    question.retries, question.is_great
+                transferred = self.tools.budget.lend(
+                    request.retries, request.is_great
                 )
-                return retry_loan.RetriesLent(question.question, lent)
+                return retry_loan.RetriesLent(request.question, transferred)
 
     def note_newer_settings(self, peer: str, revision: int) -> None:
-        """Takes in that a peer goes by later settings than this VM."""
+        """Records that a peer uses a later settings revision than this VM."""
         self._sync.note_newer_settings(peer, revision)
 
-    def _greet(self, peer: str) -> None:
-        """Tells a VM that has just started what it should know."""
-        self._suspects.greet(peer)
-        self._notices.greet(len(self._peers.loads))
+    def _on_peer_started(self, peer: str) -> None:
+        """Sends a VM that has just started what it should know."""
+        self._quarantine_gossip.on_peer_started(peer)
+        self._availability.on_peer_started(len(self._peers.loads))
 
-    def _note_leaving(self) -> None:
-        """Has a target that was found to leave marked, and peers told."""
-        self._sync.mark_leaving()
-        self._leaving_check.look()
+    def _on_draining(self) -> None:
+        """Marks draining targets in the view, and schedules gossip on them."""
+        self._sync.mark_draining()
+        self._drain_check.wake()
         self._peers.note_change()
 
-    def _divide_retries(self, peers: int) -> None:
-        """Sizes this VM's part of the fleet's second sends."""
-        self._vms_most = max(self._vms_most, peers + 1)
+    def _resize_retry_budget(self, peers: int) -> None:
+        """Sets the size of this VM's share of the fleet's retry budget."""
+        self._vms_max = max(self._vms_max, peers + 1)
         slack = self._gateway_config.retry_slack
-        most = retries.find_saved_most(slack, self._vms_most)
-        self.tools.budget.resize(most)
+        budget_max = retries.find_saved_most(slack, self._vms_max)
+        self.tools.budget.resize(budget_max)
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serves until `stop` is set, then ends as planned."""
+        """Serves until `stop` is set, then makes a planned stop."""
         tasks = [
             asyncio.ensure_future(self.tools.scheduler.run()),
             asyncio.ensure_future(self._sync.run()),
             asyncio.ensure_future(self._peers.run()),
-            asyncio.ensure_future(self._suspects.run()),
-            asyncio.ensure_future(self._leaving_check.run()),
+            asyncio.ensure_future(self._quarantine_gossip.run()),
+            asyncio.ensure_future(self._drain_check.run()),
             asyncio.ensure_future(
                 self._rate_limiter.run(self._orders.ask_sign)
             ),
@@ -358,30 +363,33 @@
     async def _serve_caller(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serves one connection, by the limits in force when it comes up."""
+        """Serves a connection, with the limits in force when it is opened."""
         handler = http_server.make_stream_handler(
-            self._open.guard(self._handler.handle),
-            self._find_limits(),
-            self._must_close,
+            self._open_requests.guard(self._handler.handle),
+            self._find_http_limits(),
+            self._should_close,
             self._connections,
         )
         await handler(reader, writer)
 
-    def _find_limits(self) -> http_server.Limits:
-        own = self._config.limits
-        given = self.tools.view.catalog.limits
+    def _find_http_limits(self) -> http_server.Limits:
+        default = self._config.limits
+        published_limits = self.tools.view.catalog.limits
         return dataclasses.replace(
-            own,
-            header_bytes_max=given.header_bytes_max or own.header_bytes_max,
-            body_bytes_max=given.body_bytes_max or own.body_bytes_max,
-            idle_timeout_ms=given.idle_timeout_ms or own.idle_timeout_ms,
+            default,
+            header_bytes_max=published_limits.header_bytes_max
+            or default.header_bytes_max,
+            body_bytes_max=published_limits.body_bytes_max
+            or default.body_bytes_max,
+            idle_timeout_ms=published_limits.idle_timeout_ms
+            or default.idle_timeout_ms,
         )
 
-    def _must_close(self) -> bool:
-        """Returns whether callers are to go to another VM."""
-        return self._is_stopping or not self._is_fresh()
+    def _should_close(self) -> bool:
+        """Returns whether callers should connect to another VM."""
+        return self._is_stopping or not self._has_fresh_settings()
 
-    def _is_fresh(self) -> bool:
+    def _has_fresh_settings(self) -> bool:
         view = self.tools.view
         if view.catalog.revision == 0:
             return False
@@ -389,14 +397,16 @@
         return age_ms <= self._gateway_config.ready_age_max_ms
 
     def _has_room(self) -> bool:
-        """Returns whether a new connection of a caller would be served."""
+        """Returns whether another connection of a caller would be served."""
         return len(self._connections) < self._config.limits.connections_max
 
     async def _answer_ready(
         self, incoming: message.IncomingRequest
     ) -> message.Response:
         is_ready = (
-            not self._is_stopping and self._is_fresh() and self._has_room()
+            not self._is_stopping
+            and self._has_fresh_settings()
+            and self._has_room()
         )
         return message.Response(_OK if is_ready else _UNAVAILABLE, {}, b"")
 
@@ -412,16 +422,16 @@
         metrics.quarantined.set({}, len(quarantined))
         metrics.entries_refused.set({}, self._sync.count_refused())
         self._rate_limiter.set_gauges()
-        metrics.quiet_targets.set({}, self._notices.count_quiet())
+        metrics.quiet_targets.set({}, self._availability.count_backing_off())
         metrics.log_lines_left_out.set({}, logs.count_left_out())
         return metric_types.render(metrics.registry)
 
     async def _stop(self, callers: asyncio.Server) -> None:
         config = self._gateway_config
-        self._log.info("Planned stop begins.", open=len(self._open))
+        self._log.info("Planned stop begins.", open=len(self._open_requests))
         began_ms = self._outside.now_ms()
         self._is_stopping = True
-        # Callers come for as long as the balancer has not noticed.
+        # Callers still connect until the load balancer has noticed.
         await asyncio.sleep(config.stop_lag_ms / 1000.0)
         callers.close()
         self._connections.close_idle()
@@ -429,4 +439,4 @@
         while len(self._connections) and self._outside.now_ms() < until_ms:
             await asyncio.sleep(_POLL_MS / 1000.0)
             self._connections.close_idle()
-        self._log.info("Planned stop ends.", open=len(self._open))
+        self._log.info("Planned stop ends.", open=len(self._open_requests))
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -12,9 +12,9 @@
 from ruddergate.entry import first_event
 from ruddergate.entry import lost_call
 from ruddergate.entry import placement
+from ruddergate.entry import quarantine
 from ruddergate.entry import relay_progress
 from ruddergate.entry import reservation_keeper
-from ruddergate.entry import suspects
 from ruddergate.entry import tools as tool_types
 from ruddergate.relay import answer as answers
 from ruddergate.relay import errand as errands
@@ -108,7 +108,7 @@
             if refusal is not None:
                 yield refusal
                 return
-            missing = await self._keeper.take(
+            missing = await self._keeper.reserve(
                 tuple(reservations.values()), self._request.request_id
             )
             if missing:
@@ -125,12 +125,12 @@
                         if self._note(event):
                             yield event
         finally:
-            self._keeper.give_back(tuple(reservations.values()))
+            self._keeper.release(tuple(reservations.values()))
             self._post_ends()
 
     def _refuse_send(self) -> outcomes.NotServed | None:
         """Returns why the call may not be sent in this moment, if so."""
-        refusal = self._tools.suspects.refuse(self._request)
+        refusal = self._tools.suspects.check_admission(self._request)
         refusal = refusal or self._refuse_withdrawn()
         if refusal is not None:
             return refusal
@@ -152,7 +152,7 @@
         """
         if not self._progress.helpers_failed:
             return ()
-        return await self._keeper.ask_signs(
+        return await self._keeper.probe_all(
             [seat.target for seat in self._seats]
         )
 
@@ -204,7 +204,7 @@
 
     async def _wait_for_silence(self) -> outcomes.NotServed:
         """Returns how the attempt ends when the target is silent."""
-        await self._keeper.wait_for_silence(self._seats[0].target)
+        await self._keeper.wait_until_unresponsive(self._seats[0].target)
         return outcomes.NotServed(
             outcomes.Reason.TARGET_LOST,
             outcomes.Ran.UNKNOWN,
@@ -237,7 +237,7 @@
         )
 
     def _give_up_memory(
-        self, missing: tuple[reservation_keeper.Missing, ...]
+        self, missing: tuple[reservation_keeper.FailedReservation, ...]
     ) -> outcomes.NotServed:
         """Returns the outcome; a reservation runs nothing, whatever happens."""
         names = [each.reservation.target.target_id for each in missing]
@@ -299,7 +299,7 @@
         target = self._seats[0].target
         return lost_call.LostCall(
             self._request.request_id,
-            suspects.name_content(self._request),
+            quarantine.find_fingerprint(self._request),
             target,
             self._tools.outside.now_ms() - self._sent_ms,
             costs.predict_prefill_ms(
--- /dev/null
+++ b/src/ruddergate/entry/store_epochs.py
@@ -0,0 +1,36 @@
+"""Checks that an answer of the store belongs to the expected epoch."""
+
+import dataclasses
+
+from ruddergate.fleet import store_position
+from ruddergate.relay import published
+
+
+def check_epoch(
+    found: published.Changes,
+    since: store_position.StorePosition | None,
+    known_epoch: int,
+) -> published.Changes | published.HistoryLost | published.Unavailable:
+    """Returns an answer if it can be used, or what is wrong with it.
+
+    A store that was restored from a copy may since have passed the requested
+    position again, with a different history before that position.
+
+    Args:
+        found: The answer. Without an epoch it counts as of the known one.
+        since: The position after which it starts; None for a full read.
+        known_epoch: The last epoch that was read from the store itself.
+    """
+    position = found.position
+    if position.epoch == store_position.EPOCH_UNKNOWN:
+        position = dataclasses.replace(position, epoch=known_epoch)
+    if position.epoch < known_epoch:
+        return published.Unavailable(
+            f"the answer is of epoch {position.epoch},"
+            f" but epoch {known_epoch} has been read before"
+        )
+    if since is not None:
+        is_other_epoch = position.epoch != since.epoch
+        if is_other_epoch or position.revision < since.revision:
+            return published.HistoryLost(position.epoch)
+    return dataclasses.replace(found, position=position)
--- /dev/null
+++ b/src/ruddergate/entry/store_peers.py
@@ -0,0 +1,33 @@
+"""Functions that request from peers what they have read from the store."""
+
+from collections.abc import Awaitable
+from collections.abc import Callable
+from collections.abc import Sequence
+import dataclasses
+
+from ruddergate.entry import document_exchange
+from ruddergate.fleet import store_position
+from ruddergate.messages import news
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class StorePeers:
+    """Functions that make requests to peers.
+
+    Attributes:
+        rank_hall: Returns this hall's VMs, this one included, in the order in
+            which they become readers.
+        own: Name of this VM among them.
+        request_changes: Requests a peer's changes since a position; returns
+            None without a reply.
+        request_settings: Requests a part of a revision of the settings.
+        request_targets: Requests a part of a peer's targets at a position.
+    """
+
+    rank_hall: Callable[[], Sequence[str]]
+    own: str
+    request_changes: Callable[
+        [str, store_position.StorePosition], Awaitable[news.News | None]
+    ]
+    request_settings: document_exchange.RequestPart[int]
+    request_targets: document_exchange.RequestPart[store_position.StorePosition]
--- /dev/null
+++ b/src/ruddergate/entry/store_sync.py
@@ -0,0 +1,461 @@
+"""The task that keeps the view in sync with the platform's store.
+
+It is the only writer of the view's catalog and targets. Each successful call
+proves that the view was current when the call began; whether an API key may
+still be used depends on the age of that proof.
+
+In each hall one VM reads the store and the others ask it, see
+decisions/freshness.py. So the number of calls to the store does not grow with
+the fleet, and a VM that the store rejects relies on what its peers have read.
+"""
+
+import asyncio
+from collections.abc import Callable
+import dataclasses
+
+from ruddergate import environment
+from ruddergate.decisions import absence
+from ruddergate.decisions import change_log
+from ruddergate.decisions import proof
+from ruddergate.decisions import settings_claims
+from ruddergate.decisions import withdrawals
+from ruddergate.entry import peer_reader
+from ruddergate.entry import poll_config
+from ruddergate.entry import scheduler as schedulers
+from ruddergate.entry import store_peers
+from ruddergate.entry import store_reader
+from ruddergate.entry import target_list
+from ruddergate.entry import view as views
+from ruddergate.fleet import store_position
+from ruddergate.messages import document_part
+from ruddergate.messages import news
+from ruddergate.relay import published
+from ruddergate.settings import catalog as catalogs
+from ruddergate.telemetry import logs
+from ruddergate.wire import codec
+
+# What is left of a pause may round to zero, and the loop would not yield.
+_MIN_PAUSE_MS = 1.0
+# While the next call to the store is not due, peers that had no current answer
+# are asked again after this time.
+PEER_RETRY_MS = 300.0
+
+
+class StoreSync:
+    """Updates the view from the store, or from peers that have read it.
+
+    Args:
+        env: Clock and random numbers.
+        source: Calls to the store.
+        view: The view to update.
+        scheduler: Notified of each change.
+        polling: How often the store is polled.
+        peers: Requests to peers that may have read the store.
+        drain_state: Which incarnations of targets accept no requests.
+        on_listed: Called after the list of targets was updated.
+
+    Attributes:
+        settings: Serves the settings in force to peers.
+        targets: Serves all targets that the store lists to peers.
+    """
+
+    def __init__(
+        self,
+        outside: environment.Environment,
+        source: published.Source,
+        view: views.View,
+        scheduler: schedulers.Scheduler,
+        polling: poll_config.PollConfig,
+        peers: store_peers.StorePeers,
+        drain_state: withdrawals.Withdrawals,
+        on_listed: Callable[[], None] = lambda: None,
+    ) -> None:
+        self._peers = peer_reader.PeerReader(
+            outside,
+            peers,
+            source.read_settings,
+            self._find_settings,
+            self._find_targets,
+        )
+        self.settings = self._peers.settings
+        self.targets = self._peers.targets
+        self._reader = store_reader.StoreReader(
+            outside, source, view, polling, self._find_age_ms
+        )
+        self._on_listed = on_listed
+        self._outside = outside
+        self._view = view
+        self._scheduler = scheduler
+        self._polling = polling
+        self._position: store_position.StorePosition | None = None
+        self._settings_document = b""
+        # Whether the latest settings in the store could not be parsed.
+        self._is_unreadable = False
+        self._targets = target_list.TargetList(drain_state)
+        # The view is known to be current as of this time; at first the time
+        # at which this VM started.
+        self._current_as_of_ms = outside.now_ms()
+        # Targets whose entries expired in an outage are kept until this time.
+        self._removed_until_ms = float("-inf")
+        # Time of the last full read.
+        self._full_read_ms = float("-inf")
+        self._grace_timer: asyncio.TimerHandle | None = None
+        # When this VM noticed that the store had been restored from a copy.
+        self._restored_ms = float("-inf")
+        self._is_history_lost = False
+        self._changes = change_log.ChangeLog()
+        self._claims = settings_claims.SettingsClaims()
+        self._log = logs.make_logger("store")
+
+    async def run(self) -> None:
+        """Polls the store or peers until cancelled."""
+        while True:
+            began_ms = self._outside.now_ms()
+            pause_ms = await self._poll()
+            await self._fetch_claimed_settings()
+            pause_ms -= self._outside.now_ms() - began_ms
+            await asyncio.sleep(max(_MIN_PAUSE_MS, pause_ms) / 1000.0)
+
+    def count_refused(self) -> int:
+        """Returns how many entries did not describe a target, in total."""
+        return self._targets.refused
+
+    def note_newer_settings(self, peer: str, revision: int) -> None:
+        """Records that a peer uses a later settings revision than this VM."""
+        self._claims.note(peer, revision, self._outside.now_ms())
+
+    def answer_changes_request(
+        self, request: news.NewsWanted
+    ) -> news.News | None:
+        """Returns the changes that this VM knows, for a peer that follows."""
+        position = self._position
+        if position is None:
+            return None
+        if request.epoch > position.epoch:
+            self._is_history_lost = True
+        step = None
+        if request.epoch == position.epoch:
+            step = self._changes.find_since(request.position, position.revision)
+        reply = news.News(
+            request.question,
+            position.revision,
+            self._find_age_ms(),
+            False,
+            self._view.catalog.revision,
+            epoch=position.epoch,
+        )
+        if step is None:
+            return reply
+        return dataclasses.replace(
+            reply,
+            is_whole=True,
+            listed=step.listed,
+            gone=step.gone,
+            spoilt=step.spoilt,
+        )
+
+    def _find_settings(self, revision: int) -> bytes | None:
+        """Returns the settings document if that revision is in force."""
+        if revision != self._view.catalog.revision:
+            return None
+        return self._settings_document
+
+    def _find_targets(
+        self, position: store_position.StorePosition
+    ) -> bytes | None:
+        """Returns all targets if this VM is exactly at that position."""
+        if position != self._position or self._is_unreadable:
+            return None
+        listed = self._targets.list_published()
+        return codec.encode(document_part.TargetsDocument(listed))
+
+    async def _poll(self) -> float:
+        """Asks the store or peers; returns the interval to the next poll."""
+        is_reading = self._peers.is_reader() or self._position is None
+        if is_reading and self._reader.is_due() and await self._read_store():
+            return self._find_interval_ms(proof.READER_PART)
+        if self._position is not None and await self._read_peers():
+            return self._find_interval_ms(proof.FOLLOWER_PART)
+        if self._reader.is_due() and await self._read_store():
+            return self._find_interval_ms(proof.FOLLOWER_PART)
+        return min(PEER_RETRY_MS, self._reader.find_wait_ms())
+
+    async def _read_store(self) -> bool:
+        """Reads the store; returns whether it answered."""
+        is_urgent = self._peers.is_reader() and not self._is_fresh()
+        polling = self._polling
+        found = await self._reader.read(
+            None if self._needs_full_read() else self._position,
+            polling.retry_max_ms
+            if is_urgent
+            else polling.follower_retry_max_ms,
+        )
+        if found is None:
+            return False
+        self._apply(found.changes, found.asked_ms, found.since)
+        return True
+
+    def _needs_full_read(self) -> bool:
+        if self._is_history_lost:
+            return True
+        if self._find_age_ms() > self._polling.full_read_age_ms:
+            return True
+        # Only another full read shows which stale entries were rewritten.
+        since_read_ms = self._outside.now_ms() - self._full_read_ms
+        return (
+            self._targets.has_stale()
+            and since_read_ms > self._polling.stale_reread_ms
+        )
+
+    def _find_age_ms(self) -> float:
+        return self._outside.now_ms() - self._current_as_of_ms
+
+    def _find_interval_ms(self, share: float) -> float:
+        """Returns the interval to the next poll.
+
+        Args:
+            share: Share of the interval that applies in a hall with a reader.
+        """
+        since_ms = self._outside.now_ms() - self._restored_ms
+        if since_ms < self._polling.restored_phase_ms:
+            return self._polling.restored_interval_ms
+        if self._peers.is_shared():
+            return self._polling.interval_ms * share
+        return self._polling.interval_ms
+
+    async def _read_peers(self) -> bool:
+        """Returns whether a peer's reply made this VM's view fresh."""
+        for peer in self._peers.choose():
+            asked_ms = self._outside.now_ms()
+            position = self._position
+            reply = await self._peers.request_changes(peer, position)
+            if reply is None or reply.epoch < position.epoch:
+                # The peer is in an older epoch: the store was restored since,
+                # and may have lost what the peer knows.
+                continue
+            proven_ms = proof.find_proven_ms(asked_ms, reply.age_ms)
+            if proven_ms is None:
+                self._log.warning(
+                    "Ignoring peer's changes: their age is invalid.", peer=peer
+                )
+                continue
+            if _is_behind(reply, position):
+                if self._is_fresh():
+                    return True
+                if proven_ms > self._current_as_of_ms:
+                    # The peer read the store later than this VM and is at a
+                    # lower revision: a store without epochs may have been
+                    # restored, so only the store itself can tell.
+                    return False
+                continue
+            changes = await self._peers.complete(
+                peer, reply, self._view.catalog.revision
+            )
+            if changes is None or self._lacks_incarnation(changes):
+                return False
+            is_delta = reply.is_whole and reply.epoch == position.epoch
+            self._apply(changes, proven_ms, position if is_delta else None)
+            if self._is_fresh():
+                return True
+        return False
+
+    def _lacks_incarnation(self, changes: published.Changes) -> bool:
+        return any(map(self._targets.lacks_incarnation, changes.targets))
+
+    def _is_fresh(self) -> bool:
+        return proof.is_fresh(self._find_age_ms(), self._polling.interval_ms)
+
+    async def _fetch_claimed_settings(self) -> None:
+        """Fetches settings that a peer uses and the store has lost."""
+        own = self._view.catalog.revision
+        claim = self._claims.find_unmet(own, self._current_as_of_ms)
+        if claim is None:
+            return
+        fetched = await self._peers.fetch_settings(claim.peer, claim.revision)
+        if fetched is None or fetched[0].revision < claim.revision:
+            self._log.warning(
+                "Could not fetch settings from peer.",
+                peer=claim.peer,
+                revision=claim.revision,
+            )
+            self._claims.reject(claim.peer, self._outside.now_ms())
+            return
+        self._log.info("Using settings of a peer, as the store has lost them.")
+        self._adopt_catalog(*fetched)
+        self._confirm_settings(self._current_as_of_ms)
+        self._scheduler.post(schedulers.ViewChanged())
+
+    def _apply(
+        self,
+        changes: published.Changes,
+        asked_ms: float,
+        since: store_position.StorePosition | None,
+    ) -> None:
+        """Applies changes from the store or a peer.
+
+        Args:
+            changes: The changes.
+            asked_ms: The changes are known to be current as of this time.
+            since: The position after which they start; None for a full read.
+        """
+        # No VM can show that its data is current while the store is down, but
+        # peers keep answering. So an outage is a gap in the times as of which
+        # the view is known to be current. A restore counts as an outage, too:
+        # entries may be missing until they are written again.
+        now_ms = self._outside.now_ms()
+        is_restored = self._is_restored(changes.position)
+        if (
+            is_restored
+            or asked_ms - self._current_as_of_ms > self._polling.outage_ms
+        ):
+            away_ms = max(self._current_as_of_ms, self._reader.failed_ms)
+            self._removed_until_ms = absence.find_end_ms(
+                now_ms, away_ms, is_restored
+            )
+        if is_restored:
+            self._targets.note_restored()
+            self._restored_ms = now_ms
+        grace = target_list.Grace(
+            self._removed_until_ms,
+            now_ms + self._polling.malformed_grace_ms,
+        )
+        self._current_as_of_ms = max(self._current_as_of_ms, asked_ms)
+        for problem in changes.problems:
+            self._log.warning("Rejected published item. {}", problem)
+        if since is None:
+            self._is_history_lost = False
+            self._full_read_ms = now_ms
+        self._apply_catalog(changes, asked_ms)
+        self._record_changes(changes, since)
+        self._set_position(changes.position)
+        self._apply_targets(changes, since is None, asked_ms, grace)
+
+    def _is_restored(self, position: store_position.StorePosition) -> bool:
+        """Returns whether a position shows that the store was restored."""
+        known = self._position
+        if known is None:
+            return False
+        return position.epoch > known.epoch or position < known
+
+    def _set_position(self, position: store_position.StorePosition) -> None:
+        """Sets the position in the store that this VM has reached."""
+        if self._is_restored(position):
+            self._log.warning(
+                "Store was restored from a copy.",
+                store_epoch=position.epoch,
+                store_revision=position.revision,
+                **self._view.store_position.describe(),
+            )
+        self._position = position
+        self._view.store_position = position
+
+    def _record_changes(
+        self,
+        changes: published.Changes,
+        since: store_position.StorePosition | None,
+    ) -> None:
+        """Records the changes for peers that request them."""
+        if since is None:
+            self._changes.restart()
+            return
+        self._changes.note(
+            change_log.Step(
+                since.revision,
+                changes.position.revision,
+                bool(changes.problems),
+                changes.targets,
+                changes.gone,
+                tuple(each.target_id for each in changes.spoilt),
+            )
+        )
+
+    def _apply_catalog(
+        self, changes: published.Changes, asked_ms: float
+    ) -> None:
+        if changes.problems or changes.catalog is not None:
+            self._is_unreadable = bool(changes.problems)
+        if changes.catalog is not None:
+            self._adopt_catalog(changes.catalog, changes.document)
+        if not changes.problems:
+            self._confirm_settings(asked_ms)
+
+    def _adopt_catalog(
+        self, catalog: catalogs.Catalog, document: bytes
+    ) -> None:
+        """Applies settings unless later ones are in force."""
+        if not self._view.apply_catalog(catalog):
+            return
+        self._settings_document = document
+        self._log.info(
+            "Settings {} in force.",
+            catalog.revision,
+            routes=len(catalog),
+            workspaces=len(catalog.workspaces),
+            **self._view.store_position.describe(),
+        )
+
+    def _confirm_settings(self, asked_ms: float) -> None:
+        """Records that the settings are current, if a read can show it.
+
+        Not while a peer has later ones, or a restored store may lack some.
+        """
+        own = self._view.catalog.revision
+        is_known = self._claims.find_unmet(own, asked_ms) is None
+        if (
+            is_known
+            and asked_ms >= self._restored_ms + self._polling.rewrite_ms
+        ):
+            self._view.confirm_settings(asked_ms)
+
+    def _apply_targets(
+        self,
+        changes: published.Changes,
+        is_full: bool,
+        asked_ms: float,
+        grace: target_list.Grace,
+    ) -> None:
+        now_ms = self._outside.now_ms()
+        self._targets.apply_changes(changes, is_full, now_ms, grace)
+        self._start_grace_timer()
+        self._publish_targets(asked_ms)
+        self._on_listed()
+
+    def mark_draining(self) -> None:
+        """Updates the view after targets were found to drain elsewhere."""
+        self._publish_targets(self._current_as_of_ms)
+
+    def _start_grace_timer(self) -> None:
+        if self._grace_timer is not None:
+            self._grace_timer.cancel()
+            self._grace_timer = None
+        until_ms = self._targets.find_grace_end_ms()
+        if until_ms is None:
+            return
+        grace_ms = until_ms - self._outside.now_ms()
+        grace_ms = max(_MIN_PAUSE_MS, grace_ms)
+        self._grace_timer = asyncio.get_running_loop().call_later(
+            grace_ms / 1000.0, self._end_grace
+        )
+
+    def _end_grace(self) -> None:
+        """Drops targets that were not listed again in time.
+
+        This does not wait for the store's next answer, which may be a whole
+        poll away: a removed target must get no requests longer than necessary.
+        """
+        self._targets.drop_expired(self._outside.now_ms())
+        self._start_grace_timer()
+        self._publish_targets(self._current_as_of_ms)
+
+    def _publish_targets(self, asked_ms: float) -> None:
+        """Hands the current list to the view and the scheduler."""
+        self._view.apply_targets(self._targets.list_targets(), asked_ms)
+        self._scheduler.post(schedulers.ViewChanged())
+
+
+def _is_behind(
+    reply: news.News, position: store_position.StorePosition
+) -> bool:
+    """Returns whether a peer is at a lower revision of the same epoch."""
+    is_same = reply.epoch == position.epoch
+    return is_same and reply.position < position.revision
--- /dev/null
+++ b/src/ruddergate/entry/target_availability.py
@@ -0,0 +1,203 @@
+"""Applies response hints of targets, and checks admission before each send.
+
+One object per process receives the hints of all responses, before the rest of
+the response is processed. It is asked in the step that sends a request, for
+requests of every kind.
+"""
+
+from collections.abc import Callable
+from collections.abc import Iterable
+import itertools
+
+from ruddergate import environment
+from ruddergate import outcomes
+from ruddergate.decisions import doubts
+from ruddergate.decisions import peer_groups
+from ruddergate.decisions import withdrawals
+from ruddergate.fleet import life as lives
+from ruddergate.fleet import target as targets
+from ruddergate.relay import statement as statements
+from ruddergate.telemetry import logs
+from ruddergate.telemetry import metrics as metric_types
+from ruddergate.telemetry import told_once
+
+# Jitter added to a backoff: up to this share of it, and at most this time. VMs
+# that got the same backoff at once must not all return together.
+_BACKOFF_JITTER_SHARE = 0.25
+_MAX_BACKOFF_JITTER_MS = 500.0
+# Jitter before a target that peers report as draining is probed, so that it is
+# not probed by the whole fleet at once.
+_CONFIRM_JITTER_MS = 1_500.0
+# VMs of a large fleet that pass on hints to a VM that has just started. In a
+# small fleet all do, as only one of them may have received a hint.
+_GREETING_VMS = 6
+# Longest name of an incarnation that a peer may send: a key of the store has at
+# most 200 bytes.
+_MAX_INCARNATION_LENGTH = 220
+# Retry delay sent to the caller: another target can take the request at once.
+_DRAINING_RETRY_MS = 200.0
+
+
+class TargetAvailability:
+    """Keeps requests off targets that drain or back off; one per process.
+
+    Args:
+        env: Clock and random numbers.
+        drain_state: Which incarnations of targets accept no requests.
+        metrics: Metrics of the process.
+        on_draining: Called when a target was newly found to be draining, or is
+            newly suspected of it.
+    """
+
+    def __init__(
+        self,
+        outside: environment.Environment,
+        drain_state: withdrawals.Withdrawals,
+        metrics: metric_types.EntryMetrics,
+        on_draining: Callable[[], None] = lambda: None,
+    ) -> None:
+        self._outside = outside
+        self._drain_state = drain_state
+        self._metrics = metrics
+        self._on_draining = on_draining
+        self._logged = told_once.ToldOnce()
+        self._log = logs.make_logger("target")
+
+    def on_hints(self, hints: statements.Statement) -> None:
+        """Applies the hints in a target's response."""
+        if hints.is_leaving:
+            self._apply_draining(hints)
+        if hints.quiet_ms is not None:
+            self._apply_backoff(hints, hints.quiet_ms)
+        for detail in hints.unread:
+            self._report_unreadable(hints, detail)
+
+    def merge_gossip(self, names: Iterable[str], peer: str) -> None:
+        """Merges the draining targets that a peer learned of from responses.
+
+        Targets that are not listed are ignored for now; peers repeat them.
+        """
+        is_new = False
+        now_ms = self._outside.now_ms()
+        for name in itertools.islice(names, withdrawals.TOLD_MOST):
+            if len(name) > _MAX_INCARNATION_LENGTH:
+                self._log.warning(
+                    "Ignoring draining target: its name is too long.", peer=peer
+                )
+                continue
+            incarnation = lives.parse_life(name)
+            jitter_ms = self._outside.random.uniform(0.0, _CONFIRM_JITTER_MS)
+            due_ms = now_ms + doubts.CONFIRM_MS + jitter_ms
+            if self._drain_state.note_told(incarnation, peer, now_ms, due_ms):
+                is_new = True
+                self._metrics.leavings_heard.inc({"from": "peer"})
+                self._log.info(
+                    "Target {} is draining, according to a peer.",
+                    incarnation.target_id,
+                    born_ms=incarnation.born_ms,
+                    peer=peer,
+                )
+        if is_new:
+            self._on_draining()
+
+    def check_admission(
+        self, chosen: Iterable[targets.Target]
+    ) -> outcomes.NotServed | None:
+        """Returns a refusal if one of these targets accepts no requests now.
+
+        The result is valid at this moment only: a hint may have arrived while
+        the request waited for a placement, for memory or for a connection.
+        """
+        now_ms = self._outside.now_ms()
+        for number, target in enumerate(chosen):
+            if self._drain_state.takes_calls(target.life, now_ms):
+                continue
+            is_leaving = self._drain_state.has_left(target.life)
+            self._metrics.sends_withheld.inc(
+                {
+                    "reason": "leaving" if is_leaving else "quiet",
+                    "part": "helper" if number else "writer",
+                }
+            )
+            if is_leaving:
+                return outcomes.refuse(
+                    outcomes.Reason.TARGET_LEAVING,
+                    f"target {target.target_id} is draining",
+                    _DRAINING_RETRY_MS,
+                )
+            until_ms = self._drain_state.find_until_ms(target.life, now_ms)
+            return outcomes.refuse(
+                outcomes.Reason.TARGET_QUIET,
+                f"target {target.target_id} has asked for a backoff",
+                until_ms - now_ms,
+            )
+        return None
+
+    def summarize(self) -> tuple[str, ...]:
+        """Returns the draining targets to send to peers now."""
+        return self._drain_state.summarize(self._outside.now_ms())
+
+    def on_peer_started(self, peers: int) -> None:
+        """Schedules gossip for a VM that has just started.
+
+        Args:
+            peers: How many peers this VM knows.
+        """
+        is_large = peers > peer_groups.DIRECT_MOST
+        probability = _GREETING_VMS / peers if is_large else 1.0
+        if probability < 1.0 and self._outside.random.random() >= probability:
+            return
+        if self._drain_state.tell_again(self._outside.now_ms()):
+            self._on_draining()
+
+    def count_backing_off(self) -> int:
+        """Returns how many targets have asked this VM to back off now."""
+        return self._drain_state.count_quiet(self._outside.now_ms())
+
+    def _apply_draining(self, hints: statements.Statement) -> None:
+        now_ms = self._outside.now_ms()
+        is_new = self._drain_state.note_answered(
+            hints.life, now_ms, hints.is_dated
+        )
+        if not is_new:
+            return
+        self._metrics.leavings_heard.inc({"from": "answer"})
+        self._log.info(
+            "Target {} reports that it is draining.",
+            hints.life.target_id,
+            request_id=hints.request_id,
+            born_ms=hints.life.born_ms,
+        )
+        self._on_draining()
+
+    def _apply_backoff(
+        self, hints: statements.Statement, quiet_ms: float
+    ) -> None:
+        jitter_ms = min(
+            _MAX_BACKOFF_JITTER_MS, _BACKOFF_JITTER_SHARE * quiet_ms
+        )
+        jitter_ms = self._outside.random.uniform(0.0, jitter_ms)
+        until_ms = self._outside.now_ms() + quiet_ms + jitter_ms
+        received_wall_ms = None if hints.is_dated else self._outside.wall_ms()
+        if self._drain_state.note_quiet(hints.life, until_ms, received_wall_ms):
+            self._log.info(
+                "Target {} asks for a backoff of {:.0f} ms.",
+                hints.life.target_id,
+                quiet_ms,
+                request_id=hints.request_id,
+                born_ms=hints.life.born_ms,
+            )
+
+    def _report_unreadable(
+        self, hints: statements.Statement, detail: str
+    ) -> None:
+        self._metrics.statements_unread.inc({})
+        name = lives.format_life(hints.life)
+        if self._logged.is_new(name, detail):
+            self._log.warning(
+                "Target {} sent an unreadable hint: {}.",
+                hints.life.target_id,
+                detail,
+                request_id=hints.request_id,
+                born_ms=hints.life.born_ms,
+            )
--- a/standins/gateway_cluster.py
+++ b/standins/gateway_cluster.py
@@ -7,8 +7,8 @@
 from ruddergate import environment
 from ruddergate.entry import config as configs
 from ruddergate.entry import gateway as gateways
-from ruddergate.entry import peer_exchange
-from ruddergate.entry import source_pace
+from ruddergate.entry import peer_gossip
+from ruddergate.entry import poll_config
 from ruddergate.http import client
 from ruddergate.http import server
 from ruddergate.platform import callers
@@ -74,7 +74,7 @@
     aim_scale: float = 1.0
     keeps_names: bool = False
     epoch: str = "1"
-    pace: source_pace.Pace = source_pace.Pace()
+    pace: poll_config.PollConfig = poll_config.PollConfig()
 
 
 _LAYOUT = Layout()
@@ -231,10 +231,10 @@
             certain_age_max_ms=key_age_max_ms,
             stop_lag_ms=2_600.0,
             stop_limit_ms=7_600.0,
-            pace=self.layout.pace,
-            retry_share=0.15,
+            polling=self.layout.pace,
+            retry_ratio=0.15,
             retry_slack=RETRY_SLACK,
-            peers=peer_exchange.PeerConfig(
+            peers=peer_gossip.PeerConfig(
                 environment.Address(node.name, PEER_PORT), seeds
             ),
         )
@@ -367,7 +367,7 @@
 
 def _make_platform(outside: environment.Environment) -> gateways.Platform:
     return gateways.Platform(
-        door=callers.make_door(),
+        caller_protocol=callers.make_door(),
         make_send=lambda hear: replicas.make_send(outside, hear),
         make_orders=lambda hear: orders.make_orders(
             outside, _ORDER_LIMITS, hear
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -16,7 +16,7 @@
 
 import loguru
 
-from ruddergate.entry import epochs
+from ruddergate.entry import store_epochs
 from ruddergate.fleet import condition
 from ruddergate.fleet import store_position
 from ruddergate.messages import news
@@ -230,9 +230,12 @@
 def _make_liar(node: gateway_cluster.Node) -> None:
     """Has a VM tell its peers of an epoch that the store has not named."""
     sync = node.gateway._sync
-    answer_news, find_targets = sync.answer_news, sync._find_targets
-    sync.answer_news = lambda wanted: dataclasses.replace(
-        answer_news(wanted), epoch=10**9, is_whole=False
+    answer_changes_request, find_targets = (
+        sync.answer_changes_request,
+        sync._find_targets,
+    )
+    sync.answer_changes_request = lambda wanted: dataclasses.replace(
+        answer_changes_request(wanted), epoch=10**9, is_whole=False
     )
     sync.targets._find = lambda position: find_targets(
         dataclasses.replace(position, epoch=1)
@@ -256,7 +259,7 @@
             question = news.NewsWanted(
                 "vm-1:83", "q", position.revision + ahead, epoch
             )
-            told.append(gateway.answer_peer(question))
+            told.append(gateway.handle_peer_request(question))
 
         gateway_scene.play(scene, vms=1, halls=1)
         return told[0]
@@ -272,7 +275,9 @@
     def test_peer_that_makes_up_an_epoch_costs_a_read(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             gateway = scene.cluster.vms["vm-0"].gateway
-            gateway.answer_peer(news.NewsWanted("vm-1:83", "q", 5, 10**9))
+            gateway.handle_peer_request(
+                news.NewsWanted("vm-1:83", "q", 5, 10**9)
+            )
             await asyncio.sleep(_APPLY_S)
             self.assertEqual(gateway.tools.view.store_position.epoch, 1)
             before = scene.cluster.store.calls
@@ -291,7 +296,7 @@
         position = store_position.StorePosition(epoch, revision)
         found = published.Changes(position, None, (), (), ())
         asked = since and store_position.StorePosition(*since)
-        return epochs.check(found, asked, 3)
+        return store_epochs.check_epoch(found, asked, 3)
 
     def test_later_answer_is_gone_by(self) -> None:
         found = self._check(3, 8, (3, 7))
