--- a/src/ruddergate/decisions/doubts.py
+++ b/src/ruddergate/decisions/drain_suspects.py
@@ -13,16 +13,16 @@
 
 # A life in doubt by a peer's word is not asked sooner. In most cases the list
 # tells meanwhile, and a target that leaves is not asked by a whole fleet.
-CONFIRM_MS = 1_500.0
+CONFIRM_DELAY_MS = 1_500.0
 # One that gave no answer is asked again after this time, and after twice as
 # long each time, up to the most.
-AGAIN_MS = 1_000.0
-AGAIN_MOST_MS = 8_000.0
+PROBE_RETRY_MS = 1_000.0
+MAX_PROBE_RETRY_MS = 8_000.0
 # A peer's word that its target has not confirmed is not taken of that peer
 # again for so long: one that is wrong may be told over and over.
-DENIED_MS = 60_000.0
+REFUTED_MS = 60_000.0
 # Words that are remembered to have been wrong; the oldest are forgotten first.
-DENIED_MOST = 1_024
+MAX_REFUTED = 1_024
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
     peer: str
 
 
-class Doubts:
+class DrainSuspects:
     """Lives in doubt; owned by what knows which lives have left."""
 
     def __init__(self) -> None:
@@ -67,10 +67,10 @@
         """
         if life in self._doubts:
             return False
-        self._doubts[life] = _Doubt(due_ms, AGAIN_MS, peer)
+        self._doubts[life] = _Doubt(due_ms, PROBE_RETRY_MS, peer)
         return True
 
-    def is_denied(self, life: lives.Life, peer: str, now_ms: float) -> bool:
+    def is_refuted(self, life: lives.Life, peer: str, now_ms: float) -> bool:
         """Returns whether a peer's word on a life was wrong a while ago."""
         return self._denied_ms.get((life, peer), now_ms) > now_ms
 
@@ -82,12 +82,12 @@
             if doubt.due_ms <= now_ms
         ]
 
-    def find_next_ms(self) -> float:
+    def find_next_due_ms(self) -> float:
         """Returns when the next life is to be asked; infinity for never."""
         due_ms = (doubt.due_ms for doubt in self._doubts.values())
         return min(due_ms, default=float("inf"))
 
-    def put_off(self, life: lives.Life, now_ms: float) -> None:
+    def postpone(self, life: lives.Life, now_ms: float) -> None:
         """Has a life that gave no answer asked again later."""
         doubt = self._doubts.get(life)
         if doubt is None:
@@ -95,14 +95,14 @@
         self._doubts[life] = dataclasses.replace(
             doubt,
             due_ms=now_ms + doubt.pause_ms,
-            pause_ms=min(AGAIN_MOST_MS, 2.0 * doubt.pause_ms),
+            pause_ms=min(MAX_PROBE_RETRY_MS, 2.0 * doubt.pause_ms),
         )
 
-    def settle(self, life: lives.Life) -> bool:
+    def discard(self, life: lives.Life) -> bool:
         """Ends the doubt; returns whether there was one."""
         return self._doubts.pop(life, None) is not None
 
-    def deny(self, life: lives.Life, now_ms: float) -> bool:
+    def refute(self, life: lives.Life, now_ms: float) -> bool:
         """Ends the doubt, as the life does not leave.
 
         Returns:
@@ -112,8 +112,8 @@
         if doubt is None:
             return False
         if doubt.peer:
-            self._denied_ms[life, doubt.peer] = now_ms + DENIED_MS
-        if len(self._denied_ms) > DENIED_MOST:
+            self._denied_ms[life, doubt.peer] = now_ms + REFUTED_MS
+        if len(self._denied_ms) > MAX_REFUTED:
             del self._denied_ms[next(iter(self._denied_ms))]
         return True
 
--- a/src/ruddergate/decisions/withdrawals.py
+++ b/src/ruddergate/decisions/draining.py
@@ -12,19 +12,19 @@
 from collections.abc import Collection
 import dataclasses
 
-from ruddergate.decisions import doubts
+from ruddergate.decisions import drain_suspects
 from ruddergate.fleet import life as lives
 
 # Lives that are remembered to have left, the oldest are forgotten first: before
 # 12,000 replicas each of them, and all of them again after a release.
-LEFT_MOST = 24_000
+MAX_DRAINING = 24_000
 # Lives that are remembered to want no calls; a VM has calls on fewer targets.
-QUIET_MOST = 4_096
+MAX_BACKOFFS = 4_096
 # A leaving that was heard in an answer is told to peers for so long: a hall
 # that was cut off for 5 s still hears of it twice.
-TOLD_MS = 10_000.0
+ANNOUNCE_DURATION_MS = 10_000.0
 # Leavings told at once, the latest; a word takes about 30 bytes.
-TOLD_MOST = 16
+MAX_ANNOUNCED = 16
 
 _NEVER_MS = float("inf")
 
@@ -39,17 +39,17 @@
     """
 
     until_ms: float
-    said_wall_ms: float
+    hinted_wall_ms: float
 
 
-class Withdrawals:
+class DrainState:
     """What this VM knows of targets that take no calls; owned by one process.
 
     It is asked where targets are chosen and again in the step that sends.
     """
 
     def __init__(self) -> None:
-        self.doubts = doubts.Doubts()
+        self.suspects = drain_suspects.DrainSuspects()
         self._left: dict[lives.Life, None] = {}
         # When leavings were heard that peers are to be told.
         self._heard_ms: dict[lives.Life, float] = {}
@@ -76,16 +76,16 @@
         """Notes that a target is off the list."""
         life = self._listed.pop(target_id, None)
         self._answered.pop(life, None)
-        self.doubts.forget_unlisted(self._listed.values())
+        self.suspects.forget_unlisted(self._listed.values())
 
-    def note_published(self, life: lives.Life) -> None:
+    def note_published_drain(self, life: lives.Life) -> None:
         """Notes that the list says that a target leaves; peers read it, too."""
         self._note_left(life)
         self._heard_ms.pop(life, None)
         self._answered.pop(life, None)
 
-    def note_answered(
-        self, life: lives.Life, now_ms: float, is_dated: bool = True
+    def note_drain_hint(
+        self, life: lives.Life, now_ms: float, has_incarnation: bool = True
     ) -> bool:
         """Notes that a target said it in an answer; returns whether it is news.
 
@@ -97,17 +97,19 @@
             now_ms: Time.
             is_dated: Whether the answer tells which life it comes from.
         """
-        was_doubted = life in self.doubts
+        was_doubted = life in self.suspects
         is_new = self._note_left(life)
         if is_new:
             self._answered[life] = None
-            _drop_oldest(self._answered, LEFT_MOST)
+            _drop_oldest(self._answered, MAX_DRAINING)
         if is_new and not was_doubted:
             self._heard_ms[life] = now_ms
-        is_other_doubted = not is_dated and self._note_undated(life, now_ms)
+        is_other_doubted = not has_incarnation and self._note_undated(
+            life, now_ms
+        )
         return is_new or is_other_doubted
 
-    def note_told(
+    def merge_gossip(
         self, told: lives.Life, peer: str, now_ms: float, due_ms: float
     ) -> bool:
         """Notes that a peer has heard it; returns whether it is news.
@@ -121,27 +123,29 @@
         listed = self._listed.get(told.target_id)
         if listed is None or not _may_be_same(told, listed):
             return False
-        if listed in self._left or self.doubts.is_denied(listed, peer, now_ms):
+        if listed in self._left or self.suspects.is_refuted(
+            listed, peer, now_ms
+        ):
             return False
-        return self.doubts.add(listed, due_ms, peer)
+        return self.suspects.add(listed, due_ms, peer)
 
-    def note_staying(self, life: lives.Life, now_ms: float) -> bool:
+    def note_refuted(self, life: lives.Life, now_ms: float) -> bool:
         """Notes that a life in doubt was asked, and does not leave.
 
         Returns:
             Whether it was in doubt until now.
         """
-        if not self.doubts.deny(life, now_ms):
+        if not self.suspects.refute(life, now_ms):
             # It said that it leaves while the question was under way.
             return False
         self._undated.pop(life.target_id, None)
         return True
 
-    def note_quiet(
+    def note_backoff(
         self,
         life: lives.Life,
         until_ms: float,
-        said_wall_ms: float | None = None,
+        hinted_wall_ms: float | None = None,
     ) -> bool:
         """Notes that a target wants no calls for a time.
 
@@ -155,15 +159,15 @@
             Whether that is longer than was known.
         """
         is_longer = self._set_quiet(life, until_ms)
-        if said_wall_ms is None:
+        if hinted_wall_ms is None:
             return is_longer
         target_id = life.target_id
         known = self._undated_backoff.pop(target_id, None)
         until_ms = max(until_ms, known.until_ms if known else 0.0)
         self._undated_backoff[target_id] = _UndatedBackoff(
-            until_ms, said_wall_ms
+            until_ms, hinted_wall_ms
         )
-        _drop_oldest(self._undated_backoff, QUIET_MOST)
+        _drop_oldest(self._undated_backoff, MAX_BACKOFFS)
         listed = self._listed.get(target_id)
         if listed is not None:
             self._extend_backoff(listed, 0.0)
@@ -174,7 +178,7 @@
         undated = self._undated_backoff.get(life.target_id)
         if undated is None:
             return
-        if undated.until_ms <= now_ms or life.born_ms > undated.said_wall_ms:
+        if undated.until_ms <= now_ms or life.born_ms > undated.hinted_wall_ms:
             del self._undated_backoff[life.target_id]
             return
         self._set_quiet(life, undated.until_ms)
@@ -184,10 +188,10 @@
             return False
         self._quiet_until_ms.pop(life, None)
         self._quiet_until_ms[life] = until_ms
-        _drop_oldest(self._quiet_until_ms, QUIET_MOST)
+        _drop_oldest(self._quiet_until_ms, MAX_BACKOFFS)
         return True
 
-    def note_served(self, life: lives.Life, now_ms: float) -> None:
+    def note_success(self, life: lives.Life, now_ms: float) -> None:
         """Notes that a target has done what it was asked.
 
         What was sent before it wanted quiet says nothing of what comes after.
@@ -195,29 +199,29 @@
         if self._quiet_until_ms.get(life, _NEVER_MS) <= now_ms:
             del self._quiet_until_ms[life]
 
-    def has_left(self, life: lives.Life) -> bool:
+    def may_be_draining(self, life: lives.Life) -> bool:
         """Returns whether a life was found to leave, or may well do."""
-        return life in self._left or life in self.doubts
+        return life in self._left or life in self.suspects
 
-    def find_until_ms(self, life: lives.Life, now_ms: float) -> float:
+    def find_available_ms(self, life: lives.Life, now_ms: float) -> float:
         """Returns until when a target takes no calls.
 
         Returns:
             Infinity where it leaves; a time not after now where it takes some.
         """
-        if self.has_left(life):
+        if self.may_be_draining(life):
             return _NEVER_MS
         return self._quiet_until_ms.get(life, now_ms)
 
-    def takes_calls(self, life: lives.Life, now_ms: float) -> bool:
+    def accepts_requests(self, life: lives.Life, now_ms: float) -> bool:
         """Returns whether a target may be sent calls now."""
-        return self.find_until_ms(life, now_ms) <= now_ms
+        return self.find_available_ms(life, now_ms) <= now_ms
 
-    def has_quiet(self) -> bool:
+    def has_backoffs(self) -> bool:
         """Returns whether any target wants, or lately wanted, no calls."""
         return bool(self._quiet_until_ms)
 
-    def forget_quiet(
+    def forget_expired_backoffs(
         self, listed: Collection[lives.Life], now_ms: float
     ) -> None:
         """Drops quiet times that are over, of lives that are not listed."""
@@ -225,7 +229,7 @@
             if until_ms <= now_ms and life not in listed:
                 del self._quiet_until_ms[life]
 
-    def is_on_trial(self, life: lives.Life) -> bool:
+    def is_half_open(self, life: lives.Life) -> bool:
         """Returns whether it wanted quiet and has not served since.
 
         It had too much to do; what waited for it must not all come back in the
@@ -233,19 +237,19 @@
         """
         return life in self._quiet_until_ms
 
-    def count_quiet(self, now_ms: float) -> int:
+    def count_backing_off(self, now_ms: float) -> int:
         """Returns how many targets want no calls now."""
         return sum(until > now_ms for until in self._quiet_until_ms.values())
 
     def summarize(self, now_ms: float) -> tuple[str, ...]:
         """Returns the leavings that peers are to be told now, as words."""
         for life, heard_ms in list(self._heard_ms.items()):
-            if now_ms - heard_ms > TOLD_MS:
+            if now_ms - heard_ms > ANNOUNCE_DURATION_MS:
                 del self._heard_ms[life]
-        latest = list(self._heard_ms)[-TOLD_MOST:]
+        latest = list(self._heard_ms)[-MAX_ANNOUNCED:]
         return tuple(map(lives.format_life, latest))
 
-    def tell_again(self, now_ms: float) -> bool:
+    def reannounce(self, now_ms: float) -> bool:
         """Has peers told again of listed targets that the list shows as ready.
 
         Returns:
@@ -258,11 +262,11 @@
         return bool(again)
 
     def _note_left(self, life: lives.Life) -> bool:
-        self.doubts.settle(life)
+        self.suspects.discard(life)
         if life in self._left:
             return False
         self._left[life] = None
-        _drop_oldest(self._left, LEFT_MOST)
+        _drop_oldest(self._left, MAX_DRAINING)
         return True
 
     def _note_undated(self, life: lives.Life, now_ms: float) -> bool:
@@ -275,14 +279,14 @@
             Whether another life is in doubt now.
         """
         self._undated[life.target_id] = None
-        _drop_oldest(self._undated, LEFT_MOST)
+        _drop_oldest(self._undated, MAX_DRAINING)
         listed = self._listed.get(life.target_id)
         return listed is not None and self._doubt_undated(listed, now_ms)
 
     def _doubt_undated(self, life: lives.Life, now_ms: float) -> bool:
         if life in self._left or life.target_id not in self._undated:
             return False
-        return self.doubts.add(life, now_ms)
+        return self.suspects.add(life, now_ms)
 
 
 def _may_be_same(one: lives.Life, other: lives.Life) -> bool:
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -13,8 +13,8 @@
 from ruddergate import _private
 from ruddergate import environment
 from ruddergate import outcomes
+from ruddergate.decisions import draining
 from ruddergate.decisions import retries
-from ruddergate.decisions import withdrawals
 from ruddergate.entry import canceller as cancellers
 from ruddergate.entry import config as configs
 from ruddergate.entry import leaving_check
@@ -128,7 +128,7 @@
         self._connections = http_server.Connections()
         self._open = open_calls.OpenCalls(platform.door.write_failure)
         view = views.View()
-        withdrawn = withdrawals.Withdrawals()
+        withdrawn = draining.DrainState()
         metrics = metric_types.EntryMetrics()
         self._rate_limiter = rate_limiter.RateLimiter(
             outside,
--- a/src/ruddergate/entry/leaving_check.py
+++ b/src/ruddergate/entry/leaving_check.py
@@ -10,7 +10,7 @@
 import contextlib
 
 from ruddergate import environment
-from ruddergate.decisions import withdrawals
+from ruddergate.decisions import draining
 from ruddergate.entry import view as views
 from ruddergate.fleet import life as lives
 from ruddergate.fleet import target as targets
@@ -41,7 +41,7 @@
     def __init__(
         self,
         outside: environment.Environment,
-        withdrawn: withdrawals.Withdrawals,
+        withdrawn: draining.DrainState,
         view: views.View,
         ask_sign: Callable[[targets.Target], Awaitable[orders.Told]],
         note_staying: Callable[[], None],
@@ -58,7 +58,7 @@
 
     def look(self) -> None:
         """Has it looked whether any target is to be asked."""
-        if len(self._withdrawn.doubts):
+        if len(self._withdrawn.suspects):
             self._changed.set()
 
     async def run(self) -> None:
@@ -69,7 +69,7 @@
 
     async def _wait(self) -> None:
         """Returns when a target is to be asked, or when that may be."""
-        due_ms = self._withdrawn.doubts.find_next_ms()
+        due_ms = self._withdrawn.suspects.find_next_due_ms()
         left_ms = max(_PAUSE_LEAST_MS, due_ms - self._outside.now_ms())
         wait_s = None if due_ms == _NEVER_MS else left_ms / 1000.0
         with contextlib.suppress(TimeoutError):
@@ -78,11 +78,11 @@
         self._changed.clear()
 
     async def _ask_due(self) -> None:
-        due = self._withdrawn.doubts.find_due(self._outside.now_ms())
+        due = self._withdrawn.suspects.find_due(self._outside.now_ms())
         listed = {each.life: each for each in self._view.listing.targets}
         asked = [listed[life] for life in due if life in listed]
         for life in due:
-            self._withdrawn.doubts.put_off(life, self._outside.now_ms())
+            self._withdrawn.suspects.postpone(life, self._outside.now_ms())
         told = await asyncio.gather(*map(self._ask, asked))
         if any(told):
             self._note_staying()
@@ -94,7 +94,7 @@
         if not told.is_staying or not is_its_own:
             return False
         now_ms = self._outside.now_ms()
-        if not self._withdrawn.note_staying(target.life, now_ms):
+        if not self._withdrawn.note_refuted(target.life, now_ms):
             return False
         self._metrics.leavings_denied.inc({})
         self._log.info(
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -12,10 +12,10 @@
 
 from ruddergate import environment
 from ruddergate import outcomes
+from ruddergate.decisions import draining
 from ruddergate.decisions import estimate as estimates
 from ruddergate.decisions import queueing
 from ruddergate.decisions import rate_limits
-from ruddergate.decisions import withdrawals
 from ruddergate.decisions.routing import by_name
 from ruddergate.entry import config as configs
 from ruddergate.entry import placement
@@ -78,7 +78,7 @@
         ] = lambda: (),
         is_blind: Callable[[], bool] = lambda: False,
         collect_lost: Callable[[], bad_news.BadNews] = lambda: bad_news.NOTHING,
-        withdrawn: withdrawals.Withdrawals | None = None,
+        withdrawn: draining.DrainState | None = None,
         limits: rate_limits.RateLimits | None = None,
     ) -> None:
         """Makes an idle scheduler.
@@ -96,7 +96,7 @@
             withdrawn: Which lives of targets take no calls.
             limits: Rate limits that targets name.
         """
-        self._withdrawn = withdrawn or withdrawals.Withdrawals()
+        self._withdrawn = withdrawn or draining.DrainState()
         if limits is None:
             limits = rate_limits.RateLimits(outside.random, lambda *_: 0)
         self._limits = limits
@@ -300,7 +300,7 @@
         estimate = self._table.find(message.seat.target)
         if estimate is None:
             return
-        self._withdrawn.note_served(estimate.target.life, now_ms)
+        self._withdrawn.note_success(estimate.target.life, now_ms)
         if estimate.first_token(message.seat.attempt_id, now_ms):
             self._note_change()
         if message.prefix:
@@ -320,7 +320,7 @@
         if message.failed:
             estimate.note_fault(now_ms)
         elif message.answered:
-            self._withdrawn.note_served(target.life, now_ms)
+            self._withdrawn.note_success(target.life, now_ms)
             self._losses.note_answered(target, now_ms)
             estimate.answered_ms = now_ms
         self._note_change()
@@ -436,7 +436,7 @@
 
     def _takes_few(self, target: targets.Target) -> bool:
         """Returns whether a call given to a target may have been its last."""
-        return self._withdrawn.is_on_trial(
+        return self._withdrawn.is_half_open(
             target.life
         ) or self._limits.is_limited(target.target_id)
 
--- a/src/ruddergate/entry/source_sync.py
+++ b/src/ruddergate/entry/source_sync.py
@@ -15,9 +15,9 @@
 from ruddergate import environment
 from ruddergate.decisions import absence
 from ruddergate.decisions import change_log
+from ruddergate.decisions import draining
 from ruddergate.decisions import proof
 from ruddergate.decisions import settings_claims
-from ruddergate.decisions import withdrawals
 from ruddergate.entry import peer_source
 from ruddergate.entry import scheduler as schedulers
 from ruddergate.entry import source_pace
@@ -66,7 +66,7 @@
         scheduler: schedulers.Scheduler,
         pace: source_pace.Pace,
         peers: source_peers.SourcePeers,
-        withdrawn: withdrawals.Withdrawals,
+        withdrawn: draining.DrainState,
         note_listed: Callable[[], None] = lambda: None,
     ) -> None:
         self._peers = peer_source.PeerSource(
--- a/src/ruddergate/entry/target_list.py
+++ b/src/ruddergate/entry/target_list.py
@@ -11,8 +11,8 @@
 from collections.abc import Iterable
 import dataclasses
 
+from ruddergate.decisions import draining
 from ruddergate.decisions import removals
-from ruddergate.decisions import withdrawals
 from ruddergate.fleet import condition
 from ruddergate.fleet import life as lives
 from ruddergate.fleet import target as targets
@@ -45,7 +45,7 @@
         refused: Entries that were none of a target, in all.
     """
 
-    def __init__(self, withdrawn: withdrawals.Withdrawals) -> None:
+    def __init__(self, withdrawn: draining.DrainState) -> None:
         self.refused = 0
         self._withdrawn = withdrawn
         self._targets: dict[str, targets.Target] = {}
@@ -151,7 +151,7 @@
                 continue
             self._born_ms[name] = each.born_ms
             if each.condition is condition.Condition.LEAVING:
-                self._withdrawn.note_published(each.life)
+                self._withdrawn.note_published_drain(each.life)
             newest[name] = each
         return newest
 
@@ -182,7 +182,7 @@
 
     def _mark(self, target: targets.Target) -> targets.Target:
         """Returns a target as leaving, if its life was ever found to leave."""
-        if not self._withdrawn.has_left(target.life):
+        if not self._withdrawn.may_be_draining(target.life):
             return target
         return dataclasses.replace(
             target, condition=condition.Condition.LEAVING
--- a/src/ruddergate/entry/target_notices.py
+++ b/src/ruddergate/entry/target_notices.py
@@ -10,9 +10,9 @@
 
 from ruddergate import environment
 from ruddergate import outcomes
-from ruddergate.decisions import doubts
+from ruddergate.decisions import drain_suspects
+from ruddergate.decisions import draining
 from ruddergate.decisions import peer_groups
-from ruddergate.decisions import withdrawals
 from ruddergate.fleet import life as lives
 from ruddergate.fleet import target as targets
 from ruddergate.relay import statement as statements
@@ -51,7 +51,7 @@
     def __init__(
         self,
         outside: environment.Environment,
-        withdrawn: withdrawals.Withdrawals,
+        withdrawn: draining.DrainState,
         metrics: metric_types.EntryMetrics,
         note_leaving: Callable[[], None] = lambda: None,
     ) -> None:
@@ -78,14 +78,14 @@
         """
         is_news = False
         now_ms = self._outside.now_ms()
-        for word in itertools.islice(words, withdrawals.TOLD_MOST):
+        for word in itertools.islice(words, draining.MAX_ANNOUNCED):
             if len(word) > _WORD_MOST:
                 self._log.warning("Leaving dropped, no life.", peer=peer)
                 continue
             life = lives.parse_life(word)
             spread_ms = self._outside.random.uniform(0.0, _CONFIRM_SPREAD_MS)
-            due_ms = now_ms + doubts.CONFIRM_MS + spread_ms
-            if self._withdrawn.note_told(life, peer, now_ms, due_ms):
+            due_ms = now_ms + drain_suspects.CONFIRM_DELAY_MS + spread_ms
+            if self._withdrawn.merge_gossip(life, peer, now_ms, due_ms):
                 is_news = True
                 self._metrics.leavings_heard.inc({"from": "peer"})
                 self._log.info(
@@ -107,9 +107,9 @@
         """
         now_ms = self._outside.now_ms()
         for number, target in enumerate(asked):
-            if self._withdrawn.takes_calls(target.life, now_ms):
+            if self._withdrawn.accepts_requests(target.life, now_ms):
                 continue
-            is_leaving = self._withdrawn.has_left(target.life)
+            is_leaving = self._withdrawn.may_be_draining(target.life)
             self._metrics.sends_withheld.inc(
                 {
                     "reason": "leaving" if is_leaving else "quiet",
@@ -122,7 +122,7 @@
                     f"target {target.target_id} leaves",
                     _LEAVING_RETRY_MS,
                 )
-            until_ms = self._withdrawn.find_until_ms(target.life, now_ms)
+            until_ms = self._withdrawn.find_available_ms(target.life, now_ms)
             return outcomes.refuse(
                 outcomes.Reason.TARGET_QUIET,
                 f"target {target.target_id} wants no calls now",
@@ -144,16 +144,18 @@
         chance = _GREETING_VMS / peers if is_large else 1.0
         if chance < 1.0 and self._outside.random.random() >= chance:
             return
-        if self._withdrawn.tell_again(self._outside.now_ms()):
+        if self._withdrawn.reannounce(self._outside.now_ms()):
             self._note_leaving()
 
     def count_quiet(self) -> int:
         """Returns how many targets want no calls of this VM now."""
-        return self._withdrawn.count_quiet(self._outside.now_ms())
+        return self._withdrawn.count_backing_off(self._outside.now_ms())
 
     def _hear_leaving(self, said: statements.Statement) -> None:
         now_ms = self._outside.now_ms()
-        is_new = self._withdrawn.note_answered(said.life, now_ms, said.is_dated)
+        is_new = self._withdrawn.note_drain_hint(
+            said.life, now_ms, said.is_dated
+        )
         if not is_new:
             return
         self._metrics.leavings_heard.inc({"from": "answer"})
@@ -170,7 +172,7 @@
         spread_ms = self._outside.random.uniform(0.0, spread_ms)
         until_ms = self._outside.now_ms() + quiet_ms + spread_ms
         said_wall_ms = None if said.is_dated else self._outside.wall_ms()
-        if self._withdrawn.note_quiet(said.life, until_ms, said_wall_ms):
+        if self._withdrawn.note_backoff(said.life, until_ms, said_wall_ms):
             self._log.info(
                 "Target {} wants no calls for {:.0f} ms.",
                 said.life.target_id,
--- a/src/ruddergate/entry/target_table.py
+++ b/src/ruddergate/entry/target_table.py
@@ -1,8 +1,8 @@
 """What is believed of each listed target, and which of them take calls."""
 
+from ruddergate.decisions import draining
 from ruddergate.decisions import estimate as estimates
 from ruddergate.decisions import rate_limits
-from ruddergate.decisions import withdrawals
 from ruddergate.entry import view as views
 from ruddergate.fleet import life as lives
 from ruddergate.fleet import target as targets
@@ -22,7 +22,7 @@
     def __init__(
         self,
         view: views.View,
-        withdrawn: withdrawals.Withdrawals,
+        withdrawn: draining.DrainState,
         limits: rate_limits.RateLimits,
     ) -> None:
         self._view = view
@@ -71,7 +71,7 @@
         names = {life.target_id for life in listed}
         for target_id in self._by_name.keys() - names:
             del self._by_name[target_id]
-        self._withdrawn.forget_quiet(listed, now_ms)
+        self._withdrawn.forget_expired_backoffs(listed, now_ms)
         self._by_pool = {}
         for target in listed.values():
             pool = self._view.index.find_pool(target.pool)
@@ -112,13 +112,13 @@
         target_id = each.target.target_id
         if len(self._limits) and not self._limits.can_send(target_id, now_ms):
             return False
-        if not self._withdrawn.has_quiet():
+        if not self._withdrawn.has_backoffs():
             # Those that leave are listed so. To look 150 targets up took 0.7 ms
             # of a core (mean of 200), in each turn of the scheduler.
             return True
         life = each.target.life
-        is_busy = self._withdrawn.is_on_trial(life) and each.own_streams() > 0
-        return self._withdrawn.takes_calls(life, now_ms) and not is_busy
+        is_busy = self._withdrawn.is_half_open(life) and each.own_streams() > 0
+        return self._withdrawn.accepts_requests(life, now_ms) and not is_busy
 
     def find_first_ms(self, pool: str, now_ms: float) -> float:
         """Returns when the first target of a pool takes calls.
@@ -129,12 +129,12 @@
         able = (
             each for each in self._by_pool.get(pool, []) if each.may_take_work()
         )
-        if not self._withdrawn.has_quiet() and not len(self._limits):
+        if not self._withdrawn.has_backoffs() and not len(self._limits):
             return now_ms if any(True for _ in able) else _NEVER_MS
         return min(
             (
                 max(
-                    self._withdrawn.find_until_ms(each.target.life, now_ms),
+                    self._withdrawn.find_available_ms(each.target.life, now_ms),
                     self._limits.find_next_ms(each.target.target_id, now_ms),
                 )
                 for each in able
@@ -152,7 +152,7 @@
             self._limits.find_share(each.target.target_id, now_ms)[1]
             for each in self._by_pool.get(pool, [])
             if each.may_take_work()
-            and self._withdrawn.takes_calls(each.target.life, now_ms)
+            and self._withdrawn.accepts_requests(each.target.life, now_ms)
         ]
         return sum(shares)
 
--- a/standins/soak_ablations.py
+++ b/standins/soak_ablations.py
@@ -10,8 +10,8 @@
 
 from ruddergate.cli import gateway
 from ruddergate.decisions import change_log
+from ruddergate.decisions import draining
 from ruddergate.decisions import proof
-from ruddergate.decisions import withdrawals
 from ruddergate.entry import epochs
 from ruddergate.entry import rate_limiter
 from ruddergate.entry import source_sync
@@ -57,7 +57,7 @@
 
 def _keep_leavings() -> None:
     """Has no peer told of targets that say in answers that they leave."""
-    withdrawals.Withdrawals.summarize = lambda self, now_ms: ()
+    draining.DrainState.summarize = lambda self, now_ms: ()
 
 
 def _keep_limits() -> None:
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -16,7 +16,7 @@
 import loguru
 import orjson
 
-from ruddergate.decisions import withdrawals
+from ruddergate.decisions import draining
 from ruddergate.entry import target_list
 from ruddergate.fleet import condition
 from ruddergate.platform import store
@@ -126,7 +126,7 @@
         loguru.logger.remove()
 
     def setUp(self) -> None:
-        self.list = target_list.TargetList(withdrawals.Withdrawals())
+        self.list = target_list.TargetList(draining.DrainState())
 
     def _take(self, items: list[object], now_ms: float, is_all=False) -> None:
         grace = target_list.Grace(float("-inf"), now_ms + 1_500.0)
--- a/tests/test_leaving_told.py
+++ b/tests/test_leaving_told.py
@@ -7,7 +7,7 @@
 import msgpack
 
 from ruddergate import environment
-from ruddergate.decisions import withdrawals
+from ruddergate.decisions import draining
 from ruddergate.entry import target_notices
 from ruddergate.fleet import life as lives
 from ruddergate.messages import load_digest
@@ -225,7 +225,7 @@
         loguru.logger.remove()
 
     def test_word_that_is_no_life_is_dropped(self) -> None:
-        withdrawn = withdrawals.Withdrawals()
+        withdrawn = draining.DrainState()
         notices = target_notices.TargetNotices(
             environment.make_system_environment(),
             withdrawn,
@@ -234,8 +234,8 @@
         withdrawn.note_listed(lives.Life("i" * 1_000), 0.0)
         withdrawn.note_listed(lives.Life("i-1", 5), 0.0)
         notices.take_told(["i" * 1_000, "i-1@5"], "peer")
-        self.assertFalse(withdrawn.has_left(lives.Life("i" * 1_000)))
-        self.assertTrue(withdrawn.has_left(lives.Life("i-1", 5)))
+        self.assertFalse(withdrawn.may_be_draining(lives.Life("i" * 1_000)))
+        self.assertTrue(withdrawn.may_be_draining(lives.Life("i-1", 5)))
 
     def test_digest_of_an_earlier_release_says_nothing_of_it(self) -> None:
         digest = load_digest.LoadDigest("vm:1", "h", 0, "run", 1, ())
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -12,7 +12,7 @@
 import loguru
 
 from ruddergate import environment
-from ruddergate.decisions import withdrawals
+from ruddergate.decisions import draining
 from ruddergate.entry import config as configs
 from ruddergate.entry import placement
 from ruddergate.entry import reservation_keeper
@@ -71,7 +71,7 @@
         loguru.logger.remove()
 
     def setUp(self) -> None:
-        self.list = target_list.TargetList(withdrawals.Withdrawals())
+        self.list = target_list.TargetList(draining.DrainState())
 
     def _take(self, *found: targets.Target, gone: tuple[str, ...] = ()) -> None:
         changes = published.Changes(_POSITION, None, found, gone, ())
