--- a/src/ruddergate/decisions/suspicion.py
+++ b/src/ruddergate/decisions/poison_requests.py
@@ -45,13 +45,13 @@
 SUSPECT_MS = 600_000.0
 # Contents kept at most, about 1 KB each; beyond it, those under which the least
 # ended are dropped.
-CONTENTS_MOST = 1_024
-CONTENTS_KEPT = 896
+MAX_FINGERPRINTS = 1_024
+KEPT_FINGERPRINTS = 896
 # Lives kept of each content: more add nothing, but for those that are explained
 # by others.
-LIVES_MOST = 8
+MAX_CRASHES = 8
 # Contents told in one datagram: with three lives each they take about 2 KB.
-TOLD_MOST = 16
+MAX_ROWS_PER_DATAGRAM = 16
 # A content's end of this much later than the known one is news. Ages grow by
 # the time that datagrams take, and would never come to rest otherwise.
 FINISHED_SLACK_MS = 500.0
@@ -89,7 +89,7 @@
         return max(ends_ms, default=self.finished_ms)
 
 
-class Suspicion:
+class PoisonRequests:
     """Contents by name, with what counts against them; owned by one task."""
 
     def __init__(self) -> None:
@@ -100,7 +100,7 @@
     def __len__(self) -> int:
         return len(self._records)
 
-    def note_ended(
+    def note_crash(
         self, content: str, life: lives.Life, weight: float, now_ms: float
     ) -> bool:
         """Notes that a life ended under a content; returns whether it is news.
@@ -115,7 +115,7 @@
         self._drop_least(now_ms)
         return is_news
 
-    def note_finished(self, content: str, now_ms: float) -> bool:
+    def note_completed(self, content: str, now_ms: float) -> bool:
         """Notes that a call ran to its end; returns whether it is news."""
         record = self._records.get(content)
         if record is None or not record.ended:
@@ -123,12 +123,12 @@
         self._clear(content, record, now_ms)
         return True
 
-    def count_against(self, content: str, now_ms: float) -> int:
+    def count_crashes(self, content: str, now_ms: float) -> int:
         """Returns how many lives count against a content."""
         self._forget_if_old(content, now_ms)
         return len(self._find_against(content))
 
-    def find_left_ms(self, content: str, now_ms: float) -> float:
+    def find_quarantine_left_ms(self, content: str, now_ms: float) -> float:
         """Returns how long a content stays quarantined; 0 if it is not."""
         self._forget_if_old(content, now_ms)
         if not self._is_proved(content):
@@ -140,10 +140,12 @@
         return [
             content
             for content in list(self._records)
-            if self.find_left_ms(content, now_ms) > 0.0
+            if self.find_quarantine_left_ms(content, now_ms) > 0.0
         ]
 
-    def take(self, rows: Iterable[messages.Suspect], now_ms: float) -> set[str]:
+    def merge(
+        self, rows: Iterable[messages.Suspect], now_ms: float
+    ) -> set[str]:
         """Takes in what a peer knows; returns the contents that it had news of.
 
         Rows are to be sound, see `find_fault`.
@@ -187,7 +189,7 @@
             is_more = weight > known.weight
             known.weight = max(known.weight, weight)
             return is_more
-        if at_ms <= record.finished_ms or len(record.ended) >= LIVES_MOST:
+        if at_ms <= record.finished_ms or len(record.ended) >= MAX_CRASHES:
             return False
         record.ended[life] = _Ended(at_ms, weight)
         self._by_life.setdefault(life, set()).add(content)
@@ -268,13 +270,13 @@
             self._remove_life(content, record, life)
 
     def _drop_least(self, now_ms: float) -> None:
-        if len(self._records) <= CONTENTS_MOST:
+        if len(self._records) <= MAX_FINGERPRINTS:
             return
-        for content in self.rank(now_ms)[CONTENTS_KEPT:]:
+        for content in self.rank(now_ms)[KEPT_FINGERPRINTS:]:
             self._drop(content)
 
 
-def find_weight(there_ms: float, reading_ms: float) -> float:
+def weigh_crash(there_ms: float, reading_ms: float) -> float:
     """Returns how much the end of a target counts against a call.
 
     A prompt that one engine would read for longer can't have begun to run at
@@ -289,9 +291,9 @@
     return 1.0 if is_at_once else WEIGHT_LATER
 
 
-def find_fault(rows: Rows) -> str:
+def find_error(rows: Rows) -> str:
     """Returns what is wrong with rows that a peer sent, or an empty text."""
-    if len(rows) > TOLD_MOST:
+    if len(rows) > MAX_ROWS_PER_DATAGRAM:
         return f"{len(rows)} contents in one datagram"
     for row in rows:
         fault = _find_row_fault(row)
@@ -301,7 +303,7 @@
 
 
 def _find_row_fault(row: messages.Suspect) -> str:
-    if len(row.ended) > LIVES_MOST:
+    if len(row.ended) > MAX_CRASHES:
         return f"{len(row.ended)} lives of one content"
     finished_ms = row.finished_age_ms
     if finished_ms != messages.NEVER_FINISHED and not _is_age(finished_ms):
--- a/src/ruddergate/decisions/call_content.py
+++ b/src/ruddergate/decisions/request_fingerprint.py
@@ -12,7 +12,9 @@
 _KEY_BYTES_MAX = 64
 
 
-def name_content(workspace: str, host: str, target: str, body: bytes) -> str:
+def fingerprint_request(
+    workspace: str, host: str, target: str, body: bytes
+) -> str:
     """Returns the name of a content, as hexadecimal digits.
 
     The digest is keyed by the workspace, so that no caller can have another
--- a/src/ruddergate/entry/suspect_exchange.py
+++ b/src/ruddergate/entry/suspect_exchange.py
@@ -11,7 +11,7 @@
 import contextlib
 
 from ruddergate import environment
-from ruddergate.decisions import suspicion
+from ruddergate.decisions import poison_requests
 from ruddergate.entry import suspects as suspect_tables
 from ruddergate.messages import suspects as messages
 
@@ -103,14 +103,21 @@
         peers = self._list_peers()
         if len(peers) > DIRECT_MOST:
             peers = self._draw_peers(FANOUT)
-        for begin in range(0, len(contents), suspicion.TOLD_MOST):
-            part = contents[begin : begin + suspicion.TOLD_MOST]
+        for begin in range(
+            0, len(contents), poison_requests.MAX_ROWS_PER_DATAGRAM
+        ):
+            part = contents[
+                begin : begin + poison_requests.MAX_ROWS_PER_DATAGRAM
+            ]
             self._tell(part, peers)
 
     def _tell_all(self, peers: list[str]) -> None:
         """Tells those contents under which most targets ended."""
         if len(self.table):
-            self._tell(self.table.rank()[: suspicion.TOLD_MOST], peers)
+            self._tell(
+                self.table.rank()[: poison_requests.MAX_ROWS_PER_DATAGRAM],
+                peers,
+            )
 
     def _tell(self, contents: list[str], peers: list[str]) -> None:
         rows = self.table.describe(contents)
--- a/src/ruddergate/entry/suspects.py
+++ b/src/ruddergate/entry/suspects.py
@@ -9,8 +9,8 @@
 from ruddergate import environment
 from ruddergate import outcomes
 from ruddergate import request as requests
-from ruddergate.decisions import call_content
-from ruddergate.decisions import suspicion
+from ruddergate.decisions import poison_requests
+from ruddergate.decisions import request_fingerprint
 from ruddergate.entry import lost_call
 from ruddergate.messages import suspects as messages
 from ruddergate.telemetry import logs
@@ -31,7 +31,7 @@
     ) -> None:
         self._outside = outside
         self._note_change = note_change
-        self._suspicion = suspicion.Suspicion()
+        self._suspicion = poison_requests.PoisonRequests()
         # What the log last said of a content: whether it is quarantined.
         self._told: dict[str, bool] = {}
         self._log = logs.make_logger("suspects")
@@ -43,8 +43,8 @@
         """Notes that a target ended under a call."""
         now_ms = self._outside.now_ms()
         life = lost.target.life
-        weight = suspicion.find_weight(lost.there_ms, lost.reading_ms)
-        if self._suspicion.note_ended(lost.content, life, weight, now_ms):
+        weight = poison_requests.weigh_crash(lost.there_ms, lost.reading_ms)
+        if self._suspicion.note_crash(lost.content, life, weight, now_ms):
             self._note_news(lost.content, lost.request_id)
 
     def note_finished(self, request: requests.Request) -> None:
@@ -55,7 +55,7 @@
         if not len(self._suspicion):
             return
         content = name_content(request)
-        if self._suspicion.note_finished(content, self._outside.now_ms()):
+        if self._suspicion.note_completed(content, self._outside.now_ms()):
             self._note_news(content, request.request_id)
 
     def is_suspect(self, request: requests.Request) -> bool:
@@ -64,7 +64,7 @@
             return False
         now_ms = self._outside.now_ms()
         content = name_content(request)
-        return self._suspicion.count_against(content, now_ms) > 0
+        return self._suspicion.count_crashes(content, now_ms) > 0
 
     def refuse(self, request: requests.Request) -> outcomes.NotServed | None:
         """Returns a refusal if a call is not to be sent to any target.
@@ -75,7 +75,9 @@
         if not len(self._suspicion):
             return None
         content = name_content(request)
-        left_ms = self._suspicion.find_left_ms(content, self._outside.now_ms())
+        left_ms = self._suspicion.find_quarantine_left_ms(
+            content, self._outside.now_ms()
+        )
         if left_ms <= 0.0:
             return None
         return outcomes.refuse(
@@ -86,14 +88,14 @@
 
     def take(self, told: messages.Suspects) -> set[str]:
         """Takes in what a peer told; returns the contents that are news."""
-        fault = suspicion.find_fault(told.rows)
+        fault = poison_requests.find_error(told.rows)
         if fault:
             self._log.warning(
                 "Suspects of a peer dropped: {}.", fault, peer=told.sender
             )
             return set()
         now_ms = self._outside.now_ms()
-        news = self._suspicion.take(told.rows, now_ms)
+        news = self._suspicion.merge(told.rows, now_ms)
         for content in news:
             self._tell_operators(content, "", told.sender)
         return news
@@ -119,7 +121,7 @@
     def _tell_operators(self, content: str, request_id: str, peer: str) -> None:
         """Logs what changed for a content, with the lives that say so."""
         now_ms = self._outside.now_ms()
-        left_ms = self._suspicion.find_left_ms(content, now_ms)
+        left_ms = self._suspicion.find_quarantine_left_ms(content, now_ms)
         is_quarantined = left_ms > 0.0
         if self._told.get(content, False) == is_quarantined:
             return
@@ -146,6 +148,6 @@
 def name_content(request: requests.Request) -> str:
     """Returns the name that all tries of the same call share."""
     payload = request.payload
-    return call_content.name_content(
+    return request_fingerprint.fingerprint_request(
         request.workload.workspace, payload.host, payload.target, payload.body
     )
