--- a/src/ruddergate/decisions/rate_limits.py
+++ b/src/ruddergate/decisions/rate_limits.py
@@ -162,11 +162,11 @@
 
     def __init__(
         self,
-        chance: random.Random,
+        rng: random.Random,
         count_holders: Callable[[str, float, float], int],
         count_vms: Callable[[], int] = lambda: 1,
     ) -> None:
-        self._chance = chance
+        self._rng = rng
         self._count_holders = count_holders
         self._count_vms = count_vms
         self._limits: dict[str, _Limit] = {}
@@ -281,9 +281,9 @@
 
     def can_send(self, target_id: str, now_ms: float) -> bool:
         """Returns whether a target has a token for one more call."""
-        return self.find_next_ms(target_id, now_ms) <= now_ms
+        return self.find_token_ms(target_id, now_ms) <= now_ms
 
-    def find_next_ms(self, target_id: str, now_ms: float) -> float:
+    def find_token_ms(self, target_id: str, now_ms: float) -> float:
         """Returns when a target has a token for one more call.
 
         Returns:
@@ -320,7 +320,9 @@
         if limit is not None:
             limit.placed.pop(attempt_id, None)
 
-    def take(self, target_id: str, attempt_id: str, now_ms: float) -> bool:
+    def take_token(
+        self, target_id: str, attempt_id: str, now_ms: float
+    ) -> bool:
         """Takes a token in the step that sends; returns whether there was one.
 
         Always true for a target without a limit.
@@ -340,7 +342,7 @@
             return True
         return False
 
-    def give_back(self, target_id: str) -> None:
+    def return_token(self, target_id: str) -> None:
         """Returns the token of a call that was not sent after all."""
         limit = self._limits.get(target_id)
         if limit is not None:
@@ -405,7 +407,7 @@
                 rate_per_s,
                 named_ms=now_ms,
                 answered_ms=float("-inf"),
-                tokens=self._chance.random() * _ONE,
+                tokens=self._rng.random() * _ONE,
                 filled_ms=now_ms,
             )
             self._limits.pop(target_id, None)
@@ -417,7 +419,7 @@
         """Changes a rate; what was saved under the former one is lost."""
         if limit.rate_per_s != rate_per_s:
             limit.rate_per_s = rate_per_s
-            limit.tokens = min(limit.tokens, self._chance.random() * _ONE)
+            limit.tokens = min(limit.tokens, self._rng.random() * _ONE)
             limit.shared_ms = float("-inf")
 
     def _end(
@@ -433,7 +435,7 @@
             limit.rate_per_s, sent_ms, now_ms, is_answered
         )
         _drop_oldest(self._ended)
-        recovery_ms = RECOVERY_MS * self._chance.uniform(0.5, 1.0)
+        recovery_ms = RECOVERY_MS * self._rng.uniform(0.5, 1.0)
         limit.recovers_until_ms = now_ms + recovery_ms
         limit.trial_ms = _NEVER_MS
 
@@ -463,13 +465,13 @@
         holders = self._count_holders(target_id, limit.rate_per_s, now_ms)
         if holders and not limit.holders:
             # The share may have been spent by its former holder.
-            limit.tokens = min(limit.tokens, self._chance.random() * _ONE)
+            limit.tokens = min(limit.tokens, self._rng.random() * _ONE)
             limit.probe_ms = max(limit.probe_ms, limit.answered_ms + PROBE_MS)
         limit.holders = holders
 
     def _draw_trial_ms(self) -> float:
         mean_ms = TRIAL_MS_PER_VM * max(1, self._count_vms())
-        return mean_ms * self._chance.uniform(0.5, 1.5)
+        return mean_ms * self._rng.uniform(0.5, 1.5)
 
 
 def _is_over(limit: _Limit, now_ms: float) -> bool:
--- a/src/ruddergate/entry/rate_limiter.py
+++ b/src/ruddergate/entry/rate_limiter.py
@@ -149,9 +149,9 @@
     ) -> outcomes.NotServed | None:
         """Takes a token in the step that sends, or returns a refusal."""
         now_ms = self._outside.now_ms()
-        if self.limits.take(target.target_id, attempt_id, now_ms):
+        if self.limits.take_token(target.target_id, attempt_id, now_ms):
             return None
-        next_ms = self.limits.find_next_ms(target.target_id, now_ms)
+        next_ms = self.limits.find_token_ms(target.target_id, now_ms)
         return self._refuse(target.target_id, "writer", next_ms - now_ms)
 
     def refuse_helpers(
@@ -168,7 +168,7 @@
 
     def give_back(self, target: targets.Target) -> None:
         """Returns the token of a call that was not sent after all."""
-        self.limits.give_back(target.target_id)
+        self.limits.return_token(target.target_id)
 
     def charge_orders(self, given: orders.Orders) -> orders.Orders:
         """Returns orders that count against the limits of their targets."""
--- a/src/ruddergate/entry/target_table.py
+++ b/src/ruddergate/entry/target_table.py
@@ -135,7 +135,7 @@
             (
                 max(
                     self._withdrawn.find_available_ms(each.target.life, now_ms),
-                    self._limits.find_next_ms(each.target.target_id, now_ms),
+                    self._limits.find_token_ms(each.target.target_id, now_ms),
                 )
                 for each in able
             ),
--- a/tests/test_rate_limit_shares.py
+++ b/tests/test_rate_limit_shares.py
@@ -22,7 +22,7 @@
 ) -> int:
     """Returns how many calls go when one is tried every millisecond."""
     return sum(
-        limits.take(_TARGET, "", float(now_ms))
+        limits.take_token(_TARGET, "", float(now_ms))
         for now_ms in range(from_ms, to_ms)
     )
 
@@ -84,21 +84,21 @@
     def test_no_burst_when_a_limit_is_named(self) -> None:
         limits = _make_limits()
         limits.observe_limit(_TARGET, 1.0, 0.0, 0.0)
-        self.assertFalse(limits.take(_TARGET, "", 0.0))
+        self.assertFalse(limits.take_token(_TARGET, "", 0.0))
 
     def test_vms_told_at_once_send_apart(self) -> None:
         first = []
         for seed in range(20):
             limits = _make_limits(seed=seed)
             limits.observe_limit(_TARGET, 1.0, 0.0, 0.0)
-            first.append(round(limits.find_next_ms(_TARGET, 0.0) / 50.0))
+            first.append(round(limits.find_token_ms(_TARGET, 0.0) / 50.0))
         self.assertGreater(len(set(first)), 10)
 
     def test_one_token_is_saved(self) -> None:
         limits = _make_limits()
         limits.observe_limit(_TARGET, 10.0, 0.0, 0.0)
-        self.assertTrue(limits.take(_TARGET, "", 60_000.0))
-        self.assertFalse(limits.take(_TARGET, "", 60_000.0))
+        self.assertTrue(limits.take_token(_TARGET, "", 60_000.0))
+        self.assertFalse(limits.take_token(_TARGET, "", 60_000.0))
 
     def test_what_was_saved_is_lost_when_the_limit_changes(self) -> None:
         for rate_per_s in (0.5, 5.0):
@@ -113,16 +113,16 @@
         limits.observe_limit(_TARGET, 1.0, 0.0, 0.0)
         limits.note_placed(_TARGET, "a", 2_000.0)
         self.assertFalse(limits.can_send(_TARGET, 2_000.0))
-        self.assertTrue(limits.take(_TARGET, "a", 2_010.0))
+        self.assertTrue(limits.take_token(_TARGET, "a", 2_010.0))
         self.assertFalse(limits.can_send(_TARGET, 2_010.0))
 
     def test_call_that_was_not_sent_gives_its_token_back(self) -> None:
         limits = _make_limits()
         limits.observe_limit(_TARGET, 1.0, 0.0, 0.0)
-        self.assertTrue(limits.take(_TARGET, "", 2_000.0))
-        limits.give_back(_TARGET)
-        self.assertTrue(limits.take(_TARGET, "", 2_000.0))
-        self.assertFalse(limits.take(_TARGET, "", 2_000.0))
+        self.assertTrue(limits.take_token(_TARGET, "", 2_000.0))
+        limits.return_token(_TARGET)
+        self.assertTrue(limits.take_token(_TARGET, "", 2_000.0))
+        self.assertFalse(limits.take_token(_TARGET, "", 2_000.0))
 
     def test_requests_that_cannot_wait_are_made_up_for(self) -> None:
         limits = _make_limits()
@@ -263,7 +263,7 @@
         for now_ms in range(0, 120_000, 50):
             if now_ms % 400 == 0:
                 self._merge(limits, 0.0, float(now_ms))
-            sent += limits.take(_TARGET, "", float(now_ms))
+            sent += limits.take_token(_TARGET, "", float(now_ms))
         self.assertGreater(sent, 0)
         self.assertLess(sent, 10)
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -199,7 +199,7 @@
             given_back: list[str] = []
             gateway = scene.cluster.vms["vm-0"].gateway
             limits = gateway._rate_limiter.limits
-            limits.give_back = given_back.append
+            limits.return_token = given_back.append
             for name, node in scene.cluster.targets.items():
                 if name.startswith("service"):
                     scene.cluster.kill(node)
