--- a/src/ruddergate/decisions/peer_loads.py
+++ b/src/ruddergate/decisions/peer_loads.py
@@ -15,18 +15,18 @@
 
 # A peer's digest counts for so long. A VM tells its load once a second; two
 # such digests may get lost.
-NEWS_MS = 3_500.0
+DIGEST_TTL_MS = 3_500.0
 # A peer that was not heard of for so long is forgotten. A data hall that was
 # cut off is found again without a seed for as long.
-FORGET_MS = 60_000.0
+FORGET_AFTER_MS = 60_000.0
 # A peer that was not heard of for so long is no relay of another group: two
 # of its digests in a row are missing.
-SILENT_MS = 2_200.0
+OTHER_RELAY_SILENT_MS = 2_200.0
 # A relay of the own group that has said nothing for so long after it was
 # written to is passed over.
 RELAY_TIMEOUT_MS = 2_200.0
 # It is tried again after this time, as it may have been cut off.
-RELAY_PAUSE_MS = 5_000.0
+RELAY_RETRY_MS = 5_000.0
 # A member of the own group that was not heard of for so long is no relay. All
 # of them are silent while the relay is, so this is longer than a relay's
 # time-out and two rounds.
@@ -79,18 +79,18 @@
     def __len__(self) -> int:
         return len(self._peers)
 
-    def names(self) -> list[str]:
+    def list_peers(self) -> list[str]:
         """Returns all peers."""
         return list(self._peers)
 
-    def is_new_run(self, digest: load_digest.LoadDigest) -> bool:
+    def is_new_incarnation(self, digest: load_digest.LoadDigest) -> bool:
         """Returns whether a digest is the first of a run of another VM."""
         if digest.sender == self._own:
             return False
         peer = self._peers.get(digest.sender)
         return peer is None or peer.incarnation != digest.incarnation
 
-    def take(self, digest: load_digest.LoadDigest, now_ms: float) -> bool:
+    def merge(self, digest: load_digest.LoadDigest, now_ms: float) -> bool:
         """Takes in a digest; returns whether it was news.
 
         It is none if it is this VM's own, or if the same or a later one of the
@@ -123,7 +123,7 @@
             self._lost.append(losses_found.select_for(new, is_same_hall))
             peer.lost = told
 
-    def collect_lost(self) -> bad_news.BadNews:
+    def collect_losses(self) -> bad_news.BadNews:
         """Returns what peers have found out of reach since the last call."""
         if not self._lost:
             return bad_news.NOTHING
@@ -131,19 +131,19 @@
         self._lost.clear()
         return found
 
-    def note_written_by(self, name: str) -> None:
+    def note_received_from(self, name: str) -> None:
         """Notes that a peer has itself written to this VM."""
         peer = self._peers.get(name)
         if peer is not None:
             peer.awaited_since_ms = None
 
-    def note_written_to(self, name: str, now_ms: float) -> None:
+    def note_sent_to(self, name: str, now_ms: float) -> None:
         """Notes that a peer was written to as relay, and is to write too."""
         peer = self._peers.get(name)
         if peer is None:
             return
         since_ms = peer.awaited_since_ms
-        limit_ms = RELAY_TIMEOUT_MS + RELAY_PAUSE_MS
+        limit_ms = RELAY_TIMEOUT_MS + RELAY_RETRY_MS
         if since_ms is None or now_ms - since_ms > limit_ms:
             peer.awaited_since_ms = now_ms
 
@@ -151,9 +151,9 @@
         """Drops old rows, and peers that were not heard of for long."""
         for name, peer in list(self._peers.items()):
             silent_ms = now_ms - peer.heard_ms
-            if silent_ms > NEWS_MS and peer.rows:
+            if silent_ms > DIGEST_TTL_MS and peer.rows:
                 self._replace_rows(name, peer, ())
-            if silent_ms > FORGET_MS:
+            if silent_ms > FORGET_AFTER_MS:
                 del self._peers[name]
                 self._forget_groups()
 
@@ -167,16 +167,14 @@
         )
         return found or self._own
 
-    def find_members(self) -> list[str]:
+    def list_group_members(self) -> list[str]:
         """Returns the others of this VM's own group."""
         group = peer_groups.find_group(self._find_groups(), self._own)
         if group is None:
             return []
         return [name for name in group.members if name != self._own]
 
-    def find_other_relays(
-        self, now_ms: float, chance: random.Random
-    ) -> list[str]:
+    def find_other_relays(self, now_ms: float, rng: random.Random) -> list[str]:
         """Returns the relay of each other group.
 
         Where none of a group was lately heard of, it is any member: the group
@@ -189,9 +187,11 @@
                 continue
             found = peer_groups.choose_relay(
                 group,
-                lambda name: now_ms - self._peers[name].heard_ms <= SILENT_MS,
+                lambda name: (
+                    now_ms - self._peers[name].heard_ms <= OTHER_RELAY_SILENT_MS
+                ),
             )
-            relays.append(found or chance.choice(group.members))
+            relays.append(found or rng.choice(group.members))
         return relays
 
     def rank_hall(self, now_ms: float) -> list[str]:
@@ -209,7 +209,7 @@
             or now_ms - self._peers[name].heard_ms <= MEMBER_SILENT_MS
         ]
 
-    def list_members(self, now_ms: float) -> dict[str, str]:
+    def find_member_halls(self, now_ms: float) -> dict[str, str]:
         """Returns halls of this VM and of peers that were lately heard of."""
         members = {
             name: peer.place.hall
@@ -231,7 +231,7 @@
         self._changed.clear()
         return sums
 
-    def renew_sums(self) -> None:
+    def mark_all_changed(self) -> None:
         """Has the next `collect_sums` return all targets with work."""
         self._changed.update(self._by_target)
 
@@ -247,7 +247,7 @@
         awaited_ms = now_ms - since_ms
         return (
             awaited_ms <= RELAY_TIMEOUT_MS
-            or awaited_ms > RELAY_TIMEOUT_MS + RELAY_PAUSE_MS
+            or awaited_ms > RELAY_TIMEOUT_MS + RELAY_RETRY_MS
         )
 
     def _find_groups(self) -> tuple[peer_groups.Group, ...]:
--- a/src/ruddergate/entry/digest_relay.py
+++ b/src/ruddergate/entry/digest_relay.py
@@ -93,7 +93,7 @@
         all_ = (*own, *self._from_relays.values())
         self._from_members.clear()
         self._from_relays.clear()
-        self._send_bundles(all_, False, self._loads.find_members())
+        self._send_bundles(all_, False, self._loads.list_group_members())
         if own:
             chance = self._outside.random
             relays = self._loads.find_other_relays(now_ms, chance)
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -133,7 +133,7 @@
         self._rate_limiter = rate_limiter.RateLimiter(
             outside,
             str(gateway_config.peers.listen),
-            lambda now_ms: self._peers.loads.list_members(now_ms),
+            lambda now_ms: self._peers.loads.find_member_halls(now_ms),
             lambda target_id: self.tools.scheduler.find_target(target_id),
             lambda pool: self.tools.scheduler.find_halls(pool),
             lambda: self._peers.note_change(),
@@ -146,14 +146,14 @@
             lambda: self._peers.note_change(),
             lambda: self._peers.collect_sums(),
             lambda: self._peers.is_blind(),
-            lambda: self._peers.loads.collect_lost(),
+            lambda: self._peers.loads.collect_losses(),
             withdrawn=withdrawn,
             limits=self._rate_limiter.limits,
         )
         self._suspects = suspect_exchange.SuspectExchange(
             outside,
             gateway_config.peers.listen,
-            lambda: self._peers.loads.names(),
+            lambda: self._peers.loads.list_peers(),
             lambda told, peers: self._peers.tell_suspects(told, peers),
         )
         self._notices = target_notices.TargetNotices(
--- a/src/ruddergate/entry/peer_exchange.py
+++ b/src/ruddergate/entry/peer_exchange.py
@@ -218,7 +218,7 @@
         if now_ms >= self._renewed_ms + RENEW_MS:
             self._renewed_ms = now_ms
             self.loads.forget_silent(now_ms)
-            self.loads.renew_sums()
+            self.loads.mark_all_changed()
         return self.loads.collect_sums()
 
     async def _wait(self) -> None:
@@ -245,13 +245,13 @@
         self._tell_seeds(digest, now_ms)
         if len(self.loads) <= peer_groups.DIRECT_MOST:
             bundle = load_bundle.LoadBundle(self._own, False, (digest,))
-            self._send(bundle, self.loads.names())
+            self._send(bundle, self.loads.list_peers())
             return
         relay = self._find_relay(now_ms)
         if relay == self._own:
             self._passed_on.add_member(digest)
             return
-        self.loads.note_written_to(relay, now_ms)
+        self.loads.note_sent_to(relay, now_ms)
         self._send(digest, (relay,))
 
     def _note_peers(self) -> None:
@@ -303,13 +303,13 @@
         match message:
             case load_digest.LoadDigest():
                 self._take_digests((message,), self._passed_on.add_member)
-                self.loads.note_written_by(message.sender)
+                self.loads.note_received_from(message.sender)
             case load_bundle.LoadBundle():
                 pass_on = (
                     self._passed_on.add_other if message.for_group else None
                 )
                 self._take_digests(message.digests, pass_on)
-                self.loads.note_written_by(message.sender)
+                self.loads.note_received_from(message.sender)
             case suspect_messages.Suspects():
                 self._take_suspects(message)
             case _ if isinstance(
@@ -331,8 +331,8 @@
             if not _is_sound(digest):
                 self._log.warning("Digest dropped, its sender is no address.")
                 continue
-            is_new_run = self.loads.is_new_run(digest)
-            if not self.loads.take(digest, now_ms):
+            is_new_run = self.loads.is_new_incarnation(digest)
+            if not self.loads.merge(digest, now_ms):
                 continue
             if is_new_run:
                 self._welcome(digest.sender)
--- a/standins/digest_cost.py
+++ b/standins/digest_cost.py
@@ -81,7 +81,7 @@
     news = 0
     for data in datagrams:
         for digest in codec.decode(data).digests:
-            news += loads.take(digest, 0.0)
+            news += loads.merge(digest, 0.0)
         loads.collect_sums()
     return news
 
--- a/standins/rate_limit_fleet.py
+++ b/standins/rate_limit_fleet.py
@@ -148,7 +148,9 @@
         limiter = rate_limiter.RateLimiter(
             outside,
             str(listen),
-            lambda now_ms: self.vms[name].exchange.loads.list_members(now_ms),
+            lambda now_ms: self.vms[name].exchange.loads.find_member_halls(
+                now_ms
+            ),
             self._find_target,
             self._find_halls,
             lambda: self.vms[name].exchange.note_change(),
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -51,8 +51,8 @@
         )
 
     def test_sums_over_peers(self) -> None:
-        self.loads.take(_digest("1.1.1.2:1"), 0.0)
-        self.loads.take(_digest("1.1.1.3:1", streams=2), 0.0)
+        self.loads.merge(_digest("1.1.1.2:1"), 0.0)
+        self.loads.merge(_digest("1.1.1.3:1", streams=2), 0.0)
         (row,) = self.loads.collect_sums()
         self.assertEqual(row.streams, 3)
         self.assertEqual(row.streams_by_pause, (3, 0, 0))
@@ -61,47 +61,47 @@
         self.assertEqual(row.prefill_ms, 40.0)
 
     def test_only_what_changed_is_told(self) -> None:
-        self.loads.take(_digest("1.1.1.2:1"), 0.0)
+        self.loads.merge(_digest("1.1.1.2:1"), 0.0)
         self.loads.collect_sums()
-        self.loads.take(_digest("1.1.1.2:1", number=2), 1.0)
+        self.loads.merge(_digest("1.1.1.2:1", number=2), 1.0)
         self.assertEqual(self.loads.collect_sums(), ())
-        self.loads.renew_sums()
+        self.loads.mark_all_changed()
         self.assertEqual(len(self.loads.collect_sums()), 1)
 
     def test_older_digest_changes_nothing(self) -> None:
-        self.loads.take(_digest("1.1.1.2:1", number=5, streams=1), 0.0)
+        self.loads.merge(_digest("1.1.1.2:1", number=5, streams=1), 0.0)
         older = _digest("1.1.1.2:1", number=4, streams=9)
-        self.assertFalse(self.loads.take(older, 1.0))
+        self.assertFalse(self.loads.merge(older, 1.0))
         self.assertEqual(self.loads.collect_sums()[0].streams, 1)
 
     def test_restarted_peer_is_heard(self) -> None:
-        self.loads.take(_digest("1.1.1.2:1", number=5), 0.0)
+        self.loads.merge(_digest("1.1.1.2:1", number=5), 0.0)
         restarted = _digest("1.1.1.2:1", number=0, streams=7, incarnation="b")
-        self.assertTrue(self.loads.take(restarted, 1.0))
+        self.assertTrue(self.loads.merge(restarted, 1.0))
         self.assertEqual(self.loads.collect_sums()[0].streams, 7)
 
     def test_silent_peers_work_ends(self) -> None:
-        self.loads.take(_digest("1.1.1.2:1"), 0.0)
+        self.loads.merge(_digest("1.1.1.2:1"), 0.0)
         self.loads.collect_sums()
-        self.loads.forget_silent(peer_loads.NEWS_MS + 1.0)
+        self.loads.forget_silent(peer_loads.DIGEST_TTL_MS + 1.0)
         (row,) = self.loads.collect_sums()
         self.assertEqual((row.target_id, row.streams), ("e", 0))
-        self.loads.forget_silent(peer_loads.FORGET_MS + 1.0)
+        self.loads.forget_silent(peer_loads.FORGET_AFTER_MS + 1.0)
         self.assertEqual(len(self.loads), 0)
 
     def test_own_digest_is_no_peers(self) -> None:
-        self.assertFalse(self.loads.take(_digest("1.1.1.1:1"), 0.0))
+        self.assertFalse(self.loads.merge(_digest("1.1.1.1:1"), 0.0))
         self.assertEqual(len(self.loads), 0)
 
     def test_silent_relay_is_passed_over_and_tried_again(self) -> None:
         for number in range(2, 20):
-            self.loads.take(_digest(f"1.1.1.{number}:1"), 0.0)
+            self.loads.merge(_digest(f"1.1.1.{number}:1"), 0.0)
         first = self.loads.find_relay(0.0)
         self.assertNotEqual(first, "1.1.1.1:1")
-        self.loads.note_written_to(first, 0.0)
+        self.loads.note_sent_to(first, 0.0)
         late_ms = peer_loads.RELAY_TIMEOUT_MS + 1.0
         self.assertNotEqual(self.loads.find_relay(late_ms), first)
-        self.loads.note_written_by(first)
+        self.loads.note_received_from(first)
         self.assertEqual(self.loads.find_relay(late_ms), first)
 
 
@@ -172,7 +172,8 @@
             for name in relays:
                 fleet.kill(name)
             await asyncio.sleep(
-                (peer_loads.NEWS_MS + 4.0 * peer_exchange.ROUND_MS) / 1000.0
+                (peer_loads.DIGEST_TTL_MS + 4.0 * peer_exchange.ROUND_MS)
+                / 1000.0
             )
             await self._check_change(fleet)
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -118,7 +118,7 @@
             # It is ready before it knows its peers: after the loss of all VMs
             # callers would wait for the next check otherwise.
             await asyncio.sleep(_HEARD_S)
-            peers = node.gateway._peers.loads.names()
+            peers = node.gateway._peers.loads.list_peers()
             self.assertEqual(len(peers), 5)
             await scene.call("short", "vm-5")
             loads = tools.scheduler.believed_loads()
