--- a/src/ruddergate/decisions/proof.py
+++ b/src/ruddergate/decisions/freshness.py
@@ -17,19 +17,19 @@
 # VMs of a hall that read the store for the others. Where it is dead or cut off
 # from the store, the first of the others that notices reads it, and its proof
 # is found by those that ask at random.
-READERS = 1
+READERS_PER_HALL = 1
 # Halls with fewer VMs would save little.
-SHARED_LEAST = 3
+MIN_SHARING_VMS = 3
 # Parts of the time between two calls of a VM that reads for itself alone: a
 # reader's calls are so far apart, and its peers' questions take the rest.
-READER_PART = 0.75
-FOLLOWER_PART = 0.25
+READER_INTERVAL_FACTOR = 0.75
+FOLLOWER_INTERVAL_FACTOR = 0.25
 # A reader's proof may be so much older than its calls are apart and still count
 # as fresh: the store's answer and the peer's take some milliseconds.
-FRESH_SLACK_MS = 100.0
+FRESHNESS_SLACK_MS = 100.0
 
 
-def find_proven_ms(asked_ms: float, age_ms: float) -> float | None:
+def find_current_as_of_ms(asked_ms: float, age_ms: float) -> float | None:
     """Returns the moment that a peer's answer proves.
 
     Args:
@@ -44,14 +44,14 @@
     return asked_ms - age_ms
 
 
-def is_shared(ranked: Sequence[str]) -> bool:
+def has_shared_readers(ranked: Sequence[str]) -> bool:
     """Returns whether a hall has few VMs read the store for all.
 
     Args:
         ranked: The VMs known in the hall, in the order in which they are to be
             readers.
     """
-    return len(ranked) >= SHARED_LEAST
+    return len(ranked) >= MIN_SHARING_VMS
 
 
 def is_reader(own: str, ranked: Sequence[str]) -> bool:
@@ -61,9 +61,9 @@
         own: Its name.
         ranked: As in `is_shared`, with itself.
     """
-    return not is_shared(ranked) or own in ranked[:READERS]
+    return not has_shared_readers(ranked) or own in ranked[:READERS_PER_HALL]
 
 
 def is_fresh(age_ms: float, alone_ms: float) -> bool:
     """Returns whether a follower's proof will do until its next question."""
-    return age_ms <= alone_ms * READER_PART + FRESH_SLACK_MS
+    return age_ms <= alone_ms * READER_INTERVAL_FACTOR + FRESHNESS_SLACK_MS
--- a/src/ruddergate/entry/peer_source.py
+++ b/src/ruddergate/entry/peer_source.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from ruddergate import environment
-from ruddergate.decisions import proof
+from ruddergate.decisions import freshness
 from ruddergate.entry import document_exchange
 from ruddergate.entry import source_peers
 from ruddergate.fleet import store_position
@@ -55,11 +55,11 @@
 
     def is_reader(self) -> bool:
         """Returns whether this VM reads the store for its hall."""
-        return proof.is_reader(self._peers.own, self._peers.rank_hall())
+        return freshness.is_reader(self._peers.own, self._peers.rank_hall())
 
     def is_shared(self) -> bool:
         """Returns whether one VM of this hall reads the store for all."""
-        return proof.is_shared(self._peers.rank_hall())
+        return freshness.has_shared_readers(self._peers.rank_hall())
 
     def choose(self) -> list[str]:
         """Returns whom to ask: a reader first, and then any other VM."""
@@ -68,7 +68,7 @@
         if not ranked:
             return []
         chance = self._outside.random
-        first = chance.choice(ranked[: proof.READERS])
+        first = chance.choice(ranked[: freshness.READERS_PER_HALL])
         rest = [name for name in ranked if name != first]
         return [first, *chance.sample(rest, min(len(rest), PEERS_ASKED - 1))]
 
--- a/src/ruddergate/entry/source_sync.py
+++ b/src/ruddergate/entry/source_sync.py
@@ -16,7 +16,7 @@
 from ruddergate.decisions import absence
 from ruddergate.decisions import change_log
 from ruddergate.decisions import draining
-from ruddergate.decisions import proof
+from ruddergate.decisions import freshness
 from ruddergate.decisions import settings_claims
 from ruddergate.entry import peer_source
 from ruddergate.entry import scheduler as schedulers
@@ -170,11 +170,11 @@
         """Asks the store or peers; returns the time from turn to turn."""
         is_reading = self._peers.is_reader() or self._position is None
         if is_reading and self._reader.is_due() and await self._read_store():
-            return self._find_every_ms(proof.READER_PART)
+            return self._find_every_ms(freshness.READER_INTERVAL_FACTOR)
         if self._position is not None and await self._ask_peers():
-            return self._find_every_ms(proof.FOLLOWER_PART)
+            return self._find_every_ms(freshness.FOLLOWER_INTERVAL_FACTOR)
         if self._reader.is_due() and await self._read_store():
-            return self._find_every_ms(proof.FOLLOWER_PART)
+            return self._find_every_ms(freshness.FOLLOWER_INTERVAL_FACTOR)
         return min(PEERS_AGAIN_MS, self._reader.find_wait_ms())
 
     async def _read_store(self) -> bool:
@@ -224,7 +224,7 @@
             if found is None or found.epoch < position.epoch:
                 # What it knows, the store has lost.
                 continue
-            proven_ms = proof.find_proven_ms(asked_ms, found.age_ms)
+            proven_ms = freshness.find_current_as_of_ms(asked_ms, found.age_ms)
             if proven_ms is None:
                 self._log.warning(
                     "News dropped, their age can't be true.", peer=peer
@@ -252,7 +252,7 @@
         return any(map(self._targets.is_vague, changes.targets))
 
     def _is_fresh(self) -> bool:
-        return proof.is_fresh(self._find_age_ms(), self._pace.every_ms)
+        return freshness.is_fresh(self._find_age_ms(), self._pace.every_ms)
 
     async def _fetch_claimed(self) -> None:
         """Gets the settings that a peer goes by and the store has lost."""
--- a/standins/soak_ablations.py
+++ b/standins/soak_ablations.py
@@ -11,7 +11,7 @@
 from ruddergate.cli import gateway
 from ruddergate.decisions import change_log
 from ruddergate.decisions import draining
-from ruddergate.decisions import proof
+from ruddergate.decisions import freshness
 from ruddergate.entry import epochs
 from ruddergate.entry import rate_limiter
 from ruddergate.entry import source_sync
@@ -52,7 +52,7 @@
 
 def _ignore_ages() -> None:
     """Has a peer's proof count as of the moment of the question."""
-    proof.find_proven_ms = lambda asked_ms, age_ms: asked_ms
+    freshness.find_current_as_of_ms = lambda asked_ms, age_ms: asked_ms
 
 
 def _keep_leavings() -> None:
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -11,7 +11,7 @@
 from ruddergate import environment
 from ruddergate.decisions import change_log
 from ruddergate.decisions import document_copy
-from ruddergate.decisions import proof
+from ruddergate.decisions import freshness
 from ruddergate.fleet import condition
 from ruddergate.fleet import target as targets
 from ruddergate.messages import document_part
@@ -38,12 +38,14 @@
         )
 
     def test_no_interleaving_proves_what_is_not_true(self) -> None:
-        found = self.explore(proof.find_proven_ms)
+        found = self.explore(freshness.find_current_as_of_ms)
         self.assertEqual(found.trail, ())
         self.assertGreater(found.states, 10_000)
 
     def test_answers_of_earlier_questions_would(self) -> None:
-        found = self.explore(proof.find_proven_ms, matches_questions=False)
+        found = self.explore(
+            freshness.find_current_as_of_ms, matches_questions=False
+        )
         self.assertTrue(found.trail)
 
     def test_trust_in_a_younger_age_would(self) -> None:
@@ -51,18 +53,20 @@
         self.assertTrue(found.trail)
 
     def test_clock_that_stands_still_in_a_suspension_would(self) -> None:
-        found = self.explore(proof.find_proven_ms, counts_sleep=False)
+        found = self.explore(
+            freshness.find_current_as_of_ms, counts_sleep=False
+        )
         self.assertIn("sleeps", " ".join(found.trail))
 
     def test_ages_that_cannot_be_true(self) -> None:
         for age_ms in (-1.0, math.nan, math.inf):
-            self.assertIsNone(proof.find_proven_ms(0.0, age_ms))
+            self.assertIsNone(freshness.find_current_as_of_ms(0.0, age_ms))
 
     def test_small_halls_read_for_themselves(self) -> None:
         names = [f"vm-{number}" for number in range(_HALL)]
-        self.assertFalse(proof.is_shared(names[:2]))
-        self.assertTrue(proof.is_reader("vm-1", names[:2]))
-        self.assertFalse(proof.is_reader("vm-1", names))
+        self.assertFalse(freshness.has_shared_readers(names[:2]))
+        self.assertTrue(freshness.is_reader("vm-1", names[:2]))
+        self.assertFalse(freshness.is_reader("vm-1", names))
 
 
 class EpochModelTest(unittest.TestCase):
@@ -312,7 +316,7 @@
             exchange = scene.cluster.vms["vm-0"].gateway._peers
             readers = {
                 name.partition(":")[0]
-                for name in exchange.rank_hall()[: proof.READERS]
+                for name in exchange.rank_hall()[: freshness.READERS_PER_HALL]
             }
             for name in readers:
                 scene.cluster.kill(scene.cluster.vms[name])
