--- a/src/ruddergate/decisions/losses_found.py
+++ b/src/ruddergate/decisions/loss_reports.py
@@ -15,17 +15,17 @@
 
 # A loss is told for so long: two rounds of digests miss it at most once, and
 # what was found in a cut is forgotten soon after its end.
-TOLD_MS = 1_200.0
+REPORT_DURATION_MS = 1_200.0
 # A hall counts as reached for so long after an answer from there.
-REACHED_MS = 2_000.0
+HALL_REACHED_MS = 2_000.0
 # Losses that are told at once. More than this is more likely this VM's fault.
-TOLD_MOST = 16
+MAX_REPORTED = 16
 # How long a target is passed over that a peer found lost, drawn from this
 # range: the first VM that tries it again tells the others how it fared.
-PAUSE_MS = (600.0, 1_800.0)
+AVOID_RANGE_MS = (600.0, 1_800.0)
 
 
-class LossesFound:
+class LossReports:
     """Losses that this VM has found; owned by the scheduler task."""
 
     def __init__(self) -> None:
@@ -41,18 +41,18 @@
         self._silent.pop(life, None)
         self._halls.pop(hall, None)
 
-    def note_lost(
+    def note_unreachable(
         self, hall: str, life: lives.Life, is_silent: bool, now_ms: float
     ) -> bool:
         """Notes a target that is not there; returns whether it is told."""
         reached_ms = self._reached_ms.get(hall, float("-inf"))
-        if now_ms - reached_ms > REACHED_MS:
+        if now_ms - reached_ms > HALL_REACHED_MS:
             return False
         found = self._silent if is_silent else self._gone
         found[life] = now_ms
         return True
 
-    def note_hall_lost(self, hall: str, now_ms: float) -> None:
+    def note_hall_unreachable(self, hall: str, now_ms: float) -> None:
         """Notes a hall that seems cut off."""
         self._halls[hall] = now_ms
 
@@ -62,7 +62,7 @@
             _forget_old(found, now_ms)
         if not self._gone and not self._silent and not self._halls:
             return bad_news.NOTHING
-        if len(self._gone) + len(self._silent) > TOLD_MOST:
+        if len(self._gone) + len(self._silent) > MAX_REPORTED:
             return bad_news.NOTHING
         return bad_news.BadNews(
             tuple(map(lives.format_life, self._gone)),
@@ -73,11 +73,13 @@
 
 def _forget_old(found: dict, now_ms: float) -> None:
     for name, at_ms in list(found.items()):
-        if now_ms - at_ms > TOLD_MS:
+        if now_ms - at_ms > REPORT_DURATION_MS:
             del found[name]
 
 
-def select_for(told: bad_news.BadNews, is_same_hall: bool) -> bad_news.BadNews:
+def select_applicable(
+    told: bad_news.BadNews, is_same_hall: bool
+) -> bad_news.BadNews:
     """Returns what of a peer's news holds for this VM.
 
     What did not answer a VM of another hall may well answer here.
--- a/src/ruddergate/decisions/peer_loads.py
+++ b/src/ruddergate/decisions/peer_loads.py
@@ -6,7 +6,7 @@
 import random
 
 from ruddergate.decisions import length_band
-from ruddergate.decisions import losses_found
+from ruddergate.decisions import loss_reports
 from ruddergate.decisions import pause_class
 from ruddergate.decisions import peer_groups
 from ruddergate.fleet import bad_news
@@ -119,15 +119,15 @@
     def _take_lost(self, peer: _Peer, told: bad_news.BadNews) -> None:
         if told != peer.lost:
             is_same_hall = peer.place.hall == self._place.hall
-            new = losses_found.find_new(told, peer.lost)
-            self._lost.append(losses_found.select_for(new, is_same_hall))
+            new = loss_reports.find_new(told, peer.lost)
+            self._lost.append(loss_reports.select_applicable(new, is_same_hall))
             peer.lost = told
 
     def collect_losses(self) -> bad_news.BadNews:
         """Returns what peers have found out of reach since the last call."""
         if not self._lost:
             return bad_news.NOTHING
-        found = losses_found.merge(self._lost)
+        found = loss_reports.merge(self._lost)
         self._lost.clear()
         return found
 
--- a/src/ruddergate/entry/target_losses.py
+++ b/src/ruddergate/entry/target_losses.py
@@ -4,7 +4,7 @@
 import random
 
 from ruddergate.decisions import estimate as estimates
-from ruddergate.decisions import losses_found
+from ruddergate.decisions import loss_reports
 from ruddergate.decisions import reachability
 from ruddergate.entry import life_ends
 from ruddergate.fleet import bad_news
@@ -26,7 +26,7 @@
     def __init__(self, chance: random.Random) -> None:
         self.ends = life_ends.LifeEnds()
         self._chance = chance
-        self._found = losses_found.LossesFound()
+        self._found = loss_reports.LossReports()
         self._reachability = reachability.Reachability()
         self._log = logs.make_logger("scheduler")
 
@@ -35,12 +35,12 @@
         hall = target.hall
         if self._reachability.note_missed(hall, target.target_id, now_ms):
             self._log.warning("Hall {} is out of reach.", hall)
-            self._found.note_hall_lost(hall, now_ms)
-        self._found.note_lost(hall, target.life, True, now_ms)
+            self._found.note_hall_unreachable(hall, now_ms)
+        self._found.note_unreachable(hall, target.life, True, now_ms)
 
     def note_gone(self, target: targets.Target, now_ms: float) -> None:
         """Notes that a target's life has certainly ended."""
-        self._found.note_lost(target.hall, target.life, False, now_ms)
+        self._found.note_unreachable(target.hall, target.life, False, now_ms)
         self.ends.note(target.life)
 
     def note_answered(self, target: targets.Target, now_ms: float) -> None:
@@ -68,7 +68,7 @@
         for name in (*told.gone, *told.silent):
             estimate = find_estimate(lives.parse_life(name))
             if estimate is not None:
-                pause_ms = self._chance.uniform(*losses_found.PAUSE_MS)
+                pause_ms = self._chance.uniform(*loss_reports.AVOID_RANGE_MS)
                 estimate.note_told_lost(now_ms, pause_ms)
         for hall in told.halls:
             if self._reachability.note_told(hall, now_ms):
--- a/tests/test_losses_found.py
+++ b/tests/test_losses_found.py
@@ -5,7 +5,7 @@
 
 import loguru
 
-from ruddergate.decisions import losses_found
+from ruddergate.decisions import loss_reports
 from ruddergate.decisions import reachability
 from ruddergate.fleet import bad_news
 from ruddergate.fleet import life as lives
@@ -18,57 +18,60 @@
 
 class LossesFoundTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.losses = losses_found.LossesFound()
+        self.losses = loss_reports.LossReports()
 
     def test_loss_is_told_for_a_while(self) -> None:
         self.losses.note_reached(_HALL, lives.Life("t1"), 0.0)
         self.assertTrue(
-            self.losses.note_lost(_HALL, lives.Life("t2"), False, 10.0)
+            self.losses.note_unreachable(_HALL, lives.Life("t2"), False, 10.0)
         )
         self.assertTrue(
-            self.losses.note_lost(_HALL, lives.Life("t3"), True, 10.0)
+            self.losses.note_unreachable(_HALL, lives.Life("t3"), True, 10.0)
         )
         told = bad_news.BadNews(gone=("t2",), silent=("t3",))
         self.assertEqual(self.losses.summarize(500.0), told)
-        late_ms = 11.0 + losses_found.TOLD_MS
+        late_ms = 11.0 + loss_reports.REPORT_DURATION_MS
         self.assertIs(self.losses.summarize(late_ms), bad_news.NOTHING)
 
     def test_target_that_answers_is_not_lost(self) -> None:
         self.losses.note_reached(_HALL, lives.Life("t1"), 0.0)
-        self.losses.note_lost(_HALL, lives.Life("t2"), True, 10.0)
+        self.losses.note_unreachable(_HALL, lives.Life("t2"), True, 10.0)
         self.losses.note_reached(_HALL, lives.Life("t2"), 20.0)
         self.assertIs(self.losses.summarize(30.0), bad_news.NOTHING)
 
     def test_vm_that_is_cut_off_tells_nothing(self) -> None:
         self.assertFalse(
-            self.losses.note_lost(_HALL, lives.Life("t1"), True, 0.0)
+            self.losses.note_unreachable(_HALL, lives.Life("t1"), True, 0.0)
         )
         self.losses.note_reached(_HALL, lives.Life("t1"), 0.0)
-        late_ms = losses_found.REACHED_MS + 1.0
+        late_ms = loss_reports.HALL_REACHED_MS + 1.0
         self.assertFalse(
-            self.losses.note_lost(_HALL, lives.Life("t2"), False, late_ms)
+            self.losses.note_unreachable(
+                _HALL, lives.Life("t2"), False, late_ms
+            )
         )
         # Nor does one that loses many at once.
         self.losses.note_reached(_HALL, lives.Life("t1"), late_ms)
-        for number in range(losses_found.TOLD_MOST + 1):
-            self.losses.note_lost(
+        for number in range(loss_reports.MAX_REPORTED + 1):
+            self.losses.note_unreachable(
                 _HALL, lives.Life(f"e{number}"), False, late_ms
             )
         self.assertIs(self.losses.summarize(late_ms), bad_news.NOTHING)
 
     def test_only_what_holds_elsewhere_is_taken_from_another_hall(self) -> None:
         told = bad_news.BadNews(("a",), ("b",), ("h2",))
-        self.assertEqual(losses_found.select_for(told, True), told)
+        self.assertEqual(loss_reports.select_applicable(told, True), told)
         self.assertEqual(
-            losses_found.select_for(told, False), bad_news.BadNews(("a",))
+            loss_reports.select_applicable(told, False),
+            bad_news.BadNews(("a",)),
         )
 
     def test_what_was_told_before_is_no_news(self) -> None:
         before = bad_news.BadNews(("a",))
         told = bad_news.BadNews(("a", "b"))
-        new = losses_found.find_new(told, before)
+        new = loss_reports.find_new(told, before)
         self.assertEqual(new, bad_news.BadNews(("b",)))
-        self.assertEqual(losses_found.merge([new, new, told]).gone, ("b", "a"))
+        self.assertEqual(loss_reports.merge([new, new, told]).gone, ("b", "a"))
 
     def test_hall_that_peers_lost_is_passed_over_once(self) -> None:
         found = reachability.Reachability()
