--- a/src/ruddergate/decisions/removals.py
+++ b/src/ruddergate/decisions/tombstones.py
@@ -12,7 +12,7 @@
 
 # Removals that are remembered, the oldest are forgotten first. A copy is some
 # seconds old; this many go in a minute of a fast release of a large fleet.
-REMOVED_MOST = 4_096
+MAX_TOMBSTONES = 4_096
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
     copied_sequence: int | None = None
 
 
-class Removals:
+class Tombstones:
     """Removed targets by name; owned by the list of targets."""
 
     def __init__(self) -> None:
@@ -40,15 +40,15 @@
         """Notes that a target went off the list."""
         self._removed.pop(target.target_id, None)
         self._removed[target.target_id] = _Removal(target.born_ms)
-        if len(self._removed) > REMOVED_MOST:
+        if len(self._removed) > MAX_TOMBSTONES:
             del self._removed[next(iter(self._removed))]
 
-    def note_restored(self) -> None:
+    def note_store_restored(self) -> None:
         """Has removals bind that the store may have lost."""
         for target_id, removal in self._removed.items():
             self._removed[target_id] = _Removal(removal.born_ms, True)
 
-    def take_entry(self, target: targets.Target, is_all: bool) -> bool:
+    def accept_entry(self, target: targets.Target, is_all: bool) -> bool:
         """Takes in an entry; returns whether it was written since a restore.
 
         Args:
--- a/src/ruddergate/entry/target_list.py
+++ b/src/ruddergate/entry/target_list.py
@@ -12,7 +12,7 @@
 import dataclasses
 
 from ruddergate.decisions import draining
-from ruddergate.decisions import removals
+from ruddergate.decisions import tombstones
 from ruddergate.fleet import condition
 from ruddergate.fleet import life as lives
 from ruddergate.fleet import target as targets
@@ -52,7 +52,7 @@
         self._kept_until_ms: dict[str, float] = {}
         # The youngest life of each target that was seen.
         self._born_ms: dict[str, int] = {}
-        self._removals = removals.Removals()
+        self._removals = tombstones.Tombstones()
         # Listed, but by nothing newer than a copy from before their removal.
         self._stale: dict[str, targets.Target] = {}
         self._told = told_once.ToldOnce()
@@ -77,7 +77,7 @@
 
     def note_restored(self) -> None:
         """Notes that the store was restored from an older copy."""
-        self._removals.note_restored()
+        self._removals.note_store_restored()
 
     def take(
         self,
@@ -112,7 +112,7 @@
         for target_id, each in listed.items():
             if target_id in off | spoilt:
                 continue
-            if self._removals.take_entry(each, is_all):
+            if self._removals.accept_entry(each, is_all):
                 self._put(each, now_ms)
             else:
                 self._hold_back(each)
--- a/tests/test_restored_targets.py
+++ b/tests/test_restored_targets.py
@@ -8,7 +8,7 @@
 
 from ruddergate import environment
 from ruddergate.decisions import absence
-from ruddergate.decisions import removals
+from ruddergate.decisions import tombstones
 from ruddergate.fleet import condition
 from ruddergate.fleet import target as targets
 from standins import gateway_cluster
@@ -101,7 +101,7 @@
     """Entries that a copy may hold of a target that was removed."""
 
     def setUp(self) -> None:
-        self.removals = removals.Removals()
+        self.removals = tombstones.Tombstones()
         self.removals.note_removed(self._make(5, 7))
 
     def _make(self, born_ms: int, sequence: int) -> targets.Target:
@@ -117,38 +117,38 @@
         )
 
     def test_within_an_epoch_an_entry_is_a_new_one(self) -> None:
-        self.assertTrue(self.removals.take_entry(self._make(5, 7), True))
+        self.assertTrue(self.removals.accept_entry(self._make(5, 7), True))
 
     def test_entry_of_the_copy_is_stale_whatever_its_number(self) -> None:
-        self.removals.note_restored()
-        self.assertFalse(self.removals.take_entry(self._make(5, 9), True))
-        self.assertFalse(self.removals.take_entry(self._make(5, 9), True))
-        self.assertTrue(self.removals.take_entry(self._make(5, 10), True))
-        self.assertTrue(self.removals.take_entry(self._make(5, 10), True))
+        self.removals.note_store_restored()
+        self.assertFalse(self.removals.accept_entry(self._make(5, 9), True))
+        self.assertFalse(self.removals.accept_entry(self._make(5, 9), True))
+        self.assertTrue(self.removals.accept_entry(self._make(5, 10), True))
+        self.assertTrue(self.removals.accept_entry(self._make(5, 10), True))
 
     def test_change_after_the_restore_is_none_of_the_copy(self) -> None:
-        self.removals.note_restored()
-        self.assertFalse(self.removals.take_entry(self._make(5, 9), True))
-        self.assertTrue(self.removals.take_entry(self._make(5, 9), False))
+        self.removals.note_store_restored()
+        self.assertFalse(self.removals.accept_entry(self._make(5, 9), True))
+        self.assertTrue(self.removals.accept_entry(self._make(5, 9), False))
 
     def test_younger_life_is_used(self) -> None:
-        self.removals.note_restored()
-        self.assertTrue(self.removals.take_entry(self._make(6, 1), True))
+        self.removals.note_store_restored()
+        self.assertTrue(self.removals.accept_entry(self._make(6, 1), True))
 
     def test_second_restore_compares_anew(self) -> None:
-        self.removals.note_restored()
-        self.assertFalse(self.removals.take_entry(self._make(5, 6), True))
-        self.removals.note_restored()
-        self.assertFalse(self.removals.take_entry(self._make(5, 7), True))
+        self.removals.note_store_restored()
+        self.assertFalse(self.removals.accept_entry(self._make(5, 6), True))
+        self.removals.note_store_restored()
+        self.assertFalse(self.removals.accept_entry(self._make(5, 7), True))
 
     def test_oldest_are_forgotten(self) -> None:
-        for number in range(removals.REMOVED_MOST):
+        for number in range(tombstones.MAX_TOMBSTONES):
             target = dataclasses.replace(
                 self._make(5, 7), target_id=f"t{number}"
             )
             self.removals.note_removed(target)
-        self.removals.note_restored()
-        self.assertTrue(self.removals.take_entry(self._make(5, 7), True))
+        self.removals.note_store_restored()
+        self.assertTrue(self.removals.accept_entry(self._make(5, 7), True))
 
 
 class YoungerThanCopyTest(unittest.TestCase):
