--- a/src/ruddergate/decisions/absence.py
+++ b/src/ruddergate/decisions/outage_grace.py
@@ -15,7 +15,9 @@
 LEAST_MS = 1_000.0
 
 
-def find_end_ms(read_ms: float, away_ms: float, is_restored: bool) -> float:
+def find_grace_end_ms(
+    read_ms: float, away_ms: float, is_restored: bool
+) -> float:
     """Returns until when a target that is missing may be used.
 
     After a plain outage that is how long live targets may take to be back; a
--- a/src/ruddergate/entry/source_sync.py
+++ b/src/ruddergate/entry/source_sync.py
@@ -13,10 +13,10 @@
 import dataclasses
 
 from ruddergate import environment
-from ruddergate.decisions import absence
 from ruddergate.decisions import change_log
 from ruddergate.decisions import draining
 from ruddergate.decisions import freshness
+from ruddergate.decisions import outage_grace
 from ruddergate.decisions import settings_claims
 from ruddergate.entry import peer_source
 from ruddergate.entry import scheduler as schedulers
@@ -294,7 +294,7 @@
         is_restored = self._is_restored(changes.position)
         if is_restored or asked_ms - self._proven_ms > self._pace.outage_ms:
             away_ms = max(self._proven_ms, self._reader.failed_ms)
-            self._lapsed_until_ms = absence.find_end_ms(
+            self._lapsed_until_ms = outage_grace.find_grace_end_ms(
                 now_ms, away_ms, is_restored
             )
         if is_restored:
--- a/tests/test_restored_targets.py
+++ b/tests/test_restored_targets.py
@@ -7,7 +7,7 @@
 import loguru
 
 from ruddergate import environment
-from ruddergate.decisions import absence
+from ruddergate.decisions import outage_grace
 from ruddergate.decisions import tombstones
 from ruddergate.fleet import condition
 from ruddergate.fleet import target as targets
@@ -251,7 +251,8 @@
             (1_000.0, -9_000.0, True, 2_000.0),
         ):
             self.assertEqual(
-                absence.find_end_ms(read_ms, away_ms, is_restored), until_ms
+                outage_grace.find_grace_end_ms(read_ms, away_ms, is_restored),
+                until_ms,
             )
 
 
