--- a/src/ruddergate/decisions/change_log.py
+++ b/src/ruddergate/decisions/change_log.py
@@ -12,10 +12,10 @@
 
 # Answers of the store that are kept; at one each second they go back as far as
 # the store's own history does.
-ANSWERS_MOST = 32
+MAX_STEPS = 32
 # Entries told in one answer: 24 of them take about 2.5 KB. An asker that has
 # missed more reads the store.
-ROWS_MOST = 24
+MAX_ROWS = 24
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -36,8 +36,8 @@
     until: int
     is_unreadable: bool
     listed: tuple[targets.Target, ...] = ()
-    gone: tuple[str, ...] = ()
-    spoilt: tuple[str, ...] = ()
+    removed: tuple[str, ...] = ()
+    malformed: tuple[str, ...] = ()
 
 
 class ChangeLog:
@@ -45,7 +45,7 @@
 
     def __init__(self) -> None:
         self._steps: collections.deque[Step] = collections.deque(
-            maxlen=ANSWERS_MOST
+            maxlen=MAX_STEPS
         )
 
     def note(self, step: Step) -> None:
@@ -78,26 +78,26 @@
         if any(each.is_unreadable for each in wanted):
             return None
         rows = tuple(row for each in wanted for row in each.listed)
-        gone, spoilt = _find_ends(wanted)
-        if len(rows) + len(gone) + len(spoilt) > ROWS_MOST:
+        removed, malformed = _find_ends(wanted)
+        if len(rows) + len(removed) + len(malformed) > MAX_ROWS:
             return None
-        return Step(position, until, False, rows, gone, spoilt)
+        return Step(position, until, False, rows, removed, malformed)
 
 
 def _find_ends(
     steps: list[Step],
 ) -> tuple[tuple[str, ...], tuple[str, ...]]:
     """Returns the names that are off the list, or spoilt, after all steps."""
-    gone: dict[str, None] = {}
-    spoilt: dict[str, None] = {}
+    removed: dict[str, None] = {}
+    malformed: dict[str, None] = {}
     for each in steps:
         for row in each.listed:
-            gone.pop(row.target_id, None)
-            spoilt.pop(row.target_id, None)
-        for target_id in each.gone:
-            gone[target_id] = None
-            spoilt.pop(target_id, None)
-        for target_id in each.spoilt:
-            spoilt[target_id] = None
-            gone.pop(target_id, None)
-    return tuple(gone), tuple(spoilt)
+            removed.pop(row.target_id, None)
+            malformed.pop(row.target_id, None)
+        for target_id in each.removed:
+            removed[target_id] = None
+            malformed.pop(target_id, None)
+        for target_id in each.malformed:
+            malformed[target_id] = None
+            removed.pop(target_id, None)
+    return tuple(removed), tuple(malformed)
--- a/src/ruddergate/decisions/document_copy.py
+++ b/src/ruddergate/decisions/document_parts.py
@@ -6,9 +6,9 @@
 # Bytes of a part, about those of a digest of many rows.
 PART_BYTES = 2_000
 # 1,500 routes take about 20 parts.
-PARTS_MOST = 400
+MAX_PARTS = 400
 # The platform's largest value is a megabyte; some more, as it may grow.
-DOCUMENT_BYTES_MOST = 8_000_000
+MAX_DOCUMENT_BYTES = 8_000_000
 # Little is gained by more, and it would hold the VM up for longer.
 _LEVEL = 1
 
@@ -20,14 +20,14 @@
         data[begin : begin + PART_BYTES]
         for begin in range(0, len(data), PART_BYTES)
     )
-    return parts if len(parts) <= PARTS_MOST else ()
+    return parts if len(parts) <= MAX_PARTS else ()
 
 
 def join(parts: Sequence[bytes]) -> bytes | None:
     """Returns the document of all its parts, or None if they are none."""
     reader = zlib.decompressobj()
     try:
-        document = reader.decompress(b"".join(parts), DOCUMENT_BYTES_MOST)
+        document = reader.decompress(b"".join(parts), MAX_DOCUMENT_BYTES)
     except zlib.error:
         return None
     return document if reader.eof else None
--- a/src/ruddergate/entry/document_exchange.py
+++ b/src/ruddergate/entry/document_exchange.py
@@ -10,7 +10,7 @@
 from typing import TypeAlias
 from typing import TypeVar
 
-from ruddergate.decisions import document_copy
+from ruddergate.decisions import document_parts
 from ruddergate.messages import document_part
 
 # A datagram may get lost; a part is asked for so often.
@@ -51,7 +51,7 @@
             if document is None:
                 return None
             self._version = version
-            self._parts = document_copy.split(document)
+            self._parts = document_parts.split(document)
         if not 0 <= part < len(self._parts):
             return None
         return document_part.DocumentPart(
@@ -63,11 +63,11 @@
         parts: list[bytes] = []
         while True:
             found = await self._ask_part(peer, version, len(parts))
-            if found is None or found.parts > document_copy.PARTS_MOST:
+            if found is None or found.parts > document_parts.MAX_PARTS:
                 return None
             parts.append(found.data)
             if len(parts) >= found.parts:
-                return document_copy.join(parts)
+                return document_parts.join(parts)
 
     async def _ask_part(
         self, peer: str, version: Version, part: int
--- a/src/ruddergate/entry/source_sync.py
+++ b/src/ruddergate/entry/source_sync.py
@@ -147,8 +147,8 @@
             told,
             is_whole=True,
             listed=step.listed,
-            gone=step.gone,
-            spoilt=step.spoilt,
+            gone=step.removed,
+            spoilt=step.malformed,
         )
 
     def _find_settings(self, revision: int) -> bytes | None:
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -10,7 +10,7 @@
 
 from ruddergate import environment
 from ruddergate.decisions import change_log
-from ruddergate.decisions import document_copy
+from ruddergate.decisions import document_parts
 from ruddergate.decisions import freshness
 from ruddergate.fleet import condition
 from ruddergate.fleet import target as targets
@@ -106,7 +106,7 @@
         self.log.note(change_log.Step(7, 8, False, (), ("t",)))
         found = self.log.find_since(5, 8)
         self.assertEqual(found.listed, (self.leaving,))
-        self.assertEqual(found.gone, ("t",))
+        self.assertEqual(found.removed, ("t",))
         # One that is within a step gets the whole step.
         self.assertEqual(len(self.log.find_since(3, 8).listed), 2)
         self.assertEqual(self.log.find_since(8, 8).listed, ())
@@ -114,7 +114,7 @@
     def test_lapsed_target_that_is_back_is_not_gone(self) -> None:
         self.log.note(change_log.Step(1, 2, False, (), ("t",)))
         self.log.note(change_log.Step(2, 3, False, (self.live,)))
-        self.assertEqual(self.log.find_since(1, 3).gone, ())
+        self.assertEqual(self.log.find_since(1, 3).removed, ())
 
     def test_what_cannot_be_told(self) -> None:
         self.log.note(change_log.Step(1, 2, True))
@@ -122,7 +122,7 @@
         self.assertIsNone(self.log.find_since(1, 3))
         self.assertIsNotNone(self.log.find_since(2, 3))
         self.assertIsNone(self.log.find_since(0, 3))
-        rows = (self.live,) * change_log.ROWS_MOST
+        rows = (self.live,) * change_log.MAX_ROWS
         self.log.note(change_log.Step(3, 4, False, rows))
         self.assertIsNone(self.log.find_since(2, 4))
 
@@ -147,15 +147,15 @@
     @hypothesis.given(strategies.binary(max_size=9_000))
     @hypothesis.settings(max_examples=50, deadline=None)
     def test_parts_make_the_document(self, document: bytes) -> None:
-        parts = document_copy.split(document)
-        self.assertEqual(document_copy.join(parts), document)
-        self.assertIsNone(document_copy.join(parts[:-1]))
+        parts = document_parts.split(document)
+        self.assertEqual(document_parts.join(parts), document)
+        self.assertIsNone(document_parts.join(parts[:-1]))
 
     def test_what_is_no_document(self) -> None:
-        self.assertIsNone(document_copy.join((b"?",)))
-        self.assertIsNone(document_copy.join(()))
-        too_large = bytes(document_copy.DOCUMENT_BYTES_MOST + 1)
-        self.assertIsNone(document_copy.join(document_copy.split(too_large)))
+        self.assertIsNone(document_parts.join((b"?",)))
+        self.assertIsNone(document_parts.join(()))
+        too_large = bytes(document_parts.MAX_DOCUMENT_BYTES + 1)
+        self.assertIsNone(document_parts.join(document_parts.split(too_large)))
 
 
 class HallTest(unittest.TestCase):
