--- a/src/ruddergate/agent/gossip_task.py
+++ b/src/ruddergate/agent/gossip_task.py
@@ -80,7 +80,7 @@
         )
 
     def _dispatched_rows(self) -> int:
-        known = len(self._knowledge.members.known())
+        known = len(self._knowledge.members.list_known())
         if known > membership.ROWS_PER_DIGEST:
             return DISPATCHED_ROWS_LARGE_HALL
         return DISPATCHED_ROWS
--- a/src/ruddergate/agent/knowledge.py
+++ b/src/ruddergate/agent/knowledge.py
@@ -138,7 +138,7 @@
     def hear(self, digest: gossip.Gossip) -> None:
         """Takes in a peer's digest."""
         now_ms = self._outside.now_ms()
-        self.members.hear(digest.members, now_ms)
+        self.members.merge(digest.members, now_ms)
         self._peer_loads[digest.sender] = (now_ms, digest.dispatched)
         self.confirm_listing(digest.listing_version, digest.listing_age_ms)
         for row in digest.members:
--- a/src/ruddergate/agent/share_task.py
+++ b/src/ruddergate/agent/share_task.py
@@ -59,8 +59,8 @@
         rows = []
         for workspace in sorted(set(self._special(now_ms))):
             fraction = self._fraction(workspace, now_ms)
-            until_ms = self._book.lowest_until_ms(workspace, now_ms)
-            valid_ms = min(until_ms - now_ms, decisions.LEND_VALID_MS)
+            until_ms = self._book.find_next_expiry_ms(workspace, now_ms)
+            valid_ms = min(until_ms - now_ms, decisions.LOAN_VALID_MS)
             rows.append(messages.Share(workspace, fraction, valid_ms))
         return messages.Shares(self._base(""), tuple(rows))
 
@@ -72,7 +72,7 @@
             self._base(wanted.workspace),
             self.demand.get(wanted.workspace, 0.0),
             wanted.fraction,
-            min(wanted.valid_ms, decisions.LEND_VALID_MS),
+            min(wanted.valid_ms, decisions.LOAN_VALID_MS),
             now_ms,
         )
         return lend.Lent(wanted.workspace, fraction)
@@ -97,7 +97,7 @@
         missing: float,
     ) -> float:
         asked_ms = self._outside.now_ms()
-        valid_ms = decisions.LEND_VALID_MS
+        valid_ms = decisions.LOAN_VALID_MS
         wanted = lend.LendWanted(
             self._config.vm_id, workspace, missing, valid_ms
         )
@@ -108,7 +108,9 @@
         return answer.fraction
 
     def _fraction(self, workspace: str, now_ms: float) -> float:
-        return self._book.fraction(workspace, self._base(workspace), now_ms)
+        return self._book.find_fraction(
+            workspace, self._base(workspace), now_ms
+        )
 
     def _base(self, workspace: str) -> float:
         """Returns this VM's base part of a workspace's limits."""
@@ -118,7 +120,7 @@
         }
         in_hall = decisions.base_fraction(
             listed,
-            self._knowledge.members.known(),
+            self._knowledge.members.list_known(),
             self._knowledge.answered,
             self._config.vm_id,
         )
@@ -129,7 +131,7 @@
 
     def _special(self, now_ms: float) -> Iterator[str]:
         """Yields the workspaces whose part is not the base."""
-        yield from self._book.changed(now_ms)
+        yield from self._book.list_open_loans(now_ms)
         tree = self._knowledge.in_force.tree
         for branch in tree.of_kind(kinds.Kind.WORKSPACE):
             if branch.hall_percent:
--- a/src/ruddergate/decisions/membership.py
+++ b/src/ruddergate/decisions/membership.py
@@ -38,7 +38,7 @@
         self._hall = hall
         self._members: dict[str, Member] = {}
 
-    def hear(self, rows: Iterable[gossip.MemberRow], now_ms: float) -> None:
+    def merge(self, rows: Iterable[gossip.MemberRow], now_ms: float) -> None:
         """Takes in rows; only a later incarnation or heartbeat is news."""
         for row in rows:
             if row.vm_id == self._own_id or row.hall != self._hall:
@@ -71,7 +71,7 @@
                 del self._members[vm_id]
 
     def pick_rows(
-        self, own: gossip.MemberRow, now_ms: float, chance: random.Random
+        self, own: gossip.MemberRow, now_ms: float, rng: random.Random
     ) -> tuple[gossip.MemberRow, ...]:
         """Returns rows for a digest of fixed size: own, newest, and some."""
         fresh = [
@@ -83,7 +83,7 @@
         half = (ROWS_PER_DIGEST - 1) // 2
         newest = fresh[:half]
         rest = fresh[half:]
-        others = chance.sample(rest, min(len(rest), ROWS_PER_DIGEST - 1 - half))
+        others = rng.sample(rest, min(len(rest), ROWS_PER_DIGEST - 1 - half))
         aged = (
             dataclasses.replace(member.row, age_ms=now_ms - member.heard_ms)
             for member in newest + others
--- a/src/ruddergate/decisions/peer_groups.py
+++ b/src/ruddergate/decisions/peer_groups.py
@@ -16,14 +16,14 @@
 
 # A relay sends to so many VMs of its group and to one VM of each other group.
 # At 940 VMs both numbers are about 30.
-GROUP_MOST = 32
+MAX_GROUP_SIZE = 32
 # In a fleet up to this size every VM writes to every other one: a relay would
 # save nothing and cost a hop.
-DIRECT_MOST = 16
+MAX_FULL_MESH_VMS = 16
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class VmAttributes:
     """What a VM's part in the groups depends on.
 
     Attributes:
@@ -36,7 +36,7 @@
     link_mbps: int
 
 
-Fleet: TypeAlias = Mapping[str, Place]
+Fleet: TypeAlias = Mapping[str, VmAttributes]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
 
 def _divide_hall(hall: str, ranked: Sequence[str]) -> list[Group]:
     """Divides by rank in turn, so that groups are of even size."""
-    count = -(-len(ranked) // GROUP_MOST)
+    count = -(-len(ranked) // MAX_GROUP_SIZE)
     return [Group(hall, tuple(ranked[index::count])) for index in range(count)]
 
 
@@ -87,6 +87,6 @@
     return next(filter(may_be_relay, group.members), None)
 
 
-def _rank_of(name: str, place: Place) -> tuple[int, int, str]:
+def _rank_of(name: str, place: VmAttributes) -> tuple[int, int, str]:
     """Lets fast links go first, and any of them among equals."""
     return (-place.link_mbps, zlib.crc32(name.encode()), name)
--- a/src/ruddergate/decisions/peer_loads.py
+++ b/src/ruddergate/decisions/peer_loads.py
@@ -48,7 +48,7 @@
             wrote itself; None if nothing is awaited of it.
     """
 
-    place: peer_groups.Place
+    place: peer_groups.VmAttributes
     heard_ms: float
     incarnation: str
     number: int
@@ -65,7 +65,7 @@
         place: What this VM's part in the groups depends on.
     """
 
-    def __init__(self, own: str, place: peer_groups.Place) -> None:
+    def __init__(self, own: str, place: peer_groups.VmAttributes) -> None:
         self._own = own
         self._place = place
         self._peers: dict[str, _Peer] = {}
@@ -99,7 +99,7 @@
         if digest.sender == self._own:
             return False
         peer = self._peers.get(digest.sender)
-        place = peer_groups.Place(digest.hall, digest.link_mbps)
+        place = peer_groups.VmAttributes(digest.hall, digest.link_mbps)
         if peer is None or peer.place != place:
             self._forget_groups()
         if peer is None:
--- a/src/ruddergate/decisions/reachability.py
+++ b/src/ruddergate/decisions/reachability.py
@@ -8,14 +8,14 @@
 TARGETS_LEAST = 2
 # A suspect hall is passed over for this long, twice as long each time that it
 # turns out to be still out of reach; cuts last some seconds.
-PAUSE_FIRST_MS = 800.0
-PAUSE_MOST_MS = 3_200.0
+MIN_AVOID_MS = 800.0
+MAX_AVOID_MS = 3_200.0
 
 
 @dataclasses.dataclass(slots=True)
 class _Hall:
     missed_ms: dict[str, float] = dataclasses.field(default_factory=dict)
-    pause_ms: float = PAUSE_FIRST_MS
+    pause_ms: float = MIN_AVOID_MS
     suspect_until_ms: float = float("-inf")
 
 
@@ -25,7 +25,9 @@
     def __init__(self) -> None:
         self._halls: dict[str, _Hall] = {}
 
-    def note_missed(self, hall: str, target_id: str, now_ms: float) -> bool:
+    def note_connect_failure(
+        self, hall: str, target_id: str, now_ms: float
+    ) -> bool:
         """Notes a connection that did not come up.
 
         Returns whether the hall became suspect by it.
@@ -38,10 +40,10 @@
         if recent < TARGETS_LEAST or now_ms < found.suspect_until_ms:
             return False
         found.suspect_until_ms = now_ms + found.pause_ms
-        found.pause_ms = min(PAUSE_MOST_MS, found.pause_ms * 2.0)
+        found.pause_ms = min(MAX_AVOID_MS, found.pause_ms * 2.0)
         return True
 
-    def note_told(self, hall: str, now_ms: float) -> bool:
+    def note_reported(self, hall: str, now_ms: float) -> bool:
         """Notes that a peer beside this VM found a hall out of reach.
 
         Returns whether the hall became suspect by it. The pause does not grow:
@@ -50,7 +52,7 @@
         found = self._halls.setdefault(hall, _Hall())
         if now_ms < found.suspect_until_ms:
             return False
-        found.suspect_until_ms = now_ms + PAUSE_FIRST_MS
+        found.suspect_until_ms = now_ms + MIN_AVOID_MS
         return True
 
     def note_reached(self, hall: str) -> None:
--- a/src/ruddergate/decisions/settings_claims.py
+++ b/src/ruddergate/decisions/settings_claims.py
@@ -11,7 +11,7 @@
 # Claims of a peer that could not make them good are not taken for so long.
 REJECTED_MS = 30_000.0
 # Peers whose claims are remembered.
-CLAIMS_MOST = 64
+MAX_CLAIMS = 64
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
         self._claims[peer] = Claim(peer, revision, now_ms)
         _drop_oldest(self._claims)
 
-    def find_unmet(self, own: int, read_ms: float) -> Claim | None:
+    def find_unconfirmed(self, own: int, read_ms: float) -> Claim | None:
         """Returns the highest claim that a read of the store has not met.
 
         Args:
@@ -75,5 +75,5 @@
 
 
 def _drop_oldest(found: dict) -> None:
-    if len(found) > CLAIMS_MOST:
+    if len(found) > MAX_CLAIMS:
         del found[next(iter(found))]
--- a/src/ruddergate/decisions/shares.py
+++ b/src/ruddergate/decisions/shares.py
@@ -12,9 +12,9 @@
 from collections.abc import Mapping
 import dataclasses
 
-LEND_VALID_MS = 4_000.0
+LOAN_VALID_MS = 4_000.0
 # Covers the difference in rate of two VMs' clocks.
-LEND_MARGIN_MS = 200.0
+LOAN_MARGIN_MS = 200.0
 # A lender keeps this much above its own use.
 KEPT_ABOVE_USE = 1.25
 
@@ -97,7 +97,7 @@
         spare = own - used * KEPT_ABOVE_USE
         fraction = max(0.0, min(wanted, spare / 2.0))
         if fraction > 0.0:
-            until_ms = now_ms + valid_ms + LEND_MARGIN_MS
+            until_ms = now_ms + valid_ms + LOAN_MARGIN_MS
             loans = self._given.setdefault(workspace, [])
             loans.append(_Loan(fraction, until_ms))
         return fraction
@@ -110,7 +110,7 @@
             loans = self._taken.setdefault(workspace, [])
             loans.append(_Loan(fraction, asked_ms + valid_ms))
 
-    def lowest_until_ms(self, workspace: str, now_ms: float) -> float:
+    def find_next_expiry_ms(self, workspace: str, now_ms: float) -> float:
         """Returns when a taken loan next ends; infinity without any."""
         ends = [
             loan.until_ms
@@ -119,7 +119,7 @@
         ]
         return min(ends, default=float("inf"))
 
-    def changed(self, now_ms: float) -> list[str]:
+    def list_open_loans(self, now_ms: float) -> list[str]:
         """Returns the workspaces with loans that still count."""
         for loans in (self._given, self._taken):
             for workspace in list(loans):
--- a/src/ruddergate/entry/peer_exchange.py
+++ b/src/ruddergate/entry/peer_exchange.py
@@ -147,7 +147,7 @@
         self._report_peers = note_peers
         self._own = str(config.listen)
         self.loads = peer_loads.PeerLoads(
-            self._own, peer_groups.Place(hall, config.link_mbps)
+            self._own, peer_groups.VmAttributes(hall, config.link_mbps)
         )
         self.questions = peer_questions.PeerQuestions(
             outside,
@@ -243,7 +243,7 @@
         digest = self._make_digest()
         now_ms = self._outside.now_ms()
         self._tell_seeds(digest, now_ms)
-        if len(self.loads) <= peer_groups.DIRECT_MOST:
+        if len(self.loads) <= peer_groups.MAX_FULL_MESH_VMS:
             bundle = load_bundle.LoadBundle(self._own, False, (digest,))
             self._send(bundle, self.loads.list_peers())
             return
@@ -355,7 +355,7 @@
         have all VMs write.
         """
         self._greet(peer)
-        if len(self.loads) <= peer_groups.DIRECT_MOST:
+        if len(self.loads) <= peer_groups.MAX_FULL_MESH_VMS:
             self._changed.set()
 
     def _send(
--- a/src/ruddergate/entry/source_sync.py
+++ b/src/ruddergate/entry/source_sync.py
@@ -257,7 +257,7 @@
     async def _fetch_claimed(self) -> None:
         """Gets the settings that a peer goes by and the store has lost."""
         own = self._view.catalog.revision
-        claim = self._claims.find_unmet(own, self._proven_ms)
+        claim = self._claims.find_unconfirmed(own, self._proven_ms)
         if claim is None:
             return
         fetched = await self._peers.fetch_settings(claim.peer, claim.revision)
@@ -381,7 +381,7 @@
     def _confirm_settings(self, asked_ms: float) -> None:
         """Notes that nothing newer was published, if a read can prove it."""
         own = self._view.catalog.revision
-        is_known = self._claims.find_unmet(own, asked_ms) is None
+        is_known = self._claims.find_unconfirmed(own, asked_ms) is None
         if is_known and asked_ms >= self._restored_ms + self._pace.rewrite_ms:
             self._view.confirm_settings(asked_ms)
 
--- a/src/ruddergate/entry/target_losses.py
+++ b/src/ruddergate/entry/target_losses.py
@@ -33,7 +33,9 @@
     def note_silent(self, target: targets.Target, now_ms: float) -> None:
         """Notes that nothing came back from a target."""
         hall = target.hall
-        if self._reachability.note_missed(hall, target.target_id, now_ms):
+        if self._reachability.note_connect_failure(
+            hall, target.target_id, now_ms
+        ):
             self._log.warning("Hall {} is out of reach.", hall)
             self._found.note_hall_unreachable(hall, now_ms)
         self._found.note_unreachable(hall, target.life, True, now_ms)
@@ -71,5 +73,5 @@
                 pause_ms = self._chance.uniform(*loss_reports.AVOID_RANGE_MS)
                 estimate.note_told_lost(now_ms, pause_ms)
         for hall in told.halls:
-            if self._reachability.note_told(hall, now_ms):
+            if self._reachability.note_reported(hall, now_ms):
                 self._log.warning("Hall {} is out of reach of peers.", hall)
--- a/src/ruddergate/entry/target_notices.py
+++ b/src/ruddergate/entry/target_notices.py
@@ -140,7 +140,7 @@
         Args:
             peers: How many peers this VM knows.
         """
-        is_large = peers > peer_groups.DIRECT_MOST
+        is_large = peers > peer_groups.MAX_FULL_MESH_VMS
         chance = _GREETING_VMS / peers if is_large else 1.0
         if chance < 1.0 and self._outside.random.random() >= chance:
             return
--- a/standins/digest_cost.py
+++ b/standins/digest_cost.py
@@ -76,7 +76,7 @@
 
 def hear(datagrams: Iterable[bytes]) -> int:
     """Has a VM take datagrams in; returns how many digests were news."""
-    place = peer_groups.Place("hall-0", 100)
+    place = peer_groups.VmAttributes("hall-0", 100)
     loads = peer_loads.PeerLoads("10.0.0.0:7340", place)
     news = 0
     for data in datagrams:
--- a/tests/test_losses_found.py
+++ b/tests/test_losses_found.py
@@ -75,11 +75,11 @@
 
     def test_hall_that_peers_lost_is_passed_over_once(self) -> None:
         found = reachability.Reachability()
-        self.assertTrue(found.note_told(_HALL, 0.0))
-        self.assertFalse(found.note_told(_HALL, 1.0))
+        self.assertTrue(found.note_reported(_HALL, 0.0))
+        self.assertFalse(found.note_reported(_HALL, 1.0))
         self.assertTrue(found.is_suspect(_HALL, 1.0))
         self.assertFalse(
-            found.is_suspect(_HALL, reachability.PAUSE_FIRST_MS + 1.0)
+            found.is_suspect(_HALL, reachability.MIN_AVOID_MS + 1.0)
         )
 
 
--- a/tests/test_lost_settings.py
+++ b/tests/test_lost_settings.py
@@ -120,30 +120,30 @@
 
     def test_claim_heard_after_a_read_began_is_no_contradiction(self) -> None:
         self.claims.note("a", 7, 100.0)
-        self.assertIsNone(self.claims.find_unmet(6, 100.0))
-        self.assertEqual(self.claims.find_unmet(6, 101.0).revision, 7)
+        self.assertIsNone(self.claims.find_unconfirmed(6, 100.0))
+        self.assertEqual(self.claims.find_unconfirmed(6, 101.0).revision, 7)
 
     def test_later_claim_of_a_peer_replaces_its_former(self) -> None:
         self.claims.note("a", 7, 100.0)
         self.claims.note("a", 7, 300.0)
-        self.assertIsNotNone(self.claims.find_unmet(6, 200.0))
+        self.assertIsNotNone(self.claims.find_unconfirmed(6, 200.0))
         self.claims.note("a", 8, 300.0)
-        self.assertIsNone(self.claims.find_unmet(6, 200.0))
+        self.assertIsNone(self.claims.find_unconfirmed(6, 200.0))
 
     def test_claims_that_are_met_are_forgotten(self) -> None:
         self.claims.note("a", 7, 100.0)
         self.claims.note("b", 9, 100.0)
-        self.assertEqual(self.claims.find_unmet(7, 200.0).peer, "b")
-        self.assertIsNone(self.claims.find_unmet(9, 200.0))
+        self.assertEqual(self.claims.find_unconfirmed(7, 200.0).peer, "b")
+        self.assertIsNone(self.claims.find_unconfirmed(9, 200.0))
 
     def test_peer_that_was_rejected_is_heard_again_later(self) -> None:
         self.claims.note("a", 7, 100.0)
         self.claims.reject("a", 200.0)
         self.claims.note("a", 8, 300.0)
-        self.assertIsNone(self.claims.find_unmet(6, 400.0))
+        self.assertIsNone(self.claims.find_unconfirmed(6, 400.0))
         later_ms = 201.0 + settings_claims.REJECTED_MS
         self.claims.note("a", 8, later_ms)
-        self.assertIsNotNone(self.claims.find_unmet(6, later_ms + 1.0))
+        self.assertIsNotNone(self.claims.find_unconfirmed(6, later_ms + 1.0))
 
 
 if __name__ == "__main__":
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -47,7 +47,7 @@
 class PeerLoadsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.loads = peer_loads.PeerLoads(
-            "1.1.1.1:1", peer_groups.Place("h", 20)
+            "1.1.1.1:1", peer_groups.VmAttributes("h", 20)
         )
 
     def test_sums_over_peers(self) -> None:
@@ -112,27 +112,30 @@
         self, size: int, halls: int
     ) -> None:
         fleet = {
-            f"1.1.1.{n}:1": peer_groups.Place(f"h{n % halls}", n % 3)
+            f"1.1.1.{n}:1": peer_groups.VmAttributes(f"h{n % halls}", n % 3)
             for n in range(size)
         }
         groups = peer_groups.divide(fleet)
         members = [name for group in groups for name in group.members]
         self.assertEqual(sorted(members), sorted(fleet))
         for group in groups:
-            self.assertLessEqual(len(group.members), peer_groups.GROUP_MOST)
+            self.assertLessEqual(len(group.members), peer_groups.MAX_GROUP_SIZE)
             halls_in = {fleet[name].hall for name in group.members}
             self.assertEqual(halls_in, {group.hall})
 
     def test_receivers_of_a_relay_at_940_vms(self) -> None:
         fleet = {
-            f"vm-{n}:1": peer_groups.Place(f"h{n % 12}", 20) for n in range(940)
+            f"vm-{n}:1": peer_groups.VmAttributes(f"h{n % 12}", 20)
+            for n in range(940)
         }
         groups = peer_groups.divide(fleet)
-        self.assertLessEqual(len(groups) + peer_groups.GROUP_MOST, 80)
+        self.assertLessEqual(len(groups) + peer_groups.MAX_GROUP_SIZE, 80)
 
     def test_fast_links_pass_digests_on(self) -> None:
         fleet = {
-            f"vm-{n}:1": peer_groups.Place("h", 200 if n in (33, 61) else 20)
+            f"vm-{n}:1": peer_groups.VmAttributes(
+                "h", 200 if n in (33, 61) else 20
+            )
             for n in range(64)
         }
         relays = {group.members[0] for group in peer_groups.divide(fleet)}
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -11,34 +11,34 @@
 
     def test_one_dead_target_condemns_no_hall(self) -> None:
         for now_ms in (0.0, 100.0, 200.0):
-            self.assertFalse(self.halls.note_missed("h", "t1", now_ms))
+            self.assertFalse(self.halls.note_connect_failure("h", "t1", now_ms))
         self.assertFalse(self.halls.is_suspect("h", 200.0))
 
     def test_two_targets_do(self) -> None:
-        self.halls.note_missed("h", "t1", 0.0)
-        self.assertTrue(self.halls.note_missed("h", "t2", 100.0))
+        self.halls.note_connect_failure("h", "t1", 0.0)
+        self.assertTrue(self.halls.note_connect_failure("h", "t2", 100.0))
         self.assertTrue(self.halls.is_suspect("h", 100.0))
         self.assertFalse(self.halls.is_suspect("other", 100.0))
-        after_ms = 101.0 + reachability.PAUSE_FIRST_MS
+        after_ms = 101.0 + reachability.MIN_AVOID_MS
         self.assertFalse(self.halls.is_suspect("h", after_ms))
 
     def test_long_ago_does_not_count(self) -> None:
-        self.halls.note_missed("h", "t1", 0.0)
+        self.halls.note_connect_failure("h", "t1", 0.0)
         late_ms = reachability.WINDOW_MS + 1.0
-        self.assertFalse(self.halls.note_missed("h", "t2", late_ms))
+        self.assertFalse(self.halls.note_connect_failure("h", "t2", late_ms))
 
     def test_pauses_grow_until_it_is_reached(self) -> None:
         now_ms = 0.0
         pauses = []
         for _ in range(4):
-            self.halls.note_missed("h", "t1", now_ms)
-            self.halls.note_missed("h", "t2", now_ms)
+            self.halls.note_connect_failure("h", "t1", now_ms)
+            self.halls.note_connect_failure("h", "t2", now_ms)
             began_ms = now_ms
             while self.halls.is_suspect("h", now_ms):
                 now_ms += 50.0
             pauses.append(now_ms - began_ms)
         self.assertEqual(pauses, sorted(pauses))
-        self.assertLessEqual(pauses[-1], reachability.PAUSE_MOST_MS)
+        self.assertLessEqual(pauses[-1], reachability.MAX_AVOID_MS)
         self.halls.note_reached("h")
-        self.halls.note_missed("h", "t1", now_ms)
+        self.halls.note_connect_failure("h", "t1", now_ms)
         self.assertFalse(self.halls.is_suspect("h", now_ms))
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -47,25 +47,25 @@
                 base,
                 chance.uniform(0.0, base),
                 chance.uniform(0.0, 0.4),
-                shares.LEND_VALID_MS,
+                shares.LOAN_VALID_MS,
                 now_ms,
             )
             if chance.random() < 0.7:
                 asked_ms = now_ms - delay_ms
                 books[borrower].borrow(
-                    "w", lent, asked_ms, shares.LEND_VALID_MS
+                    "w", lent, asked_ms, shares.LOAN_VALID_MS
                 )
-            total = sum(book.fraction("w", base, now_ms) for book in books)
+            total = sum(book.find_fraction("w", base, now_ms) for book in books)
             self.assertLessEqual(total, 1.0 + 1e-9)
 
     def test_unused_part_moves(self) -> None:
         idle, busy = shares.ShareBook(), shares.ShareBook()
         lent = idle.lend("w", 0.5, 0.0, 0.4, 4_000.0, 0.0)
         busy.borrow("w", lent, 0.0, 4_000.0)
-        self.assertEqual(busy.fraction("w", 0.5, 100.0), 0.75)
-        self.assertEqual(idle.fraction("w", 0.5, 100.0), 0.25)
-        self.assertEqual(busy.fraction("w", 0.5, 4_000.0), 0.5)
-        self.assertEqual(idle.fraction("w", 0.5, 4_100.0), 0.25)
+        self.assertEqual(busy.find_fraction("w", 0.5, 100.0), 0.75)
+        self.assertEqual(idle.find_fraction("w", 0.5, 100.0), 0.25)
+        self.assertEqual(busy.find_fraction("w", 0.5, 4_000.0), 0.5)
+        self.assertEqual(idle.find_fraction("w", 0.5, 4_100.0), 0.25)
 
     def test_busy_vm_lends_nothing(self) -> None:
         book = shares.ShareBook()
