--- a/src/ruddergate/decisions/drain_suspects.py
+++ b/src/ruddergate/decisions/drain_suspects.py
@@ -1,9 +1,10 @@
-"""Lives of targets that may be leaving, and when to ask them.
+"""Incarnations that are suspected of draining, and when to probe them.
 
-A word that a target leaves does not always name the life that it is of: an
-answer to a call does not tell when its target started, and a peer's word is no
-answer. A life that such a word may be of is in doubt. It takes no calls, and is
-asked itself: in each of its answers it says whether it leaves.
+A drain hint does not always name the incarnation that it came from: a response
+may not tell when its target started, and gossip may be about another start of
+it. An incarnation that such a hint may be about is suspected of draining. It
+gets no requests and is probed: each response to a probe says whether its target
+drains, which confirms or refutes the suspicion.
 """
 
 from collections.abc import Collection
@@ -11,113 +12,127 @@
 
 from ruddergate.fleet import life as lives
 
-# A life in doubt by a peer's word is not asked sooner. In most cases the list
-# tells meanwhile, and a target that leaves is not asked by a whole fleet.
+# Time from a peer's gossip to the first probe. In most cases the list shows the
+# drain before, so a draining target is not probed by the whole fleet.
 CONFIRM_DELAY_MS = 1_500.0
-# One that gave no answer is asked again after this time, and after twice as
-# long each time, up to the most.
+# Delay until a target that did not answer is probed again. It doubles each
+# time, up to the maximum.
 PROBE_RETRY_MS = 1_000.0
 MAX_PROBE_RETRY_MS = 8_000.0
-# A peer's word that its target has not confirmed is not taken of that peer
-# again for so long: one that is wrong may be told over and over.
+# After a target has refuted a peer's gossip, the same gossip of that peer is
+# ignored for this time: a peer that is wrong may repeat it over and over.
 REFUTED_MS = 60_000.0
-# Words that are remembered to have been wrong; the oldest are forgotten first.
+# Refutations that are remembered; the oldest are dropped first.
 MAX_REFUTED = 1_024
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Doubt:
-    """Why a life may be leaving.
+class _Suspicion:
+    """Why an incarnation may be draining, and when to probe it.
 
     Attributes:
-        due_ms: When it is to be asked.
-        pause_ms: After which time it is asked again, if it gives no answer.
-        peer: Whose word it is; empty where it came from a target.
+        due_ms: When to probe it.
+        retry_delay_ms: Delay until the next probe if this one gets no answer.
+        peer: The peer that gossiped it; empty for a hint of a target.
     """
 
     due_ms: float
-    pause_ms: float
+    retry_delay_ms: float
     peer: str
 
 
 class DrainSuspects:
-    """Lives in doubt; owned by what knows which lives have left."""
+    """Incarnations suspected of draining; owned by a `draining.DrainState`."""
 
     def __init__(self) -> None:
-        self._doubts: dict[lives.Life, _Doubt] = {}
-        # Until when words of peers on lives are not taken.
-        self._denied_ms: dict[tuple[lives.Life, str], float] = {}
+        self._suspicions: dict[lives.Life, _Suspicion] = {}
+        # By incarnation and peer: until when the peer's gossip is ignored.
+        self._refuted_until_ms: dict[tuple[lives.Life, str], float] = {}
 
-    def __contains__(self, life: lives.Life) -> bool:
-        return life in self._doubts
+    def __contains__(self, incarnation: lives.Life) -> bool:
+        return incarnation in self._suspicions
 
     def __len__(self) -> int:
-        return len(self._doubts)
+        return len(self._suspicions)
 
-    def add(self, life: lives.Life, due_ms: float, peer: str = "") -> bool:
-        """Puts a life in doubt.
+    def add(
+        self, incarnation: lives.Life, due_ms: float, peer: str = ""
+    ) -> bool:
+        """Suspects an incarnation of draining.
 
         Args:
-            life: The life.
-            due_ms: When it is to be asked.
-            peer: Whose word it is; empty where it came from a target.
+            incarnation: The incarnation.
+            due_ms: When to probe it.
+            peer: The peer that gossiped it; empty for a hint of a target.
 
         Returns:
-            Whether that is new.
+            Whether it was not suspected before.
         """
-        if life in self._doubts:
+        if incarnation in self._suspicions:
             return False
-        self._doubts[life] = _Doubt(due_ms, PROBE_RETRY_MS, peer)
+        self._suspicions[incarnation] = _Suspicion(due_ms, PROBE_RETRY_MS, peer)
         return True
 
-    def is_refuted(self, life: lives.Life, peer: str, now_ms: float) -> bool:
-        """Returns whether a peer's word on a life was wrong a while ago."""
-        return self._denied_ms.get((life, peer), now_ms) > now_ms
+    def is_refuted(
+        self, incarnation: lives.Life, peer: str, now_ms: float
+    ) -> bool:
+        """Returns whether a peer's gossip was refuted less than REFUTED_MS ago.
+
+        Args:
+            incarnation: The incarnation that the gossip is about.
+            peer: The peer.
+            now_ms: Time.
+        """
+        return self._refuted_until_ms.get((incarnation, peer), now_ms) > now_ms
 
     def find_due(self, now_ms: float) -> list[lives.Life]:
-        """Returns the lives that are to be asked now."""
+        """Returns the incarnations to probe now."""
         return [
-            life
-            for life, doubt in self._doubts.items()
-            if doubt.due_ms <= now_ms
+            incarnation
+            for incarnation, suspicion in self._suspicions.items()
+            if suspicion.due_ms <= now_ms
         ]
 
     def find_next_due_ms(self) -> float:
-        """Returns when the next life is to be asked; infinity for never."""
-        due_ms = (doubt.due_ms for doubt in self._doubts.values())
+        """Returns when the next probe is due; infinity if there is none."""
+        due_ms = (suspicion.due_ms for suspicion in self._suspicions.values())
         return min(due_ms, default=float("inf"))
 
-    def postpone(self, life: lives.Life, now_ms: float) -> None:
-        """Has a life that gave no answer asked again later."""
-        doubt = self._doubts.get(life)
-        if doubt is None:
+    def postpone(self, incarnation: lives.Life, now_ms: float) -> None:
+        """Schedules the next probe after one that got no answer."""
+        suspicion = self._suspicions.get(incarnation)
+        if suspicion is None:
             return
-        self._doubts[life] = dataclasses.replace(
-            doubt,
-            due_ms=now_ms + doubt.pause_ms,
-            pause_ms=min(MAX_PROBE_RETRY_MS, 2.0 * doubt.pause_ms),
+        self._suspicions[incarnation] = dataclasses.replace(
+            suspicion,
+            due_ms=now_ms + suspicion.retry_delay_ms,
+            retry_delay_ms=min(
+                MAX_PROBE_RETRY_MS, 2.0 * suspicion.retry_delay_ms
+            ),
         )
 
-    def discard(self, life: lives.Life) -> bool:
-        """Ends the doubt; returns whether there was one."""
-        return self._doubts.pop(life, None) is not None
+    def discard(self, incarnation: lives.Life) -> bool:
+        """Stops suspecting an incarnation; returns whether it was suspected."""
+        return self._suspicions.pop(incarnation, None) is not None
 
-    def refute(self, life: lives.Life, now_ms: float) -> bool:
-        """Ends the doubt, as the life does not leave.
+    def refute(self, incarnation: lives.Life, now_ms: float) -> bool:
+        """Notes that an incarnation is not draining.
 
         Returns:
-            Whether there was one.
+            Whether it was suspected.
         """
-        doubt = self._doubts.pop(life, None)
-        if doubt is None:
+        suspicion = self._suspicions.pop(incarnation, None)
+        if suspicion is None:
             return False
-        if doubt.peer:
-            self._denied_ms[life, doubt.peer] = now_ms + REFUTED_MS
-        if len(self._denied_ms) > MAX_REFUTED:
-            del self._denied_ms[next(iter(self._denied_ms))]
+        if suspicion.peer:
+            self._refuted_until_ms[incarnation, suspicion.peer] = (
+                now_ms + REFUTED_MS
+            )
+        if len(self._refuted_until_ms) > MAX_REFUTED:
+            del self._refuted_until_ms[next(iter(self._refuted_until_ms))]
         return True
 
     def forget_unlisted(self, listed: Collection[lives.Life]) -> None:
-        """Drops lives that are not listed any more."""
-        for life in self._doubts.keys() - set(listed):
-            del self._doubts[life]
+        """Drops incarnations that are not listed any more."""
+        for incarnation in self._suspicions.keys() - set(listed):
+            del self._suspicions[incarnation]
--- a/src/ruddergate/decisions/draining.py
+++ b/src/ruddergate/decisions/draining.py
@@ -1,12 +1,16 @@
-"""Lives of targets that take no calls: for good, or of this VM for a while.
-
-A target that leaves says so in the store's list and in each of its answers,
-and peers pass on what they heard. The list and the answers hold for that life
-and are never taken back: an older entry, a peer that has not heard of it or a
-list after an outage may still say otherwise. Where the word for it may be of
-another life, or is a peer's, the target takes no calls until it has been asked
-itself (`decisions/doubts.py`). A time for which a target wants no calls is
-said to one VM only; a later answer may prolong it, and nothing shortens it.
+"""Which incarnations of targets accept no requests from this VM.
+
+A target that drains says so in its entry in the store and in the hints beside
+each of its responses, and VMs gossip what they were told. An entry or a
+response that names its incarnation holds for that incarnation for good: an
+older entry, a peer that does not know of it yet or a list read after an outage
+may still show the target as ready, and does not undo it. Where a hint may be
+from another incarnation, or comes from a peer, the target is only suspected of
+draining: it gets no requests until it has been probed, see
+`decisions/drain_suspects.py`.
+
+A target may also ask this VM alone to back off for some time. A later response
+may prolong that time, and nothing shortens it.
 """
 
 from collections.abc import Collection
@@ -15,27 +19,27 @@
 from ruddergate.decisions import drain_suspects
 from ruddergate.fleet import life as lives
 
-# Lives that are remembered to have left, the oldest are forgotten first: before
-# 12,000 replicas each of them, and all of them again after a release.
+# Draining incarnations that are remembered; the oldest are dropped first. This
+# is enough for 12,000 replicas, each of which is replaced once by a release.
 MAX_DRAINING = 24_000
-# Lives that are remembered to want no calls; a VM has calls on fewer targets.
+# Incarnations whose backoff is remembered; a VM has requests on fewer targets.
 MAX_BACKOFFS = 4_096
-# A leaving that was heard in an answer is told to peers for so long: a hall
-# that was cut off for 5 s still hears of it twice.
+# How long peers are told of a drain that a response has shown. A hall that was
+# cut off for 5 s still receives it twice.
 ANNOUNCE_DURATION_MS = 10_000.0
-# Leavings told at once, the latest; a word takes about 30 bytes.
+# Drains announced at once, the latest ones; each takes about 30 bytes.
 MAX_ANNOUNCED = 16
 
 _NEVER_MS = float("inf")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _UndatedBackoff:
-    """A time without calls, asked for by a target that told no start.
+class _UnattributedBackoff:
+    """A backoff whose hint did not say which incarnation asked for it.
 
     Attributes:
         until_ms: When it ends.
-        said_wall_ms: When it was asked for, by the wall clock.
+        hinted_wall_ms: When the hint came, by the wall clock.
     """
 
     until_ms: float
@@ -43,257 +47,297 @@
 
 
 class DrainState:
-    """What this VM knows of targets that take no calls; owned by one process.
+    """Targets that accept no requests from this VM; owned by one process.
 
-    It is asked where targets are chosen and again in the step that sends.
+    It is consulted where targets are chosen, and again right before sending.
+
+    Attributes:
+        suspects: Incarnations that may be draining.
     """
 
     def __init__(self) -> None:
         self.suspects = drain_suspects.DrainSuspects()
-        self._left: dict[lives.Life, None] = {}
-        # When leavings were heard that peers are to be told.
-        self._heard_ms: dict[lives.Life, float] = {}
-        # Lives that told this VM themselves, while the list has not.
-        self._answered: dict[lives.Life, None] = {}
-        self._quiet_until_ms: dict[lives.Life, float] = {}
-        # By target: which start of it asked for that is not certain.
-        self._undated_backoff: dict[str, _UndatedBackoff] = {}
-        # The life under which each target is listed.
+        self._draining: dict[lives.Life, None] = {}
+        # Drains to announce to peers, with the time of the hint.
+        self._announced_since_ms: dict[lives.Life, float] = {}
+        # Drains that responses have shown and the list has not.
+        self._unpublished: dict[lives.Life, None] = {}
+        self._backoff_until_ms: dict[lives.Life, float] = {}
+        # By target: backoffs that may be of any incarnation of it.
+        self._unattributed_backoffs: dict[str, _UnattributedBackoff] = {}
+        # The incarnation under which each target is listed.
         self._listed: dict[str, lives.Life] = {}
-        # Targets that said that they leave, but not which life of theirs does.
-        self._undated: dict[str, None] = {}
+        # Targets with a drain hint that did not name their incarnation.
+        self._unattributed_drains: dict[str, None] = {}
 
-    def note_listed(self, life: lives.Life, now_ms: float) -> None:
-        """Notes under which life a target is listed.
+    def note_listed(self, incarnation: lives.Life, now_ms: float) -> None:
+        """Notes under which incarnation a target is listed.
 
-        An answer may have come from this life before the list told of it.
+        Earlier hints that named no incarnation may have come from this one.
         """
-        self._listed[life.target_id] = life
-        self._doubt_undated(life, now_ms)
-        self._extend_backoff(life, now_ms)
+        self._listed[incarnation.target_id] = incarnation
+        self._suspect_if_hinted(incarnation, now_ms)
+        self._apply_unattributed_backoff(incarnation, now_ms)
 
     def note_unlisted(self, target_id: str) -> None:
         """Notes that a target is off the list."""
-        life = self._listed.pop(target_id, None)
-        self._answered.pop(life, None)
+        incarnation = self._listed.pop(target_id, None)
+        self._unpublished.pop(incarnation, None)
         self.suspects.forget_unlisted(self._listed.values())
 
-    def note_published_drain(self, life: lives.Life) -> None:
-        """Notes that the list says that a target leaves; peers read it, too."""
-        self._note_left(life)
-        self._heard_ms.pop(life, None)
-        self._answered.pop(life, None)
+    def note_published_drain(self, incarnation: lives.Life) -> None:
+        """Notes that the list shows a target as draining.
+
+        Peers read the list as well, so the drain is not announced any longer.
+        """
+        self._note_draining(incarnation)
+        self._announced_since_ms.pop(incarnation, None)
+        self._unpublished.pop(incarnation, None)
 
     def note_drain_hint(
-        self, life: lives.Life, now_ms: float, has_incarnation: bool = True
+        self,
+        incarnation: lives.Life,
+        now_ms: float,
+        has_incarnation: bool = True,
     ) -> bool:
-        """Notes that a target said it in an answer; returns whether it is news.
+        """Notes that a response says that its target is draining.
 
-        While the store is away this is the only way to know, so peers are told,
-        unless it was a peer that had told of it.
+        While the store is away, VMs learn of it in no other way, so it is
+        announced to peers, unless it was suspected before: then peers know.
 
         Args:
-            life: The life that was asked, or that the answer tells of.
+            incarnation: The incarnation that the request was sent to, or that
+                the response names.
             now_ms: Time.
-            is_dated: Whether the answer tells which life it comes from.
+            has_incarnation: Whether the response names its incarnation.
+
+        Returns:
+            Whether this is new.
         """
-        was_doubted = life in self.suspects
-        is_new = self._note_left(life)
+        was_suspected = incarnation in self.suspects
+        is_new = self._note_draining(incarnation)
         if is_new:
-            self._answered[life] = None
-            _drop_oldest(self._answered, MAX_DRAINING)
-        if is_new and not was_doubted:
-            self._heard_ms[life] = now_ms
-        is_other_doubted = not has_incarnation and self._note_undated(
-            life, now_ms
+            self._unpublished[incarnation] = None
+            _drop_oldest(self._unpublished, MAX_DRAINING)
+        if is_new and not was_suspected:
+            self._announced_since_ms[incarnation] = now_ms
+        is_other_suspected = (
+            not has_incarnation
+            and self._note_unattributed_drain(incarnation, now_ms)
         )
-        return is_new or is_other_doubted
+        return is_new or is_other_suspected
 
     def merge_gossip(
-        self, told: lives.Life, peer: str, now_ms: float, due_ms: float
+        self, gossiped: lives.Life, peer: str, now_ms: float, due_ms: float
     ) -> bool:
-        """Notes that a peer has heard it; returns whether it is news.
+        """Suspects a target of draining because a peer says so.
 
         Args:
-            told: The life, as the peer knows it.
-            peer: Who told.
+            gossiped: The incarnation, as far as the peer knows it.
+            peer: The peer.
             now_ms: Time.
-            due_ms: When the target is to be asked, if nothing else tells.
+            due_ms: When to probe the target, unless the matter is settled
+                before.
+
+        Returns:
+            Whether this is new.
         """
-        listed = self._listed.get(told.target_id)
-        if listed is None or not _may_be_same(told, listed):
+        listed = self._listed.get(gossiped.target_id)
+        if listed is None or not _may_be_same(gossiped, listed):
             return False
-        if listed in self._left or self.suspects.is_refuted(
+        if listed in self._draining or self.suspects.is_refuted(
             listed, peer, now_ms
         ):
             return False
         return self.suspects.add(listed, due_ms, peer)
 
-    def note_refuted(self, life: lives.Life, now_ms: float) -> bool:
-        """Notes that a life in doubt was asked, and does not leave.
+    def note_refuted(self, incarnation: lives.Life, now_ms: float) -> bool:
+        """Notes that a probed incarnation is not draining.
 
         Returns:
-            Whether it was in doubt until now.
+            Whether it was suspected until now.
         """
-        if not self.suspects.refute(life, now_ms):
-            # It said that it leaves while the question was under way.
+        if not self.suspects.refute(incarnation, now_ms):
+            # A response has shown it as draining during the probe.
             return False
-        self._undated.pop(life.target_id, None)
+        self._unattributed_drains.pop(incarnation.target_id, None)
         return True
 
     def note_backoff(
         self,
-        life: lives.Life,
+        incarnation: lives.Life,
         until_ms: float,
         hinted_wall_ms: float | None = None,
     ) -> bool:
-        """Notes that a target wants no calls for a time.
+        """Notes that a target asks this VM to back off.
 
         Args:
-            life: The life that was asked, or that the answer tells of.
-            until_ms: When that time ends.
-            said_wall_ms: When it said so, by the wall clock, where its answer
-                does not tell which life it comes from.
+            incarnation: The incarnation that the request was sent to, or that
+                the response names.
+            until_ms: When the backoff ends.
+            hinted_wall_ms: When the response came, by the wall clock, if it
+                does not name its incarnation.
 
         Returns:
-            Whether that is longer than was known.
+            Whether the backoff ends later than was known.
         """
-        is_longer = self._set_quiet(life, until_ms)
+        is_longer = self._set_backoff(incarnation, until_ms)
         if hinted_wall_ms is None:
             return is_longer
-        target_id = life.target_id
-        known = self._undated_backoff.pop(target_id, None)
+        target_id = incarnation.target_id
+        known = self._unattributed_backoffs.pop(target_id, None)
         until_ms = max(until_ms, known.until_ms if known else 0.0)
-        self._undated_backoff[target_id] = _UndatedBackoff(
+        self._unattributed_backoffs[target_id] = _UnattributedBackoff(
             until_ms, hinted_wall_ms
         )
-        _drop_oldest(self._undated_backoff, MAX_BACKOFFS)
+        _drop_oldest(self._unattributed_backoffs, MAX_BACKOFFS)
         listed = self._listed.get(target_id)
         if listed is not None:
-            self._extend_backoff(listed, 0.0)
+            self._apply_unattributed_backoff(listed, 0.0)
         return is_longer
 
-    def _extend_backoff(self, life: lives.Life, now_ms: float) -> None:
-        """Has a life back off that may be the one that asked for it."""
-        undated = self._undated_backoff.get(life.target_id)
-        if undated is None:
+    def _apply_unattributed_backoff(
+        self, incarnation: lives.Life, now_ms: float
+    ) -> None:
+        """Applies a backoff that this incarnation may have asked for."""
+        unattributed = self._unattributed_backoffs.get(incarnation.target_id)
+        if unattributed is None:
             return
-        if undated.until_ms <= now_ms or life.born_ms > undated.hinted_wall_ms:
-            del self._undated_backoff[life.target_id]
+        if (
+            unattributed.until_ms <= now_ms
+            or incarnation.born_ms > unattributed.hinted_wall_ms
+        ):
+            del self._unattributed_backoffs[incarnation.target_id]
             return
-        self._set_quiet(life, undated.until_ms)
+        self._set_backoff(incarnation, unattributed.until_ms)
 
-    def _set_quiet(self, life: lives.Life, until_ms: float) -> bool:
-        if until_ms <= self._quiet_until_ms.get(life, 0.0):
+    def _set_backoff(self, incarnation: lives.Life, until_ms: float) -> bool:
+        if until_ms <= self._backoff_until_ms.get(incarnation, 0.0):
             return False
-        self._quiet_until_ms.pop(life, None)
-        self._quiet_until_ms[life] = until_ms
-        _drop_oldest(self._quiet_until_ms, MAX_BACKOFFS)
+        self._backoff_until_ms.pop(incarnation, None)
+        self._backoff_until_ms[incarnation] = until_ms
+        _drop_oldest(self._backoff_until_ms, MAX_BACKOFFS)
         return True
 
-    def note_success(self, life: lives.Life, now_ms: float) -> None:
-        """Notes that a target has done what it was asked.
+    def note_success(self, incarnation: lives.Life, now_ms: float) -> None:
+        """Notes that a target has served a request.
 
-        What was sent before it wanted quiet says nothing of what comes after.
+        Ignored during a backoff: a request that was sent before the backoff
+        shows nothing about the time after it.
         """
-        if self._quiet_until_ms.get(life, _NEVER_MS) <= now_ms:
-            del self._quiet_until_ms[life]
+        if self._backoff_until_ms.get(incarnation, _NEVER_MS) <= now_ms:
+            del self._backoff_until_ms[incarnation]
 
-    def may_be_draining(self, life: lives.Life) -> bool:
-        """Returns whether a life was found to leave, or may well do."""
-        return life in self._left or life in self.suspects
+    def may_be_draining(self, incarnation: lives.Life) -> bool:
+        """Returns whether an incarnation is draining, or suspected of it."""
+        return incarnation in self._draining or incarnation in self.suspects
 
-    def find_available_ms(self, life: lives.Life, now_ms: float) -> float:
-        """Returns until when a target takes no calls.
+    def find_available_ms(
+        self, incarnation: lives.Life, now_ms: float
+    ) -> float:
+        """Returns when a target accepts requests again.
 
         Returns:
-            Infinity where it leaves; a time not after now where it takes some.
+            Infinity if it is or may be draining; a time not after now if it
+            accepts requests.
         """
-        if self.may_be_draining(life):
+        if self.may_be_draining(incarnation):
             return _NEVER_MS
-        return self._quiet_until_ms.get(life, now_ms)
+        return self._backoff_until_ms.get(incarnation, now_ms)
 
-    def accepts_requests(self, life: lives.Life, now_ms: float) -> bool:
-        """Returns whether a target may be sent calls now."""
-        return self.find_available_ms(life, now_ms) <= now_ms
+    def accepts_requests(self, incarnation: lives.Life, now_ms: float) -> bool:
+        """Returns whether a target may be sent requests now."""
+        return self.find_available_ms(incarnation, now_ms) <= now_ms
 
     def has_backoffs(self) -> bool:
-        """Returns whether any target wants, or lately wanted, no calls."""
-        return bool(self._quiet_until_ms)
+        """Returns whether any target is backing off or half-open."""
+        return bool(self._backoff_until_ms)
 
     def forget_expired_backoffs(
         self, listed: Collection[lives.Life], now_ms: float
     ) -> None:
-        """Drops quiet times that are over, of lives that are not listed."""
-        for life, until_ms in list(self._quiet_until_ms.items()):
-            if until_ms <= now_ms and life not in listed:
-                del self._quiet_until_ms[life]
+        """Drops expired backoffs of incarnations that are not listed."""
+        for incarnation, until_ms in list(self._backoff_until_ms.items()):
+            if until_ms <= now_ms and incarnation not in listed:
+                del self._backoff_until_ms[incarnation]
 
-    def is_half_open(self, life: lives.Life) -> bool:
-        """Returns whether it wanted quiet and has not served since.
+    def is_half_open(self, incarnation: lives.Life) -> bool:
+        """Returns whether a target asked to back off and has not served since.
 
-        It had too much to do; what waited for it must not all come back in the
-        moment in which its time ends.
+        It was overloaded; the requests that waited for it must not all be sent
+        at the moment in which its backoff ends.
         """
-        return life in self._quiet_until_ms
+        return incarnation in self._backoff_until_ms
 
     def count_backing_off(self, now_ms: float) -> int:
-        """Returns how many targets want no calls now."""
-        return sum(until > now_ms for until in self._quiet_until_ms.values())
+        """Returns how many targets are backing off now."""
+        return sum(until > now_ms for until in self._backoff_until_ms.values())
 
     def summarize(self, now_ms: float) -> tuple[str, ...]:
-        """Returns the leavings that peers are to be told now, as words."""
-        for life, heard_ms in list(self._heard_ms.items()):
-            if now_ms - heard_ms > ANNOUNCE_DURATION_MS:
-                del self._heard_ms[life]
-        latest = list(self._heard_ms)[-MAX_ANNOUNCED:]
+        """Returns the drains to announce to peers now, as formatted names."""
+        for incarnation, since_ms in list(self._announced_since_ms.items()):
+            if now_ms - since_ms > ANNOUNCE_DURATION_MS:
+                del self._announced_since_ms[incarnation]
+        latest = list(self._announced_since_ms)[-MAX_ANNOUNCED:]
         return tuple(map(lives.format_life, latest))
 
     def reannounce(self, now_ms: float) -> bool:
-        """Has peers told again of listed targets that the list shows as ready.
+        """Announces again the drains of targets that the list shows as ready.
 
         Returns:
             Whether there are any.
         """
         listed = set(self._listed.values())
-        again = [life for life in self._answered if life in listed]
-        for life in again:
-            self._heard_ms[life] = now_ms
-        return bool(again)
-
-    def _note_left(self, life: lives.Life) -> bool:
-        self.suspects.discard(life)
-        if life in self._left:
+        unpublished = [
+            incarnation
+            for incarnation in self._unpublished
+            if incarnation in listed
+        ]
+        for incarnation in unpublished:
+            self._announced_since_ms[incarnation] = now_ms
+        return bool(unpublished)
+
+    def _note_draining(self, incarnation: lives.Life) -> bool:
+        self.suspects.discard(incarnation)
+        if incarnation in self._draining:
             return False
-        self._left[life] = None
-        _drop_oldest(self._left, MAX_DRAINING)
+        self._draining[incarnation] = None
+        _drop_oldest(self._draining, MAX_DRAINING)
         return True
 
-    def _note_undated(self, life: lives.Life, now_ms: float) -> bool:
-        """Notes a word that may be of another life of its target.
+    def _note_unattributed_drain(
+        self, incarnation: lives.Life, now_ms: float
+    ) -> bool:
+        """Notes a drain hint that may be of another incarnation.
 
-        The target may have started again since it was listed, or the list has
-        not told yet when it did.
+        The target may have restarted since it was listed, or the list does not
+        show its start time yet.
 
         Returns:
-            Whether another life is in doubt now.
+            Whether the listed incarnation is newly suspected.
         """
-        self._undated[life.target_id] = None
-        _drop_oldest(self._undated, MAX_DRAINING)
-        listed = self._listed.get(life.target_id)
-        return listed is not None and self._doubt_undated(listed, now_ms)
+        self._unattributed_drains[incarnation.target_id] = None
+        _drop_oldest(self._unattributed_drains, MAX_DRAINING)
+        listed = self._listed.get(incarnation.target_id)
+        return listed is not None and self._suspect_if_hinted(listed, now_ms)
 
-    def _doubt_undated(self, life: lives.Life, now_ms: float) -> bool:
-        if life in self._left or life.target_id not in self._undated:
+    def _suspect_if_hinted(
+        self, incarnation: lives.Life, now_ms: float
+    ) -> bool:
+        """Suspects an incarnation if a drain hint may have come from it."""
+        if (
+            incarnation in self._draining
+            or incarnation.target_id not in self._unattributed_drains
+        ):
             return False
-        return self.suspects.add(life, now_ms)
+        return self.suspects.add(incarnation, now_ms)
 
 
 def _may_be_same(one: lives.Life, other: lives.Life) -> bool:
-    """Returns whether two lives of a target are one, as far as is known."""
+    """Returns whether two incarnations of a target may be the same one."""
     return one == other or lives.BORN_UNKNOWN in (one.born_ms, other.born_ms)
 
 
-def _drop_oldest(found: dict, most: int) -> None:
-    if len(found) > most:
-        del found[next(iter(found))]
+def _drop_oldest(entries: dict, max_entries: int) -> None:
+    if len(entries) > max_entries:
+        del entries[next(iter(entries))]
--- a/src/ruddergate/decisions/membership.py
+++ b/src/ruddergate/decisions/membership.py
@@ -49,7 +49,7 @@
                 # not make a dead VM look alive.
                 self._members[row.vm_id] = Member(row, now_ms - row.age_ms)
 
-    def known(self) -> set[str]:
+    def list_known(self) -> set[str]:
         """Returns all VMs not yet forgotten, own included."""
         return set(self._members) | {self._own_id}
 
--- a/src/ruddergate/decisions/shares.py
+++ b/src/ruddergate/decisions/shares.py
@@ -68,7 +68,9 @@
         self._given: dict[str, list[_Loan]] = {}
         self._taken: dict[str, list[_Loan]] = {}
 
-    def fraction(self, workspace: str, base: float, now_ms: float) -> float:
+    def find_fraction(
+        self, workspace: str, base: float, now_ms: float
+    ) -> float:
         """Returns the part that this VM may use now."""
         given = _sum(self._given, workspace, now_ms)
         taken = _sum(self._taken, workspace, now_ms)
