--- a/src/ruddergate/decisions/poison_requests.py
+++ b/src/ruddergate/decisions/poison_requests.py
@@ -1,21 +1,23 @@
-"""Which contents end the targets that run them, judged from what ended.
-
-A call may end each target that begins to answer it. It comes again as new
-calls with new ids, at any VM; what they share is their content. Whatever else a
-target was answering ends with it, so one end proves little. What counts against
-a content:
-
-- Lives of targets that ended under it since it last ran to its end anywhere;
-  one that ended only after a while counts less (`find_weight`).
-- Not those that another content explains, which is quarantined with more
-  against it and was there too.
-
-Three lives that ended at once are enough for a quarantine. A quarantined
-content is sent to no target.
-
-All VMs keep the same table, as far as they have heard of each other: they tell
-what they saw, not what they concluded, and each concludes by itself. The order
-and number of times in which they hear of it make no difference.
+"""Finds poison requests: those that crash the targets that run them.
+
+A poison request may crash every target that begins to answer it. It comes again
+as new requests with new ids, at any VM; what they share is their fingerprint,
+see `decisions/request_fingerprint.py`. Whatever else a target was running is
+lost in the same crash, so one crash proves little. These count against a
+fingerprint:
+
+- Incarnations of targets that crashed while they ran it, since a request with
+  this fingerprint last completed anywhere. A crash that came late after the
+  request was sent counts less, see `weigh_crash`.
+- But no crash that another fingerprint explains: one that was lost in the same
+  crash, is over the threshold and has more against it.
+
+Three incarnations that crashed at once are enough to quarantine a fingerprint.
+Requests with a quarantined fingerprint are sent to no target.
+
+All VMs keep the same table, as far as gossip has reached them. They gossip what
+they observed, not what they concluded, and each VM concludes by itself. Gossip
+may come in any order and any number of times; the result is the same.
 """
 
 from collections.abc import Iterable
@@ -26,42 +28,44 @@
 from ruddergate.fleet import life as lives
 from ruddergate.messages import suspects as messages
 
-# What is proof. Callers try twice, and each try is sent to two targets at most,
-# so a call that does no harm seldom has as much against it, even on days on
-# which targets crash at random.
-PROOF = 3.0
-# A call that ends its target does so 35 to 500 ms after it began to run (28
-# ends, logs of nine VMs). One that was lost within this time after it was sent
-# counts as a whole.
-AT_ONCE_MS = 1_000.0
-# One that was there for longer was more likely there by chance: with a sixth of
-# the targets crashing every two seconds, a prompt that is read for four seconds
-# loses one target in three, and was quarantined for two. Such a content is
-# proved by five lives, two more than one that ends its targets at once.
-WEIGHT_LATER = 0.6
-# How long a quarantine lasts, and how long what is less than proof is kept,
-# from the last end. A content that is still fatal costs three targets an hour.
+# Sum of weights from which a fingerprint is quarantined. Callers try twice, and
+# each try is sent to two targets at most, so a harmless request seldom has as
+# much against it, even on days on which targets crash at random.
+QUARANTINE_THRESHOLD = 3.0
+# A poison request crashes its target 35 to 500 ms after it began to run (28
+# crashes, logs of nine VMs). A crash within this time after the request was
+# sent counts as a whole.
+IMMEDIATE_CRASH_MS = 1_000.0
+# A request that had been on its target for longer was more likely there by
+# chance: with a sixth of the targets crashing every two seconds, a prompt that
+# is read for four seconds loses one target in three, and was quarantined after
+# it had lost two. Such a fingerprint needs five crashes, two more than one that
+# crashes its targets at once.
+LATE_CRASH_WEIGHT = 0.6
+# How long a quarantine lasts, and how long a fingerprint below the threshold is
+# kept, from its last crash. One that stays fatal costs three targets an hour.
 QUARANTINE_MS = 3_600_000.0
 SUSPECT_MS = 600_000.0
-# Contents kept at most, about 1 KB each; beyond it, those under which the least
-# ended are dropped.
+# Maximum of fingerprints, at about 1 KB each. Beyond it, those with the fewest
+# crashes are dropped, down to the number kept.
 MAX_FINGERPRINTS = 1_024
 KEPT_FINGERPRINTS = 896
-# Lives kept of each content: more add nothing, but for those that are explained
-# by others.
+# Crashes kept of each fingerprint. More add nothing, except where others
+# explain some of them.
 MAX_CRASHES = 8
-# Contents told in one datagram: with three lives each they take about 2 KB.
+# Fingerprints in one datagram: with three crashes each they take about 2 KB.
 MAX_ROWS_PER_DATAGRAM = 16
-# A content's end of this much later than the known one is news. Ages grow by
-# the time that datagrams take, and would never come to rest otherwise.
-FINISHED_SLACK_MS = 500.0
+# A completion counts as new if it is later than the known one by more than
+# this. Ages grow by the transit time of datagrams, so VMs would otherwise pass
+# the same completion on forever.
+COMPLETION_SLACK_MS = 500.0
 
 Rows: TypeAlias = tuple[messages.Suspect, ...]
 
 
 @dataclasses.dataclass(slots=True)
-class _Ended:
-    """When a life ended, and how much that counts."""
+class _Crash:
+    """When an incarnation crashed, and how much that counts."""
 
     at_ms: float
     weight: float
@@ -69,250 +73,286 @@
 
 @dataclasses.dataclass(slots=True)
 class _Record:
-    """What is known of a content.
+    """What is known of a fingerprint.
 
     Attributes:
-        ended: Lives that ended under it since it ran to its end.
-        finished_ms: When it last ran to its end.
+        crashes: Incarnations that crashed while they ran it, since it last
+            completed.
+        completed_ms: When a request with it last completed.
     """
 
-    ended: dict[lives.Life, _Ended] = dataclasses.field(default_factory=dict)
-    finished_ms: float = -math.inf
+    crashes: dict[lives.Life, _Crash] = dataclasses.field(default_factory=dict)
+    completed_ms: float = -math.inf
 
-    def weigh(self) -> float:
-        """Returns what all its lives count, explained or not."""
-        return sum(each.weight for each in self.ended.values())
+    def sum_weights(self) -> float:
+        """Returns the weight of all its crashes, explained or not."""
+        return sum(each.weight for each in self.crashes.values())
 
-    def last_ms(self) -> float:
-        """Returns when it was last seen to end a life, or to do no harm."""
-        ends_ms = (each.at_ms for each in self.ended.values())
-        return max(ends_ms, default=self.finished_ms)
+    def find_last_ms(self) -> float:
+        """Returns the time of the last crash, or else of the completion."""
+        crashes_ms = (each.at_ms for each in self.crashes.values())
+        return max(crashes_ms, default=self.completed_ms)
 
 
 class PoisonRequests:
-    """Contents by name, with what counts against them; owned by one task."""
+    """Fingerprints with the crashes that count against them.
+
+    Owned by one task.
+    """
 
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
-        # Contents under which each life ended.
-        self._by_life: dict[lives.Life, set[str]] = {}
+        # Fingerprints that were running in each crash.
+        self._by_incarnation: dict[lives.Life, set[str]] = {}
 
     def __len__(self) -> int:
         return len(self._records)
 
     def note_crash(
-        self, content: str, life: lives.Life, weight: float, now_ms: float
+        self,
+        fingerprint: str,
+        incarnation: lives.Life,
+        weight: float,
+        now_ms: float,
     ) -> bool:
-        """Notes that a life ended under a content; returns whether it is news.
+        """Notes that a target crashed while it ran a request.
 
         Args:
-            content: Name of the content.
-            life: The life that ended.
-            weight: How much that counts, see `find_weight`.
+            fingerprint: Fingerprint of the request.
+            incarnation: The incarnation that crashed.
+            weight: How much that counts, see `weigh_crash`.
             now_ms: Time.
+
+        Returns:
+            Whether it is new, or counts more than before.
+        """
+        is_new = self._add_crash(fingerprint, incarnation, now_ms, weight)
+        self._drop_excess(now_ms)
+        return is_new
+
+    def note_completed(self, fingerprint: str, now_ms: float) -> bool:
+        """Notes that a request has completed.
+
+        Returns:
+            Whether that cleared any crash of its fingerprint.
         """
-        is_news = self._add(content, life, now_ms, weight)
-        self._drop_least(now_ms)
-        return is_news
-
-    def note_completed(self, content: str, now_ms: float) -> bool:
-        """Notes that a call ran to its end; returns whether it is news."""
-        record = self._records.get(content)
-        if record is None or not record.ended:
+        record = self._records.get(fingerprint)
+        if record is None or not record.crashes:
             return False
-        self._clear(content, record, now_ms)
+        self._clear_crashes(fingerprint, record, now_ms)
         return True
 
-    def count_crashes(self, content: str, now_ms: float) -> int:
-        """Returns how many lives count against a content."""
-        self._forget_if_old(content, now_ms)
-        return len(self._find_against(content))
+    def count_crashes(self, fingerprint: str, now_ms: float) -> int:
+        """Returns how many crashes count against a fingerprint."""
+        self._drop_if_expired(fingerprint, now_ms)
+        return len(self._find_unexplained_weights(fingerprint))
 
-    def find_quarantine_left_ms(self, content: str, now_ms: float) -> float:
-        """Returns how long a content stays quarantined; 0 if it is not."""
-        self._forget_if_old(content, now_ms)
-        if not self._is_proved(content):
+    def find_quarantine_left_ms(self, fingerprint: str, now_ms: float) -> float:
+        """Returns how long a fingerprint stays quarantined; 0 if it is not."""
+        self._drop_if_expired(fingerprint, now_ms)
+        if not self._is_over_threshold(fingerprint):
             return 0.0
-        return self._records[content].last_ms() + QUARANTINE_MS - now_ms
+        return (
+            self._records[fingerprint].find_last_ms() + QUARANTINE_MS - now_ms
+        )
 
     def list_quarantined(self, now_ms: float) -> list[str]:
-        """Returns the contents that are quarantined."""
+        """Returns the fingerprints that are quarantined."""
         return [
-            content
-            for content in list(self._records)
-            if self.find_quarantine_left_ms(content, now_ms) > 0.0
+            fingerprint
+            for fingerprint in list(self._records)
+            if self.find_quarantine_left_ms(fingerprint, now_ms) > 0.0
         ]
 
     def merge(
         self, rows: Iterable[messages.Suspect], now_ms: float
     ) -> set[str]:
-        """Takes in what a peer knows; returns the contents that it had news of.
+        """Merges what a peer knows.
 
-        Rows are to be sound, see `find_fault`.
+        Args:
+            rows: Valid rows, see `find_error`.
+            now_ms: Time.
+
+        Returns:
+            The fingerprints of which anything was new.
         """
-        news = {row.content for row in rows if self._take_row(row, now_ms)}
-        self._drop_least(now_ms)
-        return news
-
-    def describe(self, content: str, now_ms: float) -> messages.Suspect | None:
-        """Returns what is known of a content, to be told."""
-        self._forget_if_old(content, now_ms)
-        record = self._records.get(content)
+        changed = {row.content for row in rows if self._merge_row(row, now_ms)}
+        self._drop_excess(now_ms)
+        return changed
+
+    def describe(
+        self, fingerprint: str, now_ms: float
+    ) -> messages.Suspect | None:
+        """Returns what is known of a fingerprint, as a row for peers."""
+        self._drop_if_expired(fingerprint, now_ms)
+        record = self._records.get(fingerprint)
         if record is None:
             return None
-        finished_age_ms = now_ms - record.finished_ms
-        if math.isinf(finished_age_ms):
-            finished_age_ms = messages.NEVER_FINISHED
-        ended = tuple(
-            messages.EndedLife(life, now_ms - each.at_ms, each.weight)
-            for life, each in record.ended.items()
+        completed_age_ms = now_ms - record.completed_ms
+        if math.isinf(completed_age_ms):
+            completed_age_ms = messages.NEVER_FINISHED
+        crashes = tuple(
+            messages.EndedLife(incarnation, now_ms - each.at_ms, each.weight)
+            for incarnation, each in record.crashes.items()
         )
-        return messages.Suspect(content, ended, finished_age_ms)
+        return messages.Suspect(fingerprint, crashes, completed_age_ms)
 
     def rank(self, now_ms: float) -> list[str]:
-        """Returns all contents, those under which most ended first."""
-        for content in list(self._records):
-            self._forget_if_old(content, now_ms)
-        return sorted(self._records, key=self._rate, reverse=True)
-
-    def _rate(self, content: str) -> tuple[int, float]:
-        record = self._records[content]
-        return len(record.ended), record.last_ms()
-
-    def _add(
-        self, content: str, life: lives.Life, at_ms: float, weight: float
+        """Returns all fingerprints, those with most crashes first."""
+        for fingerprint in list(self._records):
+            self._drop_if_expired(fingerprint, now_ms)
+        return sorted(self._records, key=self._make_rank_key, reverse=True)
+
+    def _make_rank_key(self, fingerprint: str) -> tuple[int, float]:
+        record = self._records[fingerprint]
+        return len(record.crashes), record.find_last_ms()
+
+    def _add_crash(
+        self,
+        fingerprint: str,
+        incarnation: lives.Life,
+        at_ms: float,
+        weight: float,
     ) -> bool:
-        """Adds a life that ended; returns whether it is news."""
-        record = self._records.setdefault(content, _Record())
-        known = record.ended.get(life)
+        """Adds a crash; returns whether it is new, or counts more now."""
+        record = self._records.setdefault(fingerprint, _Record())
+        known = record.crashes.get(incarnation)
         if known is not None:
             is_more = weight > known.weight
             known.weight = max(known.weight, weight)
             return is_more
-        if at_ms <= record.finished_ms or len(record.ended) >= MAX_CRASHES:
+        if at_ms <= record.completed_ms or len(record.crashes) >= MAX_CRASHES:
             return False
-        record.ended[life] = _Ended(at_ms, weight)
-        self._by_life.setdefault(life, set()).add(content)
+        record.crashes[incarnation] = _Crash(at_ms, weight)
+        self._by_incarnation.setdefault(incarnation, set()).add(fingerprint)
         return True
 
-    def _clear(self, content: str, record: _Record, finished_ms: float) -> None:
-        """Notes an end of a call, which voids what was held against it."""
-        record.finished_ms = finished_ms
-        for life, each in list(record.ended.items()):
-            if each.at_ms <= finished_ms:
-                self._remove_life(content, record, life)
-
-    def _remove_life(
-        self, content: str, record: _Record, life: lives.Life
+    def _clear_crashes(
+        self, fingerprint: str, record: _Record, completed_ms: float
+    ) -> None:
+        """Notes a completion and clears the crashes up to it."""
+        record.completed_ms = completed_ms
+        for incarnation, each in list(record.crashes.items()):
+            if each.at_ms <= completed_ms:
+                self._remove_crash(fingerprint, record, incarnation)
+
+    def _remove_crash(
+        self, fingerprint: str, record: _Record, incarnation: lives.Life
     ) -> None:
-        del record.ended[life]
-        sharers = self._by_life[life]
-        sharers.discard(content)
+        del record.crashes[incarnation]
+        sharers = self._by_incarnation[incarnation]
+        sharers.discard(fingerprint)
         if not sharers:
-            del self._by_life[life]
+            del self._by_incarnation[incarnation]
 
-    def _take_row(self, row: messages.Suspect, now_ms: float) -> bool:
-        is_news = False
+    def _merge_row(self, row: messages.Suspect, now_ms: float) -> bool:
+        is_new = False
         if row.finished_age_ms != messages.NEVER_FINISHED:
-            is_news = self._take_finished(row, now_ms)
+            is_new = self._merge_completion(row, now_ms)
         for each in row.ended:
             at_ms = now_ms - each.age_ms
-            is_news |= self._add(row.content, each.life, at_ms, each.weight)
-        return is_news
+            is_new |= self._add_crash(
+                row.content, each.life, at_ms, each.weight
+            )
+        return is_new
 
-    def _take_finished(self, row: messages.Suspect, now_ms: float) -> bool:
-        finished_ms = now_ms - row.finished_age_ms
-        if now_ms - finished_ms >= SUSPECT_MS:
+    def _merge_completion(self, row: messages.Suspect, now_ms: float) -> bool:
+        completed_ms = now_ms - row.finished_age_ms
+        if now_ms - completed_ms >= SUSPECT_MS:
             return False
         record = self._records.setdefault(row.content, _Record())
-        if finished_ms <= record.finished_ms + FINISHED_SLACK_MS:
+        if completed_ms <= record.completed_ms + COMPLETION_SLACK_MS:
             return False
-        self._clear(row.content, record, finished_ms)
+        self._clear_crashes(row.content, record, completed_ms)
         return True
 
-    def _find_against(self, content: str) -> list[float]:
-        """Returns the weights of the lives that no other content explains."""
-        record = self._records.get(content)
+    def _find_unexplained_weights(self, fingerprint: str) -> list[float]:
+        """Returns the weights of crashes that no other fingerprint explains."""
+        record = self._records.get(fingerprint)
         if record is None:
             return []
         return [
             each.weight
-            for life, each in record.ended.items()
+            for incarnation, each in record.crashes.items()
             if not any(
-                self._explains(other, record)
-                for other in self._by_life[life]
-                if other != content
+                self._explains_crashes(other, record)
+                for other in self._by_incarnation[incarnation]
+                if other != fingerprint
             )
         ]
 
-    def _explains(self, other: str, record: _Record) -> bool:
-        """Returns whether another content is the culprit where both were."""
-        weight = self._records[other].weigh()
-        return weight >= PROOF and weight > record.weigh()
+    def _explains_crashes(self, other: str, record: _Record) -> bool:
+        """Returns whether another fingerprint caused the crashes of both."""
+        weight = self._records[other].sum_weights()
+        return weight >= QUARANTINE_THRESHOLD and weight > record.sum_weights()
 
-    def _is_proved(self, content: str) -> bool:
-        return sum(self._find_against(content)) >= PROOF
+    def _is_over_threshold(self, fingerprint: str) -> bool:
+        return (
+            sum(self._find_unexplained_weights(fingerprint))
+            >= QUARANTINE_THRESHOLD
+        )
 
-    def _forget_if_old(self, content: str, now_ms: float) -> None:
-        record = self._records.get(content)
+    def _drop_if_expired(self, fingerprint: str, now_ms: float) -> None:
+        record = self._records.get(fingerprint)
         if record is None:
             return
-        age_ms = now_ms - record.last_ms()
+        age_ms = now_ms - record.find_last_ms()
         if age_ms < SUSPECT_MS:
             return
-        is_proved = self._is_proved(content)
-        if not is_proved or age_ms >= QUARANTINE_MS:
-            self._drop(content)
+        is_quarantined = self._is_over_threshold(fingerprint)
+        if not is_quarantined or age_ms >= QUARANTINE_MS:
+            self._drop(fingerprint)
 
-    def _drop(self, content: str) -> None:
-        record = self._records.pop(content)
-        for life in list(record.ended):
-            self._remove_life(content, record, life)
+    def _drop(self, fingerprint: str) -> None:
+        record = self._records.pop(fingerprint)
+        for incarnation in list(record.crashes):
+            self._remove_crash(fingerprint, record, incarnation)
 
-    def _drop_least(self, now_ms: float) -> None:
+    def _drop_excess(self, now_ms: float) -> None:
         if len(self._records) <= MAX_FINGERPRINTS:
             return
-        for content in self.rank(now_ms)[KEPT_FINGERPRINTS:]:
-            self._drop(content)
+        for fingerprint in self.rank(now_ms)[KEPT_FINGERPRINTS:]:
+            self._drop(fingerprint)
 
 
-def weigh_crash(there_ms: float, reading_ms: float) -> float:
-    """Returns how much the end of a target counts against a call.
+def weigh_crash(elapsed_ms: float, prefill_ms: float) -> float:
+    """Returns how much the crash of a target counts against a request.
 
-    A prompt that one engine would read for longer can't have begun to run at
-    once. Its caller's two tries of two sends each are then no proof, whatever
+    A prompt that one engine would read for longer than IMMEDIATE_CRASH_MS can't
+    have begun to run within it, so its crash counts less. Then the two tries of
+    its caller, with two sends each, do not reach the threshold, whatever
     crashes meanwhile.
 
     Args:
-        there_ms: How long before the call had been sent there.
-        reading_ms: How long one engine would read its prompt.
+        elapsed_ms: How long before the crash the request had been sent.
+        prefill_ms: How long one engine would read its prompt.
     """
-    is_at_once = max(there_ms, reading_ms) <= AT_ONCE_MS
-    return 1.0 if is_at_once else WEIGHT_LATER
+    is_immediate = max(elapsed_ms, prefill_ms) <= IMMEDIATE_CRASH_MS
+    return 1.0 if is_immediate else LATE_CRASH_WEIGHT
 
 
 def find_error(rows: Rows) -> str:
-    """Returns what is wrong with rows that a peer sent, or an empty text."""
+    """Returns what is wrong with a peer's rows; empty if they are valid."""
     if len(rows) > MAX_ROWS_PER_DATAGRAM:
-        return f"{len(rows)} contents in one datagram"
+        return f"{len(rows)} fingerprints in one datagram"
     for row in rows:
-        fault = _find_row_fault(row)
-        if fault:
-            return fault
+        error = _find_row_error(row)
+        if error:
+            return error
     return ""
 
 
-def _find_row_fault(row: messages.Suspect) -> str:
+def _find_row_error(row: messages.Suspect) -> str:
     if len(row.ended) > MAX_CRASHES:
-        return f"{len(row.ended)} lives of one content"
-    finished_ms = row.finished_age_ms
-    if finished_ms != messages.NEVER_FINISHED and not _is_age(finished_ms):
-        return "an end in the future"
+        return f"{len(row.ended)} crashes of one fingerprint"
+    completed_ms = row.finished_age_ms
+    if completed_ms != messages.NEVER_FINISHED and not _is_age(completed_ms):
+        return "a completion with an invalid age"
     for each in row.ended:
         if not _is_age(each.age_ms):
-            return "a life that ends in the future"
+            return "a crash with an invalid age"
         if not 0.0 < each.weight <= 1.0:
-            return "a life that counts for more than one"
+            return "a crash whose weight is not above 0 and at most 1"
     return ""
 
 
--- a/src/ruddergate/entry/source_sync.py
+++ b/src/ruddergate/entry/source_sync.py
@@ -4,7 +4,7 @@
 that the view was the newest when the call began; keys rest on that proof.
 
 In each hall one VM reads the store and the others ask it, see
-decisions/proof.py: calls of the store do not grow with the fleet, and a VM
+decisions/freshness.py: calls of the store do not grow with the fleet, and a VM
 that the store turns away goes by its neighbours' proofs.
 """
 
--- a/src/ruddergate/entry/suspects.py
+++ b/src/ruddergate/entry/suspects.py
@@ -1,7 +1,7 @@
 """Keeps calls off targets whose content has ended several of them.
 
 Owns what this VM knows of such contents, and tells whoever is to pass it on of
-each change. See decisions/suspicion.py for what counts.
+each change. See decisions/poison_requests.py for what counts.
 """
 
 from collections.abc import Callable
--- a/src/ruddergate/messages/suspects.py
+++ b/src/ruddergate/messages/suspects.py
@@ -15,7 +15,7 @@
     Attributes:
         life: The life.
         age_ms: How long ago it ended.
-        weight: How much that counts, see `suspicion.find_weight`.
+        weight: How much that counts, see `poison_requests.weigh_crash`.
     """
 
     life: lives.Life
