--- a/src/ruddergate/decisions/peer_loads.py
+++ b/src/ruddergate/decisions/peer_loads.py
@@ -1,4 +1,4 @@
-"""What peers have running on targets, summed from their digests."""
+"""The load that peers have on targets, summed from their digests."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -13,23 +13,23 @@
 from ruddergate.fleet import dispatched
 from ruddergate.messages import load_digest
 
-# A peer's digest counts for so long. A VM tells its load once a second; two
+# How long a peer's digest counts. A VM publishes its load once a second, so two
 # such digests may get lost.
 DIGEST_TTL_MS = 3_500.0
-# A peer that was not heard of for so long is forgotten. A data hall that was
-# cut off is found again without a seed for as long.
+# A peer that was not heard from for this time is forgotten. Up to then, a data
+# hall that was cut off is found again without a seed.
 FORGET_AFTER_MS = 60_000.0
-# A peer that was not heard of for so long is no relay of another group: two
-# of its digests in a row are missing.
+# A peer that was not heard from for this time is not used as the relay of
+# another group: two of its digests in a row are missing.
 OTHER_RELAY_SILENT_MS = 2_200.0
-# A relay of the own group that has said nothing for so long after it was
-# written to is passed over.
+# A relay of this VM's own group is skipped if it has sent nothing for this time
+# after a digest was sent to it.
 RELAY_TIMEOUT_MS = 2_200.0
-# It is tried again after this time, as it may have been cut off.
+# It is used again after this further time, as it may only have been cut off.
 RELAY_RETRY_MS = 5_000.0
-# A member of the own group that was not heard of for so long is no relay. All
-# of them are silent while the relay is, so this is longer than a relay's
-# time-out and two rounds.
+# A member of this VM's own group that was not heard from for this time is not
+# used as its relay. All members are silent while the relay is, so this is
+# longer than a relay's timeout and two rounds.
 MEMBER_SILENT_MS = 6_000.0
 
 
@@ -38,117 +38,120 @@
     """What is known of one peer.
 
     Attributes:
-        place: What its part in the groups depends on.
-        heard_ms: When a newer digest of it came, on whichever way.
-        incarnation: Its run.
-        number: Number of its last digest.
+        attributes: What its role in the groups depends on.
+        heard_ms: When a newer digest of it arrived, directly or by a relay.
+        incarnation: The run of its process.
+        number: Sequence number of its last digest.
         rows: Its work by target.
-        lost: What it last told to be out of reach.
-        awaited_since_ms: When it was first written to as relay since it last
-            wrote itself; None if nothing is awaited of it.
+        losses: The losses that it last reported.
+        awaiting_since_ms: When a digest was first sent to it as relay since it
+            last sent one itself; None if nothing is awaited from it.
     """
 
-    place: peer_groups.VmAttributes
+    attributes: peer_groups.VmAttributes
     heard_ms: float
     incarnation: str
     number: int
     rows: dict[str, dispatched.Dispatched]
-    lost: bad_news.BadNews = bad_news.NOTHING
-    awaited_since_ms: float | None = None
+    losses: bad_news.BadNews = bad_news.NOTHING
+    awaiting_since_ms: float | None = None
 
 
 class PeerLoads:
-    """Peers by address and their last digests; owned by one task.
+    """Known peers and their last digests; owned by one task.
 
     Args:
-        own: Where this VM takes datagrams; never counted as a peer.
-        place: What this VM's part in the groups depends on.
+        own: Address at which this VM receives datagrams; never a peer.
+        attributes: What this VM's role in the groups depends on.
     """
 
-    def __init__(self, own: str, place: peer_groups.VmAttributes) -> None:
+    def __init__(self, own: str, attributes: peer_groups.VmAttributes) -> None:
         self._own = own
-        self._place = place
+        self._attributes = attributes
         self._peers: dict[str, _Peer] = {}
         self._by_target: dict[str, dict[str, dispatched.Dispatched]] = {}
-        self._changed: set[str] = set()
-        self._lost: list[bad_news.BadNews] = []
+        self._changed_targets: set[str] = set()
+        self._losses: list[bad_news.BadNews] = []
         self._groups: tuple[peer_groups.Group, ...] | None = None
-        # VMs of this hall by rank, for as long as the same ones are known.
-        self._hall: tuple[str, ...] | None = None
+        # VMs of this hall by rank; None when the known VMs have changed.
+        self._ranked_hall: tuple[str, ...] | None = None
 
     def __len__(self) -> int:
         return len(self._peers)
 
     def list_peers(self) -> list[str]:
-        """Returns all peers."""
+        """Returns the addresses of all known peers."""
         return list(self._peers)
 
     def is_new_incarnation(self, digest: load_digest.LoadDigest) -> bool:
-        """Returns whether a digest is the first of a run of another VM."""
+        """Returns whether a digest is the first of a peer's incarnation."""
         if digest.sender == self._own:
             return False
         peer = self._peers.get(digest.sender)
         return peer is None or peer.incarnation != digest.incarnation
 
     def merge(self, digest: load_digest.LoadDigest, now_ms: float) -> bool:
-        """Takes in a digest; returns whether it was news.
+        """Merges a digest.
 
-        It is none if it is this VM's own, or if the same or a later one of the
-        peer is known.
+        Returns:
+            Whether it is new: not this VM's own, and later than any known one
+            of the peer's incarnation.
         """
         if digest.sender == self._own:
             return False
         peer = self._peers.get(digest.sender)
-        place = peer_groups.VmAttributes(digest.hall, digest.link_mbps)
-        if peer is None or peer.place != place:
+        attributes = peer_groups.VmAttributes(digest.hall, digest.link_mbps)
+        if peer is None or peer.attributes != attributes:
             self._forget_groups()
         if peer is None:
-            peer = _Peer(place, now_ms, "", -1, {})
+            peer = _Peer(attributes, now_ms, "", -1, {})
             self._peers[digest.sender] = peer
         is_same_run = peer.incarnation == digest.incarnation
         if is_same_run and digest.number <= peer.number:
             return False
-        peer.place = place
+        peer.attributes = attributes
         peer.heard_ms = now_ms
         peer.incarnation = digest.incarnation
         peer.number = digest.number
         self._replace_rows(digest.sender, peer, digest.rows)
-        self._take_lost(peer, digest.lost)
+        self._merge_losses(peer, digest.lost)
         return True
 
-    def _take_lost(self, peer: _Peer, told: bad_news.BadNews) -> None:
-        if told != peer.lost:
-            is_same_hall = peer.place.hall == self._place.hall
-            new = loss_reports.find_new(told, peer.lost)
-            self._lost.append(loss_reports.select_applicable(new, is_same_hall))
-            peer.lost = told
+    def _merge_losses(self, peer: _Peer, reported: bad_news.BadNews) -> None:
+        if reported != peer.losses:
+            is_same_hall = peer.attributes.hall == self._attributes.hall
+            new = loss_reports.find_new(reported, peer.losses)
+            self._losses.append(
+                loss_reports.select_applicable(new, is_same_hall)
+            )
+            peer.losses = reported
 
     def collect_losses(self) -> bad_news.BadNews:
-        """Returns what peers have found out of reach since the last call."""
-        if not self._lost:
+        """Returns the losses that peers reported since the last call."""
+        if not self._losses:
             return bad_news.NOTHING
-        found = loss_reports.merge(self._lost)
-        self._lost.clear()
+        found = loss_reports.merge(self._losses)
+        self._losses.clear()
         return found
 
     def note_received_from(self, name: str) -> None:
-        """Notes that a peer has itself written to this VM."""
+        """Notes that a peer has sent a datagram to this VM itself."""
         peer = self._peers.get(name)
         if peer is not None:
-            peer.awaited_since_ms = None
+            peer.awaiting_since_ms = None
 
     def note_sent_to(self, name: str, now_ms: float) -> None:
-        """Notes that a peer was written to as relay, and is to write too."""
+        """Notes that a digest was sent to a peer as relay, which must reply."""
         peer = self._peers.get(name)
         if peer is None:
             return
-        since_ms = peer.awaited_since_ms
+        since_ms = peer.awaiting_since_ms
         limit_ms = RELAY_TIMEOUT_MS + RELAY_RETRY_MS
         if since_ms is None or now_ms - since_ms > limit_ms:
-            peer.awaited_since_ms = now_ms
+            peer.awaiting_since_ms = now_ms
 
     def forget_silent(self, now_ms: float) -> None:
-        """Drops old rows, and peers that were not heard of for long."""
+        """Drops expired rows, and peers that were silent for too long."""
         for name, peer in list(self._peers.items()):
             silent_ms = now_ms - peer.heard_ms
             if silent_ms > DIGEST_TTL_MS and peer.rows:
@@ -158,17 +161,17 @@
                 self._forget_groups()
 
     def find_relay(self, now_ms: float) -> str:
-        """Returns the relay of this VM's own group; it may be this VM."""
+        """Returns the relay of this VM's own group, which may be this VM."""
         group = peer_groups.find_group(self._find_groups(), self._own)
         if group is None:
             return self._own
         found = peer_groups.choose_relay(
-            group, lambda name: self._is_fit(name, now_ms)
+            group, lambda name: self._can_relay(name, now_ms)
         )
         return found or self._own
 
     def list_group_members(self) -> list[str]:
-        """Returns the others of this VM's own group."""
+        """Returns the other members of this VM's own group."""
         group = peer_groups.find_group(self._find_groups(), self._own)
         if group is None:
             return []
@@ -177,9 +180,9 @@
     def find_other_relays(self, now_ms: float, rng: random.Random) -> list[str]:
         """Returns the relay of each other group.
 
-        Where none of a group was lately heard of, it is any member: the group
-        may be cut off, or its relay may have died, and then any other one
-        passes digests on as well.
+        For a group of which no member was heard from for OTHER_RELAY_SILENT_MS
+        it is a random member: the group may be cut off, or its relay may have
+        died, and any other member passes digests on as well.
         """
         relays: list[str] = []
         for group in self._find_groups():
@@ -195,53 +198,58 @@
         return relays
 
     def rank_hall(self, now_ms: float) -> list[str]:
-        """Returns the VMs of this hall that were lately heard of, by rank.
+        """Returns the VMs of this hall by rank, this VM included.
 
-        This VM is among them.
+        Those that were not heard from for MEMBER_SILENT_MS are left out.
         """
-        if self._hall is None:
+        if self._ranked_hall is None:
             fleet = self._list_fleet()
-            self._hall = peer_groups.rank_hall(fleet, self._place.hall)
+            self._ranked_hall = peer_groups.rank_hall(
+                fleet, self._attributes.hall
+            )
         return [
             name
-            for name in self._hall
+            for name in self._ranked_hall
             if name == self._own
             or now_ms - self._peers[name].heard_ms <= MEMBER_SILENT_MS
         ]
 
     def find_member_halls(self, now_ms: float) -> dict[str, str]:
-        """Returns halls of this VM and of peers that were lately heard of."""
+        """Returns the halls of VMs by address, this VM included.
+
+        Those that were not heard from for MEMBER_SILENT_MS are left out.
+        """
         members = {
-            name: peer.place.hall
+            name: peer.attributes.hall
             for name, peer in self._peers.items()
             if now_ms - peer.heard_ms <= MEMBER_SILENT_MS
         }
-        members[self._own] = self._place.hall
+        members[self._own] = self._attributes.hall
         return members
 
     def collect_sums(self) -> tuple[dispatched.Dispatched, ...]:
         """Returns the sums that have changed since the last call.
 
-        A target that peers have no work on any more is told with zeros.
+        A target on which peers have no work any more is included with zeros.
         """
         sums = tuple(
-            _add_up(name, self._by_target.get(name, {}).values())
-            for name in sorted(self._changed)
+            _sum_rows(name, self._by_target.get(name, {}).values())
+            for name in sorted(self._changed_targets)
         )
-        self._changed.clear()
+        self._changed_targets.clear()
         return sums
 
     def mark_all_changed(self) -> None:
-        """Has the next `collect_sums` return all targets with work."""
-        self._changed.update(self._by_target)
+        """Makes the next `collect_sums` return all targets with work."""
+        self._changed_targets.update(self._by_target)
 
-    def _is_fit(self, name: str, now_ms: float) -> bool:
+    def _can_relay(self, name: str, now_ms: float) -> bool:
         if name == self._own:
             return True
         peer = self._peers[name]
         if now_ms - peer.heard_ms > MEMBER_SILENT_MS:
             return False
-        since_ms = peer.awaited_since_ms
+        since_ms = peer.awaiting_since_ms
         if since_ms is None:
             return True
         awaited_ms = now_ms - since_ms
@@ -256,13 +264,13 @@
         return self._groups
 
     def _list_fleet(self) -> peer_groups.Fleet:
-        fleet = {name: peer.place for name, peer in self._peers.items()}
-        fleet[self._own] = self._place
+        fleet = {name: peer.attributes for name, peer in self._peers.items()}
+        fleet[self._own] = self._attributes
         return fleet
 
     def _forget_groups(self) -> None:
         self._groups = None
-        self._hall = None
+        self._ranked_hall = None
 
     def _replace_rows(
         self,
@@ -274,7 +282,7 @@
         for target_id in peer.rows.keys() | new.keys():
             if peer.rows.get(target_id) == new.get(target_id):
                 continue
-            self._changed.add(target_id)
+            self._changed_targets.add(target_id)
             by_peer = self._by_target.setdefault(target_id, {})
             if target_id in new:
                 by_peer[name] = new[target_id]
@@ -285,7 +293,7 @@
         peer.rows = new
 
 
-def _add_up(
+def _sum_rows(
     target_id: str, rows: Iterable[dispatched.Dispatched]
 ) -> dispatched.Dispatched:
     held = 0
@@ -297,14 +305,14 @@
         held += row.held_tokens
         streams += row.streams
         prefill_ms += row.prefill_ms
-        _add_to(by_pause, row.streams_by_pause)
-        _add_to(pending, row.pending_tokens)
+        _add_counts(by_pause, row.streams_by_pause)
+        _add_counts(pending, row.pending_tokens)
     return dispatched.Dispatched(
         target_id, tuple(pending), held, streams, tuple(by_pause), prefill_ms
     )
 
 
-def _add_to(totals: list[int], counts: Sequence[int]) -> None:
-    """Adds counts; a peer of another release may have more or fewer."""
+def _add_counts(totals: list[int], counts: Sequence[int]) -> None:
+    """Adds counts; peers of other releases may send more or fewer."""
     for index, count in enumerate(counts[: len(totals)]):
         totals[index] += count
