--- a/src/ruddergate/decisions/freshness.py
+++ b/src/ruddergate/decisions/freshness.py
@@ -1,54 +1,57 @@
-"""Proofs of freshness that gateways hand on to each other.
-
-A proof is a moment on the holder's own monotonic clock at which nothing newer
-was published than what the holder knows. A call of the store proves the moment
-at which it began. A peer that is asked at u and answers that its own proof is
-a ms old proves u - a, whatever the two clocks show and however late the answer
-comes: the age was taken after the question was sent.
-
-Nobody is elected to read the store. All VMs of a hall rank those that they
-know alike; the first one reads it, the others ask them, and whoever hears no
-proof that is fresh enough reads the store itself.
+"""Freshness of what the store published, which gateways pass on to each other.
+
+A VM's knowledge is current as of a moment on its own monotonic clock: at that
+moment nothing newer was published than what it knows. A call of the store shows
+the moment at which it began. A peer that is asked at u and replies that its
+own knowledge is current as of a ms ago shows u - a, whatever the two clocks say
+and however late the reply comes, because the age was taken after the request
+was sent.
+
+Nobody is elected to read the store. All VMs of a hall rank the VMs that they
+know in the same way; the first one reads the store and the others ask the
+readers. A VM whose knowledge is not fresh enough after that reads the store
+itself.
 """
 
 from collections.abc import Sequence
 import math
 
-# VMs of a hall that read the store for the others. Where it is dead or cut off
-# from the store, the first of the others that notices reads it, and its proof
-# is found by those that ask at random.
+# VMs of a hall that read the store for the others. If the reader is dead or cut
+# off from the store, the first of the others that notices reads the store, and
+# those that ask a random peer find its result.
 READERS_PER_HALL = 1
-# Halls with fewer VMs would save little.
+# Fewer VMs in a hall would save little by sharing.
 MIN_SHARING_VMS = 3
-# Parts of the time between two calls of a VM that reads for itself alone: a
-# reader's calls are so far apart, and its peers' questions take the rest.
+# Intervals as fractions of the time between two store calls of a VM that reads
+# for itself alone: the store calls of a reader, and the requests of a follower
+# to its peers. An age at a reader and one interval of a follower add up to it.
 READER_INTERVAL_FACTOR = 0.75
 FOLLOWER_INTERVAL_FACTOR = 0.25
-# A reader's proof may be so much older than its calls are apart and still count
-# as fresh: the store's answer and the peer's take some milliseconds.
+# What is this much older than a reader's interval still counts as fresh: the
+# replies of the store and of the peer take some milliseconds.
 FRESHNESS_SLACK_MS = 100.0
 
 
-def find_current_as_of_ms(asked_ms: float, age_ms: float) -> float | None:
-    """Returns the moment that a peer's answer proves.
+def find_current_as_of_ms(requested_ms: float, age_ms: float) -> float | None:
+    """Returns the moment as of which a peer's reply is current.
 
     Args:
-        asked_ms: When the question was sent, on this VM's clock.
-        age_ms: Age of the peer's proof as it answered.
+        requested_ms: When the request was sent, on this VM's clock.
+        age_ms: Age of the peer's knowledge when it replied.
 
     Returns:
-        The moment, or None if the age can't be true.
+        The moment, or None if the age is invalid.
     """
     if not math.isfinite(age_ms) or age_ms < 0.0:
         return None
-    return asked_ms - age_ms
+    return requested_ms - age_ms
 
 
 def has_shared_readers(ranked: Sequence[str]) -> bool:
-    """Returns whether a hall has few VMs read the store for all.
+    """Returns whether a few VMs of a hall read the store for all of them.
 
     Args:
-        ranked: The VMs known in the hall, in the order in which they are to be
+        ranked: The known VMs of the hall, in the order in which they become
             readers.
     """
     return len(ranked) >= MIN_SHARING_VMS
@@ -59,11 +62,19 @@
 
     Args:
         own: Its name.
-        ranked: As in `is_shared`, with itself.
+        ranked: As in `has_shared_readers`, including itself.
     """
     return not has_shared_readers(ranked) or own in ranked[:READERS_PER_HALL]
 
 
-def is_fresh(age_ms: float, alone_ms: float) -> bool:
-    """Returns whether a follower's proof will do until its next question."""
-    return age_ms <= alone_ms * READER_INTERVAL_FACTOR + FRESHNESS_SLACK_MS
+def is_fresh(age_ms: float, sole_interval_ms: float) -> bool:
+    """Returns whether a follower's knowledge is fresh until its next request.
+
+    Args:
+        age_ms: Age of its knowledge.
+        sole_interval_ms: Time between two store calls of a VM that reads for
+            itself alone.
+    """
+    return (
+        age_ms <= sole_interval_ms * READER_INTERVAL_FACTOR + FRESHNESS_SLACK_MS
+    )
--- a/src/ruddergate/decisions/loss_reports.py
+++ b/src/ruddergate/decisions/loss_reports.py
@@ -1,11 +1,12 @@
-"""Which losses of targets a VM tells its peers, and which it takes from them.
-
-Many VMs before many targets find each loss many times over: seven engines that
-died in a fleet of 195 VMs cost each VM calls of its own until their entries
-lapsed. What one VM found is a hint for the others: they pass a target over for
-a moment, each for another time, so that it is tried later and by few. A VM
-that is itself cut off finds all others out of reach; it tells a loss only in a
-hall that it has lately reached, and to nobody that the cut keeps it from.
+"""Which unreachable targets a VM reports to its peers, and what it takes over.
+
+With many VMs and many targets, each loss is found many times over: seven
+engines that died in a fleet of 195 VMs cost each VM requests of its own until
+their entries expired. A loss that one VM found is a hint for the others: they
+avoid the target for a moment, each for a different time, so that it is tried
+later and by few of them. A VM that is itself cut off finds all targets
+unreachable, so it reports a loss only in a hall that it has reached within
+HALL_REACHED_MS; and its digests do not reach the VMs that it is cut off from.
 """
 
 from collections.abc import Iterable
@@ -13,15 +14,16 @@
 from ruddergate.fleet import bad_news
 from ruddergate.fleet import life as lives
 
-# A loss is told for so long: two rounds of digests miss it at most once, and
-# what was found in a cut is forgotten soon after its end.
+# How long a loss is reported. Two rounds of digests miss it at most once, and
+# what was found while a hall was cut off is dropped soon after.
 REPORT_DURATION_MS = 1_200.0
-# A hall counts as reached for so long after an answer from there.
+# A hall counts as reached for this time after a response from there.
 HALL_REACHED_MS = 2_000.0
-# Losses that are told at once. More than this is more likely this VM's fault.
+# Targets reported at once. If there are more, this VM is more likely at fault,
+# and it reports nothing.
 MAX_REPORTED = 16
-# How long a target is passed over that a peer found lost, drawn from this
-# range: the first VM that tries it again tells the others how it fared.
+# How long a target that a peer reported is avoided, drawn from this range: the
+# first VM that tries it again then tells the others the result.
 AVOID_RANGE_MS = (600.0, 1_800.0)
 
 
@@ -34,22 +36,39 @@
         self._halls: dict[str, float] = {}
         self._reached_ms: dict[str, float] = {}
 
-    def note_reached(self, hall: str, life: lives.Life, now_ms: float) -> None:
-        """Notes that a target has answered."""
+    def note_reached(
+        self, hall: str, incarnation: lives.Life, now_ms: float
+    ) -> None:
+        """Notes that a target has responded."""
         self._reached_ms[hall] = now_ms
-        self._gone.pop(life, None)
-        self._silent.pop(life, None)
+        self._gone.pop(incarnation, None)
+        self._silent.pop(incarnation, None)
         self._halls.pop(hall, None)
 
     def note_unreachable(
-        self, hall: str, life: lives.Life, is_silent: bool, now_ms: float
+        self,
+        hall: str,
+        incarnation: lives.Life,
+        is_silent: bool,
+        now_ms: float,
     ) -> bool:
-        """Notes a target that is not there; returns whether it is told."""
+        """Notes that a target is unreachable.
+
+        Args:
+            hall: Its data hall.
+            incarnation: The incarnation that was tried.
+            is_silent: Whether nothing came back at all; otherwise nobody or
+                another target answered in its place.
+            now_ms: Time.
+
+        Returns:
+            Whether it will be reported.
+        """
         reached_ms = self._reached_ms.get(hall, float("-inf"))
         if now_ms - reached_ms > HALL_REACHED_MS:
             return False
-        found = self._silent if is_silent else self._gone
-        found[life] = now_ms
+        losses = self._silent if is_silent else self._gone
+        losses[incarnation] = now_ms
         return True
 
     def note_hall_unreachable(self, hall: str, now_ms: float) -> None:
@@ -57,9 +76,9 @@
         self._halls[hall] = now_ms
 
     def summarize(self, now_ms: float) -> bad_news.BadNews:
-        """Returns what peers are to be told now."""
-        for found in (self._gone, self._silent, self._halls):
-            _forget_old(found, now_ms)
+        """Returns the losses to report to peers now."""
+        for losses in (self._gone, self._silent, self._halls):
+            _drop_expired(losses, now_ms)
         if not self._gone and not self._silent and not self._halls:
             return bad_news.NOTHING
         if len(self._gone) + len(self._silent) > MAX_REPORTED:
@@ -71,41 +90,41 @@
         )
 
 
-def _forget_old(found: dict, now_ms: float) -> None:
-    for name, at_ms in list(found.items()):
+def _drop_expired(losses: dict, now_ms: float) -> None:
+    for name, at_ms in list(losses.items()):
         if now_ms - at_ms > REPORT_DURATION_MS:
-            del found[name]
+            del losses[name]
 
 
 def select_applicable(
-    told: bad_news.BadNews, is_same_hall: bool
+    report: bad_news.BadNews, is_same_hall: bool
 ) -> bad_news.BadNews:
-    """Returns what of a peer's news holds for this VM.
+    """Returns the part of a peer's report that applies to this VM.
 
-    What did not answer a VM of another hall may well answer here.
+    A target that did not respond to a VM of another hall may respond here.
     """
     if is_same_hall:
-        return told
-    return bad_news.BadNews(gone=told.gone)
+        return report
+    return bad_news.BadNews(gone=report.gone)
 
 
 def find_new(
-    told: bad_news.BadNews, before: bad_news.BadNews
+    report: bad_news.BadNews, previous: bad_news.BadNews
 ) -> bad_news.BadNews:
-    """Returns what a peer did not tell already in its digest before."""
+    """Returns what a peer's report adds to that of its previous digest."""
     return bad_news.BadNews(
-        _without(told.gone, before.gone),
-        _without(told.silent, before.silent),
-        _without(told.halls, before.halls),
+        _without(report.gone, previous.gone),
+        _without(report.silent, previous.silent),
+        _without(report.halls, previous.halls),
     )
 
 
-def merge(news: Iterable[bad_news.BadNews]) -> bad_news.BadNews:
-    """Returns several peers' news as one, each name once."""
+def merge(reports: Iterable[bad_news.BadNews]) -> bad_news.BadNews:
+    """Returns the reports of several peers as one, each name once."""
     gone: dict[str, None] = {}
     silent: dict[str, None] = {}
     halls: dict[str, None] = {}
-    for each in news:
+    for each in reports:
         gone.update(dict.fromkeys(each.gone))
         silent.update(dict.fromkeys(each.silent))
         halls.update(dict.fromkeys(each.halls))
