--- a/src/ruddergate/decisions/change_log.py
+++ b/src/ruddergate/decisions/change_log.py
@@ -1,8 +1,8 @@
-"""The last changes of what the store published, for peers that ask for them.
+"""Changelog of what the store published, for peers that ask for changes.
 
-A change is known by the store's revisions between which it came, all of one
-epoch. Applying one twice does no harm: it holds the last state of each target
-that it names.
+A change is identified by the store's revisions between which it came, all of
+one epoch. Applying a change twice does no harm: it holds the last state of each
+target that it names.
 """
 
 import collections
@@ -10,10 +10,10 @@
 
 from ruddergate.fleet import target as targets
 
-# Answers of the store that are kept; at one each second they go back as far as
-# the store's own history does.
+# Steps that are kept, one for each response of the store; at one a second they
+# go back as far as the store's own history does.
 MAX_STEPS = 32
-# Entries told in one answer: 24 of them take about 2.5 KB. An asker that has
+# Entries in one reply: 24 of them take about 2.5 KB. A requester that has
 # missed more reads the store.
 MAX_ROWS = 24
 
@@ -23,13 +23,13 @@
     """What changed between two revisions.
 
     Attributes:
-        since: The store's revision behind which it begins.
-        until: The store's revision up to which it goes.
-        is_unreadable: Whether it holds what this VM could not read; others
-            are to read it for themselves.
+        since: The store's revision after which the step begins.
+        until: The store's revision with which it ends.
+        is_unreadable: Whether it holds what this VM could not read; other VMs
+            must read it from the store.
         listed: Entries of targets, in order.
-        gone: Names of targets that went off the list.
-        spoilt: Names whose entry is none of a target.
+        removed: Names of targets that were removed from the list.
+        malformed: Names whose entry is not that of a target.
     """
 
     since: int
@@ -49,45 +49,52 @@
         )
 
     def note(self, step: Step) -> None:
-        """Adds a step; one that does not follow the last drops those before."""
+        """Adds a step; drops the earlier ones if it does not follow the last.
+
+        A step without a new revision is not added.
+        """
         if self._steps and step.since != self._steps[-1].until:
             self._steps.clear()
         if step.until > step.since:
             self._steps.append(step)
 
     def restart(self) -> None:
-        """Drops all steps, when everything was read anew."""
+        """Drops all steps, after everything was read anew."""
         self._steps.clear()
 
     def find_since(self, position: int, until: int) -> Step | None:
         """Returns all changes between two revisions as one step.
 
+        Args:
+            position: The revision after which it begins.
+            until: The revision with which it ends.
+
         Returns:
-            The step, or None if it is not known, can't be read, is too large
-            to be told, or begins behind its end.
+            The step, or None if it is not known, could not be read, is too
+            large for a reply, or would begin after its end.
         """
         if position > until:
             return None
         if position == until:
             return Step(until, until, False)
-        wanted = [each for each in self._steps if each.until > position]
-        if not wanted or wanted[0].since > position:
+        steps = [each for each in self._steps if each.until > position]
+        if not steps or steps[0].since > position:
             return None
-        if wanted[-1].until != until:
+        if steps[-1].until != until:
             return None
-        if any(each.is_unreadable for each in wanted):
+        if any(each.is_unreadable for each in steps):
             return None
-        rows = tuple(row for each in wanted for row in each.listed)
-        removed, malformed = _find_ends(wanted)
+        rows = tuple(row for each in steps for row in each.listed)
+        removed, malformed = _find_last_states(steps)
         if len(rows) + len(removed) + len(malformed) > MAX_ROWS:
             return None
         return Step(position, until, False, rows, removed, malformed)
 
 
-def _find_ends(
+def _find_last_states(
     steps: list[Step],
 ) -> tuple[tuple[str, ...], tuple[str, ...]]:
-    """Returns the names that are off the list, or spoilt, after all steps."""
+    """Returns the names that are removed, or malformed, after all steps."""
     removed: dict[str, None] = {}
     malformed: dict[str, None] = {}
     for each in steps:
--- a/src/ruddergate/decisions/tombstones.py
+++ b/src/ruddergate/decisions/tombstones.py
@@ -1,28 +1,30 @@
-"""Targets that were removed from the list, and what may bring them back.
+"""Tombstones of targets that were removed from the list.
 
-A store that is restored from an older copy lists targets again that were
-removed since. Such an entry says nothing: a target that lives writes it anew.
-Heartbeats that tell nothing new are no changes in the store, so they are seen
-only where the whole list is read twice.
+A store that is restored from an older copy lists targets again that have been
+removed since. Such an entry says nothing: a live target writes its entry anew.
+Heartbeats without other changes are no changes in the store, so they are seen
+only by reading the whole list twice.
 """
 
 import dataclasses
 
 from ruddergate.fleet import target as targets
 
-# Removals that are remembered, the oldest are forgotten first. A copy is some
-# seconds old; this many go in a minute of a fast release of a large fleet.
+# Tombstones that are kept; the oldest are dropped first. A copy is some seconds
+# old; a fast release of a large fleet removes this many targets in a minute.
 MAX_TOMBSTONES = 4_096
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Removal:
+class _Tombstone:
     """A target that was removed.
 
     Attributes:
-        born_ms: The life that was listed last.
-        is_binding: Whether the store was restored since.
-        copied_sequence: Number of its entry in the copy; None until it is read.
+        born_ms: Start time of the incarnation that was listed last.
+        is_binding: Whether the store was restored since, so that its entry may
+            be the copy's.
+        copied_sequence: Sequence number of its entry in the copy; None until
+            that is read.
     """
 
     born_ms: int
@@ -34,43 +36,47 @@
     """Removed targets by name; owned by the list of targets."""
 
     def __init__(self) -> None:
-        self._removed: dict[str, _Removal] = {}
+        self._tombstones: dict[str, _Tombstone] = {}
 
     def note_removed(self, target: targets.Target) -> None:
         """Notes that a target went off the list."""
-        self._removed.pop(target.target_id, None)
-        self._removed[target.target_id] = _Removal(target.born_ms)
-        if len(self._removed) > MAX_TOMBSTONES:
-            del self._removed[next(iter(self._removed))]
+        self._tombstones.pop(target.target_id, None)
+        self._tombstones[target.target_id] = _Tombstone(target.born_ms)
+        if len(self._tombstones) > MAX_TOMBSTONES:
+            del self._tombstones[next(iter(self._tombstones))]
 
     def note_store_restored(self) -> None:
-        """Has removals bind that the store may have lost."""
-        for target_id, removal in self._removed.items():
-            self._removed[target_id] = _Removal(removal.born_ms, True)
+        """Makes all tombstones binding, as the store may have lost removals."""
+        for target_id, tombstone in self._tombstones.items():
+            self._tombstones[target_id] = _Tombstone(tombstone.born_ms, True)
 
-    def accept_entry(self, target: targets.Target, is_all: bool) -> bool:
-        """Takes in an entry; returns whether it was written since a restore.
+    def accept_entry(self, target: targets.Target, is_full_list: bool) -> bool:
+        """Returns whether an entry was written by a live target.
+
+        Drops the tombstone of an entry that is accepted. The first entry that
+        may be the copy's is not accepted; a later one is if its sequence number
+        is higher, as its target has written it since.
 
         Args:
             target: The entry.
-            is_all: Whether it stands in a list of everything, where it may be
-                the copy's, or among changes.
+            is_full_list: Whether it stands in a list of everything, where it
+                may be the copy's, and not among changes.
         """
         name = target.target_id
-        removal = self._removed.get(name)
-        if removal is None:
+        tombstone = self._tombstones.get(name)
+        if tombstone is None:
             return True
-        is_younger = target.born_ms > removal.born_ms
-        if is_younger or not (removal.is_binding and is_all):
-            del self._removed[name]
+        is_younger = target.born_ms > tombstone.born_ms
+        if is_younger or not (tombstone.is_binding and is_full_list):
+            del self._tombstones[name]
             return True
-        copied = removal.copied_sequence
+        copied = tombstone.copied_sequence
         if copied is None:
-            self._removed[name] = dataclasses.replace(
-                removal, copied_sequence=target.sequence
+            self._tombstones[name] = dataclasses.replace(
+                tombstone, copied_sequence=target.sequence
             )
             return False
         if target.sequence <= copied:
             return False
-        del self._removed[name]
+        del self._tombstones[name]
         return True
