--- a/src/ruddergate/agent/settings_sync.py
+++ b/src/ruddergate/agent/settings_sync.py
@@ -120,7 +120,7 @@
             return
         shards: dict[str, bytes] = {}
         found = adoption.consider(in_force, offered, shards)
-        if isinstance(found, adoption.Missing):
+        if isinstance(found, adoption.MissingShards):
             for digest in found.digests:
                 data = await self._fetch_shard(digest)
                 if data is None:
--- a/src/ruddergate/agent/share_task.py
+++ b/src/ruddergate/agent/share_task.py
@@ -40,7 +40,7 @@
         self._config = config
         self._knowledge = knowledge
         self._links = links
-        self._book = decisions.ShareBook()
+        self._book = decisions.LoanBook()
 
     async def run(self) -> None:
         """Borrows where demand is above the part, until cancelled."""
--- a/src/ruddergate/decisions/adoption.py
+++ b/src/ruddergate/decisions/adoption.py
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Missing:
+class MissingShards:
     """A newer revision that is not whole yet.
 
     Attributes:
@@ -55,7 +55,7 @@
     current: InForce,
     offered: manifests.Manifest,
     shards: Mapping[str, bytes],
-) -> InForce | Missing:
+) -> InForce | MissingShards:
     """Returns what is in force after an offer, or what the offer lacks.
 
     Args:
@@ -69,7 +69,7 @@
     wanted = {shard.digest for shard in offered.shards}
     missing = tuple(sorted(wanted - set(known)))
     if missing:
-        return Missing(missing)
+        return MissingShards(missing)
     by_name = {shard.name: known[shard.digest] for shard in offered.shards}
     checked = check.parse_tree(offered.revision, by_name)
     if not isinstance(checked, tree.Tree):
--- a/src/ruddergate/decisions/shares.py
+++ b/src/ruddergate/decisions/shares.py
@@ -61,7 +61,7 @@
     until_ms: float
 
 
-class ShareBook:
+class LoanBook:
     """Loans that one VM has given and taken; owned by its agent."""
 
     def __init__(self) -> None:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -36,7 +36,7 @@
 
     def check_one(self, chance: random.Random) -> None:
         count = 4
-        books = [shares.ShareBook() for _ in range(count)]
+        books = [shares.LoanBook() for _ in range(count)]
         base = 1.0 / count
         for step in range(200):
             now_ms = step * 137.0
@@ -59,7 +59,7 @@
             self.assertLessEqual(total, 1.0 + 1e-9)
 
     def test_unused_part_moves(self) -> None:
-        idle, busy = shares.ShareBook(), shares.ShareBook()
+        idle, busy = shares.LoanBook(), shares.LoanBook()
         lent = idle.lend("w", 0.5, 0.0, 0.4, 4_000.0, 0.0)
         busy.borrow("w", lent, 0.0, 4_000.0)
         self.assertEqual(busy.find_fraction("w", 0.5, 100.0), 0.75)
@@ -68,7 +68,7 @@
         self.assertEqual(idle.find_fraction("w", 0.5, 4_100.0), 0.25)
 
     def test_busy_vm_lends_nothing(self) -> None:
-        book = shares.ShareBook()
+        book = shares.LoanBook()
         self.assertEqual(book.lend("w", 0.5, 0.45, 0.4, 4_000.0, 0.0), 0.0)
 
 
