--- a/src/ruddergate/decisions/adoption.py
+++ b/src/ruddergate/decisions/adoption.py
@@ -1,7 +1,7 @@
 """Which revision of the settings tree a process has in force.
 
-Revisions only go up. What a process has refused stays refused: the check is a
-pure function of the bytes, so asking again can't change the verdict.
+Revisions only go up. A revision that a process has refused stays refused: the
+check is a pure function of the bytes, so repeating it can't change the result.
 """
 
 from collections.abc import Mapping
@@ -15,14 +15,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InForce:
-    """What a process goes by.
+    """The settings that a process uses.
 
     Attributes:
         manifest: Manifest of the revision in force.
-        shards: Bytes of its shards by digest.
+        shards: Contents of its shards by digest.
         tree: The checked tree.
         refused_revision: Highest revision that failed its check, or 0.
-        problems: What was wrong with it.
+        problems: Why it failed.
     """
 
     manifest: manifests.Manifest
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MissingShards:
-    """A newer revision that is not whole yet.
+    """The shards that are needed before a newer revision can be checked.
 
     Attributes:
         digests: Digests of the shards to fetch.
@@ -56,16 +56,16 @@
     offered: manifests.Manifest,
     shards: Mapping[str, bytes],
 ) -> InForce | MissingShards:
-    """Returns what is in force after an offer, or what the offer lacks.
+    """Returns what is in force after an offer, or the shards that it lacks.
 
     Args:
         current: What is in force now.
-        offered: The offered revision.
-        shards: Bytes by digest, beside those already in force.
+        offered: Manifest of the offered revision.
+        shards: Contents of shards by digest, beside those already in force.
     """
     if not is_wanted(current, offered.revision):
         return current
-    known = {**current.shards, **_take_sound(shards)}
+    known = {**current.shards, **_drop_corrupt(shards)}
     wanted = {shard.digest for shard in offered.shards}
     missing = tuple(sorted(wanted - set(known)))
     if missing:
@@ -80,8 +80,8 @@
     return InForce(offered, kept, checked, current.refused_revision, ())
 
 
-def _take_sound(shards: Mapping[str, bytes]) -> Mapping[str, bytes]:
-    """Drops shards whose bytes are not what their digest promises."""
+def _drop_corrupt(shards: Mapping[str, bytes]) -> Mapping[str, bytes]:
+    """Returns the shards whose contents match their digest."""
     return {
         digest: data
         for digest, data in shards.items()
--- a/src/ruddergate/decisions/peer_groups.py
+++ b/src/ruddergate/decisions/peer_groups.py
@@ -1,10 +1,10 @@
-"""Which VMs pass digests of load on, so that no VM's messages grow too much.
+"""Which VMs relay load digests, so that no VM has to send to too many others.
 
-VMs of a hall form groups of bounded size. One VM of a group, its relay, takes
-the digests of the others, passes them to the relays of the other groups and
-passes on within its group what those send. All VMs work this out alike from
-the VMs that they know; where they differ for a moment, digests come twice or
-half a second late.
+VMs of a hall form groups of bounded size. One VM of a group, its relay,
+receives the digests of the others, passes them on to the relays of the other
+groups, and passes what those send on to its own group. All VMs compute the
+groups in the same way from the VMs that they know. While they know different
+ones, digests arrive twice or half a second late.
 """
 
 from collections.abc import Callable
@@ -14,22 +14,22 @@
 from typing import TypeAlias
 import zlib
 
-# A relay sends to so many VMs of its group and to one VM of each other group.
-# At 940 VMs both numbers are about 30.
+# Maximum size of a group. A relay sends to the VMs of its group and to one VM
+# of each other group; with 940 VMs, both numbers are about 30.
 MAX_GROUP_SIZE = 32
-# In a fleet up to this size every VM writes to every other one: a relay would
+# In a fleet up to this size every VM sends to every other one: a relay would
 # save nothing and cost a hop.
 MAX_FULL_MESH_VMS = 16
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmAttributes:
-    """What a VM's part in the groups depends on.
+    """What a VM's role in the groups depends on.
 
     Attributes:
         hall: Its data hall.
-        link_mbps: How fast its link is, in megabits a second; a relay sends
-            the more the larger its group is.
+        link_mbps: Bandwidth of its link, in megabits a second. A relay sends
+            more than other VMs, so VMs with fast links come first.
     """
 
     hall: str
@@ -45,7 +45,7 @@
 
     Attributes:
         hall: Their data hall.
-        members: Their names, in the order in which they are to be relay.
+        members: Their names, in the order in which they become relay.
     """
 
     hall: str
@@ -53,9 +53,11 @@
 
 
 def divide(fleet: Fleet) -> tuple[Group, ...]:
-    """Returns the groups of a fleet, given its VMs by name."""
+    """Returns the groups of a fleet."""
     by_hall: dict[str, list[str]] = {}
-    for name in sorted(fleet, key=lambda name: _rank_of(name, fleet[name])):
+    for name in sorted(
+        fleet, key=lambda name: _make_rank_key(name, fleet[name])
+    ):
         by_hall.setdefault(fleet[name].hall, []).append(name)
     groups: list[Group] = []
     for hall in sorted(by_hall):
@@ -64,29 +66,33 @@
 
 
 def rank_hall(fleet: Fleet, hall: str) -> tuple[str, ...]:
-    """Returns the VMs of a hall in the order in which they are to be relay."""
-    names = [name for name, place in fleet.items() if place.hall == hall]
-    return tuple(sorted(names, key=lambda name: _rank_of(name, fleet[name])))
+    """Returns the VMs of a hall in the order in which they become relay."""
+    names = [
+        name for name, attributes in fleet.items() if attributes.hall == hall
+    ]
+    return tuple(
+        sorted(names, key=lambda name: _make_rank_key(name, fleet[name]))
+    )
 
 
 def _divide_hall(hall: str, ranked: Sequence[str]) -> list[Group]:
-    """Divides by rank in turn, so that groups are of even size."""
+    """Deals the VMs out by rank, so that groups are of even size."""
     count = -(-len(ranked) // MAX_GROUP_SIZE)
     return [Group(hall, tuple(ranked[index::count])) for index in range(count)]
 
 
 def find_group(groups: Sequence[Group], name: str) -> Group | None:
-    """Returns the group that a VM is in, if it is known."""
+    """Returns the group of a VM, or None."""
     return next((each for each in groups if name in each.members), None)
 
 
 def choose_relay(
     group: Group, may_be_relay: Callable[[str], bool]
 ) -> str | None:
-    """Returns the first member that may be relay, or None."""
+    """Returns the first member that may be the relay, or None."""
     return next(filter(may_be_relay, group.members), None)
 
 
-def _rank_of(name: str, place: VmAttributes) -> tuple[int, int, str]:
-    """Lets fast links go first, and any of them among equals."""
-    return (-place.link_mbps, zlib.crc32(name.encode()), name)
+def _make_rank_key(name: str, attributes: VmAttributes) -> tuple[int, int, str]:
+    """Sorts fast links first, and equal ones by a hash of their names."""
+    return (-attributes.link_mbps, zlib.crc32(name.encode()), name)
--- a/src/ruddergate/decisions/reachability.py
+++ b/src/ruddergate/decisions/reachability.py
@@ -1,26 +1,27 @@
-"""Halls that seem cut off, from connections that did not come up."""
+"""Detects halls that seem cut off, from connections that failed."""
 
 import dataclasses
 
-# Targets of a hall out of reach within this time make the hall suspect.
+# A hall is suspect if connections to MIN_TARGETS targets of it fail within this
+# time.
 WINDOW_MS = 2_000.0
-# So many of them; one alone may just have died.
-TARGETS_LEAST = 2
-# A suspect hall is passed over for this long, twice as long each time that it
-# turns out to be still out of reach; cuts last some seconds.
+# A single target may just have died.
+MIN_TARGETS = 2
+# A suspect hall is avoided for this time, which doubles up to the maximum each
+# time that it is found unreachable again; network cuts last some seconds.
 MIN_AVOID_MS = 800.0
 MAX_AVOID_MS = 3_200.0
 
 
 @dataclasses.dataclass(slots=True)
 class _Hall:
-    missed_ms: dict[str, float] = dataclasses.field(default_factory=dict)
-    pause_ms: float = MIN_AVOID_MS
+    failed_ms: dict[str, float] = dataclasses.field(default_factory=dict)
+    avoid_ms: float = MIN_AVOID_MS
     suspect_until_ms: float = float("-inf")
 
 
 class Reachability:
-    """What one VM finds of the halls; owned by the scheduler task."""
+    """Halls that one VM avoids; owned by the scheduler task."""
 
     def __init__(self) -> None:
         self._halls: dict[str, _Hall] = {}
@@ -28,38 +29,42 @@
     def note_connect_failure(
         self, hall: str, target_id: str, now_ms: float
     ) -> bool:
-        """Notes a connection that did not come up.
+        """Notes a connection to a target that failed.
 
-        Returns whether the hall became suspect by it.
+        Returns:
+            Whether that made the hall suspect.
         """
-        found = self._halls.setdefault(hall, _Hall())
-        found.missed_ms[target_id] = now_ms
+        state = self._halls.setdefault(hall, _Hall())
+        state.failed_ms[target_id] = now_ms
         recent = sum(
-            now_ms - at_ms <= WINDOW_MS for at_ms in found.missed_ms.values()
+            now_ms - at_ms <= WINDOW_MS for at_ms in state.failed_ms.values()
         )
-        if recent < TARGETS_LEAST or now_ms < found.suspect_until_ms:
+        if recent < MIN_TARGETS or now_ms < state.suspect_until_ms:
             return False
-        found.suspect_until_ms = now_ms + found.pause_ms
-        found.pause_ms = min(MAX_AVOID_MS, found.pause_ms * 2.0)
+        state.suspect_until_ms = now_ms + state.avoid_ms
+        state.avoid_ms = min(MAX_AVOID_MS, state.avoid_ms * 2.0)
         return True
 
     def note_reported(self, hall: str, now_ms: float) -> bool:
-        """Notes that a peer beside this VM found a hall out of reach.
+        """Notes that a peer in this VM's hall reported a hall as unreachable.
 
-        Returns whether the hall became suspect by it. The pause does not grow:
-        this VM has not tried it.
+        The time for which it is avoided does not grow, as this VM has not tried
+        it itself.
+
+        Returns:
+            Whether that made the hall suspect.
         """
-        found = self._halls.setdefault(hall, _Hall())
-        if now_ms < found.suspect_until_ms:
+        state = self._halls.setdefault(hall, _Hall())
+        if now_ms < state.suspect_until_ms:
             return False
-        found.suspect_until_ms = now_ms + MIN_AVOID_MS
+        state.suspect_until_ms = now_ms + MIN_AVOID_MS
         return True
 
     def note_reached(self, hall: str) -> None:
-        """Notes that a target of the hall has answered."""
+        """Notes that a target of the hall has responded."""
         self._halls.pop(hall, None)
 
     def is_suspect(self, hall: str, now_ms: float) -> bool:
-        """Returns whether the hall is to be passed over now."""
-        found = self._halls.get(hall)
-        return found is not None and now_ms < found.suspect_until_ms
+        """Returns whether to avoid the hall now."""
+        state = self._halls.get(hall)
+        return state is not None and now_ms < state.suspect_until_ms
--- a/src/ruddergate/decisions/subset.py
+++ b/src/ruddergate/decisions/subset.py
@@ -1,7 +1,8 @@
-"""Which targets one VM deals with, so that its work does not grow with them.
+"""Which targets one VM handles, so that its work does not grow with the fleet.
 
-Each target goes to the VMs that rank highest for it; how many is chosen so
-that a VM has about `SUBSET_TARGETS` of each pool. Small pools are whole.
+Each target is handled by the VMs that rank highest for it by rendezvous
+hashing. Their number is chosen so that a VM handles about `SUBSET_TARGETS`
+targets of each pool. Every VM handles all targets of a smaller pool.
 """
 
 from collections.abc import Iterable
@@ -12,13 +13,13 @@
 from ruddergate.fleet import target as targets
 
 SUBSET_TARGETS = 32
-_LEAST_HOLDERS = 2
+_MIN_HOLDERS = 2
 
 
 def choose_all(
     vm_id: str, listing: listings.Listing
 ) -> tuple[targets.Target, ...]:
-    """Returns the targets of all pools that a VM deals with."""
+    """Returns the targets of all pools that a VM handles."""
     vm_ids = [vm.vm_id for vm in listing.vms]
     by_pool: dict[str, list[targets.Target]] = {}
     for target in listing.targets:
@@ -34,13 +35,13 @@
     vm_ids: Iterable[str],
     pool_targets: Iterable[targets.Target],
 ) -> tuple[targets.Target, ...]:
-    """Returns the targets of one pool that a VM deals with."""
+    """Returns the targets of one pool that a VM handles."""
     pool_targets = tuple(pool_targets)
     if len(pool_targets) <= SUBSET_TARGETS:
         return pool_targets
     names = sorted({*vm_ids, vm_id})
     wanted = math.ceil(SUBSET_TARGETS * len(names) / len(pool_targets))
-    holders = max(_LEAST_HOLDERS, wanted)
+    holders = max(_MIN_HOLDERS, wanted)
     return tuple(
         target
         for target in pool_targets
