--- a/src/ruddergate/agent/settings_sync.py
+++ b/src/ruddergate/agent/settings_sync.py
@@ -89,7 +89,7 @@
 
     def take_parts(self, parts: tree_parts.TreeParts) -> None:
         """Considers settings that a peer or the entry has handed over."""
-        found = adoption.consider(
+        found = adoption.evaluate_offer(
             self._knowledge.in_force, parts.manifest, parts.shards
         )
         if isinstance(found, adoption.InForce):
@@ -119,7 +119,7 @@
             await self._pause()
             return
         shards: dict[str, bytes] = {}
-        found = adoption.consider(in_force, offered, shards)
+        found = adoption.evaluate_offer(in_force, offered, shards)
         if isinstance(found, adoption.MissingShards):
             for digest in found.digests:
                 data = await self._fetch_shard(digest)
@@ -128,7 +128,9 @@
                     return
                 shards[digest] = data
         # What is in force may have changed while the shards came.
-        found = adoption.consider(self._knowledge.in_force, offered, shards)
+        found = adoption.evaluate_offer(
+            self._knowledge.in_force, offered, shards
+        )
         if isinstance(found, adoption.InForce):
             self._adopt(found)
         else:
--- a/src/ruddergate/decisions/adoption.py
+++ b/src/ruddergate/decisions/adoption.py
@@ -51,7 +51,7 @@
     return revision > max(current.manifest.revision, current.refused_revision)
 
 
-def consider(
+def evaluate_offer(
     current: InForce,
     offered: manifests.Manifest,
     shards: Mapping[str, bytes],
--- a/src/ruddergate/decisions/peer_loads.py
+++ b/src/ruddergate/decisions/peer_loads.py
@@ -130,9 +130,9 @@
         """Returns the losses that peers reported since the last call."""
         if not self._losses:
             return bad_news.NOTHING
-        found = loss_reports.merge(self._losses)
+        merged = loss_reports.merge(self._losses)
         self._losses.clear()
-        return found
+        return merged
 
     def note_received_from(self, name: str) -> None:
         """Notes that a peer has sent a datagram to this VM itself."""
@@ -165,10 +165,10 @@
         group = peer_groups.find_group(self._find_groups(), self._own)
         if group is None:
             return self._own
-        found = peer_groups.choose_relay(
+        relay = peer_groups.choose_relay(
             group, lambda name: self._can_relay(name, now_ms)
         )
-        return found or self._own
+        return relay or self._own
 
     def list_group_members(self) -> list[str]:
         """Returns the other members of this VM's own group."""
@@ -188,13 +188,13 @@
         for group in self._find_groups():
             if self._own in group.members:
                 continue
-            found = peer_groups.choose_relay(
+            relay = peer_groups.choose_relay(
                 group,
                 lambda name: (
                     now_ms - self._peers[name].heard_ms <= OTHER_RELAY_SILENT_MS
                 ),
             )
-            relays.append(found or rng.choice(group.members))
+            relays.append(relay or rng.choice(group.members))
         return relays
 
     def rank_hall(self, now_ms: float) -> list[str]:
@@ -296,19 +296,24 @@
 def _sum_rows(
     target_id: str, rows: Iterable[dispatched.Dispatched]
 ) -> dispatched.Dispatched:
-    held = 0
+    held_tokens = 0
     streams = 0
     prefill_ms = 0.0
     by_pause = [0] * pause_class.CLASSES
     pending = [0] * length_band.BANDS
     for row in rows:
-        held += row.held_tokens
+        held_tokens += row.held_tokens
         streams += row.streams
         prefill_ms += row.prefill_ms
         _add_counts(by_pause, row.streams_by_pause)
         _add_counts(pending, row.pending_tokens)
     return dispatched.Dispatched(
-        target_id, tuple(pending), held, streams, tuple(by_pause), prefill_ms
+        target_id,
+        tuple(pending),
+        held_tokens,
+        streams,
+        tuple(by_pause),
+        prefill_ms,
     )
 
 
--- a/src/ruddergate/entry/view.py
+++ b/src/ruddergate/entry/view.py
@@ -50,7 +50,9 @@
 
     def take_tree(self, parts: tree_parts.TreeParts) -> bool:
         """Adopts a newer revision; returns whether it is now in force."""
-        found = adoption.consider(self.in_force, parts.manifest, parts.shards)
+        found = adoption.evaluate_offer(
+            self.in_force, parts.manifest, parts.shards
+        )
         if isinstance(found, adoption.MissingShards):
             return False
         changed = found.manifest.revision > self.in_force.manifest.revision
