--- a/src/ruddergate/decisions/poison_requests.py
+++ b/src/ruddergate/decisions/poison_requests.py
@@ -29,7 +29,7 @@
 from ruddergate.messages import suspects as messages
 
 # Sum of weights from which a fingerprint is quarantined. Callers try twice, and
-# each try is sent to two targets at most, so a harmless request seldom has as
+# each try is sent to two targets at most, so a harmless request rarely has as
 # much against it, even on days on which targets crash at random.
 QUARANTINE_THRESHOLD = 3.0
 # A poison request crashes its target 35 to 500 ms after it began to run (28
--- a/src/ruddergate/decisions/rate_limits.py
+++ b/src/ruddergate/decisions/rate_limits.py
@@ -8,7 +8,7 @@
 With `m` holders of a limit of `r` requests a second, a window of 4 s has at
 most `m` saved tokens and `4r` earned ones. If all holders are replaced in the
 meantime, the new ones add `m` saved tokens and what another second earns, `r`.
-Where tokens come too seldom to learn from responses whether the limit still
+Where tokens come too rarely to learn from responses whether the limit still
 holds, each holder also sends a probe. `find_max_holders` keeps `2m + 5r`, or
 `3m + 5r` with probes, within `6r + 5`.
 """
