--- /dev/null
+++ b/src/ruddergate/decisions/loss_reports.py
@@ -0,0 +1,137 @@
+"""Which unreachable targets a VM reports to its peers, and what it takes over.
+
+With many VMs and many targets, each loss is found many times over: seven
+engines that died in a fleet of 195 VMs cost each VM requests of its own until
+their entries expired. A loss that one VM found is a hint for the others: they
+avoid the target for a moment, each for a different time, so that it is tried
+later and by few of them. A VM that is itself cut off finds all targets
+unreachable, so it reports a loss only in a hall that it has reached within
+HALL_REACHED_MS; and its digests do not reach the VMs that it is cut off from.
+"""
+
+from collections.abc import Iterable
+
+from ruddergate.fleet import bad_news
+from ruddergate.fleet import life as lives
+
+# How long a loss is reported. Two rounds of digests miss it at most once, and
+# what was found while a hall was cut off is dropped soon after.
+REPORT_DURATION_MS = 1_200.0
+# A hall counts as reached for this time after a response from there.
+HALL_REACHED_MS = 2_000.0
+# Targets reported at once. If there are more, this VM is more likely at fault,
+# and it reports nothing.
+MAX_REPORTED = 16
+# How long a target that a peer reported is avoided, drawn from this range: the
+# first VM that tries it again then tells the others the result.
+AVOID_RANGE_MS = (600.0, 1_800.0)
+
+
+class LossReports:
+    """Losses that this VM has found; owned by the scheduler task."""
+
+    def __init__(self) -> None:
+        self._gone: dict[lives.Life, float] = {}
+        self._silent: dict[lives.Life, float] = {}
+        self._halls: dict[str, float] = {}
+        self._reached_ms: dict[str, float] = {}
+
+    def note_reached(
+        self, hall: str, incarnation: lives.Life, now_ms: float
+    ) -> None:
+        """Notes that a target has responded."""
+        self._reached_ms[hall] = now_ms
+        self._gone.pop(incarnation, None)
+        self._silent.pop(incarnation, None)
+        self._halls.pop(hall, None)
+
+    def note_unreachable(
+        self,
+        hall: str,
+        incarnation: lives.Life,
+        is_silent: bool,
+        now_ms: float,
+    ) -> bool:
+        """Notes that a target is unreachable.
+
+        Args:
+            hall: Its data hall.
+            incarnation: The incarnation that was tried.
+            is_silent: Whether nothing came back at all; otherwise nobody or
+                another target answered in its place.
+            now_ms: Time.
+
+        Returns:
+            Whether it will be reported.
+        """
+        reached_ms = self._reached_ms.get(hall, float("-inf"))
+        if now_ms - reached_ms > HALL_REACHED_MS:
+            return False
+        losses = self._silent if is_silent else self._gone
+        losses[incarnation] = now_ms
+        return True
+
+    def note_hall_unreachable(self, hall: str, now_ms: float) -> None:
+        """Notes a hall that seems cut off."""
+        self._halls[hall] = now_ms
+
+    def summarize(self, now_ms: float) -> bad_news.BadNews:
+        """Returns the losses to report to peers now."""
+        for losses in (self._gone, self._silent, self._halls):
+            _drop_expired(losses, now_ms)
+        if not self._gone and not self._silent and not self._halls:
+            return bad_news.NOTHING
+        if len(self._gone) + len(self._silent) > MAX_REPORTED:
+            return bad_news.NOTHING
+        return bad_news.BadNews(
+            tuple(map(lives.format_life, self._gone)),
+            tuple(map(lives.format_life, self._silent)),
+            tuple(self._halls),
+        )
+
+
+def _drop_expired(losses: dict, now_ms: float) -> None:
+    for name, at_ms in list(losses.items()):
+        if now_ms - at_ms > REPORT_DURATION_MS:
+            del losses[name]
+
+
+def select_applicable(
+    report: bad_news.BadNews, is_same_hall: bool
+) -> bad_news.BadNews:
+    """Returns the part of a peer's report that applies to this VM.
+
+    A target that did not respond to a VM of another hall may respond here.
+    """
+    if is_same_hall:
+        return report
+    return bad_news.BadNews(gone=report.gone)
+
+
+def find_new(
+    report: bad_news.BadNews, previous: bad_news.BadNews
+) -> bad_news.BadNews:
+    """Returns what a peer's report adds to that of its previous digest."""
+    return bad_news.BadNews(
+        _without(report.gone, previous.gone),
+        _without(report.silent, previous.silent),
+        _without(report.halls, previous.halls),
+    )
+
+
+def merge(reports: Iterable[bad_news.BadNews]) -> bad_news.BadNews:
+    """Returns the reports of several peers as one, each name once."""
+    gone: dict[str, None] = {}
+    silent: dict[str, None] = {}
+    halls: dict[str, None] = {}
+    for each in reports:
+        gone.update(dict.fromkeys(each.gone))
+        silent.update(dict.fromkeys(each.silent))
+        halls.update(dict.fromkeys(each.halls))
+    return bad_news.BadNews(tuple(gone), tuple(silent), tuple(halls))
+
+
+def _without(
+    names: tuple[str, ...], others: tuple[str, ...]
+) -> tuple[str, ...]:
+    return tuple(name for name in names if name not in others)
--- a/src/ruddergate/entry/digest_relay.py
+++ b/src/ruddergate/entry/digest_relay.py
@@ -99,7 +99,7 @@
         queued = (*own, *self._from_relays.values())
         self._from_members.clear()
         self._from_relays.clear()
-        self._send_bundles(queued, False, self._loads.find_members())
+        self._send_bundles(queued, False, self._loads.list_group_members())
         if own:
             rng = self._outside.random
             relays = self._loads.find_other_relays(now_ms, rng)
--- a/src/ruddergate/entry/document_exchange.py
+++ b/src/ruddergate/entry/document_exchange.py
@@ -11,7 +11,7 @@
 from typing import TypeAlias
 from typing import TypeVar
 
-from ruddergate.decisions import document_copy
+from ruddergate.decisions import document_parts
 from ruddergate.messages import document_part
 
 # Requests for each part, since a datagram may be lost.
@@ -52,7 +52,7 @@
             if document is None:
                 return None
             self._version = version
-            self._parts = document_copy.split(document)
+            self._parts = document_parts.split(document)
         if not 0 <= part < len(self._parts):
             return None
         return document_part.DocumentPart(
@@ -64,11 +64,11 @@
         parts: list[bytes] = []
         while True:
             reply = await self._request_part(peer, version, len(parts))
-            if reply is None or reply.parts > document_copy.PARTS_MOST:
+            if reply is None or reply.parts > document_parts.MAX_PARTS:
                 return None
             parts.append(reply.data)
             if len(parts) >= reply.parts:
-                return document_copy.join(parts)
+                return document_parts.join(parts)
 
     async def _request_part(
         self, peer: str, version: Version, part: int
--- a/src/ruddergate/entry/drain_check.py
+++ b/src/ruddergate/entry/drain_check.py
@@ -10,7 +10,7 @@
 import contextlib
 
 from ruddergate import environment
-from ruddergate.decisions import withdrawals
+from ruddergate.decisions import draining
 from ruddergate.entry import view as views
 from ruddergate.fleet import life as lives
 from ruddergate.fleet import target as targets
@@ -41,7 +41,7 @@
     def __init__(
         self,
         outside: environment.Environment,
-        drain_state: withdrawals.Withdrawals,
+        drain_state: draining.DrainState,
         view: views.View,
         probe: Callable[[targets.Target], Awaitable[orders.Told]],
         on_refuted: Callable[[], None],
@@ -58,7 +58,7 @@
 
     def wake(self) -> None:
         """Makes the task look for suspected targets now."""
-        if len(self._drain_state.doubts):
+        if len(self._drain_state.suspects):
             self._changed.set()
 
     async def run(self) -> None:
@@ -69,7 +69,7 @@
 
     async def _wait(self) -> None:
         """Waits until a probe is due or a suspicion may have been added."""
-        due_ms = self._drain_state.doubts.find_next_ms()
+        due_ms = self._drain_state.suspects.find_next_due_ms()
         left_ms = max(_MIN_PAUSE_MS, due_ms - self._outside.now_ms())
         wait_s = None if due_ms == _NEVER_MS else left_ms / 1000.0
         with contextlib.suppress(TimeoutError):
@@ -78,13 +78,13 @@
         self._changed.clear()
 
     async def _probe_due(self) -> None:
-        due = self._drain_state.doubts.find_due(self._outside.now_ms())
+        due = self._drain_state.suspects.find_due(self._outside.now_ms())
         listed = {each.life: each for each in self._view.listing.targets}
         probed = [
             listed[incarnation] for incarnation in due if incarnation in listed
         ]
         for incarnation in due:
-            self._drain_state.doubts.put_off(
+            self._drain_state.suspects.postpone(
                 incarnation, self._outside.now_ms()
             )
         refuted = await asyncio.gather(*map(self._probe_target, probed))
@@ -101,7 +101,7 @@
         if not result.is_staying or not is_same_incarnation:
             return False
         now_ms = self._outside.now_ms()
-        if not self._drain_state.note_staying(target.life, now_ms):
+        if not self._drain_state.note_refuted(target.life, now_ms):
             return False
         self._metrics.leavings_denied.inc({})
         self._log.info(
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -13,8 +13,8 @@
 from ruddergate import _private
 from ruddergate import environment
 from ruddergate import outcomes
+from ruddergate.decisions import draining
 from ruddergate.decisions import retries
-from ruddergate.decisions import withdrawals
 from ruddergate.entry import canceller as cancellers
 from ruddergate.entry import config as configs
 from ruddergate.entry import crash_detector
@@ -131,12 +131,12 @@
             platform.caller_protocol.write_failure
         )
         view = views.View()
-        drain_state = withdrawals.Withdrawals()
+        drain_state = draining.DrainState()
         metrics = metric_types.EntryMetrics()
         self._rate_limiter = rate_limiter.RateLimiter(
             outside,
             str(gateway_config.peers.listen),
-            lambda now_ms: self._peers.loads.list_members(now_ms),
+            lambda now_ms: self._peers.loads.find_member_halls(now_ms),
             lambda target_id: self.tools.scheduler.find_target(target_id),
             lambda pool: self.tools.scheduler.find_halls(pool),
             lambda: self._peers.note_change(),
@@ -149,14 +149,14 @@
             lambda: self._peers.note_change(),
             lambda: self._peers.collect_sums(),
             lambda: self._peers.lacks_peers(),
-            lambda: self._peers.loads.collect_lost(),
+            lambda: self._peers.loads.collect_losses(),
             withdrawn=drain_state,
             limits=self._rate_limiter.limits,
         )
         self._quarantine_gossip = quarantine_gossip.QuarantineGossip(
             outside,
             gateway_config.peers.listen,
-            lambda: self._peers.loads.names(),
+            lambda: self._peers.loads.list_peers(),
             lambda message, peers: self._peers.send_evidence(message, peers),
         )
         self._availability = target_availability.TargetAvailability(
--- a/src/ruddergate/entry/peer_gossip.py
+++ b/src/ruddergate/entry/peer_gossip.py
@@ -148,7 +148,7 @@
         self._notify_peer_count = on_peer_count
         self._own = str(config.listen)
         self.loads = peer_loads.PeerLoads(
-            self._own, peer_groups.Place(hall, config.link_mbps)
+            self._own, peer_groups.VmAttributes(hall, config.link_mbps)
         )
         self.rpc = peer_rpc.PeerRpc(
             outside,
@@ -221,7 +221,7 @@
         if now_ms >= self._refreshed_ms + FULL_REFRESH_MS:
             self._refreshed_ms = now_ms
             self.loads.forget_silent(now_ms)
-            self.loads.renew_sums()
+            self.loads.mark_all_changed()
         return self.loads.collect_sums()
 
     async def _wait(self) -> None:
@@ -246,15 +246,15 @@
         digest = self._make_digest()
         now_ms = self._outside.now_ms()
         self._send_to_seeds(digest, now_ms)
-        if len(self.loads) <= peer_groups.DIRECT_MOST:
+        if len(self.loads) <= peer_groups.MAX_FULL_MESH_VMS:
             bundle = load_bundle.LoadBundle(self._own, False, (digest,))
-            self._send(bundle, self.loads.names())
+            self._send(bundle, self.loads.list_peers())
             return
         relay = self._find_relay(now_ms)
         if relay == self._own:
             self._digest_relay.add_from_member(digest)
             return
-        self.loads.note_written_to(relay, now_ms)
+        self.loads.note_sent_to(relay, now_ms)
         self._send(digest, (relay,))
 
     def _check_peer_count(self) -> None:
@@ -310,7 +310,7 @@
                 self._merge_digests(
                     (message,), self._digest_relay.add_from_member
                 )
-                self.loads.note_written_by(message.sender)
+                self.loads.note_received_from(message.sender)
             case load_bundle.LoadBundle():
                 forward = (
                     self._digest_relay.add_from_relay
@@ -318,7 +318,7 @@
                     else None
                 )
                 self._merge_digests(message.digests, forward)
-                self.loads.note_written_by(message.sender)
+                self.loads.note_received_from(message.sender)
             case suspect_messages.Suspects():
                 self._merge_evidence(message)
             case _ if isinstance(message, peer_rpc.REQUESTS + peer_rpc.REPLIES):
@@ -338,8 +338,8 @@
             if not _has_valid_sender(digest):
                 self._log.warning("Ignoring digest: sender is not an address.")
                 continue
-            is_new_run = self.loads.is_new_run(digest)
-            if not self.loads.take(digest, now_ms):
+            is_new_run = self.loads.is_new_incarnation(digest)
+            if not self.loads.merge(digest, now_ms):
                 continue
             if is_new_run:
                 self._on_peer_started(digest.sender)
@@ -362,7 +362,7 @@
         each start would make all VMs send.
         """
         self._notify_peer_started(peer)
-        if len(self.loads) <= peer_groups.DIRECT_MOST:
+        if len(self.loads) <= peer_groups.MAX_FULL_MESH_VMS:
             self._changed.set()
 
     def _send(
--- a/src/ruddergate/entry/quarantine.py
+++ b/src/ruddergate/entry/quarantine.py
@@ -9,8 +9,8 @@
 from ruddergate import environment
 from ruddergate import outcomes
 from ruddergate import request as requests
-from ruddergate.decisions import call_content
-from ruddergate.decisions import suspicion
+from ruddergate.decisions import poison_requests
+from ruddergate.decisions import request_fingerprint
 from ruddergate.entry import lost_call
 from ruddergate.messages import suspects as messages
 from ruddergate.telemetry import logs
@@ -32,7 +32,7 @@
     ) -> None:
         self._outside = outside
         self._on_change = on_change
-        self._evidence = suspicion.Suspicion()
+        self._evidence = poison_requests.PoisonRequests()
         # Fingerprints that were last logged as quarantined.
         self._logged: dict[str, bool] = {}
         self._log = logs.make_logger("suspects")
@@ -44,7 +44,7 @@
         """Records that a target ended while it served a request."""
         now_ms = self._outside.now_ms()
         incarnation = lost.target.life
-        weight = suspicion.find_weight(lost.there_ms, lost.reading_ms)
+        weight = poison_requests.weigh_crash(lost.there_ms, lost.reading_ms)
         if self._evidence.note_ended(lost.content, incarnation, weight, now_ms):
             self._announce(lost.content, lost.request_id)
 
@@ -65,7 +65,7 @@
             return False
         now_ms = self._outside.now_ms()
         fingerprint = find_fingerprint(request)
-        return self._evidence.count_against(fingerprint, now_ms) > 0
+        return self._evidence.count_crashes(fingerprint, now_ms) > 0
 
     def check_admission(
         self, request: requests.Request
@@ -79,7 +79,7 @@
         if not len(self._evidence):
             return None
         fingerprint = find_fingerprint(request)
-        left_ms = self._evidence.find_left_ms(
+        left_ms = self._evidence.find_quarantine_left_ms(
             fingerprint, self._outside.now_ms()
         )
         if left_ms <= 0.0:
@@ -92,7 +92,7 @@
 
     def merge_gossip(self, message: messages.Suspects) -> set[str]:
         """Merges a peer's evidence; returns the fingerprints that changed."""
-        problem = suspicion.find_fault(message.rows)
+        problem = poison_requests.find_error(message.rows)
         if problem:
             self._log.warning(
                 "Ignoring evidence of a peer: {}.", problem, peer=message.sender
@@ -127,7 +127,7 @@
     def _log_change(self, fingerprint: str, request_id: str, peer: str) -> None:
         """Logs a change of a quarantine, with the evidence for it."""
         now_ms = self._outside.now_ms()
-        left_ms = self._evidence.find_left_ms(fingerprint, now_ms)
+        left_ms = self._evidence.find_quarantine_left_ms(fingerprint, now_ms)
         is_quarantined = left_ms > 0.0
         if self._logged.get(fingerprint, False) == is_quarantined:
             return
@@ -154,6 +154,6 @@
 def find_fingerprint(request: requests.Request) -> str:
     """Returns the fingerprint that all attempts of a request share."""
     payload = request.payload
-    return call_content.name_content(
+    return request_fingerprint.fingerprint_request(
         request.workload.workspace, payload.host, payload.target, payload.body
     )
--- a/src/ruddergate/entry/quarantine_gossip.py
+++ b/src/ruddergate/entry/quarantine_gossip.py
@@ -11,7 +11,7 @@
 import contextlib
 
 from ruddergate import environment
-from ruddergate.decisions import suspicion
+from ruddergate.decisions import poison_requests
 from ruddergate.entry import quarantine as quarantines
 from ruddergate.messages import suspects as messages
 
@@ -106,15 +106,22 @@
         peers = self._list_peers()
         if len(peers) > MAX_DIRECT_PEERS:
             peers = self._draw_peers(FANOUT)
-        for begin in range(0, len(fingerprints), suspicion.TOLD_MOST):
-            batch = fingerprints[begin : begin + suspicion.TOLD_MOST]
+        for begin in range(
+            0, len(fingerprints), poison_requests.MAX_ROWS_PER_DATAGRAM
+        ):
+            batch = fingerprints[
+                begin : begin + poison_requests.MAX_ROWS_PER_DATAGRAM
+            ]
             self._send_evidence(batch, peers)
 
     def _send_ranked(self, peers: list[str]) -> None:
         """Sends the evidence on the requests that ended most targets."""
         if len(self.table):
             self._send_evidence(
-                self.table.rank_fingerprints()[: suspicion.TOLD_MOST], peers
+                self.table.rank_fingerprints()[
+                    : poison_requests.MAX_ROWS_PER_DATAGRAM
+                ],
+                peers,
             )
 
     def _send_evidence(self, fingerprints: list[str], peers: list[str]) -> None:
--- a/src/ruddergate/entry/store_sync.py
+++ b/src/ruddergate/entry/store_sync.py
@@ -14,11 +14,11 @@
 import dataclasses
 
 from ruddergate import environment
-from ruddergate.decisions import absence
 from ruddergate.decisions import change_log
-from ruddergate.decisions import proof
+from ruddergate.decisions import draining
+from ruddergate.decisions import freshness
+from ruddergate.decisions import outage_grace
 from ruddergate.decisions import settings_claims
-from ruddergate.decisions import withdrawals
 from ruddergate.entry import peer_reader
 from ruddergate.entry import poll_config
 from ruddergate.entry import scheduler as schedulers
@@ -67,7 +67,7 @@
         scheduler: schedulers.Scheduler,
         polling: poll_config.PollConfig,
         peers: store_peers.StorePeers,
-        drain_state: withdrawals.Withdrawals,
+        drain_state: draining.DrainState,
         on_listed: Callable[[], None] = lambda: None,
     ) -> None:
         self._peers = peer_reader.PeerReader(
@@ -150,8 +150,8 @@
             reply,
             is_whole=True,
             listed=step.listed,
-            gone=step.gone,
-            spoilt=step.spoilt,
+            gone=step.removed,
+            spoilt=step.malformed,
         )
 
     def _find_settings(self, revision: int) -> bytes | None:
@@ -173,11 +173,11 @@
         """Asks the store or peers; returns the interval to the next poll."""
         is_reading = self._peers.is_reader() or self._position is None
         if is_reading and self._reader.is_due() and await self._read_store():
-            return self._find_interval_ms(proof.READER_PART)
+            return self._find_interval_ms(freshness.READER_INTERVAL_FACTOR)
         if self._position is not None and await self._read_peers():
-            return self._find_interval_ms(proof.FOLLOWER_PART)
+            return self._find_interval_ms(freshness.FOLLOWER_INTERVAL_FACTOR)
         if self._reader.is_due() and await self._read_store():
-            return self._find_interval_ms(proof.FOLLOWER_PART)
+            return self._find_interval_ms(freshness.FOLLOWER_INTERVAL_FACTOR)
         return min(PEER_RETRY_MS, self._reader.find_wait_ms())
 
     async def _read_store(self) -> bool:
@@ -233,7 +233,7 @@
                 # The peer is in an older epoch: the store was restored since,
                 # and may have lost what the peer knows.
                 continue
-            proven_ms = proof.find_proven_ms(asked_ms, reply.age_ms)
+            proven_ms = freshness.find_current_as_of_ms(asked_ms, reply.age_ms)
             if proven_ms is None:
                 self._log.warning(
                     "Ignoring peer's changes: their age is invalid.", peer=peer
@@ -263,12 +263,14 @@
         return any(map(self._targets.lacks_incarnation, changes.targets))
 
     def _is_fresh(self) -> bool:
-        return proof.is_fresh(self._find_age_ms(), self._polling.interval_ms)
+        return freshness.is_fresh(
+            self._find_age_ms(), self._polling.interval_ms
+        )
 
     async def _fetch_claimed_settings(self) -> None:
         """Fetches settings that a peer uses and the store has lost."""
         own = self._view.catalog.revision
-        claim = self._claims.find_unmet(own, self._current_as_of_ms)
+        claim = self._claims.find_unconfirmed(own, self._current_as_of_ms)
         if claim is None:
             return
         fetched = await self._peers.fetch_settings(claim.peer, claim.revision)
@@ -309,7 +311,7 @@
             or asked_ms - self._current_as_of_ms > self._polling.outage_ms
         ):
             away_ms = max(self._current_as_of_ms, self._reader.failed_ms)
-            self._removed_until_ms = absence.find_end_ms(
+            self._removed_until_ms = outage_grace.find_grace_end_ms(
                 now_ms, away_ms, is_restored
             )
         if is_restored:
@@ -400,7 +402,7 @@
         Not while a peer has later ones, or a restored store may lack some.
         """
         own = self._view.catalog.revision
-        is_known = self._claims.find_unmet(own, asked_ms) is None
+        is_known = self._claims.find_unconfirmed(own, asked_ms) is None
         if (
             is_known
             and asked_ms >= self._restored_ms + self._polling.rewrite_ms
--- a/src/ruddergate/entry/target_availability.py
+++ b/src/ruddergate/entry/target_availability.py
@@ -11,9 +11,9 @@
 
 from ruddergate import environment
 from ruddergate import outcomes
-from ruddergate.decisions import doubts
+from ruddergate.decisions import drain_suspects
+from ruddergate.decisions import draining
 from ruddergate.decisions import peer_groups
-from ruddergate.decisions import withdrawals
 from ruddergate.fleet import life as lives
 from ruddergate.fleet import target as targets
 from ruddergate.relay import statement as statements
@@ -52,7 +52,7 @@
     def __init__(
         self,
         outside: environment.Environment,
-        drain_state: withdrawals.Withdrawals,
+        drain_state: draining.DrainState,
         metrics: metric_types.EntryMetrics,
         on_draining: Callable[[], None] = lambda: None,
     ) -> None:
@@ -79,7 +79,7 @@
         """
         is_new = False
         now_ms = self._outside.now_ms()
-        for name in itertools.islice(names, withdrawals.TOLD_MOST):
+        for name in itertools.islice(names, draining.MAX_ANNOUNCED):
             if len(name) > _MAX_INCARNATION_LENGTH:
                 self._log.warning(
                     "Ignoring draining target: its name is too long.", peer=peer
@@ -87,8 +87,10 @@
                 continue
             incarnation = lives.parse_life(name)
             jitter_ms = self._outside.random.uniform(0.0, _CONFIRM_JITTER_MS)
-            due_ms = now_ms + doubts.CONFIRM_MS + jitter_ms
-            if self._drain_state.note_told(incarnation, peer, now_ms, due_ms):
+            due_ms = now_ms + drain_suspects.CONFIRM_DELAY_MS + jitter_ms
+            if self._drain_state.merge_gossip(
+                incarnation, peer, now_ms, due_ms
+            ):
                 is_new = True
                 self._metrics.leavings_heard.inc({"from": "peer"})
                 self._log.info(
@@ -110,9 +112,9 @@
         """
         now_ms = self._outside.now_ms()
         for number, target in enumerate(chosen):
-            if self._drain_state.takes_calls(target.life, now_ms):
+            if self._drain_state.accepts_requests(target.life, now_ms):
                 continue
-            is_leaving = self._drain_state.has_left(target.life)
+            is_leaving = self._drain_state.may_be_draining(target.life)
             self._metrics.sends_withheld.inc(
                 {
                     "reason": "leaving" if is_leaving else "quiet",
@@ -125,7 +127,7 @@
                     f"target {target.target_id} is draining",
                     _DRAINING_RETRY_MS,
                 )
-            until_ms = self._drain_state.find_until_ms(target.life, now_ms)
+            until_ms = self._drain_state.find_available_ms(target.life, now_ms)
             return outcomes.refuse(
                 outcomes.Reason.TARGET_QUIET,
                 f"target {target.target_id} has asked for a backoff",
@@ -143,20 +145,20 @@
         Args:
             peers: How many peers this VM knows.
         """
-        is_large = peers > peer_groups.DIRECT_MOST
+        is_large = peers > peer_groups.MAX_FULL_MESH_VMS
         probability = _GREETING_VMS / peers if is_large else 1.0
         if probability < 1.0 and self._outside.random.random() >= probability:
             return
-        if self._drain_state.tell_again(self._outside.now_ms()):
+        if self._drain_state.reannounce(self._outside.now_ms()):
             self._on_draining()
 
     def count_backing_off(self) -> int:
         """Returns how many targets have asked this VM to back off now."""
-        return self._drain_state.count_quiet(self._outside.now_ms())
+        return self._drain_state.count_backing_off(self._outside.now_ms())
 
     def _apply_draining(self, hints: statements.Statement) -> None:
         now_ms = self._outside.now_ms()
-        is_new = self._drain_state.note_answered(
+        is_new = self._drain_state.note_drain_hint(
             hints.life, now_ms, hints.is_dated
         )
         if not is_new:
@@ -179,7 +181,9 @@
         jitter_ms = self._outside.random.uniform(0.0, jitter_ms)
         until_ms = self._outside.now_ms() + quiet_ms + jitter_ms
         received_wall_ms = None if hints.is_dated else self._outside.wall_ms()
-        if self._drain_state.note_quiet(hints.life, until_ms, received_wall_ms):
+        if self._drain_state.note_backoff(
+            hints.life, until_ms, received_wall_ms
+        ):
             self._log.info(
                 "Target {} asks for a backoff of {:.0f} ms.",
                 hints.life.target_id,
--- a/src/ruddergate/entry/target_list.py
+++ b/src/ruddergate/entry/target_list.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable
 import dataclasses
 
-from ruddergate.decisions import removals
-from ruddergate.decisions import withdrawals
+from ruddergate.decisions import draining
+from ruddergate.decisions import tombstones
 from ruddergate.fleet import condition
 from ruddergate.fleet import life as lives
 from ruddergate.fleet import target as targets
@@ -47,14 +47,14 @@
         refused: Total number of entries that did not describe a target.
     """
 
-    def __init__(self, drain_state: withdrawals.Withdrawals) -> None:
+    def __init__(self, drain_state: draining.DrainState) -> None:
         self.refused = 0
         self._drain_state = drain_state
         self._targets: dict[str, targets.Target] = {}
         self._kept_until_ms: dict[str, float] = {}
         # When the latest known incarnation of each target started.
         self._started_ms: dict[str, int] = {}
-        self._removals = removals.Removals()
+        self._removals = tombstones.Tombstones()
         # Targets that were removed, and that the store lists again only because
         # it was restored from a copy made before their removal.
         self._stale: dict[str, targets.Target] = {}
@@ -80,7 +80,7 @@
 
     def note_restored(self) -> None:
         """Records that the store was restored from an older copy."""
-        self._removals.note_restored()
+        self._removals.note_store_restored()
 
     def apply_changes(
         self,
@@ -115,7 +115,7 @@
         for target_id, each in listed.items():
             if target_id in removed | malformed:
                 continue
-            if self._removals.take_entry(each, is_full):
+            if self._removals.accept_entry(each, is_full):
                 self._add(each, now_ms)
             else:
                 self._set_aside(each)
@@ -157,7 +157,7 @@
                 continue
             self._started_ms[name] = each.born_ms
             if each.condition is condition.Condition.LEAVING:
-                self._drain_state.note_published(each.life)
+                self._drain_state.note_published_drain(each.life)
             latest[name] = each
         return latest
 
@@ -188,7 +188,7 @@
 
     def _mark_draining(self, target: targets.Target) -> targets.Target:
         """Returns a target, marked if its incarnation ever began to drain."""
-        if not self._drain_state.has_left(target.life):
+        if not self._drain_state.may_be_draining(target.life):
             return target
         return dataclasses.replace(
             target, condition=condition.Condition.LEAVING
--- a/src/ruddergate/entry/target_losses.py
+++ b/src/ruddergate/entry/target_losses.py
@@ -4,7 +4,7 @@
 import random
 
 from ruddergate.decisions import estimate as estimates
-from ruddergate.decisions import losses_found
+from ruddergate.decisions import loss_reports
 from ruddergate.decisions import reachability
 from ruddergate.entry import ended_incarnations
 from ruddergate.fleet import bad_news
@@ -26,21 +26,25 @@
     def __init__(self, rng: random.Random) -> None:
         self.ended = ended_incarnations.EndedIncarnations()
         self._rng = rng
-        self._loss_reports = losses_found.LossesFound()
+        self._loss_reports = loss_reports.LossReports()
         self._reachability = reachability.Reachability()
         self._log = logs.make_logger("scheduler")
 
     def note_unreachable(self, target: targets.Target, now_ms: float) -> None:
         """Records that a target did not respond."""
         hall = target.hall
-        if self._reachability.note_missed(hall, target.target_id, now_ms):
+        if self._reachability.note_connect_failure(
+            hall, target.target_id, now_ms
+        ):
             self._log.warning("Hall {} is unreachable.", hall)
-            self._loss_reports.note_hall_lost(hall, now_ms)
-        self._loss_reports.note_lost(hall, target.life, True, now_ms)
+            self._loss_reports.note_hall_unreachable(hall, now_ms)
+        self._loss_reports.note_unreachable(hall, target.life, True, now_ms)
 
     def note_ended(self, target: targets.Target, now_ms: float) -> None:
         """Records that a target's incarnation has certainly ended."""
-        self._loss_reports.note_lost(target.hall, target.life, False, now_ms)
+        self._loss_reports.note_unreachable(
+            target.hall, target.life, False, now_ms
+        )
         self.ended.note(target.life)
 
     def note_answered(self, target: targets.Target, now_ms: float) -> None:
@@ -68,8 +72,8 @@
         for name in (*report.gone, *report.silent):
             estimate = find_estimate(lives.parse_life(name))
             if estimate is not None:
-                pause_ms = self._rng.uniform(*losses_found.PAUSE_MS)
+                pause_ms = self._rng.uniform(*loss_reports.AVOID_RANGE_MS)
                 estimate.note_told_lost(now_ms, pause_ms)
         for hall in report.halls:
-            if self._reachability.note_told(hall, now_ms):
+            if self._reachability.note_reported(hall, now_ms):
                 self._log.warning("Hall {} is unreachable for peers.", hall)
--- a/src/ruddergate/entry/target_table.py
+++ b/src/ruddergate/entry/target_table.py
@@ -1,8 +1,8 @@
 """Estimated load of each listed target, and which targets accept requests."""
 
+from ruddergate.decisions import draining
 from ruddergate.decisions import estimate as estimates
 from ruddergate.decisions import rate_limits
-from ruddergate.decisions import withdrawals
 from ruddergate.entry import view as views
 from ruddergate.fleet import life as lives
 from ruddergate.fleet import target as targets
@@ -22,7 +22,7 @@
     def __init__(
         self,
         view: views.View,
-        drain_state: withdrawals.Withdrawals,
+        drain_state: draining.DrainState,
         limits: rate_limits.RateLimits,
     ) -> None:
         self._view = view
@@ -76,7 +76,7 @@
         names = {incarnation.target_id for incarnation in listed}
         for target_id in self._by_name.keys() - names:
             del self._by_name[target_id]
-        self._drain_state.forget_quiet(listed, now_ms)
+        self._drain_state.forget_expired_backoffs(listed, now_ms)
         self._by_pool = {}
         for target in listed.values():
             pool = self._view.index.find_pool(target.pool)
@@ -124,17 +124,18 @@
         target_id = each.target.target_id
         if len(self._limits) and not self._limits.can_send(target_id, now_ms):
             return False
-        if not self._drain_state.has_quiet():
+        if not self._drain_state.has_backoffs():
             # Draining targets are marked in the list. Looking up 150 targets
             # took 0.7 ms of CPU time (mean of 200) in each scheduler turn.
             return True
         incarnation = each.target.life
         is_busy = (
-            self._drain_state.is_on_trial(incarnation)
+            self._drain_state.is_half_open(incarnation)
             and each.own_streams() > 0
         )
         return (
-            self._drain_state.takes_calls(incarnation, now_ms) and not is_busy
+            self._drain_state.accepts_requests(incarnation, now_ms)
+            and not is_busy
         )
 
     def find_next_available_ms(self, pool: str, now_ms: float) -> float:
@@ -146,13 +147,15 @@
         eligible = (
             each for each in self._by_pool.get(pool, []) if each.may_take_work()
         )
-        if not self._drain_state.has_quiet() and not len(self._limits):
+        if not self._drain_state.has_backoffs() and not len(self._limits):
             return now_ms if any(True for _ in eligible) else _NEVER_MS
         return min(
             (
                 max(
-                    self._drain_state.find_until_ms(each.target.life, now_ms),
-                    self._limits.find_next_ms(each.target.target_id, now_ms),
+                    self._drain_state.find_available_ms(
+                        each.target.life, now_ms
+                    ),
+                    self._limits.find_token_ms(each.target.target_id, now_ms),
                 )
                 for each in eligible
             ),
@@ -169,7 +172,7 @@
             self._limits.find_share(each.target.target_id, now_ms)[1]
             for each in self._by_pool.get(pool, [])
             if each.may_take_work()
-            and self._drain_state.takes_calls(each.target.life, now_ms)
+            and self._drain_state.accepts_requests(each.target.life, now_ms)
         ]
         return sum(shares)
 
--- a/src/ruddergate/entry/view.py
+++ b/src/ruddergate/entry/view.py
@@ -50,8 +50,10 @@
 
     def apply_tree(self, parts: tree_parts.TreeParts) -> bool:
         """Applies a newer revision; returns whether it is now in force."""
-        found = adoption.consider(self.in_force, parts.manifest, parts.shards)
-        if isinstance(found, adoption.Missing):
+        found = adoption.evaluate_offer(
+            self.in_force, parts.manifest, parts.shards
+        )
+        if isinstance(found, adoption.MissingShards):
             return False
         changed = found.manifest.revision > self.in_force.manifest.revision
         self.in_force = found
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -10,8 +10,8 @@
 
 from ruddergate import environment
 from ruddergate.decisions import change_log
-from ruddergate.decisions import document_copy
-from ruddergate.decisions import proof
+from ruddergate.decisions import document_parts
+from ruddergate.decisions import freshness
 from ruddergate.fleet import condition
 from ruddergate.fleet import target as targets
 from ruddergate.messages import document_part
@@ -38,12 +38,14 @@
         )
 
     def test_no_interleaving_proves_what_is_not_true(self) -> None:
-        found = self.explore(proof.find_proven_ms)
+        found = self.explore(freshness.find_current_as_of_ms)
         self.assertEqual(found.trail, ())
         self.assertGreater(found.states, 10_000)
 
     def test_answers_of_earlier_questions_would(self) -> None:
-        found = self.explore(proof.find_proven_ms, matches_questions=False)
+        found = self.explore(
+            freshness.find_current_as_of_ms, matches_questions=False
+        )
         self.assertTrue(found.trail)
 
     def test_trust_in_a_younger_age_would(self) -> None:
@@ -51,18 +53,20 @@
         self.assertTrue(found.trail)
 
     def test_clock_that_stands_still_in_a_suspension_would(self) -> None:
-        found = self.explore(proof.find_proven_ms, counts_sleep=False)
+        found = self.explore(
+            freshness.find_current_as_of_ms, counts_sleep=False
+        )
         self.assertIn("sleeps", " ".join(found.trail))
 
     def test_ages_that_cannot_be_true(self) -> None:
         for age_ms in (-1.0, math.nan, math.inf):
-            self.assertIsNone(proof.find_proven_ms(0.0, age_ms))
+            self.assertIsNone(freshness.find_current_as_of_ms(0.0, age_ms))
 
     def test_small_halls_read_for_themselves(self) -> None:
         names = [f"vm-{number}" for number in range(_HALL)]
-        self.assertFalse(proof.is_shared(names[:2]))
-        self.assertTrue(proof.is_reader("vm-1", names[:2]))
-        self.assertFalse(proof.is_reader("vm-1", names))
+        self.assertFalse(freshness.has_shared_readers(names[:2]))
+        self.assertTrue(freshness.is_reader("vm-1", names[:2]))
+        self.assertFalse(freshness.is_reader("vm-1", names))
 
 
 class EpochModelTest(unittest.TestCase):
@@ -102,7 +106,7 @@
         self.log.note(change_log.Step(7, 8, False, (), ("t",)))
         found = self.log.find_since(5, 8)
         self.assertEqual(found.listed, (self.leaving,))
-        self.assertEqual(found.gone, ("t",))
+        self.assertEqual(found.removed, ("t",))
         # One that is within a step gets the whole step.
         self.assertEqual(len(self.log.find_since(3, 8).listed), 2)
         self.assertEqual(self.log.find_since(8, 8).listed, ())
@@ -110,7 +114,7 @@
     def test_lapsed_target_that_is_back_is_not_gone(self) -> None:
         self.log.note(change_log.Step(1, 2, False, (), ("t",)))
         self.log.note(change_log.Step(2, 3, False, (self.live,)))
-        self.assertEqual(self.log.find_since(1, 3).gone, ())
+        self.assertEqual(self.log.find_since(1, 3).removed, ())
 
     def test_what_cannot_be_told(self) -> None:
         self.log.note(change_log.Step(1, 2, True))
@@ -118,7 +122,7 @@
         self.assertIsNone(self.log.find_since(1, 3))
         self.assertIsNotNone(self.log.find_since(2, 3))
         self.assertIsNone(self.log.find_since(0, 3))
-        rows = (self.live,) * change_log.ROWS_MOST
+        rows = (self.live,) * change_log.MAX_ROWS
         self.log.note(change_log.Step(3, 4, False, rows))
         self.assertIsNone(self.log.find_since(2, 4))
 
@@ -143,15 +147,15 @@
     @hypothesis.given(strategies.binary(max_size=9_000))
     @hypothesis.settings(max_examples=50, deadline=None)
     def test_parts_make_the_document(self, document: bytes) -> None:
-        parts = document_copy.split(document)
-        self.assertEqual(document_copy.join(parts), document)
-        self.assertIsNone(document_copy.join(parts[:-1]))
+        parts = document_parts.split(document)
+        self.assertEqual(document_parts.join(parts), document)
+        self.assertIsNone(document_parts.join(parts[:-1]))
 
     def test_what_is_no_document(self) -> None:
-        self.assertIsNone(document_copy.join((b"?",)))
-        self.assertIsNone(document_copy.join(()))
-        too_large = bytes(document_copy.DOCUMENT_BYTES_MOST + 1)
-        self.assertIsNone(document_copy.join(document_copy.split(too_large)))
+        self.assertIsNone(document_parts.join((b"?",)))
+        self.assertIsNone(document_parts.join(()))
+        too_large = bytes(document_parts.MAX_DOCUMENT_BYTES + 1)
+        self.assertIsNone(document_parts.join(document_parts.split(too_large)))
 
 
 class HallTest(unittest.TestCase):
@@ -312,7 +316,7 @@
             exchange = scene.cluster.vms["vm-0"].gateway._peers
             readers = {
                 name.partition(":")[0]
-                for name in exchange.rank_hall()[: proof.READERS]
+                for name in exchange.rank_hall()[: freshness.READERS_PER_HALL]
             }
             for name in readers:
                 scene.cluster.kill(scene.cluster.vms[name])
