--- a/src/ruddergate/adapters/configuration/client.py
+++ b/src/ruddergate/adapters/configuration/client.py
@@ -30,7 +30,7 @@
 
 
 async def watch_manifest(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     after_revision: int,
     wait_ms: float,
@@ -39,7 +39,7 @@
     """Returns a manifest newer than `after_revision`, waiting for it."""
     target = f"/v1/manifest?after={after_revision}&wait_ms={wait_ms:.0f}"
     request = client.make_json_request("GET", target)
-    answer = await client.fetch(outside, address, request, wait_ms + timeout_ms)
+    answer = await client.fetch(env, address, request, wait_ms + timeout_ms)
     if isinstance(answer, client.Fault):
         return Unavailable(answer.detail)
     if answer.status == _NO_CONTENT:
@@ -60,14 +60,14 @@
 
 
 async def fetch_shard(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     digest: str,
     timeout_ms: float,
 ) -> bytes | Unavailable:
     """Returns the bytes of one shard."""
     request = client.make_json_request("GET", f"/v1/shards/{digest}")
-    answer = await client.fetch(outside, address, request, timeout_ms)
+    answer = await client.fetch(env, address, request, timeout_ms)
     if isinstance(answer, client.Fault):
         return Unavailable(answer.detail)
     if answer.status != _OK:
--- a/src/ruddergate/adapters/engines/control.py
+++ b/src/ruddergate/adapters/engines/control.py
@@ -39,18 +39,18 @@
 
 
 async def cancel(
-    outside: environment.Environment,
+    env: environment.Environment,
     target: targets.Target,
     item_ids: Sequence[str],
     timeout_ms: float,
 ) -> Answer:
     """Frees streams and reservations; unknown ones count as freed."""
     document = {"ids": list(item_ids)}
-    return await _post(outside, target, "/v1/cancel", document, timeout_ms)
+    return await _post(env, target, "/v1/cancel", document, timeout_ms)
 
 
 async def reserve(
-    outside: environment.Environment,
+    env: environment.Environment,
     target: targets.Target,
     reservation: str,
     owner: str,
@@ -65,11 +65,11 @@
         "tokens": held_tokens,
         "lapse_ms": lapse_ms,
     }
-    return await _post(outside, target, "/v1/reserve", document, timeout_ms)
+    return await _post(env, target, "/v1/reserve", document, timeout_ms)
 
 
 async def prefill(
-    outside: environment.Environment,
+    env: environment.Environment,
     target: targets.Target,
     reservation: str,
     segment: gangs.Segment,
@@ -86,29 +86,29 @@
             for each in kv_parts
         ],
     }
-    return await _post(outside, target, "/v1/prefill", document, timeout_ms)
+    return await _post(env, target, "/v1/prefill", document, timeout_ms)
 
 
 async def order(
-    outside: environment.Environment,
+    env: environment.Environment,
     target: targets.Target,
     wanted: orders.Order,
     timeout_ms: float,
 ) -> Answer:
     """Gives an engine an order; the engine judges the fence."""
     document = dataclasses.asdict(wanted)
-    return await _post(outside, target, "/v1/orders", document, timeout_ms)
+    return await _post(env, target, "/v1/orders", document, timeout_ms)
 
 
 async def _post(
-    outside: environment.Environment,
+    env: environment.Environment,
     target: targets.Target,
     path: str,
     document: dict[str, object],
     timeout_ms: float,
 ) -> Answer:
     request = client.make_json_request("POST", path, document)
-    answer = await client.fetch(outside, target.address, request, timeout_ms)
+    answer = await client.fetch(env, target.address, request, timeout_ms)
     if isinstance(answer, client.Fault):
         return answer
     return Done() if answer.status == _OK else Refused(answer.status)
--- a/src/ruddergate/adapters/engines/load.py
+++ b/src/ruddergate/adapters/engines/load.py
@@ -42,7 +42,7 @@
 
 
 async def fetch_account(
-    outside: environment.Environment,
+    env: environment.Environment,
     target: targets.Target,
     after_event: int,
     with_held: bool,
@@ -51,7 +51,7 @@
     """Polls an engine or a plain service for its load."""
     query = f"after={after_event}" + ("&held=1" if with_held else "")
     request = client.make_json_request("GET", f"/v1/load?{query}")
-    answer = await client.fetch(outside, target.address, request, timeout_ms)
+    answer = await client.fetch(env, target.address, request, timeout_ms)
     if isinstance(answer, client.Fault):
         return answer
     document = answer.json()
--- a/src/ruddergate/adapters/engines/stream.py
+++ b/src/ruddergate/adapters/engines/stream.py
@@ -177,7 +177,7 @@
 
 
 async def generate(
-    outside: environment.Environment,
+    env: environment.Environment,
     target: targets.Target,
     wanted: generations.Generation,
     patience: Patience,
@@ -192,7 +192,7 @@
         request = dataclasses.replace(request, headers=headers)
     position = len(wanted.delivered)
     return await _open(
-        outside,
+        env,
         target,
         request,
         wanted.stream_id,
@@ -203,7 +203,7 @@
 
 
 async def resume(
-    outside: environment.Environment,
+    env: environment.Environment,
     target: targets.Target,
     stream_id: str,
     after: int,
@@ -215,12 +215,12 @@
         "GET", f"/v1/streams/{stream_id}?after={after}"
     )
     return await _open(
-        outside, target, request, stream_id, after, patience, timeout_ms
+        env, target, request, stream_id, after, patience, timeout_ms
     )
 
 
 async def _open(
-    outside: environment.Environment,
+    env: environment.Environment,
     target: targets.Target,
     request: message.OutgoingRequest,
     stream_id: str,
@@ -229,7 +229,7 @@
     timeout_ms: float,
 ) -> Stream | outcomes.NotServed:
     connect_ms = min(patience.connect_ms, timeout_ms)
-    exchange = await client.start(outside, target.address, request, connect_ms)
+    exchange = await client.start(env, target.address, request, connect_ms)
     if isinstance(exchange, client.Fault):
         ran = outcomes.Ran.UNKNOWN if exchange.sent else outcomes.Ran.NOT_RUN
         return outcomes.NotServed(
--- a/src/ruddergate/adapters/services/call.py
+++ b/src/ruddergate/adapters/services/call.py
@@ -29,7 +29,7 @@
 
 
 async def call(
-    outside: environment.Environment,
+    env: environment.Environment,
     target: targets.Target,
     wanted: requests.Request,
     timeout_ms: float,
@@ -46,7 +46,7 @@
     outgoing = message.OutgoingRequest(
         "POST", wanted.service_path, headers, wanted.prompt.encode()
     )
-    answer = await client.fetch(outside, target.address, outgoing, timeout_ms)
+    answer = await client.fetch(env, target.address, outgoing, timeout_ms)
     if isinstance(answer, client.Fault):
         return _make_lost(answer)
     if answer.status >= _SERVER_ERROR:
--- a/src/ruddergate/adapters/vm_list/client.py
+++ b/src/ruddergate/adapters/vm_list/client.py
@@ -28,13 +28,13 @@
 
 
 async def fetch_listing(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     timeout_ms: float,
 ) -> listings.Listing | Unavailable:
     """Returns the list as the platform publishes it now."""
     request = client.make_json_request("GET", "/v1/vms")
-    answer = await client.fetch(outside, address, request, timeout_ms)
+    answer = await client.fetch(env, address, request, timeout_ms)
     if isinstance(answer, client.Fault):
         return Unavailable(answer.detail)
     if answer.status != _OK:
--- a/src/ruddergate/agent/feed_server.py
+++ b/src/ruddergate/agent/feed_server.py
@@ -30,13 +30,13 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         config: configs.AgentConfig,
         knowledge: knowledge_types.Knowledge,
         settings_sync: settings_syncs.SettingsSync,
         shares: share_task.Shares,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._config = config
         self._knowledge = knowledge
         self._settings_sync = settings_sync
@@ -108,11 +108,11 @@
                 told_revision = in_force.manifest.revision
                 told_digests = frozenset(in_force.shards)
             listing = self._knowledge.listing
-            due = self._outside.now_ms() - viewed_ms >= _VIEW_MS
+            due = self._env.now_ms() - viewed_ms >= _VIEW_MS
             if listing.vms and (due or listing != told_listing):
                 await stream.send(self._make_view())
                 told_listing = listing
-                viewed_ms = self._outside.now_ms()
+                viewed_ms = self._env.now_ms()
             await stream.send(self._shares.make_message())
             peers = self._knowledge.peer_loads()
             if peers:
--- a/src/ruddergate/agent/gossip_task.py
+++ b/src/ruddergate/agent/gossip_task.py
@@ -26,14 +26,14 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         config: configs.AgentConfig,
         knowledge: knowledge_types.Knowledge,
         links: link_types.Links,
         settings_sync: settings_syncs.SettingsSync,
         list_sync: list_syncs.ListSync,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._config = config
         self._knowledge = knowledge
         self._links = links
@@ -61,9 +61,9 @@
 
     def make_digest(self) -> gossip.Gossip:
         """Returns this agent's digest."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         rows = self._knowledge.members.pick_rows(
-            self._knowledge.own_row(), now_ms, self._outside.random
+            self._knowledge.own_row(), now_ms, self._env.random
         )
         largest = sorted(
             self._knowledge.own_dispatched,
@@ -127,7 +127,7 @@
         unanswered = [
             peer for peer in near if peer.vm_id not in self._knowledge.answered
         ]
-        chance = self._outside.random
+        chance = self._env.random
         # Those that have not answered yet come first: this VM's part of the
         # limits waits for them.
         first = chance.sample(
@@ -142,7 +142,7 @@
     async def _rest(self) -> None:
         """Waits for the next round, or for a change."""
         await asyncio.sleep(_LEAST_ROUND_MS / 1000.0)
-        jitter = self._outside.random.uniform(0.8, 1.2)
+        jitter = self._env.random.uniform(0.8, 1.2)
         wait_ms = self._config.gossip_ms * jitter - _LEAST_ROUND_MS
         try:
             async with asyncio.timeout(wait_ms / 1000.0):
--- a/src/ruddergate/agent/knowledge.py
+++ b/src/ruddergate/agent/knowledge.py
@@ -35,7 +35,7 @@
     """
 
     def __init__(
-        self, outside: environment.Environment, config: configs.AgentConfig
+        self, env: environment.Environment, config: configs.AgentConfig
     ) -> None:
         self.in_force = adoption.NOTHING
         self.tree_since_ms = _NEVER
@@ -43,15 +43,15 @@
         self.members = membership.Members(config.vm_id, config.hall)
         self.answered: set[str] = set()
         self.seen_halls: set[str] = set()
-        self.incarnation = int(outside.wall_ms())
+        self.incarnation = int(env.wall_ms())
         self.own_dispatched: tuple[dispatched.Dispatched, ...] = ()
         self.is_stopping = False
         self.changed = asyncio.Event()
-        self._outside = outside
+        self._env = env
         self._config = config
         self._heartbeat = 0
         self._listing_confirmed_ms = _NEVER
-        self._settled_since_ms = outside.now_ms()
+        self._settled_since_ms = env.now_ms()
         self._service_answered_ms = _NEVER
         self._hall_service_ms = _NEVER
         self._peer_loads: dict[
@@ -64,7 +64,7 @@
         refused = found.refused_revision > self.in_force.refused_revision
         self.in_force = found
         if newer:
-            self.tree_since_ms = self._outside.now_ms()
+            self.tree_since_ms = self._env.now_ms()
         if newer or refused:
             self.changed.set()
         return newer
@@ -76,7 +76,7 @@
             offered: The list.
             age_ms: Time since the platform confirmed it.
         """
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         before = self.listing
         self.listing = listings.merge(before, offered)
         if offered.version < before.version:
@@ -95,31 +95,31 @@
     def confirm_listing(self, version: int, age_ms: float) -> None:
         """Notes that a peer's equal list was confirmed some time ago."""
         if version == self.listing.version:
-            confirmed_ms = self._outside.now_ms() - age_ms
+            confirmed_ms = self._env.now_ms() - age_ms
             self._listing_confirmed_ms = max(
                 self._listing_confirmed_ms, confirmed_ms
             )
 
     def listing_age_ms(self) -> float:
         """Returns the time since the platform confirmed the list."""
-        return self._outside.now_ms() - self._listing_confirmed_ms
+        return self._env.now_ms() - self._listing_confirmed_ms
 
     def settled_ms(self) -> float:
         """Returns for how long the listed VMs have been the same."""
-        return self._outside.now_ms() - self._settled_since_ms
+        return self._env.now_ms() - self._settled_since_ms
 
     def note_service_answer(self) -> None:
         """Notes that the configuration service answered this agent."""
-        self._service_answered_ms = self._outside.now_ms()
+        self._service_answered_ms = self._env.now_ms()
         self._hall_service_ms = self._service_answered_ms
 
     def service_age_ms(self) -> float:
         """Returns the time since the service answered this agent."""
-        return self._outside.now_ms() - self._service_answered_ms
+        return self._env.now_ms() - self._service_answered_ms
 
     def hall_service_age_ms(self) -> float:
         """Returns the time since the service answered anyone of the hall."""
-        return self._outside.now_ms() - self._hall_service_ms
+        return self._env.now_ms() - self._hall_service_ms
 
     def own_row(self) -> gossip.MemberRow:
         """Returns this agent's row with the next heartbeat."""
@@ -137,7 +137,7 @@
 
     def hear(self, digest: gossip.Gossip) -> None:
         """Takes in a peer's digest."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         self.members.hear(digest.members, now_ms)
         self._peer_loads[digest.sender] = (now_ms, digest.dispatched)
         self.confirm_listing(digest.listing_version, digest.listing_age_ms)
@@ -152,7 +152,7 @@
 
     def peer_loads(self) -> tuple[dispatched.Dispatched, ...]:
         """Returns the sum of what other VMs have on each target."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         total: dict[str, dispatched.Dispatched] = {}
         for heard_ms, rows in self._peer_loads.values():
             if now_ms - heard_ms <= _PEER_LOAD_MS:
@@ -167,7 +167,7 @@
             self._config.hall,
             self._config.vm_id,
             self.members,
-            self._outside.now_ms(),
+            self._env.now_ms(),
         )
 
     def is_watcher(self, subject: str) -> bool:
--- a/src/ruddergate/agent/links.py
+++ b/src/ruddergate/agent/links.py
@@ -20,10 +20,10 @@
         received_bytes: Bytes of frames received on them.
     """
 
-    def __init__(self, outside: environment.Environment, key: bytes) -> None:
+    def __init__(self, env: environment.Environment, key: bytes) -> None:
         self.sent_bytes = 0
         self.received_bytes = 0
-        self._outside = outside
+        self._env = env
         self._key = key
         self._open: collections.OrderedDict[str, frames.FrameStream] = (
             collections.OrderedDict()
@@ -64,7 +64,7 @@
     ) -> codec.Message | frames.Closed:
         stream = self._open.get(name)
         if stream is None:
-            pair = await self._outside.connect(vm.agent_peer)
+            pair = await self._env.connect(vm.agent_peer)
             stream = frames.FrameStream(*pair, self._key)
             self._open[name] = stream
             closed = await stream.greet()
--- a/src/ruddergate/agent/list_sync.py
+++ b/src/ruddergate/agent/list_sync.py
@@ -18,13 +18,13 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         config: configs.AgentConfig,
         knowledge: knowledge_types.Knowledge,
         links: link_types.Links,
         metrics: metric_types.AgentMetrics,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._config = config
         self._knowledge = knowledge
         self._links = links
@@ -35,20 +35,20 @@
         while True:
             if self._must_look():
                 await self.look()
-            jitter = self._outside.random.uniform(0.8, 1.2)
+            jitter = self._env.random.uniform(0.8, 1.2)
             await asyncio.sleep(self._config.list_poll_ms * jitter / 1000.0)
 
     async def look(self) -> None:
         """Looks at the platform's list once."""
         self._metrics.platform_calls.inc({"service": "list"})
-        began_ms = self._outside.now_ms()
+        began_ms = self._env.now_ms()
         answer = await vm_list.fetch_listing(
-            self._outside,
+            self._env,
             self._config.vm_list,
             self._config.platform_timeout_ms,
         )
         if not isinstance(answer, vm_list.Unavailable):
-            age_ms = self._outside.now_ms() - began_ms
+            age_ms = self._env.now_ms() - began_ms
             self._knowledge.take_listing(answer, age_ms)
 
     async def fetch_from_peer(self, peer: vms.Vm) -> None:
--- a/src/ruddergate/agent/order_task.py
+++ b/src/ruddergate/agent/order_task.py
@@ -17,12 +17,12 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         config: configs.AgentConfig,
         knowledge: knowledge_types.Knowledge,
         metrics: metric_types.AgentMetrics,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._config = config
         self._knowledge = knowledge
         self._metrics = metrics
@@ -47,7 +47,7 @@
         if self._reads_store(order, loaded) and not self._take_read(pool):
             return
         answer = await control.order(
-            self._outside, target, order, orders.ORDER_TIMEOUT_MS
+            self._env, target, order, orders.ORDER_TIMEOUT_MS
         )
         result = type(answer).__name__.lower()
         self._metrics.orders.inc({"result": result})
@@ -62,7 +62,7 @@
         return self._index.find_pool(target.pool)
 
     def _may_order(self, target: targets.Target, pool: effective.Pool) -> bool:
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         live = set(self._knowledge.live_in_hall()) | {self._config.vm_id}
         owners = orders.find_owners(target, live, pool.checks_fence)
         is_owner = self._config.vm_id in owners
@@ -85,7 +85,7 @@
 
     def _take_read(self, pool: effective.Pool) -> bool:
         """Takes a read out of this VM's part of the store's limit."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         listed = max(1, len(self._knowledge.listing.vms))
         rate = pool.weight_reads_per_s_max / listed
         budget = self._budgets.get(pool.name)
--- a/src/ruddergate/agent/program.py
+++ b/src/ruddergate/agent/program.py
@@ -32,15 +32,15 @@
     """
 
     def __init__(
-        self, outside: environment.Environment, config: configs.AgentConfig
+        self, env: environment.Environment, config: configs.AgentConfig
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._config = config
         self._log = logs.make_logger("agent")
         self.metrics = metric_types.AgentMetrics()
-        self.knowledge = knowledge_types.Knowledge(outside, config)
-        self._links = link_types.Links(outside, config.peer_key)
-        parts = (outside, config, self.knowledge)
+        self.knowledge = knowledge_types.Knowledge(env, config)
+        self._links = link_types.Links(env, config.peer_key)
+        parts = (env, config, self.knowledge)
         self._settings = settings_sync.SettingsSync(
             *parts, self._links, self.metrics
         )
@@ -66,10 +66,10 @@
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serves until `stop` is set."""
-        feed = await self._outside.serve(
+        feed = await self._env.serve(
             self._feed.handle, self._config.feed_listen
         )
-        peers = await self._outside.serve(
+        peers = await self._env.serve(
             self._peers.handle, self._config.peer_listen
         )
         pages = await self._serve_pages()
@@ -93,7 +93,7 @@
             return []
         handle = status.make_status_handler(self.knowledge, self.metrics)
         handler = http_server.make_stream_handler(handle, http_server.Limits())
-        return [await self._outside.serve(handler, self._config.status_listen)]
+        return [await self._env.serve(handler, self._config.status_listen)]
 
     async def _begin(self) -> None:
         """Looks for the list first, since it names the peers to ask."""
--- a/src/ruddergate/agent/settings_sync.py
+++ b/src/ruddergate/agent/settings_sync.py
@@ -26,13 +26,13 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         config: configs.AgentConfig,
         knowledge: knowledge_types.Knowledge,
         links: link_types.Links,
         metrics: metric_types.AgentMetrics,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._config = config
         self._knowledge = knowledge
         self._links = links
@@ -57,7 +57,7 @@
             return False
         # The watchers are late. Few look at once: one in the live ones.
         live = max(1, len(self._knowledge.live_in_hall()))
-        return self._outside.random.random() < 1.0 / live
+        return self._env.random.random() < 1.0 / live
 
     async def _ask_peers_first(self) -> None:
         """A fresh process trusts its peers before a possibly stale service."""
@@ -67,7 +67,7 @@
                 *self._knowledge.peers(own_hall=False),
             ]
             count = min(len(peers), _ASKED_AT_START)
-            asked = self._outside.random.sample(peers, count)
+            asked = self._env.random.sample(peers, count)
             answers = await asyncio.gather(
                 *(self.fetch_from_peer(peer) for peer in asked)
             )
@@ -98,7 +98,7 @@
     async def _watch_once(self) -> None:
         self._metrics.platform_calls.inc({"service": "manifest"})
         answer = await configuration.watch_manifest(
-            self._outside,
+            self._env,
             self._config.configuration,
             self._knowledge.in_force.manifest.revision,
             self._config.watch_ms,
@@ -137,7 +137,7 @@
     async def _fetch_shard(self, digest: str) -> bytes | None:
         self._metrics.platform_calls.inc({"service": "shard"})
         data = await configuration.fetch_shard(
-            self._outside,
+            self._env,
             self._config.configuration,
             digest,
             self._config.platform_timeout_ms,
@@ -156,5 +156,5 @@
             )
 
     async def _pause(self) -> None:
-        jitter = self._outside.random.uniform(0.5, 1.5)
+        jitter = self._env.random.uniform(0.5, 1.5)
         await asyncio.sleep(_PAUSE_MS * jitter / 1000.0)
--- a/src/ruddergate/agent/share_task.py
+++ b/src/ruddergate/agent/share_task.py
@@ -30,13 +30,13 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         config: configs.AgentConfig,
         knowledge: knowledge_types.Knowledge,
         links: link_types.Links,
     ) -> None:
         self.demand: dict[str, float] = {}
-        self._outside = outside
+        self._env = env
         self._config = config
         self._knowledge = knowledge
         self._links = links
@@ -55,7 +55,7 @@
 
     def make_message(self) -> messages.Shares:
         """Returns this VM's parts, for its entry."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         rows = []
         for workspace in sorted(set(self._special(now_ms))):
             fraction = self._fraction(workspace, now_ms)
@@ -66,7 +66,7 @@
 
     def answer(self, wanted: lend.LendWanted) -> lend.Lent:
         """Lends what this VM does not need; its own part shrinks at once."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         fraction = self._book.lend(
             wanted.workspace,
             self._base(wanted.workspace),
@@ -78,14 +78,14 @@
         return lend.Lent(wanted.workspace, fraction)
 
     async def _borrow(self, workspace: str, wanted: float) -> None:
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         own = self._fraction(workspace, now_ms)
         if wanted <= own * _BORROW_ABOVE:
             return
         missing = wanted / _BORROW_ABOVE - own
         peers = self._knowledge.peers(own_hall=True)
         count = min(len(peers), _PEERS_ASKED)
-        for peer in self._outside.random.sample(peers, count):
+        for peer in self._env.random.sample(peers, count):
             if missing < _LEAST_LOAN:
                 return
             missing -= await self._borrow_from(peer, workspace, missing)
@@ -96,7 +96,7 @@
         workspace: str,
         missing: float,
     ) -> float:
-        asked_ms = self._outside.now_ms()
+        asked_ms = self._env.now_ms()
         valid_ms = decisions.LEND_VALID_MS
         wanted = lend.LendWanted(
             self._config.vm_id, workspace, missing, valid_ms
--- a/src/ruddergate/agent/target_task.py
+++ b/src/ruddergate/agent/target_task.py
@@ -24,14 +24,14 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         config: configs.AgentConfig,
         knowledge: knowledge_types.Knowledge,
         feed: feed_server.FeedServer,
         orders: order_task.Orders,
         metrics: metric_types.AgentMetrics,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._config = config
         self._knowledge = knowledge
         self._feed = feed
@@ -66,15 +66,15 @@
 
     async def _look_at(self, target: targets.Target) -> None:
         after_event = -1
-        swept_ms = self._outside.now_ms()
+        swept_ms = self._env.now_ms()
         await self._rest()
         while True:
-            now_ms = self._outside.now_ms()
+            now_ms = self._env.now_ms()
             sweeps = now_ms - swept_ms >= self._config.sweep_ms and (
                 self._is_sweeper(target)
             )
             account = await loads.fetch_account(
-                self._outside, target, after_event, sweeps, _TIMEOUT_MS
+                self._env, target, after_event, sweeps, _TIMEOUT_MS
             )
             if isinstance(account, loads.Account):
                 if account.events:
@@ -96,9 +96,9 @@
     ) -> None:
         lapsed = sweeping.find_lapsed(account.held)
         if lapsed:
-            await control.cancel(self._outside, target, lapsed, _TIMEOUT_MS)
+            await control.cancel(self._env, target, lapsed, _TIMEOUT_MS)
             self._metrics.swept.add({}, len(lapsed))
 
     async def _rest(self) -> None:
-        jitter = self._outside.random.uniform(0.8, 1.2)
+        jitter = self._env.random.uniform(0.8, 1.2)
         await asyncio.sleep(self._config.load_poll_ms * jitter / 1000.0)
--- a/src/ruddergate/cli/_replay.py
+++ b/src/ruddergate/cli/_replay.py
@@ -33,16 +33,16 @@
     speed: float,
 ) -> str:
     """Sends the requests, writes the outcomes, returns a table."""
-    outside = environment.make_system_environment()
-    began_ms = outside.now_ms()
+    env = environment.make_system_environment()
+    began_ms = env.now_ms()
     sending = []
     requests = [x for x in lines if isinstance(x, trace.TracedRequest)]
     for number, request in enumerate(requests):
-        wait_ms = began_ms + request.at_ms / speed - outside.now_ms()
+        wait_ms = began_ms + request.at_ms / speed - env.now_ms()
         await asyncio.sleep(max(0.0, wait_ms) / 1000.0)
         address = addresses[number % len(addresses)]
         sending.append(
-            asyncio.ensure_future(_send(outside, address, request, keys))
+            asyncio.ensure_future(_send(env, address, request, keys))
         )
     found = await asyncio.gather(*sending)
     once = frozenset(x.id for x in requests if not x.repeatable)
@@ -59,7 +59,7 @@
 
 
 async def _send(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     request: trace.TracedRequest,
     keys: Mapping[str, str],
@@ -67,7 +67,7 @@
     key = keys.get(request.workspace, f"demo-{request.workspace}")
     outgoing = caller.make_request(request, key, "", 0.0, full_size=True)
     found = await caller.send(
-        outside, address, request, outgoing, lambda text: bool(text)
+        env, address, request, outgoing, lambda text: bool(text)
     )
     if found is not None:
         return found
--- a/src/ruddergate/cli/_status.py
+++ b/src/ruddergate/cli/_status.py
@@ -8,9 +8,9 @@
 
 async def fetch(address: environment.Address) -> list[str] | str:
     """Returns the lines to show, or why there are none."""
-    outside = environment.make_system_environment()
+    env = environment.make_system_environment()
     request = client.make_json_request("GET", "/status")
-    answer = await client.fetch(outside, address, request, _TIMEOUT_MS)
+    answer = await client.fetch(env, address, request, _TIMEOUT_MS)
     if isinstance(answer, client.Fault):
         return answer.detail
     document = answer.json()
--- a/src/ruddergate/cli/agent.py
+++ b/src/ruddergate/cli/agent.py
@@ -72,8 +72,8 @@
         load_poll_ms=load_poll_ms,
         sweep_ms=sweep_ms,
     )
-    outside = environment.make_system_environment()
-    agent = program.Agent(outside, config)
+    env = environment.make_system_environment()
+    agent = program.Agent(env, config)
     _private.run_program(agent.run)
 
 
--- a/src/ruddergate/cli/entry.py
+++ b/src/ruddergate/cli/entry.py
@@ -82,8 +82,8 @@
         ),
     )
     tracer = traces.make_tracer(traces_to, "ruddergate-entry", vm_id)
-    outside = environment.make_system_environment()
-    entry = program.Entry(outside, config, tracer)
+    env = environment.make_system_environment()
+    entry = program.Entry(env, config, tracer)
     _private.run_program(entry.run)
 
 
--- a/src/ruddergate/cli/gateway.py
+++ b/src/ruddergate/cli/gateway.py
@@ -113,7 +113,7 @@
         traces_to: Where spans go.
     """
     logs.configure(log_level, log_format == "json", sys.stdout)
-    outside = environment.make_system_environment()
+    env = environment.make_system_environment()
     config = configs.EntryConfig(
         vm_id=vm_id,
         hall=hall,
@@ -147,12 +147,10 @@
     )
     platform = gateways.Platform(
         door=callers.make_door(),
-        make_send=lambda hear: replicas.make_send(outside, hear),
-        make_orders=lambda hear: orders.make_orders(
-            outside, _ORDER_LIMITS, hear
-        ),
+        make_send=lambda hear: replicas.make_send(env, hear),
+        make_orders=lambda hear: orders.make_orders(env, _ORDER_LIMITS, hear),
         source=store.make_source(
-            outside,
+            env,
             environment.parse_address(store_address),
             client.TimeLimits(
                 _STORE_CONNECT_MS, store_timeout_ms, _STORE_WHOLE_MS
@@ -160,9 +158,7 @@
         ),
     )
     tracer = traces.make_tracer(traces_to, "ruddergate-gateway", vm_id)
-    gateway = gateways.Gateway(
-        outside, config, gateway_config, platform, tracer
-    )
+    gateway = gateways.Gateway(env, config, gateway_config, platform, tracer)
 
     async def run_gateway(stop: asyncio.Event) -> None:
         _note_reloads()
--- a/src/ruddergate/entry/admit.py
+++ b/src/ruddergate/entry/admit.py
@@ -13,7 +13,7 @@
 def admit(
     call: calls.Call,
     view: views.View,
-    outside: environment.Environment,
+    env: environment.Environment,
 ) -> requests.Request | outcomes.NotServed:
     """Returns the request with its effective settings, or why not."""
     if view.in_force.manifest.revision == 0:
@@ -39,15 +39,15 @@
             outcomes.Reason.PROMPT_TOO_LONG,
             f"at most {workload.prompt_tokens_max} tokens are allowed",
         )
-    return _make_request(call, workload, outside)
+    return _make_request(call, workload, env)
 
 
 def _make_request(
     call: calls.Call,
     workload: effective.Workload,
-    outside: environment.Environment,
+    env: environment.Environment,
 ) -> requests.Request:
-    now_ms = outside.now_ms()
+    now_ms = env.now_ms()
     time_limit_ms = workload.time_limit_ms
     if call.time_limit_ms is not None:
         time_limit_ms = min(time_limit_ms, call.time_limit_ms)
@@ -58,7 +58,7 @@
     if call.output_tokens_max is not None:
         output_max = expected = min(output_max, call.output_tokens_max)
     return requests.Request(
-        request_id=environment.make_token(outside.random, 16),
+        request_id=environment.make_token(env.random, 16),
         workload=workload,
         prompt=call.prompt,
         prompt_tokens=call.prompt_tokens,
--- a/src/ruddergate/entry/attempt.py
+++ b/src/ruddergate/entry/attempt.py
@@ -55,7 +55,7 @@
         delivered=delivered,
         priority=_make_priority(request, tools),
         prefix=request.prefix,
-        lapse_ms=request.remaining_ms(tools.outside.now_ms()),
+        lapse_ms=request.remaining_ms(tools.env.now_ms()),
         key=key,
         reservation=reservation,
         kv_parts=kv_parts,
@@ -138,11 +138,11 @@
     tools: tool_types.Tools,
 ) -> AsyncIterator[Event]:
     stream = await streams.generate(
-        tools.outside,
+        tools.env,
         seat.target,
         wanted,
         tools.config.patience,
-        request.remaining_ms(tools.outside.now_ms()),
+        request.remaining_ms(tools.env.now_ms()),
     )
     may_resume = True
     while True:
@@ -182,12 +182,12 @@
     tools: tool_types.Tools,
 ) -> streams.Stream | outcomes.NotServed:
     """Takes the stream up where it broke, or returns why it broke."""
-    left_ms = request.remaining_ms(tools.outside.now_ms())
+    left_ms = request.remaining_ms(tools.env.now_ms())
     wait_ms = min(left_ms, _RESUME_TIMEOUT_MS)
     try:
         async with asyncio.timeout(wait_ms / 1000.0):
             resumed = await streams.resume(
-                tools.outside,
+                tools.env,
                 seat.target,
                 wanted.stream_id,
                 stream.position,
@@ -207,7 +207,7 @@
     tools: tool_types.Tools,
 ) -> AsyncIterator[Event]:
     def left_ms() -> float:
-        return request.remaining_ms(tools.outside.now_ms())
+        return request.remaining_ms(tools.env.now_ms())
 
     while True:
         found = await stream.next_part(left_ms)
--- a/src/ruddergate/entry/attempt_log.py
+++ b/src/ruddergate/entry/attempt_log.py
@@ -16,7 +16,7 @@
     tools: tool_types.Tools,
 ) -> None:
     """Tells where an attempt begins, and what that choice went by."""
-    now_ms = tools.outside.now_ms()
+    now_ms = tools.env.now_ms()
     seat = seats[0]
     tools.metrics.note_wait(request.prompt_tokens, now_ms - request.arrived_ms)
     logs.make_logger("attempt").info(
@@ -58,5 +58,5 @@
         sent=progress.sent,
         blamed=progress.blamed,
         last_event=progress.last_id,
-        waited_ms=round(tools.outside.now_ms() - request.arrived_ms),
+        waited_ms=round(tools.env.now_ms() - request.arrived_ms),
     )
--- a/src/ruddergate/entry/canceller.py
+++ b/src/ruddergate/entry/canceller.py
@@ -35,10 +35,8 @@
 class Canceller:
     """Owns the cancels that are not yet confirmed."""
 
-    def __init__(
-        self, outside: environment.Environment, view: views.View
-    ) -> None:
-        self._outside = outside
+    def __init__(self, env: environment.Environment, view: views.View) -> None:
+        self._env = env
         self._view = view
         self._open: set[asyncio.Task] = set()
 
@@ -55,15 +53,15 @@
         backoff_ms = _BACKOFF_FIRST_MS
         while True:
             answer = await control.cancel(
-                self._outside, cancel.target, [cancel.item_id], _TIMEOUT_MS
+                self._env, cancel.target, [cancel.item_id], _TIMEOUT_MS
             )
             if isinstance(answer, control.Done):
                 return
-            if self._outside.now_ms() > cancel.until_ms:
+            if self._env.now_ms() > cancel.until_ms:
                 return
             if not self._is_listed(cancel.target):
                 return
-            jitter = self._outside.random.uniform(0.5, 1.0)
+            jitter = self._env.random.uniform(0.5, 1.0)
             await asyncio.sleep(backoff_ms * jitter / 1000.0)
             backoff_ms = min(_BACKOFF_MOST_MS, backoff_ms * 2.0)
 
--- a/src/ruddergate/entry/digest_relay.py
+++ b/src/ruddergate/entry/digest_relay.py
@@ -33,7 +33,7 @@
     """Digests to be passed on, the newest of each VM; owned by one task.
 
     Args:
-        outside: Clock and chance.
+        env: Clock and chance.
         own: Where this VM takes datagrams.
         loads: Knows the groups and their relays.
         send: Sends a message to VMs.
@@ -41,12 +41,12 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         own: str,
         loads: peer_loads.PeerLoads,
         send: Callable[[load_bundle.LoadBundle, Iterable[str]], None],
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._own = own
         self._loads = loads
         self._send = send
@@ -74,7 +74,7 @@
                 return
             self._passing.cancel()
         self._due_ms = due_ms
-        pause_ms = max(0.0, due_ms - self._outside.now_ms())
+        pause_ms = max(0.0, due_ms - self._env.now_ms())
         loop = asyncio.get_running_loop()
         self._passing = loop.call_later(pause_ms / 1000.0, self._pass_on)
 
@@ -83,19 +83,19 @@
         if not is_urgent:
             gap_ms = max(gap_ms, PASS_GAP_A_VM_MS * len(self._loads))
         gap_ms = min(gap_ms, PASS_GAP_MOST_MS)
-        return max(self._outside.now_ms() + GATHER_MS, self._passed_ms + gap_ms)
+        return max(self._env.now_ms() + GATHER_MS, self._passed_ms + gap_ms)
 
     def _pass_on(self) -> None:
         """Sends gathered digests to the group, and its own to other groups."""
         self._passing = None
-        now_ms = self._passed_ms = self._outside.now_ms()
+        now_ms = self._passed_ms = self._env.now_ms()
         own = tuple(self._from_members.values())
         all_ = (*own, *self._from_relays.values())
         self._from_members.clear()
         self._from_relays.clear()
         self._send_bundles(all_, False, self._loads.find_members())
         if own:
-            chance = self._outside.random
+            chance = self._env.random
             relays = self._loads.find_other_relays(now_ms, chance)
             self._send_bundles(own, True, relays)
 
--- a/src/ruddergate/entry/feed.py
+++ b/src/ruddergate/entry/feed.py
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         config: configs.EntryConfig,
         incarnation: str,
         view: views.View,
@@ -41,7 +41,7 @@
     ) -> None:
         self.is_connected = False
         self.is_stopping = False
-        self._outside = outside
+        self._env = env
         self._config = config
         self._incarnation = incarnation
         self._view = view
@@ -61,7 +61,7 @@
     async def _run_once(self) -> None:
         try:
             async with asyncio.timeout(_GREET_TIMEOUT_MS / 1000.0):
-                pair = await self._outside.connect(self._config.agent)
+                pair = await self._env.connect(self._config.agent)
                 stream = frames.FrameStream(*pair, self._config.peer_key)
                 if await stream.greet() is not None:
                     return
@@ -85,7 +85,7 @@
             self._take(message)
 
     def _take(self, message: codec.Message) -> None:
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         match message:
             case tree_parts.TreeParts():
                 if self._view.take_tree(message):
--- a/src/ruddergate/entry/forwarding.py
+++ b/src/ruddergate/entry/forwarding.py
@@ -22,7 +22,7 @@
 
 
 async def pass_on(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     peer_key: bytes,
     incoming: message.IncomingRequest,
@@ -33,7 +33,7 @@
     """Returns the answer of the entry at `address`.
 
     Args:
-        outside: Clock and streams.
+        env: Clock and streams.
         address: The other entry.
         peer_key: Key shared by the system's own processes.
         incoming: The caller's request.
@@ -41,25 +41,25 @@
         when_lost: Makes the answer if the other entry does not answer.
         when_broken: Makes the last bytes if its answer breaks off.
     """
-    until_ms = outside.now_ms() + time_limit_ms
+    until_ms = env.now_ms() + time_limit_ms
     stream, head = await _exchange(
-        outside, address, peer_key, incoming, time_limit_ms
+        env, address, peer_key, incoming, time_limit_ms
     )
     if not isinstance(head, forward.ForwardHead):
         if stream is not None:
             stream.close()
         return when_lost()
     if head.headers.get("content-type") == message.EVENT_STREAM_TYPE:
-        body = _relay(stream, outside, until_ms, when_broken)
+        body = _relay(stream, env, until_ms, when_broken)
         return message.Response(head.status, head.headers, body)
-    whole = await _read_whole(stream, outside, until_ms)
+    whole = await _read_whole(stream, env, until_ms)
     if whole is None:
         return when_lost()
     return message.Response(head.status, head.headers, whole)
 
 
 async def _exchange(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     peer_key: bytes,
     incoming: message.IncomingRequest,
@@ -73,7 +73,7 @@
     try:
         async with asyncio.timeout(time_limit_ms / 1000.0):
             async with asyncio.timeout(connect_ms / 1000.0):
-                reader, writer = await outside.connect(address)
+                reader, writer = await env.connect(address)
                 stream = frames.FrameStream(reader, writer, peer_key)
                 closed = await stream.greet()
             if closed is not None:
@@ -96,13 +96,13 @@
 
 async def _relay(
     stream: frames.FrameStream,
-    outside: environment.Environment,
+    env: environment.Environment,
     until_ms: float,
     when_broken: Callable[[], bytes],
 ) -> AsyncIterator[bytes]:
     try:
         while True:
-            left_ms = max(1.0, until_ms - outside.now_ms())
+            left_ms = max(1.0, until_ms - env.now_ms())
             try:
                 async with asyncio.timeout(left_ms / 1000.0):
                     part = await stream.receive()
@@ -121,11 +121,11 @@
 
 async def _read_whole(
     stream: frames.FrameStream,
-    outside: environment.Environment,
+    env: environment.Environment,
     until_ms: float,
 ) -> bytes | None:
     whole = bytearray()
-    left_ms = max(1.0, until_ms - outside.now_ms())
+    left_ms = max(1.0, until_ms - env.now_ms())
     try:
         async with asyncio.timeout(left_ms / 1000.0):
             while True:
--- a/src/ruddergate/entry/gang_attempt.py
+++ b/src/ruddergate/entry/gang_attempt.py
@@ -65,9 +65,9 @@
     tools: tool_types.Tools,
 ) -> outcomes.NotServed | None:
     for seat, segment in zip(placed.seats, segments, strict=True):
-        left_ms = request.remaining_ms(tools.outside.now_ms())
+        left_ms = request.remaining_ms(tools.env.now_ms())
         answer = await control.reserve(
-            tools.outside,
+            tools.env,
             seat.target,
             _make_reservation(seat, tools),
             tools.owner,
@@ -96,17 +96,17 @@
     for index, segment in enumerate(segments[:-1]):
         seat = placed.seats[index]
         answer = await control.prefill(
-            tools.outside,
+            tools.env,
             seat.target,
             _make_reservation(seat, tools),
             segment,
             _make_kv_parts(placed.seats[:index], tools),
-            request.remaining_ms(tools.outside.now_ms()),
+            request.remaining_ms(tools.env.now_ms()),
         )
         if isinstance(answer, control.Done):
             tools.scheduler.post(placement.FirstToken(seat, "", 0))
             continue
-        if request.remaining_ms(tools.outside.now_ms()) <= 0.0:
+        if request.remaining_ms(tools.env.now_ms()) <= 0.0:
             reason = outcomes.Reason.TIME_LIMIT
         else:
             reason = outcomes.Reason.TARGET_LOST
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -114,13 +114,13 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         config: configs.EntryConfig,
         gateway_config: GatewayConfig,
         platform: Platform,
         tracer: traces.Tracer,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._config = config
         self._gateway_config = gateway_config
         self._log = logs.make_logger("entry")
@@ -131,7 +131,7 @@
         withdrawn = withdrawals.Withdrawals()
         metrics = metric_types.EntryMetrics()
         self._rate_limiter = rate_limiter.RateLimiter(
-            outside,
+            env,
             str(gateway_config.peers.listen),
             lambda now_ms: self._peers.loads.list_members(now_ms),
             lambda target_id: self.tools.scheduler.find_target(target_id),
@@ -140,7 +140,7 @@
             metrics,
         )
         scheduler = schedulers.Scheduler(
-            outside,
+            env,
             config,
             view,
             lambda: self._peers.note_change(),
@@ -151,22 +151,22 @@
             limits=self._rate_limiter.limits,
         )
         self._suspects = suspect_exchange.SuspectExchange(
-            outside,
+            env,
             gateway_config.peers.listen,
             lambda: self._peers.loads.names(),
             lambda told, peers: self._peers.tell_suspects(told, peers),
         )
         self._notices = target_notices.TargetNotices(
-            outside, withdrawn, metrics, self._note_leaving
+            env, withdrawn, metrics, self._note_leaving
         )
         self.tools = tool_types.Tools(
-            outside=outside,
+            env=env,
             config=config,
-            incarnation=environment.make_token(outside.random),
-            began_ms=outside.now_ms(),
+            incarnation=environment.make_token(env.random),
+            began_ms=env.now_ms(),
             view=view,
             scheduler=scheduler,
-            canceller=cancellers.Canceller(outside, view),
+            canceller=cancellers.Canceller(env, view),
             budget=retries.Budget(gateway_config.retry_share, 0.0, 0.0),
             metrics=metrics,
             tracer=tracer,
@@ -179,14 +179,14 @@
         )
         self._orders = platform.make_orders(self._observe)
         self._keeper = reservation_keeper.ReservationKeeper(
-            outside,
+            env,
             self._rate_limiter.charge_orders(self._orders),
             view.is_over,
             lambda target: scheduler.post(placement.LifeEnded(target)),
             self._rate_limiter.limits.is_limited,
         )
         self._leaving_check = leaving_check.LeavingCheck(
-            outside,
+            env,
             withdrawn,
             view,
             self._keeper.ask_sign,
@@ -210,7 +210,7 @@
             ),
         )
         self._peers = peer_exchange.PeerExchange(
-            outside,
+            env,
             gateway_config.peers,
             config.hall,
             self.tools.incarnation,
@@ -228,7 +228,7 @@
             note_newer_settings=self.note_newer_settings,
         )
         self._loans = retry_loans.RetryLoans(
-            outside,
+            env,
             self.tools.budget,
             self._peers.questions,
             self._peers.find_hall_peers,
@@ -236,7 +236,7 @@
         self._vms_most = 1
         self._divide_retries(0)
         self._sync = source_sync.SourceSync(
-            outside,
+            env,
             platform.source,
             view,
             scheduler,
@@ -330,9 +330,7 @@
                 self._answer_metrics, self._gateway_config.metrics_listen
             ),
         ]
-        callers = await self._outside.serve(
-            self._serve_caller, self._config.listen
-        )
+        callers = await self._env.serve(self._serve_caller, self._config.listen)
         self._log.info(
             "Serving callers at {}.",
             self._config.listen,
@@ -353,7 +351,7 @@
         self, handle: open_calls.Handle, address: environment.Address
     ) -> asyncio.Server:
         handler = http_server.make_stream_handler(handle, self._config.limits)
-        return await self._outside.serve(handler, address)
+        return await self._env.serve(handler, address)
 
     async def _serve_caller(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -385,7 +383,7 @@
         view = self.tools.view
         if view.catalog.revision == 0:
             return False
-        age_ms = view.settings_age_ms(self._outside.now_ms())
+        age_ms = view.settings_age_ms(self._env.now_ms())
         return age_ms <= self._gateway_config.ready_age_max_ms
 
     def _has_room(self) -> bool:
@@ -419,14 +417,14 @@
     async def _stop(self, callers: asyncio.Server) -> None:
         config = self._gateway_config
         self._log.info("Planned stop begins.", open=len(self._open))
-        began_ms = self._outside.now_ms()
+        began_ms = self._env.now_ms()
         self._is_stopping = True
         # Callers come for as long as the balancer has not noticed.
         await asyncio.sleep(config.stop_lag_ms / 1000.0)
         callers.close()
         self._connections.close_idle()
         until_ms = began_ms + config.stop_limit_ms
-        while len(self._connections) and self._outside.now_ms() < until_ms:
+        while len(self._connections) and self._env.now_ms() < until_ms:
             await asyncio.sleep(_POLL_MS / 1000.0)
             self._connections.close_idle()
         self._log.info("Planned stop ends.", open=len(self._open))
--- a/src/ruddergate/entry/handler.py
+++ b/src/ruddergate/entry/handler.py
@@ -70,7 +70,7 @@
         call = parse.parse_call(incoming)
         if isinstance(call, outcomes.NotServed):
             return render.make_failure(call)
-        request = admit.admit(call, self._tools.view, self._tools.outside)
+        request = admit.admit(call, self._tools.view, self._tools.env)
         if isinstance(request, outcomes.NotServed):
             self._tools.metrics.note_outcome(request.reason, request.ran)
             return render.make_failure(request)
@@ -121,7 +121,7 @@
                 outcomes.refuse(outcomes.Reason.BAD_REQUEST, "unknown ticket")
             )
         if ticket.incarnation == self._tools.incarnation:
-            age_ms = self._tools.outside.now_ms() - ticket.issued_ms
+            age_ms = self._tools.env.now_ms() - ticket.issued_ms
             if age_ms > TICKET_VALID_MS:
                 return render.make_failure(_ticket_gone("it is too old"))
             events = self._keyed.serve_ticket(request)
@@ -150,8 +150,8 @@
             self._tools.config.vm_id,
             self._tools.incarnation,
             workspace,
-            self._tools.outside.now_ms(),
-            self._tools.outside.random,
+            self._tools.env.now_ms(),
+            self._tools.env.random,
         )
         document = {"ticket": ticket, "valid_ms": TICKET_VALID_MS}
         return message.make_json_response(200, document)
@@ -172,11 +172,11 @@
         if not found:
             return render.make_failure(lost, request.request_id)
         return await forwarding.pass_on(
-            self._tools.outside,
+            self._tools.env,
             found[0].entry_peer,
             self._tools.config.peer_key,
             incoming,
-            request.remaining_ms(self._tools.outside.now_ms()),
+            request.remaining_ms(self._tools.env.now_ms()),
             lambda: render.make_failure(lost, request.request_id),
             lambda: render.render_failure(lost),
         )
@@ -189,7 +189,7 @@
             model=request.workload.name,
             is_chat=call.is_chat,
             prompt_tokens=request.prompt_tokens,
-            created_s=int(self._tools.outside.wall_ms() / 1000.0),
+            created_s=int(self._tools.env.wall_ms() / 1000.0),
         )
         if call.stream:
             return await self._stream(style, events)
--- a/src/ruddergate/entry/keyed.py
+++ b/src/ruddergate/entry/keyed.py
@@ -55,7 +55,7 @@
     def _judge(
         self, key: str, request: requests.Request
     ) -> outcomes.NotServed | None:
-        now_ms = self._tools.outside.now_ms()
+        now_ms = self._tools.env.now_ms()
         view = self._tools.view
         whole_ms = max(self._tools.began_ms, self._ledger.whole_since_ms)
         standing = ledgers.judge(
@@ -90,14 +90,14 @@
             )
             return
         async for event in entry.recording.follow(
-            lambda: request.remaining_ms(self._tools.outside.now_ms())
+            lambda: request.remaining_ms(self._tools.env.now_ms())
         ):
             yield event
 
     def _start(
         self, key: str, request: requests.Request
     ) -> ledgers.Entry[recording.Recording]:
-        now_ms = self._tools.outside.now_ms()
+        now_ms = self._tools.env.now_ms()
         entry = self._ledger.open(key, recording.Recording(), now_ms)
         task = asyncio.ensure_future(self._run(key, request, entry.recording))
         self._running.add(task)
--- a/src/ruddergate/entry/leaving_check.py
+++ b/src/ruddergate/entry/leaving_check.py
@@ -30,7 +30,7 @@
     takes in that it says nothing of it.
 
     Args:
-        outside: Clock.
+        env: Clock.
         withdrawn: Which lives of targets take no calls.
         view: The list of targets.
         ask_sign: Asks a target for a sign of life.
@@ -40,14 +40,14 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         withdrawn: withdrawals.Withdrawals,
         view: views.View,
         ask_sign: Callable[[targets.Target], Awaitable[orders.Told]],
         note_staying: Callable[[], None],
         metrics: metric_types.EntryMetrics,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._withdrawn = withdrawn
         self._view = view
         self._ask_sign = ask_sign
@@ -70,7 +70,7 @@
     async def _wait(self) -> None:
         """Returns when a target is to be asked, or when that may be."""
         due_ms = self._withdrawn.doubts.find_next_ms()
-        left_ms = max(_PAUSE_LEAST_MS, due_ms - self._outside.now_ms())
+        left_ms = max(_PAUSE_LEAST_MS, due_ms - self._env.now_ms())
         wait_s = None if due_ms == _NEVER_MS else left_ms / 1000.0
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
@@ -78,11 +78,11 @@
         self._changed.clear()
 
     async def _ask_due(self) -> None:
-        due = self._withdrawn.doubts.find_due(self._outside.now_ms())
+        due = self._withdrawn.doubts.find_due(self._env.now_ms())
         listed = {each.life: each for each in self._view.listing.targets}
         asked = [listed[life] for life in due if life in listed]
         for life in due:
-            self._withdrawn.doubts.put_off(life, self._outside.now_ms())
+            self._withdrawn.doubts.put_off(life, self._env.now_ms())
         told = await asyncio.gather(*map(self._ask, asked))
         if any(told):
             self._note_staying()
@@ -93,7 +93,7 @@
         is_its_own = told.born_ms in (lives.BORN_UNKNOWN, target.born_ms)
         if not told.is_staying or not is_its_own:
             return False
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         if not self._withdrawn.note_staying(target.life, now_ms):
             return False
         self._metrics.leavings_denied.inc({})
--- a/src/ruddergate/entry/limits.py
+++ b/src/ruddergate/entry/limits.py
@@ -16,10 +16,8 @@
 class Limits:
     """Meters of one entry; counts each request in and out once."""
 
-    def __init__(
-        self, outside: environment.Environment, view: views.View
-    ) -> None:
-        self._outside = outside
+    def __init__(self, env: environment.Environment, view: views.View) -> None:
+        self._env = env
         self._view = view
         self._meters: dict[str, meters.Meter] = {}
         self._demand: dict[str, meters.Demand] = {}
@@ -30,7 +28,7 @@
         workload = request.workload
         if not workload.limits:
             return None
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         demand = self._demand.setdefault(workload.workspace, meters.Demand())
         demand.note_arrival(now_ms)
         self._limits[workload.workspace] = workload.limits
@@ -51,7 +49,7 @@
 
     def demand(self) -> tuple[entry_load.Demand, ...]:
         """Returns the demand of each workspace as part of its limits."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         found = []
         for workspace, demand in sorted(self._demand.items()):
             fraction = self._predict_fraction(workspace, demand, now_ms)
--- a/src/ruddergate/entry/model_run.py
+++ b/src/ruddergate/entry/model_run.py
@@ -76,13 +76,13 @@
     if _is_outrun(placed, ended):
         # Another gang took the memory first: no work was lost, and waiting
         # in the queue again costs the engines nothing.
-        pause_ms = tools.outside.random.uniform(*_OUTRUN_PAUSE_MS)
+        pause_ms = tools.env.random.uniform(*_OUTRUN_PAUSE_MS)
         await asyncio.sleep(pause_ms / 1000.0)
         return None
     progress.ran = worse(progress.ran, ended.ran)
     failed = {seat.target.target_id for seat in placed.seats}
     progress.excluded = progress.excluded | failed
-    now_ms = tools.outside.now_ms()
+    now_ms = tools.env.now_ms()
     needed = _predict(request, progress)
     decided = retries.decide(
         ended,
@@ -91,7 +91,7 @@
         request.remaining_ms(now_ms),
         needed.alone_ms,
         tools.budget,
-        tools.outside.random,
+        tools.env.random,
     )
     if isinstance(decided, outcomes.NotServed):
         return _with_history(decided, progress)
@@ -104,7 +104,7 @@
     progress: _Progress,
     tools: tool_types.Tools,
 ) -> placement.Placed | outcomes.NotServed:
-    now_ms = tools.outside.now_ms()
+    now_ms = tools.env.now_ms()
     pool = request.workload.pool
     segments: tuple[gangs.Segment, ...] = ()
     output_tokens = request.output_tokens_max
@@ -151,7 +151,7 @@
     tools: tool_types.Tools,
 ) -> placement.Placed | outcomes.NotServed:
     """Waits for a place until the time limit."""
-    left_ms = request.remaining_ms(tools.outside.now_ms())
+    left_ms = request.remaining_ms(tools.env.now_ms())
     try:
         async with asyncio.timeout(left_ms / 1000.0):
             return await tools.scheduler.place(asked)
--- a/src/ruddergate/entry/peer_exchange.py
+++ b/src/ruddergate/entry/peer_exchange.py
@@ -75,7 +75,7 @@
     """Sends, takes and passes on digests; owns the port for datagrams.
 
     Args:
-        outside: Clock, chance and datagrams.
+        env: Clock, chance and datagrams.
         config: Where peers are found.
         hall: Data hall of this VM.
         incarnation: Name of this run of the VM.
@@ -101,7 +101,7 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         config: PeerConfig,
         hall: str,
         incarnation: str,
@@ -130,7 +130,7 @@
             [str, int], None
         ] = lambda peer, revision: None,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._config = config
         self._hall = hall
         self._incarnation = incarnation
@@ -150,19 +150,19 @@
             self._own, peer_groups.Place(hall, config.link_mbps)
         )
         self.questions = peer_questions.PeerQuestions(
-            outside,
+            env,
             config.listen,
             lambda message, peer: self._send(message, (peer,)),
             answer or _answer_nothing,
         )
         self._port: environment.DatagramPort | None = None
         self._number = 0
-        self._began_ms = outside.now_ms()
+        self._began_ms = env.now_ms()
         self._seeds_due_ms = float("-inf")
         self._changed = asyncio.Event()
         self._renewed_ms = float("-inf")
         self._passed_on = digest_relay.DigestRelay(
-            outside, self._own, self.loads, self._send
+            env, self._own, self.loads, self._send
         )
         self._known = 0
         # The relay that was last written to, for logs.
@@ -193,7 +193,7 @@
 
     def rank_hall(self) -> list[str]:
         """Returns this hall's VMs, with this one, in the order of readers."""
-        return self.loads.rank_hall(self._outside.now_ms())
+        return self.loads.rank_hall(self._env.now_ms())
 
     def note_change(self) -> None:
         """Has peers told soon that this VM's work has changed."""
@@ -203,7 +203,7 @@
         """Takes the port, whenever it is free; callers are served meanwhile."""
         while True:
             try:
-                return await self._outside.bind(self._take, self._config.listen)
+                return await self._env.bind(self._take, self._config.listen)
             except OSError as error:
                 self._log.error("No port for peers' datagrams. {}", error)
             await asyncio.sleep(_BIND_AGAIN_MS / 1000.0)
@@ -214,7 +214,7 @@
         The scheduler asks when it needs to know: waking it for each datagram
         would cost more than the datagram.
         """
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         if now_ms >= self._renewed_ms + RENEW_MS:
             self._renewed_ms = now_ms
             self.loads.forget_silent(now_ms)
@@ -228,7 +228,7 @@
         """
         round_ms = ROUND_MS
         if not len(self.loads):
-            due_ms = self._seeds_due_ms - self._outside.now_ms()
+            due_ms = self._seeds_due_ms - self._env.now_ms()
             round_ms = max(0.0, min(ROUND_MS, due_ms))
         try:
             async with asyncio.timeout(round_ms / 1000.0):
@@ -241,7 +241,7 @@
         """Sends this VM's digest on its way."""
         self._note_peers()
         digest = self._make_digest()
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         self._tell_seeds(digest, now_ms)
         if len(self.loads) <= peer_groups.DIRECT_MOST:
             bundle = load_bundle.LoadBundle(self._own, False, (digest,))
@@ -325,7 +325,7 @@
         pass_on: Callable[[load_digest.LoadDigest], None] | None,
     ) -> None:
         """Takes digests in, and has those passed on that are news."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         own_revision = self._find_settings_revision()
         for digest in digests:
             if not _is_sound(digest):
--- a/src/ruddergate/entry/peer_questions.py
+++ b/src/ruddergate/entry/peer_questions.py
@@ -38,7 +38,7 @@
     """Asks peers, and answers theirs.
 
     Args:
-        outside: Clock and chance.
+        env: Clock and chance.
         own: Where this VM takes datagrams.
         send: Sends a message to a peer.
         answer: Returns this VM's answer to a peer's question, if it has one.
@@ -46,12 +46,12 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         own: environment.Address,
         send: Callable[[Question | Answer, str], None],
         answer: Callable[[Question], Answer | None],
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._own = str(own)
         self._send = send
         self._answer = answer
@@ -137,7 +137,7 @@
 
         An answer that comes late, or after a restart, then fits no question.
         """
-        return environment.make_token(self._outside.random, 16)
+        return environment.make_token(self._env.random, 16)
 
     async def _ask(self, question: Question, peer: str) -> Answer | None:
         loop = asyncio.get_running_loop()
--- a/src/ruddergate/entry/peer_source.py
+++ b/src/ruddergate/entry/peer_source.py
@@ -23,7 +23,7 @@
     """Asks peers, and hands them the documents of this VM.
 
     Args:
-        outside: Chance.
+        env: Chance.
         peers: Who is asked, and how.
         read_settings: Reads settings as published, or says what is wrong.
         find_settings: Returns this VM's settings of a revision.
@@ -36,13 +36,13 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         peers: source_peers.SourcePeers,
         read_settings: Callable[[bytes], catalogs.Catalog | str],
         find_settings: Callable[[int], bytes | None],
         find_targets: Callable[[store_position.StorePosition], bytes | None],
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._peers = peers
         self._read_settings = read_settings
         self.settings = document_exchange.DocumentExchange(
@@ -67,7 +67,7 @@
         ranked = [name for name in self._peers.rank_hall() if name != own]
         if not ranked:
             return []
-        chance = self._outside.random
+        chance = self._env.random
         first = chance.choice(ranked[: proof.READERS])
         rest = [name for name in ranked if name != first]
         return [first, *chance.sample(rest, min(len(rest), PEERS_ASKED - 1))]
--- a/src/ruddergate/entry/program.py
+++ b/src/ruddergate/entry/program.py
@@ -32,35 +32,35 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         config: configs.EntryConfig,
         tracer: traces.Tracer,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._config = config
         self._log = logs.make_logger("entry")
         self._open = open_calls.OpenCalls(render.make_failure)
         self._is_closing = False
         view = views.View()
-        scheduler = schedulers.Scheduler(outside, config, view)
+        scheduler = schedulers.Scheduler(env, config, view)
         self.tools = tool_types.Tools(
-            outside=outside,
+            env=env,
             config=config,
-            incarnation=environment.make_token(outside.random),
-            began_ms=outside.now_ms(),
+            incarnation=environment.make_token(env.random),
+            began_ms=env.now_ms(),
             view=view,
             scheduler=scheduler,
-            canceller=cancellers.Canceller(outside, view),
+            canceller=cancellers.Canceller(env, view),
             budget=retries.Budget(),
             metrics=metric_types.EntryMetrics(),
             tracer=tracer,
-            suspects=suspects.Suspects(outside),
+            suspects=suspects.Suspects(env),
         )
-        limits = limit_types.Limits(outside, view)
+        limits = limit_types.Limits(env, view)
         self._keyed = keyed_runs.KeyedRuns(self.tools, limits)
         self._handler = handlers.Handler(self.tools, limits, self._keyed)
         self._feed = feeds.Feed(
-            outside, config, self.tools.incarnation, view, scheduler, limits
+            env, config, self.tools.incarnation, view, scheduler, limits
         )
 
     async def run(self, stop: asyncio.Event) -> None:
@@ -90,7 +90,7 @@
             self._config.limits,
             lambda: self._is_closing,
         )
-        return await self._outside.serve(handler, self._config.listen)
+        return await self._env.serve(handler, self._config.listen)
 
     async def _serve_peers(self) -> asyncio.Server:
         handler = forwarding.make_stream_handler(
@@ -98,7 +98,7 @@
             self._open.guard(self._handler.handle_forwarded),
             self._config.limits.read_timeout_ms,
         )
-        return await self._outside.serve(handler, self._config.peer_listen)
+        return await self._env.serve(handler, self._config.peer_listen)
 
     async def _stop(self, callers: asyncio.Server) -> None:
         self._log.info("Planned stop begins.")
--- a/src/ruddergate/entry/rate_limiter.py
+++ b/src/ruddergate/entry/rate_limiter.py
@@ -62,7 +62,7 @@
     """Owns this VM's shares of all targets' limits.
 
     Args:
-        outside: Clock and chance.
+        env: Clock and chance.
         own: Name of this VM among its peers.
         find_members: Returns the halls of this VM and of live peers by name,
             given the time.
@@ -77,7 +77,7 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         own: str,
         find_members: Callable[[float], Mapping[str, str]],
         find_target: Callable[[str], targets.Target | None],
@@ -85,15 +85,15 @@
         note_change: Callable[[], None],
         metrics: metric_types.EntryMetrics,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._own = own
         self._find_members = find_members
         self._find_target = find_target
         self._find_pool_halls = find_pool_halls
         self._note_change = note_change
         self._metrics = metrics
-        self._ticked_ms = outside.now_ms()
-        self._began_ms = outside.now_ms()
+        self._ticked_ms = env.now_ms()
+        self._began_ms = env.now_ms()
         self._changed = asyncio.Event()
         self._members: Mapping[str, str] = {}
         self._members_ms = float("-inf")
@@ -103,14 +103,14 @@
         self._gauged: set[str] = set()
         self._log = logs.make_logger("target")
         self.limits = rate_limits.RateLimits(
-            outside.random,
+            env.random,
             self._count_holders,
             lambda: len(self._members),
         )
 
     def observe(self, said: statements.Statement) -> None:
         """Applies the limit in a target's answer, or its absence."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         target_id = said.life.target_id
         if said.rate_limit_per_s is not None:
             is_news = self.limits.observe_limit(
@@ -128,13 +128,13 @@
 
     def summarize(self) -> tuple[rate_limit.RateLimitUpdate, ...]:
         """Returns the updates due for peers."""
-        return self.limits.summarize(self._outside.now_ms())
+        return self.limits.summarize(self._env.now_ms())
 
     def merge(
         self, updates: Sequence[rate_limit.RateLimitUpdate], peer: str
     ) -> None:
         """Merges a peer's updates of listed targets."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         for update in updates[: rate_limits.MAX_UPDATES]:
             if not _is_sound(update):
                 self._log.warning("Ignoring malformed rate limit.", peer=peer)
@@ -148,7 +148,7 @@
         self, target: targets.Target, attempt_id: str
     ) -> outcomes.NotServed | None:
         """Takes a token in the step that sends, or returns a refusal."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         if self.limits.take(target.target_id, attempt_id, now_ms):
             return None
         next_ms = self.limits.find_next_ms(target.target_id, now_ms)
@@ -174,7 +174,7 @@
         """Returns orders that count against the limits of their targets."""
 
         def charge(target: targets.Target) -> None:
-            self.limits.charge(target.target_id, self._outside.now_ms())
+            self.limits.charge(target.target_id, self._env.now_ms())
 
         async def reserve(
             wanted: orders.Reservation, hold_ms: float
@@ -205,7 +205,7 @@
                 async with asyncio.timeout(_TICK_MS / 1_000.0):
                     await self._changed.wait()
             self._changed.clear()
-            now_ms = self._outside.now_ms()
+            now_ms = self._env.now_ms()
             self._note_time(now_ms)
             self.limits.forget_old(now_ms)
             due = map(self._find_target, self.limits.take_due_probes(now_ms))
@@ -215,7 +215,7 @@
 
     def set_gauges(self) -> None:
         """Brings the gauges up to date before they are read."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         self._gauged |= set(self.limits.list_limited())
         for target_id in self._gauged:
             limit, own = self.limits.find_share(target_id, now_ms)
@@ -295,7 +295,7 @@
     ) -> None:
         self._metrics.rate_limit_changes.inc({})
         self._changed.set()
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         _, own = self.limits.find_share(target_id, now_ms)
         if rate_per_s is None:
             self._log.info(
--- a/src/ruddergate/entry/relay_admit.py
+++ b/src/ruddergate/entry/relay_admit.py
@@ -79,7 +79,7 @@
                 outcomes.Reason.UNKNOWN_KEY, "unknown key", tools, trust
             )
         workspace = found
-    pool = _choose_pool(catalog, route, tools.outside.random)
+    pool = _choose_pool(catalog, route, tools.env.random)
     if pool is None:
         return outcomes.refuse(
             outcomes.Reason.NO_TARGET,
@@ -92,7 +92,7 @@
 
 
 def _settings_age_ms(tools: tool_types.Tools) -> float:
-    return tools.view.settings_age_ms(tools.outside.now_ms())
+    return tools.view.settings_age_ms(tools.env.now_ms())
 
 
 def _refuse_unknown(
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -86,7 +86,7 @@
         self._out_of_reach: set[str] = set()
         # Targets in whose place nobody or another one answered.
         self._gone: set[str] = set()
-        self._sent_ms = tools.outside.now_ms()
+        self._sent_ms = tools.env.now_ms()
         # Whether a token of the target's rate limit was taken.
         self._has_token = False
         self._has_first = False
@@ -114,7 +114,7 @@
             if missing:
                 yield self._give_up_memory(missing)
                 return
-            self._sent_ms = self._tools.outside.now_ms()
+            self._sent_ms = self._tools.env.now_ms()
             errand = self._make_errand(reservations)
             traceparent = self._request.traceparent
             with self._tools.tracer.span("attempt", traceparent):
@@ -301,7 +301,7 @@
             self._request.request_id,
             suspects.name_content(self._request),
             target,
-            self._tools.outside.now_ms() - self._sent_ms,
+            self._tools.env.now_ms() - self._sent_ms,
             costs.predict_prefill_ms(
                 self._request.workload.pool, self._request.prompt_tokens
             ),
@@ -313,7 +313,7 @@
             return
         self._has_first = True
         request = self._request
-        took_ms = self._tools.outside.now_ms() - request.arrived_ms
+        took_ms = self._tools.env.now_ms() - request.arrived_ms
         self._tools.metrics.note_first_token(request.prompt_tokens, took_ms)
         for seat in self._seats:
             self._tools.scheduler.post(placement.FirstToken(seat, "", 0))
@@ -368,7 +368,7 @@
         """Returns how long silence is borne; to the end for what runs once."""
         request = self._request
         route = request.payload.route
-        left_ms = request.remaining_ms(self._tools.outside.now_ms())
+        left_ms = request.remaining_ms(self._tools.env.now_ms())
         if not route.repeatable:
             return errands.Patience(CONNECT_TIMEOUT_MS, left_ms, left_ms)
         return errands.Patience(
--- a/src/ruddergate/entry/relay_handler.py
+++ b/src/ruddergate/entry/relay_handler.py
@@ -60,7 +60,7 @@
         if isinstance(inquiry, outcomes.NotServed):
             return self._refuse(inquiry, "")
         # A wait for the first settings is part of the caller's time.
-        arrived_ms = self._tools.outside.now_ms()
+        arrived_ms = self._tools.env.now_ms()
         await self._wait_for_catalog()
         request = relay_admit.admit(
             incoming, inquiry, arrived_ms, self._tools, self._trust
@@ -87,7 +87,7 @@
     async def _wait_for_catalog(self) -> None:
         """Lets a call that comes right after the start wait for settings."""
         tools = self._tools
-        starts_for_ms = tools.began_ms + STARTING_MS - tools.outside.now_ms()
+        starts_for_ms = tools.began_ms + STARTING_MS - tools.env.now_ms()
         wait_ms = min(FIRST_SETTINGS_WAIT_MS, starts_for_ms)
         if tools.view.catalog_came.is_set() or wait_ms <= 0.0:
             return
@@ -105,7 +105,7 @@
             async with contextlib.aclosing(events):
                 async for event in events:
                     if isinstance(event, answers.StreamEvents):
-                        pauses.note_event(self._tools.outside.now_ms())
+                        pauses.note_event(self._tools.env.now_ms())
                         yield event.data
                     elif isinstance(event, outcomes.NotServed):
                         self._note_end(
@@ -160,7 +160,7 @@
             self._tools.metrics.note_pause(
                 request.prompt_tokens, pauses.longest_ms
             )
-        took_ms = self._tools.outside.now_ms() - request.arrived_ms
+        took_ms = self._tools.env.now_ms() - request.arrived_ms
         self._log.info(
             "Request ended: {} ({}). {}",
             reason,
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -187,10 +187,10 @@
         ended,
         request.repeatable,
         max(1, progress.sent),
-        request.remaining_ms(tools.outside.now_ms()),
+        request.remaining_ms(tools.env.now_ms()),
         0.0,
         tools.budget,
-        tools.outside.random,
+        tools.env.random,
     )
     if isinstance(decided, outcomes.NotServed):
         return _conclude(decided, progress)
@@ -215,7 +215,7 @@
 ) -> placement.Placed | outcomes.NotServed:
     """Waits for a place: ahead of late calls first, and then among them."""
     for is_late, wait_ms in _find_waits(request, progress, tools):
-        left_ms = request.remaining_ms(tools.outside.now_ms())
+        left_ms = request.remaining_ms(tools.env.now_ms())
         wait_ms = min(wait_ms, left_ms)
         if wait_ms <= 0.0:
             continue
@@ -230,7 +230,7 @@
     return outcomes.refuse(
         outcomes.Reason.NO_TARGET,
         f"no target of pool {request.workload.pool.name} can be used now",
-        tools.outside.random.uniform(*_NO_TARGET_RETRY_MS),
+        tools.env.random.uniform(*_NO_TARGET_RETRY_MS),
     )
 
 
@@ -252,7 +252,7 @@
     aim_ms = request.payload.route.aim_ms
     on_time_ms = ON_TIME_WAIT_AIMS * aim_ms
     if not progress.is_begun:
-        on_time_ms -= tools.outside.now_ms() - request.arrived_ms
+        on_time_ms -= tools.env.now_ms() - request.arrived_ms
     return (False, on_time_ms), (True, max(LATE_WAIT_LEAST_MS, aim_ms))
 
 
@@ -263,7 +263,7 @@
     is_late: bool,
     wait_ms: float,
 ) -> placement.Place:
-    now_ms = tools.outside.now_ms()
+    now_ms = tools.env.now_ms()
     pool = request.workload.pool
     route = request.payload.route
     priority = request.workload.priority
@@ -298,7 +298,7 @@
             home_hall=tools.config.hall,
             pinned_target=progress.pinned,
             is_suspect=tools.suspects.is_suspect(request),
-            salt=tools.outside.random.getrandbits(32),
+            salt=tools.env.random.getrandbits(32),
         ),
         pool=pool,
         segments=(),
--- a/src/ruddergate/entry/reservation_keeper.py
+++ b/src/ruddergate/entry/reservation_keeper.py
@@ -57,7 +57,7 @@
     """Takes, renews and releases reservations.
 
     Args:
-        outside: Clock.
+        env: Clock.
         given: Orders that targets take.
         is_over: Returns whether a life is known to be over.
         note_life: Is told targets that are found to have ended.
@@ -66,13 +66,13 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         given: orders.Orders,
         is_over: Callable[[lives.Life], bool] = lambda life: False,
         note_life: Callable[[targets.Target], None] = lambda target: None,
         is_limited: Callable[[str], bool] = lambda target_id: False,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._orders = given
         self._is_over = is_over
         self._note_life = note_life
--- a/src/ruddergate/entry/retry_loans.py
+++ b/src/ruddergate/entry/retry_loans.py
@@ -27,7 +27,7 @@
     """Borrows second sends; peers give them up for good.
 
     Args:
-        outside: Clock and chance.
+        env: Clock and chance.
         budget: This VM's own second sends.
         questions: Asks peers.
         find_peers: Returns the peers of this VM's hall.
@@ -35,12 +35,12 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         budget: retries.Budget,
         questions: peer_questions.PeerQuestions,
         find_peers: Callable[[], Sequence[str]],
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._budget = budget
         self._questions = questions
         self._find_peers = find_peers
@@ -55,7 +55,7 @@
         """
         if self._budget.has_one():
             return True
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         if now_ms < self._paused_until_ms[is_great]:
             return False
         asked, lent = await self._borrow(is_great)
@@ -78,13 +78,13 @@
         Returns:
             How many peers were asked, and what they gave.
         """
-        until_ms = self._outside.now_ms() + BORROWING_MS
+        until_ms = self._env.now_ms() + BORROWING_MS
         peers = list(self._find_peers())
         count = min(PEERS_ASKED, len(peers))
         asked = 0
         given = 0.0
-        for peer in self._outside.random.sample(peers, count):
-            if self._budget.has_one() or self._outside.now_ms() >= until_ms:
+        for peer in self._env.random.sample(peers, count):
+            if self._budget.has_one() or self._env.now_ms() >= until_ms:
                 break
             asked += 1
             missing = retries.ONE - self._budget.tokens
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -69,7 +69,7 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         config: configs.EntryConfig,
         view: views.View,
         note_change: Callable[[], None] = lambda: None,
@@ -84,7 +84,7 @@
         """Makes an idle scheduler.
 
         Args:
-            outside: Clock and chance.
+            env: Clock and chance.
             config: Settings of the process.
             view: What it goes by.
             note_change: Called when this VM's work on a target changes, which
@@ -98,19 +98,19 @@
         """
         self._withdrawn = withdrawn or withdrawals.Withdrawals()
         if limits is None:
-            limits = rate_limits.RateLimits(outside.random, lambda *_: 0)
+            limits = rate_limits.RateLimits(env.random, lambda *_: 0)
         self._limits = limits
         self._note_change = note_change
         self._collect_peers = collect_peers
         self._is_blind = is_blind
         self._collect_lost = collect_lost
-        self._losses = target_losses.TargetLosses(outside.random)
+        self._losses = target_losses.TargetLosses(env.random)
         self.ends = self._losses.ends
-        self._outside = outside
+        self._env = env
         self._config = config
         self._view = view
         self._seating = seatings.Seating(
-            outside.random,
+            env.random,
             by_name.make_policy(config.policy),
             by_name.make_policy(config.service_policy),
             note_change,
@@ -122,7 +122,7 @@
         self._table = target_table.TargetTable(
             view, self._withdrawn, self._limits
         )
-        self._ticked_ms = outside.now_ms()
+        self._ticked_ms = env.now_ms()
         self._held_until_ms = 0.0
         self._log = logs.make_logger("scheduler")
         self._lane_rests_until_ms: dict[queueing.Lane, float] = {}
@@ -148,7 +148,7 @@
 
     def summarize(self) -> tuple[dispatched.Dispatched, ...]:
         """Returns this VM's own work on targets, for peers."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         return tuple(
             estimate.summarize(now_ms)
             for estimate in self._table.list_all()
@@ -157,7 +157,7 @@
 
     def summarize_lost(self) -> bad_news.BadNews:
         """Returns what this VM has just found out of reach, for peers."""
-        return self._losses.summarize(self._outside.now_ms())
+        return self._losses.summarize(self._env.now_ms())
 
     def waiting_by_class(self) -> dict[str, float]:
         """Returns the cost waiting in each class, in milliseconds."""
@@ -172,7 +172,7 @@
         estimate = self._table.find_named(target_id)
         if estimate is None:
             return 0.0
-        return estimate.recent_streams(self._outside.now_ms())
+        return estimate.recent_streams(self._env.now_ms())
 
     def find_target(self, target_id: str) -> targets.Target | None:
         """Returns a listed target by name."""
@@ -195,7 +195,7 @@
 
     def is_usable(self, estimate: estimates.Estimate) -> bool:
         """Returns whether a target may be sent work now and had better be."""
-        return self._table.is_usable(estimate, self._outside.now_ms())
+        return self._table.is_usable(estimate, self._env.now_ms())
 
     async def run(self) -> None:
         """Serves the inbox until cancelled."""
@@ -220,13 +220,13 @@
 
     def _note_time(self) -> None:
         """After a gap in time, holds work until the view is fresh again."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         if now_ms - self._ticked_ms > self._config.wake_gap_ms:
             self._held_until_ms = now_ms + self._config.wake_refresh_ms
         self._ticked_ms = now_ms
 
     def _take(self, message: Message) -> None:
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         match message:
             case placement.Place():
                 self._take_place(message, now_ms)
@@ -334,7 +334,7 @@
 
     def _take_lost(self, told: bad_news.BadNews) -> None:
         if told is not bad_news.NOTHING:
-            now_ms = self._outside.now_ms()
+            now_ms = self._env.now_ms()
             self._losses.take_told(told, self._table.find_told, now_ms)
 
     def _take_report(
@@ -355,7 +355,7 @@
                 estimate.take_event(event)
 
     def _take_peers(self, rows: Sequence[dispatched.Dispatched]) -> None:
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         for row in rows:
             estimate = self._table.find_named(row.target_id)
             if estimate is not None:
@@ -375,14 +375,14 @@
 
     def _make_drain_rate(self, pool: str) -> Callable[[], float]:
         def drain_rate() -> float:
-            now_ms = self._outside.now_ms()
+            now_ms = self._env.now_ms()
             usable = self._table.count_usable(pool, now_ms)
             return usable / self._view.live_vms()
 
         return drain_rate
 
     def _give_places(self) -> None:
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         if now_ms < self._held_until_ms:
             return
         for pool, queue in self._queues.items():
@@ -417,7 +417,7 @@
             if not seats:
                 queue.put_back(job, now_ms)
                 closed.add(job.lane)
-                rest_ms = self._outside.random.uniform(*_LANE_REST_MS)
+                rest_ms = self._env.random.uniform(*_LANE_REST_MS)
                 self._lane_rests_until_ms[job.lane] = now_ms + rest_ms
                 continue
             del self._asked[job.job_id]
@@ -459,13 +459,13 @@
                 f"no target of pool {pool} takes calls of this VM",
                 _GONE_RETRY_MS,
             )
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         most_ms = _RETURN_SPREAD_MS
         capacity_per_s = self._table.find_capacity_per_s(pool, now_ms)
         if capacity_per_s > 0.0:
             # Under rate limits one caller can be served in such a time.
             most_ms = max(most_ms, 1_000.0 / capacity_per_s)
-        spread_ms = self._outside.random.uniform(0.0, most_ms)
+        spread_ms = self._env.random.uniform(0.0, most_ms)
         return outcomes.refuse(
             outcomes.Reason.CANNOT_FINISH_IN_TIME,
             f"no target of pool {pool} wants calls now",
--- a/src/ruddergate/entry/serve.py
+++ b/src/ruddergate/entry/serve.py
@@ -41,7 +41,7 @@
     async for event in model_run.run(request, tools):
         if is_first and isinstance(event, parts.Tokens):
             is_first = False
-            took_ms = tools.outside.now_ms() - request.arrived_ms
+            took_ms = tools.env.now_ms() - request.arrived_ms
             tools.metrics.note_first_token(request.prompt_tokens, took_ms)
         yield event
 
--- a/src/ruddergate/entry/service_run.py
+++ b/src/ruddergate/entry/service_run.py
@@ -39,10 +39,10 @@
             answer,
             request.repeatable,
             attempts,
-            request.remaining_ms(tools.outside.now_ms()),
+            request.remaining_ms(tools.env.now_ms()),
             _CALL_COST_MS,
             tools.budget,
-            tools.outside.random,
+            tools.env.random,
         )
         if isinstance(decided, outcomes.NotServed):
             return _with_ran(decided, ran)
@@ -58,10 +58,10 @@
     try:
         with tools.tracer.span("attempt", request.traceparent):
             answer = await service_calls.call(
-                tools.outside,
+                tools.env,
                 seat.target,
                 request,
-                request.remaining_ms(tools.outside.now_ms()),
+                request.remaining_ms(tools.env.now_ms()),
             )
         failed = isinstance(answer, outcomes.NotServed)
         return answer
@@ -75,7 +75,7 @@
     excluded: frozenset[str],
     tools: tool_types.Tools,
 ) -> placement.Placed | outcomes.NotServed:
-    now_ms = tools.outside.now_ms()
+    now_ms = tools.env.now_ms()
     pool = request.workload.pool
     asked = placement.Place(
         job=queueing.Job(
--- a/src/ruddergate/entry/source_sync.py
+++ b/src/ruddergate/entry/source_sync.py
@@ -44,7 +44,7 @@
     """Keeps the view up to date from a store, or from peers that read it.
 
     Args:
-        outside: Clock and chance.
+        env: Clock and chance.
         source: Calls of the store.
         view: Is kept up to date.
         scheduler: Is told of each change.
@@ -60,7 +60,7 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         source: published.Source,
         view: views.View,
         scheduler: schedulers.Scheduler,
@@ -70,7 +70,7 @@
         note_listed: Callable[[], None] = lambda: None,
     ) -> None:
         self._peers = peer_source.PeerSource(
-            outside,
+            env,
             peers,
             source.read_settings,
             self._find_settings,
@@ -79,10 +79,10 @@
         self.settings = self._peers.settings
         self.targets = self._peers.targets
         self._reader = store_reader.StoreReader(
-            outside, source, view, pace, self._find_age_ms
+            env, source, view, pace, self._find_age_ms
         )
         self._note_listed = note_listed
-        self._outside = outside
+        self._env = env
         self._view = view
         self._scheduler = scheduler
         self._pace = pace
@@ -93,7 +93,7 @@
         self._targets = target_list.TargetList(withdrawn)
         # When what is known was last proven to be the newest; at first, when
         # this VM began.
-        self._proven_ms = outside.now_ms()
+        self._proven_ms = env.now_ms()
         # Until when targets are kept that lapsed in an outage.
         self._lapsed_until_ms = float("-inf")
         # When everything was last read.
@@ -109,10 +109,10 @@
     async def run(self) -> None:
         """Asks again and again until cancelled."""
         while True:
-            began_ms = self._outside.now_ms()
+            began_ms = self._env.now_ms()
             pause_ms = await self._take_turn()
             await self._fetch_claimed()
-            pause_ms -= self._outside.now_ms() - began_ms
+            pause_ms -= self._env.now_ms() - began_ms
             await asyncio.sleep(max(_PAUSE_LEAST_MS, pause_ms) / 1000.0)
 
     def count_refused(self) -> int:
@@ -121,7 +121,7 @@
 
     def note_newer_settings(self, peer: str, revision: int) -> None:
         """Notes that a peer goes by later settings than this VM."""
-        self._claims.note(peer, revision, self._outside.now_ms())
+        self._claims.note(peer, revision, self._env.now_ms())
 
     def answer_news(self, wanted: news.NewsWanted) -> news.News | None:
         """Returns what this VM knows, for a peer that follows it."""
@@ -196,11 +196,11 @@
         if self._find_age_ms() > self._pace.behind_ms:
             return True
         # Only a second read of everything tells which of them are written.
-        read_ms = self._outside.now_ms() - self._all_read_ms
+        read_ms = self._env.now_ms() - self._all_read_ms
         return self._targets.has_stale() and read_ms > self._pace.stale_ms
 
     def _find_age_ms(self) -> float:
-        return self._outside.now_ms() - self._proven_ms
+        return self._env.now_ms() - self._proven_ms
 
     def _find_every_ms(self, part: float) -> float:
         """Returns the time from turn to turn.
@@ -208,7 +208,7 @@
         Args:
             part: The part of it that a VM takes in a hall with a reader.
         """
-        since_ms = self._outside.now_ms() - self._restored_ms
+        since_ms = self._env.now_ms() - self._restored_ms
         if since_ms < self._pace.restored_for_ms:
             return self._pace.restored_every_ms
         if self._peers.is_shared():
@@ -218,7 +218,7 @@
     async def _ask_peers(self) -> bool:
         """Returns whether a peer had a proof that is fresh enough."""
         for peer in self._peers.choose():
-            asked_ms = self._outside.now_ms()
+            asked_ms = self._env.now_ms()
             position = self._position
             found = await self._peers.ask(peer, position)
             if found is None or found.epoch < position.epoch:
@@ -267,7 +267,7 @@
                 peer=claim.peer,
                 revision=claim.revision,
             )
-            self._claims.reject(claim.peer, self._outside.now_ms())
+            self._claims.reject(claim.peer, self._env.now_ms())
             return
         self._log.info("Settings of a peer, as the store has lost them.")
         self._adopt_catalog(*fetched)
@@ -290,7 +290,7 @@
         # Nobody could prove anything while the store was away. Answers of peers
         # come all the while, so an outage is a gap between proofs. A restore is
         # one as well: entries may be missing until they are written again.
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         is_restored = self._is_restored(changes.position)
         if is_restored or asked_ms - self._proven_ms > self._pace.outage_ms:
             away_ms = max(self._proven_ms, self._reader.failed_ms)
@@ -392,7 +392,7 @@
         asked_ms: float,
         grace: target_list.Grace,
     ) -> None:
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         self._targets.take(changes, is_all, now_ms, grace)
         self._await_grace_end()
         self._publish(asked_ms)
@@ -409,7 +409,7 @@
         until_ms = self._targets.find_grace_end_ms()
         if until_ms is None:
             return
-        grace_ms = until_ms - self._outside.now_ms()
+        grace_ms = until_ms - self._env.now_ms()
         grace_ms = max(_PAUSE_LEAST_MS, grace_ms)
         self._grace_timer = asyncio.get_running_loop().call_later(
             grace_ms / 1000.0, self._end_grace
@@ -421,7 +421,7 @@
         Its next answer may be a round away, and a target that has left is to
         get no calls for longer than it must.
         """
-        self._targets.forget_lapsed(self._outside.now_ms())
+        self._targets.forget_lapsed(self._env.now_ms())
         self._await_grace_end()
         self._publish(self._proven_ms)
 
--- a/src/ruddergate/entry/status.py
+++ b/src/ruddergate/entry/status.py
@@ -46,7 +46,7 @@
 
 def set_gauges(tools: tool_types.Tools) -> None:
     """Brings the gauges up to date before they are read."""
-    now_ms = tools.outside.now_ms()
+    now_ms = tools.env.now_ms()
     age_ms = tools.view.age_ms(now_ms)
     tools.metrics.view_age_ms.set({}, min(age_ms, 1e12))
     view = tools.view
@@ -68,7 +68,7 @@
     tools: tool_types.Tools, agent_connected: bool, stopping: bool
 ) -> message.Response:
     """Returns what this VM goes by and how old that is."""
-    now_ms = tools.outside.now_ms()
+    now_ms = tools.env.now_ms()
     view = tools.view
     age_ms = view.age_ms(now_ms)
     targets = [
--- a/src/ruddergate/entry/store_reader.py
+++ b/src/ruddergate/entry/store_reader.py
@@ -36,7 +36,7 @@
     """Reads the store, if it is there; owned by one task.
 
     Args:
-        outside: Clock and chance.
+        env: Clock and chance.
         source: Calls of the store.
         view: What this VM goes by, for logs.
         pace: Pauses after failures.
@@ -48,13 +48,13 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         source: published.Source,
         view: views.View,
         pace: source_pace.Pace,
         find_age_ms: Callable[[], float],
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._source = source
         self._view = view
         self._pace = pace
@@ -71,11 +71,11 @@
 
     def is_due(self) -> bool:
         """Returns whether the store may be asked now."""
-        return self._outside.now_ms() >= self._due_ms
+        return self._env.now_ms() >= self._due_ms
 
     def find_wait_ms(self) -> float:
         """Returns the time until the store may be asked."""
-        return self._due_ms - self._outside.now_ms()
+        return self._due_ms - self._env.now_ms()
 
     async def read(
         self, since: store_position.StorePosition | None, retry_most_ms: float
@@ -89,20 +89,18 @@
         Returns:
             What the store told, or None if it did not answer with sense.
         """
-        asked_ms = self._outside.now_ms()
+        asked_ms = self._env.now_ms()
         found = await self._ask(since)
         if isinstance(found, published.HistoryLost):
             self._log_history_lost(found)
-            since, asked_ms = None, self._outside.now_ms()
+            since, asked_ms = None, self._env.now_ms()
             found = await self._ask(since)
         if isinstance(found, published.Changes):
             self._epoch = found.position.epoch
             self._note_answered()
             return Read(found, since, asked_ms)
         self._note_failed(found, asked_ms)
-        self._due_ms = self._outside.now_ms() + self._draw_pause_ms(
-            retry_most_ms
-        )
+        self._due_ms = self._env.now_ms() + self._draw_pause_ms(retry_most_ms)
         self._tries_failed += 1
         return None
 
@@ -122,7 +120,7 @@
     def _draw_pause_ms(self, most_ms: float) -> float:
         """Returns the time to the next try; VMs are not to ask in step."""
         grown_ms = self._pace.retry_ms * _RETRY_GROWTH**self._tries_failed
-        return min(most_ms, grown_ms) * self._outside.random.uniform(0.7, 1.0)
+        return min(most_ms, grown_ms) * self._env.random.uniform(0.7, 1.0)
 
     def _note_answered(self) -> None:
         self._tries_failed = 0
@@ -144,7 +142,7 @@
             self._log_history_lost(found)
             return
         self.failed_ms = asked_ms
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         if not self._is_lost:
             self._is_lost = True
             self._told_ms = now_ms
--- a/src/ruddergate/entry/suspect_exchange.py
+++ b/src/ruddergate/entry/suspect_exchange.py
@@ -35,7 +35,7 @@
     """Passes on what VMs know of contents; owns what is to be told.
 
     Args:
-        outside: Clock and chance.
+        env: Clock and chance.
         own: Where this VM takes datagrams.
         list_peers: Returns the peers that are known.
         send: Sends a message to peers.
@@ -43,19 +43,19 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         own: environment.Address,
         list_peers: Callable[[], list[str]],
         send: Callable[[messages.Suspects, Iterable[str]], None],
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._own = str(own)
         self._list_peers = list_peers
         self._send = send
         self._news: dict[str, None] = {}
         self._changed = asyncio.Event()
-        self._round_due_ms = outside.now_ms()
-        self.table = suspect_tables.Suspects(outside, self._note_news)
+        self._round_due_ms = env.now_ms()
+        self.table = suspect_tables.Suspects(env, self._note_news)
 
     async def run(self) -> None:
         """Tells peers until cancelled; sleeps while nothing is suspect."""
@@ -64,8 +64,8 @@
             await asyncio.sleep(GATHER_MS / 1000.0)
             self._changed.clear()
             self._tell_news()
-            if self._outside.now_ms() >= self._round_due_ms:
-                self._round_due_ms = self._outside.now_ms() + ROUND_MS
+            if self._env.now_ms() >= self._round_due_ms:
+                self._round_due_ms = self._env.now_ms() + ROUND_MS
                 self._tell_all(self._draw_peers(ROUND_PEERS))
 
     def take(self, told: messages.Suspects) -> None:
@@ -80,7 +80,7 @@
     def greet(self, peer: str) -> None:
         """Tells a VM that has just started what it should know."""
         chance = FANOUT / max(1, len(self._list_peers()))
-        if len(self.table) and self._outside.random.random() < chance:
+        if len(self.table) and self._env.random.random() < chance:
             self._tell_all([peer])
 
     def _note_news(self, content: str) -> None:
@@ -92,7 +92,7 @@
         if not len(self.table):
             await self._changed.wait()
             return
-        wait_ms = max(0.0, self._round_due_ms - self._outside.now_ms())
+        wait_ms = max(0.0, self._round_due_ms - self._env.now_ms())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_ms / 1000.0):
                 await self._changed.wait()
@@ -119,4 +119,4 @@
 
     def _draw_peers(self, count: int) -> list[str]:
         peers = self._list_peers()
-        return self._outside.random.sample(peers, min(count, len(peers)))
+        return self._env.random.sample(peers, min(count, len(peers)))
--- a/src/ruddergate/entry/suspects.py
+++ b/src/ruddergate/entry/suspects.py
@@ -20,16 +20,16 @@
     """Contents under which targets have ended.
 
     Args:
-        outside: Clock.
+        env: Clock.
         note_change: Is told the content of which there is news to be passed on.
     """
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         note_change: Callable[[str], None] = lambda content: None,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._note_change = note_change
         self._suspicion = suspicion.Suspicion()
         # What the log last said of a content: whether it is quarantined.
@@ -41,7 +41,7 @@
 
     def note_ended(self, lost: lost_call.LostCall) -> None:
         """Notes that a target ended under a call."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         life = lost.target.life
         weight = suspicion.find_weight(lost.there_ms, lost.reading_ms)
         if self._suspicion.note_ended(lost.content, life, weight, now_ms):
@@ -55,14 +55,14 @@
         if not len(self._suspicion):
             return
         content = name_content(request)
-        if self._suspicion.note_finished(content, self._outside.now_ms()):
+        if self._suspicion.note_finished(content, self._env.now_ms()):
             self._note_news(content, request.request_id)
 
     def is_suspect(self, request: requests.Request) -> bool:
         """Returns whether a target has ended under a call's content."""
         if not len(self._suspicion):
             return False
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         content = name_content(request)
         return self._suspicion.count_against(content, now_ms) > 0
 
@@ -75,7 +75,7 @@
         if not len(self._suspicion):
             return None
         content = name_content(request)
-        left_ms = self._suspicion.find_left_ms(content, self._outside.now_ms())
+        left_ms = self._suspicion.find_left_ms(content, self._env.now_ms())
         if left_ms <= 0.0:
             return None
         return outcomes.refuse(
@@ -92,7 +92,7 @@
                 "Suspects of a peer dropped: {}.", fault, peer=told.sender
             )
             return set()
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         news = self._suspicion.take(told.rows, now_ms)
         for content in news:
             self._tell_operators(content, "", told.sender)
@@ -100,17 +100,17 @@
 
     def describe(self, contents: list[str]) -> tuple[messages.Suspect, ...]:
         """Returns what is known of contents, to be told to peers."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         rows = [self._suspicion.describe(each, now_ms) for each in contents]
         return tuple(row for row in rows if row is not None)
 
     def rank(self) -> list[str]:
         """Returns the contents, those under which most ended first."""
-        return self._suspicion.rank(self._outside.now_ms())
+        return self._suspicion.rank(self._env.now_ms())
 
     def list_quarantined(self) -> list[str]:
         """Returns the contents that are quarantined."""
-        return self._suspicion.list_quarantined(self._outside.now_ms())
+        return self._suspicion.list_quarantined(self._env.now_ms())
 
     def _note_news(self, content: str, request_id: str) -> None:
         self._tell_operators(content, request_id, "")
@@ -118,7 +118,7 @@
 
     def _tell_operators(self, content: str, request_id: str, peer: str) -> None:
         """Logs what changed for a content, with the lives that say so."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         left_ms = self._suspicion.find_left_ms(content, now_ms)
         is_quarantined = left_ms > 0.0
         if self._told.get(content, False) == is_quarantined:
--- a/src/ruddergate/entry/target_notices.py
+++ b/src/ruddergate/entry/target_notices.py
@@ -41,7 +41,7 @@
     """Hears targets, and keeps calls off those that want none; one a process.
 
     Args:
-        outside: Clock and chance.
+        env: Clock and chance.
         withdrawn: Which lives of targets take no calls.
         metrics: Metrics of the process.
         note_leaving: Is called when a target was newly found to leave, or may
@@ -50,12 +50,12 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         withdrawn: withdrawals.Withdrawals,
         metrics: metric_types.EntryMetrics,
         note_leaving: Callable[[], None] = lambda: None,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._withdrawn = withdrawn
         self._metrics = metrics
         self._note_leaving = note_leaving
@@ -77,13 +77,13 @@
         Targets that are not listed are no matter yet; a peer says it again.
         """
         is_news = False
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         for word in itertools.islice(words, withdrawals.TOLD_MOST):
             if len(word) > _WORD_MOST:
                 self._log.warning("Leaving dropped, no life.", peer=peer)
                 continue
             life = lives.parse_life(word)
-            spread_ms = self._outside.random.uniform(0.0, _CONFIRM_SPREAD_MS)
+            spread_ms = self._env.random.uniform(0.0, _CONFIRM_SPREAD_MS)
             due_ms = now_ms + doubts.CONFIRM_MS + spread_ms
             if self._withdrawn.note_told(life, peer, now_ms, due_ms):
                 is_news = True
@@ -105,7 +105,7 @@
         It holds for this moment: an answer may have told so while the call
         waited for a place, for memory or for a connection.
         """
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         for number, target in enumerate(asked):
             if self._withdrawn.takes_calls(target.life, now_ms):
                 continue
@@ -132,7 +132,7 @@
 
     def summarize(self) -> tuple[str, ...]:
         """Returns the leavings that peers are to be told now."""
-        return self._withdrawn.summarize(self._outside.now_ms())
+        return self._withdrawn.summarize(self._env.now_ms())
 
     def greet(self, peers: int) -> None:
         """Has a VM that has just started told what targets have said.
@@ -142,17 +142,17 @@
         """
         is_large = peers > peer_groups.DIRECT_MOST
         chance = _GREETING_VMS / peers if is_large else 1.0
-        if chance < 1.0 and self._outside.random.random() >= chance:
+        if chance < 1.0 and self._env.random.random() >= chance:
             return
-        if self._withdrawn.tell_again(self._outside.now_ms()):
+        if self._withdrawn.tell_again(self._env.now_ms()):
             self._note_leaving()
 
     def count_quiet(self) -> int:
         """Returns how many targets want no calls of this VM now."""
-        return self._withdrawn.count_quiet(self._outside.now_ms())
+        return self._withdrawn.count_quiet(self._env.now_ms())
 
     def _hear_leaving(self, said: statements.Statement) -> None:
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         is_new = self._withdrawn.note_answered(said.life, now_ms, said.is_dated)
         if not is_new:
             return
@@ -167,9 +167,9 @@
 
     def _hear_quiet(self, said: statements.Statement, quiet_ms: float) -> None:
         spread_ms = min(_SPREAD_MOST_MS, _SPREAD_PART * quiet_ms)
-        spread_ms = self._outside.random.uniform(0.0, spread_ms)
-        until_ms = self._outside.now_ms() + quiet_ms + spread_ms
-        said_wall_ms = None if said.is_dated else self._outside.wall_ms()
+        spread_ms = self._env.random.uniform(0.0, spread_ms)
+        until_ms = self._env.now_ms() + quiet_ms + spread_ms
+        said_wall_ms = None if said.is_dated else self._env.wall_ms()
         if self._withdrawn.note_quiet(said.life, until_ms, said_wall_ms):
             self._log.info(
                 "Target {} wants no calls for {:.0f} ms.",
--- a/src/ruddergate/entry/tools.py
+++ b/src/ruddergate/entry/tools.py
@@ -47,7 +47,7 @@
     """Handles of one entry's tasks.
 
     Attributes:
-        outside: Clock, chance and streams.
+        env: Clock, chance and streams.
         config: Settings of the process.
         incarnation: Name of this run of the entry.
         began_ms: Monotonic time at which it began.
@@ -69,7 +69,7 @@
         give_back: Takes back a call counted so that was not sent after all.
     """
 
-    outside: environment.Environment
+    env: environment.Environment
     config: configs.EntryConfig
     incarnation: str
     began_ms: float
--- a/src/ruddergate/experiments/caller.py
+++ b/src/ruddergate/experiments/caller.py
@@ -84,7 +84,7 @@
 
 
 async def send(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     request: trace.TracedRequest,
     outgoing: message.OutgoingRequest,
@@ -93,26 +93,26 @@
     """Sends a request; None if it could not even be connected.
 
     Args:
-        outside: Clock and streams.
+        env: Clock and streams.
         address: The entry.
         request: The trace's line.
         outgoing: Its HTTP request.
         is_right: Whether a whole answer's text is the right one.
     """
-    began_ms = outside.now_ms()
-    exchange = await client.start(outside, address, outgoing, _CONNECT_MS)
+    began_ms = env.now_ms()
+    exchange = await client.start(env, address, outgoing, _CONNECT_MS)
     if isinstance(exchange, client.Fault):
         return None
     received = _Received()
     wait_ms = request.time_limit_ms + PATIENCE_MS
     try:
         async with asyncio.timeout(wait_ms / 1000.0):
-            await _receive(exchange, outside, began_ms, received)
+            await _receive(exchange, env, began_ms, received)
     except TimeoutError:
         received.error = {"reason": "no_answer", "ran": "unknown"}
     finally:
         exchange.close()
-    total_ms = outside.now_ms() - began_ms
+    total_ms = env.now_ms() - began_ms
     return _make_outcome(request, received, total_ms, is_right)
 
 
@@ -125,7 +125,7 @@
 
 async def _receive(
     exchange: client.Exchange,
-    outside: environment.Environment,
+    env: environment.Environment,
     began_ms: float,
     received: _Received,
 ) -> None:
@@ -137,7 +137,7 @@
         message.EVENT_STREAM_TYPE
     )
     if not is_stream:
-        await _receive_whole(exchange, outside, began_ms, received)
+        await _receive_whole(exchange, env, began_ms, received)
         return
     buffer = b""
     while True:
@@ -148,12 +148,12 @@
             return
         *events, buffer = (buffer + part).split(_EVENT_END)
         for event in events:
-            _take_event(event, received, outside.now_ms() - began_ms)
+            _take_event(event, received, env.now_ms() - began_ms)
 
 
 async def _receive_whole(
     exchange: client.Exchange,
-    outside: environment.Environment,
+    env: environment.Environment,
     began_ms: float,
     received: _Received,
 ) -> None:
@@ -167,7 +167,7 @@
         except orjson.JSONDecodeError:
             received.error = {"reason": "malformed", "ran": "unknown"}
         return
-    received.ttft_ms = outside.now_ms() - began_ms
+    received.ttft_ms = env.now_ms() - began_ms
     received.text = body.decode()
     received.is_whole = True
 
--- a/src/ruddergate/http/client.py
+++ b/src/ruddergate/http/client.py
@@ -175,27 +175,27 @@
 
 
 async def start(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     request: message.OutgoingRequest,
     connect_timeout_ms: float,
 ) -> Exchange | Fault:
     """Connects and sends the request; the answer is left to read."""
-    exchange = await connect(outside, address, connect_timeout_ms)
+    exchange = await connect(env, address, connect_timeout_ms)
     if isinstance(exchange, Fault):
         return exchange
     return exchange.try_send(address, request) or exchange
 
 
 async def connect(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     connect_timeout_ms: float,
 ) -> Exchange | Fault:
     """Returns an exchange in which nothing was sent yet."""
     try:
         async with asyncio.timeout(connect_timeout_ms / 1000.0):
-            reader, writer = await outside.connect(address)
+            reader, writer = await env.connect(address)
     except TimeoutError:
         return Fault(False, True, f"no connection to {address} in time")
     except OSError as error:
@@ -204,18 +204,18 @@
 
 
 async def fetch(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     request: message.OutgoingRequest,
     timeout_ms: float,
 ) -> WholeAnswer | Fault:
     """Sends the request and reads the whole answer within the timeout."""
     limits = TimeLimits(timeout_ms, timeout_ms, timeout_ms)
-    return await fetch_within(outside, address, request, limits)
+    return await fetch_within(env, address, request, limits)
 
 
 async def fetch_within(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     request: message.OutgoingRequest,
     limits: TimeLimits,
@@ -225,11 +225,11 @@
     An answer that keeps coming may take longer than the other side's silence
     is borne: a large one on a thin link does.
     """
-    began_ms = outside.now_ms()
-    exchange = await start(outside, address, request, limits.connect_ms)
+    began_ms = env.now_ms()
+    exchange = await start(env, address, request, limits.connect_ms)
     if isinstance(exchange, Fault):
         return exchange
-    left_ms = max(1.0, limits.whole_ms - (outside.now_ms() - began_ms))
+    left_ms = max(1.0, limits.whole_ms - (env.now_ms() - began_ms))
     silence_s = limits.silence_ms / 1000.0
     try:
         async with asyncio.timeout(left_ms / 1000.0):
--- a/src/ruddergate/platform/orders.py
+++ b/src/ruddergate/platform/orders.py
@@ -17,14 +17,14 @@
 
 
 def make_orders(
-    outside: environment.Environment,
+    env: environment.Environment,
     limits: client.TimeLimits,
     hear: statement_types.Hear,
 ) -> orders.Orders:
     """Returns the orders.
 
     Args:
-        outside: Clock and streams.
+        env: Clock and streams.
         limits: After these times an order is given up.
         hear: Takes what targets say of themselves in their answers.
     """
@@ -32,10 +32,8 @@
     async def ask(
         target: targets.Target, request: message.OutgoingRequest
     ) -> client.WholeAnswer | client.Fault:
-        sent_ms = outside.now_ms()
-        answer = await client.fetch_within(
-            outside, target.address, request, limits
-        )
+        sent_ms = env.now_ms()
+        answer = await client.fetch_within(env, target.address, request, limits)
         if isinstance(answer, client.WholeAnswer):
             said = statements.read_statement(
                 target,
--- a/src/ruddergate/platform/replicas.py
+++ b/src/ruddergate/platform/replicas.py
@@ -34,29 +34,29 @@
 
 
 def make_send(
-    outside: environment.Environment, hear: statement_types.Hear
+    env: environment.Environment, hear: statement_types.Hear
 ) -> errands.Send:
     """Returns the function that sends a call to a target.
 
     Args:
-        outside: Clock and streams.
+        env: Clock and streams.
         hear: Takes what targets say of themselves in their answers.
     """
 
     async def send(errand: errands.Errand) -> AsyncIterator[answers.Event]:
         exchange = await client.connect(
-            outside, errand.target.address, errand.patience.connect_ms
+            env, errand.target.address, errand.patience.connect_ms
         )
         if isinstance(exchange, client.Fault):
             yield _make_lost(exchange)
             return
         try:
-            unsent = _send_now(outside, errand, exchange)
+            unsent = _send_now(env, errand, exchange)
             if unsent is not None:
                 yield unsent
                 return
-            sent_ms = outside.now_ms()
-            async for event in _read(outside, errand, exchange, hear, sent_ms):
+            sent_ms = env.now_ms()
+            async for event in _read(env, errand, exchange, hear, sent_ms):
                 yield event
         finally:
             exchange.close()
@@ -65,7 +65,7 @@
 
 
 def _send_now(
-    outside: environment.Environment,
+    env: environment.Environment,
     errand: errands.Errand,
     exchange: client.Exchange,
 ) -> outcomes.NotServed | None:
@@ -73,7 +73,7 @@
     refusal = errand.refuse()
     if refusal is not None:
         return refusal
-    outgoing = _make_outgoing(errand, outside.now_ms())
+    outgoing = _make_outgoing(errand, env.now_ms())
     fault = exchange.try_send(errand.target.address, outgoing)
     return None if fault is None else _make_lost(fault)
 
@@ -111,16 +111,14 @@
 
 
 async def _read(
-    outside: environment.Environment,
+    env: environment.Environment,
     errand: errands.Errand,
     exchange: client.Exchange,
     hear: statement_types.Hear,
     sent_ms: float,
 ) -> AsyncIterator[answers.Event]:
-    until_ms = min(
-        errand.deadline_ms, outside.now_ms() + errand.patience.first_ms
-    )
-    fault = await _wait(exchange.read_head, outside, until_ms, errand)
+    until_ms = min(errand.deadline_ms, env.now_ms() + errand.patience.first_ms)
+    fault = await _wait(exchange.read_head, env, until_ms, errand)
     if fault is not None:
         yield _make_lost(fault) if isinstance(fault, client.Fault) else fault
         return
@@ -136,15 +134,15 @@
         yield wrong
         return
     if not errand.payload.route.is_stream or exchange.status != _OK:
-        yield await _read_whole(outside, errand, exchange)
+        yield await _read_whole(env, errand, exchange)
         return
-    async for event in _read_stream(outside, errand, exchange, until_ms):
+    async for event in _read_stream(env, errand, exchange, until_ms):
         yield event
 
 
 async def _wait(
     read: Callable[[], Awaitable[T]],
-    outside: environment.Environment,
+    env: environment.Environment,
     until_ms: float,
     errand: errands.Errand,
 ) -> T | outcomes.NotServed:
@@ -153,21 +151,21 @@
     A process that was stopped meanwhile wakes after that time with the answer
     perhaps already there, so it looks once more before it blames the target.
     """
-    found = await _read_until(read, outside, until_ms)
-    late_ms = outside.now_ms() - until_ms
+    found = await _read_until(read, env, until_ms)
+    late_ms = env.now_ms() - until_ms
     if isinstance(found, _Nothing) and late_ms > _STOPPED_MS:
-        again_ms = outside.now_ms() + _LOOK_AGAIN_MS
-        found = await _read_until(read, outside, again_ms)
-    is_early = outside.now_ms() < errand.deadline_ms
+        again_ms = env.now_ms() + _LOOK_AGAIN_MS
+        found = await _read_until(read, env, again_ms)
+    is_early = env.now_ms() < errand.deadline_ms
     if (
         isinstance(found, _Nothing)
         and is_early
         and not await errand.patience.may_end()
     ):
-        found = await _read_until(read, outside, errand.deadline_ms)
+        found = await _read_until(read, env, errand.deadline_ms)
     if not isinstance(found, _Nothing):
         return found
-    if outside.now_ms() >= errand.deadline_ms:
+    if env.now_ms() >= errand.deadline_ms:
         return _make_time_limit()
     return outcomes.NotServed(
         outcomes.Reason.TARGET_LOST,
@@ -191,10 +189,10 @@
 
 async def _read_until(
     read: Callable[[], Awaitable[T]],
-    outside: environment.Environment,
+    env: environment.Environment,
     until_ms: float,
 ) -> T | _Nothing:
-    left_ms = max(0.0, until_ms - outside.now_ms())
+    left_ms = max(0.0, until_ms - env.now_ms())
     try:
         async with asyncio.timeout(left_ms / 1000.0):
             return await read()
@@ -296,13 +294,13 @@
 
 
 async def _read_whole(
-    outside: environment.Environment,
+    env: environment.Environment,
     errand: errands.Errand,
     exchange: client.Exchange,
 ) -> answers.Event:
     # What was read of a body is gone when reading is given up, so this looks
     # only once.
-    body = await _read_until(exchange.read_all, outside, errand.deadline_ms)
+    body = await _read_until(exchange.read_all, env, errand.deadline_ms)
     if isinstance(body, _Nothing):
         return _make_time_limit()
     if isinstance(body, client.Fault):
@@ -314,7 +312,7 @@
 
 
 async def _read_stream(
-    outside: environment.Environment,
+    env: environment.Environment,
     errand: errands.Errand,
     exchange: client.Exchange,
     until_ms: float,
@@ -322,7 +320,7 @@
     splitter = event_splitter.EventSplitter()
     is_begun = False
     while True:
-        part = await _wait(exchange.read_part, outside, until_ms, errand)
+        part = await _wait(exchange.read_part, env, until_ms, errand)
         if isinstance(part, client.Fault):
             yield _make_lost(part)
             return
@@ -341,7 +339,7 @@
             return
         yield events
         until_ms = min(
-            errand.deadline_ms, outside.now_ms() + errand.patience.gap_ms
+            errand.deadline_ms, env.now_ms() + errand.patience.gap_ms
         )
 
 
--- a/standins/balancer.py
+++ b/standins/balancer.py
@@ -14,10 +14,10 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         addresses: dict[str, environment.Address],
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._addresses = addresses
         self._ready: dict[str, bool] = dict.fromkeys(addresses, False)
         self._turn = 0
@@ -43,7 +43,7 @@
         request = client.make_json_request("GET", "/readyz")
         while True:
             answer = await client.fetch(
-                self._outside,
+                self._env,
                 self._addresses[name],
                 request,
                 _CHECK_TIMEOUT_MS,
--- a/standins/bench.py
+++ b/standins/bench.py
@@ -55,25 +55,25 @@
     )
 
 
-async def _time(outside, address, request) -> float:  # noqa: ANN001
-    began_ms = outside.now_ms()
-    answer = await client.fetch(outside, address, request, _TIMEOUT_MS)
+async def _time(env, address, request) -> float:  # noqa: ANN001
+    began_ms = env.now_ms()
+    answer = await client.fetch(env, address, request, _TIMEOUT_MS)
     if isinstance(answer, client.Fault) or answer.status != 200:
         raise RuntimeError(f"no answer: {answer}")
-    return outside.now_ms() - began_ms
+    return env.now_ms() - began_ms
 
 
 async def _measure_latency(
     run: processes.Processes, pairs: int
 ) -> dict[str, float]:
-    outside = environment.make_system_environment()
+    env = environment.make_system_environment()
     engine = environment.Address("127.0.0.1", run.ports["engine-1"])
     entry = environment.Address("127.0.0.1", run.entries["vm-1"])
     direct, through = [], []
     for number in range(pairs):
-        direct.append(await _time(outside, engine, _direct(number)))
+        direct.append(await _time(env, engine, _direct(number)))
         request = _through(number, 1, stream=True)
-        through.append(await _time(outside, entry, request))
+        through.append(await _time(env, entry, request))
     figures = {}
     for percent in (50, 99):
         own = summary.percentile(direct, percent)
@@ -86,7 +86,7 @@
 async def _measure_requests(
     run: processes.Processes, workers: int, seconds: float
 ) -> dict[str, float]:
-    outside = environment.make_system_environment()
+    env = environment.make_system_environment()
     entry = environment.Address("127.0.0.1", run.entries["vm-1"])
     done = 0
     until = time.monotonic() + seconds
@@ -95,7 +95,7 @@
         nonlocal done
         while time.monotonic() < until:
             request = _through(worker * 1_000_000 + done, 1, stream=False)
-            await _time(outside, entry, request)
+            await _time(env, entry, request)
             done += 1
 
     began, cpu = time.monotonic(), run.cpu_s("entry vm-1")
@@ -112,12 +112,12 @@
 async def _measure_tokens(
     run: processes.Processes, streams: int, tokens: int
 ) -> dict[str, float]:
-    outside = environment.make_system_environment()
+    env = environment.make_system_environment()
     entry = environment.Address("127.0.0.1", run.entries["vm-1"])
     began, cpu = time.monotonic(), run.cpu_s("entry vm-1")
     await asyncio.gather(
         *(
-            _time(outside, entry, _through(number, tokens, stream=True))
+            _time(env, entry, _through(number, tokens, stream=True))
             for number in range(streams)
         )
     )
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -118,7 +118,7 @@
             tuple[str, engines.Engine | services.Service]
         ] = []
         self._platform = processes.VirtualProcess("config", "config")
-        outside = self.network.make_environment(self._platform, 0)
+        env = self.network.make_environment(self._platform, 0)
         for index in range(layout.vms):
             name = f"vm-{index + 1}"
             self.vms[name] = Node(name, self._hall(index))
@@ -130,12 +130,12 @@
                 name = f"{kind}-{index + 1}"
                 self.targets[name] = Node(name, self._hall(index))
         self.vm_list = vm_lists.VmList(
-            outside,
+            env,
             [self._vm_row(node) for node in self.vms.values()],
             [self._target_row(node) for node in self.targets.values()],
             layout.list_lag_ms,
         )
-        self._start_platform(outside)
+        self._start_platform(env)
 
     def _hall(self, index: int) -> str:
         return f"hall-{index % self.layout.halls + 1}"
@@ -163,15 +163,13 @@
             "state": "live",
         }
 
-    def _start_platform(self, outside: environment.Environment) -> None:
+    def _start_platform(self, env: environment.Environment) -> None:
         address = environment.Address("config", _PLATFORM_PORT)
         self._platform.start(
-            lambda: configurations.serve(outside, address, self.configuration)
+            lambda: configurations.serve(env, address, self.configuration)
         )
         address = environment.Address("config", _PLATFORM_PORT + 1)
-        self._platform.start(
-            lambda: vm_lists.serve(outside, address, self.vm_list)
-        )
+        self._platform.start(lambda: vm_lists.serve(env, address, self.vm_list))
 
     def start(self) -> None:
         """Starts all targets and VMs."""
@@ -182,27 +180,25 @@
         """Starts a fresh incarnation of a node."""
         node.incarnation += 1
         node.process = processes.VirtualProcess(node.name, node.hall)
-        outside = self.network.make_environment(node.process, node.incarnation)
+        env = self.network.make_environment(node.process, node.incarnation)
         if node.name in self.vms:
-            self._start_vm(node, outside)
+            self._start_vm(node, env)
         else:
-            self._start_target(node, outside)
+            self._start_target(node, env)
 
-    def _start_target(
-        self, node: Node, outside: environment.Environment
-    ) -> None:
+    def _start_target(self, node: Node, env: environment.Environment) -> None:
         address = environment.Address(node.name, _TARGET_PORT)
         if node.name.startswith("engine"):
-            node.target = engines.Engine(outside, self.layout.engine)
+            node.target = engines.Engine(env, self.layout.engine)
             serve = engines.serve
         else:
-            node.target = services.Service(outside)
+            node.target = services.Service(env)
             serve = services.serve
         self.all_targets.append((node.name, node.target))
         target = node.target
-        node.process.start(lambda: serve(outside, address, target))
+        node.process.start(lambda: serve(env, address, target))
 
-    def _start_vm(self, node: Node, outside: environment.Environment) -> None:
+    def _start_vm(self, node: Node, env: environment.Environment) -> None:
         feed = environment.Address(node.name, _FEED_PORT)
         agent_config = agent_configs.AgentConfig(
             vm_id=node.name,
@@ -214,7 +210,7 @@
             peer_key=PEER_KEY,
         )
         node.stop = asyncio.Event()
-        node.agent = agent_programs.Agent(outside, agent_config)
+        node.agent = agent_programs.Agent(env, agent_config)
         agent, stop = node.agent, node.stop
         if not self.layout.with_entries:
             node.process.start(lambda: agent.run(stop))
@@ -230,7 +226,7 @@
             stop_lag_ms=self.layout.stop_lag_ms,
         )
         tracer = traces.Tracer(None)
-        node.entry = entry_programs.Entry(outside, entry_config, tracer)
+        node.entry = entry_programs.Entry(env, entry_config, tracer)
         entry = node.entry
         # The agent goes on until the entry has ended its planned stop.
         node.process.start(lambda: agent.run(asyncio.Event()))
--- a/standins/configuration.py
+++ b/standins/configuration.py
@@ -98,14 +98,14 @@
 
 
 async def serve(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     configuration: Configuration,
 ) -> None:
     """Serves the configuration until cancelled."""
     limits = server.Limits()
     handler = server.make_stream_handler(configuration.handle, limits)
-    await outside.serve(handler, address)
+    await env.serve(handler, address)
     await asyncio.Event().wait()
 
 
@@ -118,9 +118,9 @@
     """
     configuration = Configuration()
     configuration.publish({"main": tree.read_bytes()})
-    outside = environment.make_system_environment()
+    env = environment.make_system_environment()
     _private.run_until_signal(
-        serve(outside, environment.parse_address(listen), configuration)
+        serve(env, environment.parse_address(listen), configuration)
     )
 
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -38,17 +38,17 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         settings: states.EngineSettings,
         weight_store: environment.Address | None = None,
     ) -> None:
         self.executions: dict[str, int] = {}
         self.revisions: list[int] = []
         self.draining = False
-        self._outside = outside
+        self._env = env
         self._settings = settings
         self._weight_store = weight_store
-        self._generation = environment.make_token(outside.random)
+        self._generation = environment.make_token(env.random)
         self._chance = random.Random(self._generation)
         self._batch = batches.Batch(settings)
         self._items = self._batch.items
@@ -60,7 +60,7 @@
         self._work = asyncio.Event()
         self._loaded = {"model": "", "version": "", "adapters": [], "role": ""}
         self._loading: asyncio.Task | None = None
-        self._report = (outside.now_ms(), 0, 0, 0)
+        self._report = (env.now_ms(), 0, 0, 0)
 
     def held_tokens(self) -> int:
         """Returns the memory in use."""
@@ -78,7 +78,7 @@
                 self._publish(self._batch.finish_step())
 
     def _publish(self, changes: list[tuple[str, int]]) -> None:
-        visible_ms = self._outside.now_ms() + self._settings.event_lag_ms
+        visible_ms = self._env.now_ms() + self._settings.event_lag_ms
         for prefix, tokens in changes:
             number = self._event_number
             self._event_number += 1
@@ -87,7 +87,7 @@
         del self._events[:-_EVENTS_MAX]
 
     def _take_report(self) -> tuple[float, int, int, int]:
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         if now_ms - self._report[0] >= self._settings.report_ms:
             streams = [x for x in self._items.values() if x.is_stream]
             waiting = sum(x.to_prefill for x in self._items.values())
@@ -169,7 +169,7 @@
             item_id=item_id,
             owner=document["owner"],
             lapse_ms=document["lapse_ms"],
-            began_ms=self._outside.now_ms(),
+            began_ms=self._env.now_ms(),
             held_tokens=held_tokens,
             priority=0,
             number=self._number,
@@ -180,14 +180,14 @@
             address = environment.parse_address(part["engine"])
             path = f"/v1/kv/{part['reservation']}"
             request = client.make_json_request("GET", path)
-            answer = await client.fetch(self._outside, address, request, 2_000)
+            answer = await client.fetch(self._env, address, request, 2_000)
             if isinstance(answer, client.Fault) or answer.status != 200:
                 return False
         return True
 
     def _respond(self, item: states.Item, after: int) -> message.Response:
         taken_ms, running, waiting, held = self._take_report()
-        age_ms = self._outside.now_ms() - taken_ms
+        age_ms = self._env.now_ms() - taken_ms
         fields = (running, waiting, held, int(self.draining), int(age_ms))
         load = ";".join([self._generation, *(str(each) for each in fields)])
         headers = {
@@ -289,9 +289,7 @@
         if self._weight_store is not None:
             path = f"/v1/weights/{document['model']}/{document['version']}"
             request = client.make_json_request("GET", path)
-            await client.fetch(
-                self._outside, self._weight_store, request, 10_000.0
-            )
+            await client.fetch(self._env, self._weight_store, request, 10_000.0)
         await asyncio.sleep(self._settings.load_ms / 1000.0)
         self._loaded = {
             name: document[name]
@@ -300,7 +298,7 @@
         self._loading = None
 
     def _handle_load(self, query: dict) -> message.Response:
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         taken_ms, running, waiting, held = self._take_report()
         after = int(query.get("after", -1))
         events = [
@@ -348,14 +346,14 @@
 
 
 async def serve(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     engine: Engine,
 ) -> None:
     """Serves an engine until cancelled."""
     limits = server.Limits(body_bytes_max=64_000_000)
     handler = server.make_stream_handler(engine.handle, limits)
-    await outside.serve(handler, address)
+    await env.serve(handler, address)
     await engine.run()
 
 
@@ -377,10 +375,10 @@
     settings = states.EngineSettings(
         flush_ms=flush_ms, memory_tokens=memory_tokens, step_ms=step_ms
     )
-    outside = environment.make_system_environment()
-    engine = Engine(outside, settings)
+    env = environment.make_system_environment()
+    engine = Engine(env, settings)
     _private.run_until_signal(
-        serve(outside, environment.parse_address(listen), engine)
+        serve(env, environment.parse_address(listen), engine)
     )
 
 
--- a/standins/gateway_caller.py
+++ b/standins/gateway_caller.py
@@ -69,7 +69,7 @@
 
     def __init__(self, cluster: gateway_cluster.GatewayCluster) -> None:
         self._process = virtual_process.VirtualProcess("caller", "")
-        self._outside = cluster.network.make_environment(self._process, 1)
+        self._env = cluster.network.make_environment(self._process, 1)
 
     async def send(self, call: Call) -> Got:
         """Sends a call and reads its answer to the end."""
@@ -82,12 +82,12 @@
     async def _ask_ready(self, vm: str) -> int:
         address = environment.Address(vm, gateway_cluster.READY_PORT)
         request = client.make_json_request("GET", "/api/ready")
-        answer = await client.fetch(self._outside, address, request, 1_000.0)
+        answer = await client.fetch(self._env, address, request, 1_000.0)
         return 0 if isinstance(answer, client.Fault) else answer.status
 
     async def _send(self, call: Call) -> Got:
         sent_s = asyncio.get_running_loop().time()
-        began_ms = self._outside.now_ms()
+        began_ms = self._env.now_ms()
         limit_ms = call.leaves_after_ms or call.time_limit_ms + 1_000.0
         parts: list[bytes] = []
         found = [0, {}, False, None]
@@ -97,7 +97,7 @@
         except TimeoutError:
             pass
         status, headers, is_whole, first_ms = found
-        took_ms = self._outside.now_ms() - began_ms
+        took_ms = self._env.now_ms() - began_ms
         return Got(
             call,
             status,
@@ -114,7 +114,7 @@
     ) -> None:
         address = environment.Address(call.vm, gateway_cluster.FRONT_PORT)
         exchange = await client.start(
-            self._outside, address, make_request(call), 1_000.0
+            self._env, address, make_request(call), 1_000.0
         )
         if isinstance(exchange, client.Fault):
             return
@@ -131,7 +131,7 @@
                     found[2] = True
                     return
                 if found[3] is None:
-                    found[3] = self._outside.now_ms() - began_ms
+                    found[3] = self._env.now_ms() - began_ms
                 parts.append(part)
         except (OSError, h11.ProtocolError):
             return
--- a/standins/gateway_cluster.py
+++ b/standins/gateway_cluster.py
@@ -162,9 +162,9 @@
     async def start(self) -> None:
         """Starts everything and waits until gateways are ready."""
         process = virtual_process.VirtualProcess(STORE_NAME, STORE_NAME)
-        outside = self.network.make_environment(process, 1)
+        env = self.network.make_environment(process, 1)
         handler = self.store.make_handler()
-        process.start(lambda: outside.serve(handler, _STORE))
+        process.start(lambda: env.serve(handler, _STORE))
         self.publish()
         for number in range(self.layout.engines):
             self._add_target(f"engine-{number}", number)
@@ -194,7 +194,7 @@
         starts = self.vm_starts.setdefault(node.name, [])
         starts.append(asyncio.get_running_loop().time())
         node.process = _make_process(node.name, node.hall)
-        outside = self.network.make_environment(node.process, node.starts)
+        env = self.network.make_environment(node.process, node.starts)
         config = configs.EntryConfig(
             vm_id=node.name,
             hall=node.hall,
@@ -205,10 +205,10 @@
             limits=server.Limits(connections_max=self.layout.connections_max),
         )
         gateway = gateways.Gateway(
-            outside,
+            env,
             config,
             self._make_config(node),
-            _make_platform(outside),
+            _make_platform(env),
             traces.Tracer(None),
         )
         node.gateway = gateway
@@ -254,15 +254,15 @@
         """Starts a replica as a new incarnation."""
         node.starts += 1
         node.process = _make_process(node.name, node.hall)
-        outside = self.network.make_environment(node.process, node.starts)
+        env = self.network.make_environment(node.process, node.starts)
         is_engine = node.name.startswith("engine")
         figures = self.layout.figures if is_engine else None
         keeps_name = self.layout.keeps_names
         start = 1 if keeps_name else node.starts
         replica = platform_replica.PlatformReplica(
-            f"{node.name}.{start}", outside, figures, self._engines
+            f"{node.name}.{start}", env, figures, self._engines
         )
-        replica.born_ms = int(outside.wall_ms()) if keeps_name else 0
+        replica.born_ms = int(env.wall_ms()) if keeps_name else 0
         replica.fatal = self.fatal
         replica.crash = lambda: self.crash_target(node)
         node.replica = replica
@@ -271,9 +271,7 @@
         self.all_replicas.append(replica)
         address = environment.Address(node.name, _REPLICA_PORT)
         self._engines[str(address)] = replica
-        node.process.start(
-            lambda: outside.serve(replica.make_handler(), address)
-        )
+        node.process.start(lambda: env.serve(replica.make_handler(), address))
         if replica.engine is not None:
             node.process.start(replica.engine.run)
         node.process.start(lambda: self._keep_listed(node, replica))
@@ -308,14 +306,14 @@
         """Has a replica that is not listed take over a replica's address."""
         node.starts += 1
         node.process = _make_process(node.name, node.hall)
-        outside = self.network.make_environment(node.process, node.starts)
+        env = self.network.make_environment(node.process, node.starts)
         stranger = platform_replica.PlatformReplica(
-            f"stranger-{node.name}", outside, None, self._engines
+            f"stranger-{node.name}", env, None, self._engines
         )
         self.all_replicas.append(stranger)
         address = environment.Address(node.name, _REPLICA_PORT)
         handler = stranger.make_handler()
-        await node.process.start(lambda: outside.serve(handler, address))
+        await node.process.start(lambda: env.serve(handler, address))
 
     async def _keep_listed(
         self, node: Node, replica: platform_replica.PlatformReplica
@@ -365,14 +363,12 @@
     return virtual_process.VirtualProcess(name, hall)
 
 
-def _make_platform(outside: environment.Environment) -> gateways.Platform:
+def _make_platform(env: environment.Environment) -> gateways.Platform:
     return gateways.Platform(
         door=callers.make_door(),
-        make_send=lambda hear: replicas.make_send(outside, hear),
-        make_orders=lambda hear: orders.make_orders(
-            outside, _ORDER_LIMITS, hear
-        ),
-        source=stores.make_source(outside, _STORE, _STORE_LIMITS),
+        make_send=lambda hear: replicas.make_send(env, hear),
+        make_orders=lambda hear: orders.make_orders(env, _ORDER_LIMITS, hear),
+        source=stores.make_source(env, _STORE, _STORE_LIMITS),
     )
 
 
--- a/standins/peer_fleet.py
+++ b/standins/peer_fleet.py
@@ -88,7 +88,7 @@
         known = self.members.get(name)
         starts = known.starts + 1 if known else 1
         process = virtual_process.VirtualProcess(name, hall)
-        outside = self.network.make_environment(process, starts)
+        env = self.network.make_environment(process, starts)
 
         def summarize() -> tuple[dispatched.Dispatched, ...]:
             return _make_rows(name, self.members[name].own)
@@ -99,7 +99,7 @@
                 self.members[name].heard_s.setdefault(word, now_s)
 
         exchange = peer_exchange.PeerExchange(
-            self._count_sent(outside, name),
+            self._count_sent(env, name),
             peer_exchange.PeerConfig(
                 environment.Address(name, _PORT), self._seeds
             ),
@@ -110,7 +110,7 @@
             take_leaving=take_leaving,
         )
         self.members[name] = Member(
-            process, exchange, outside.now_ms, starts=starts
+            process, exchange, env.now_ms, starts=starts
         )
         process.start(exchange.run)
 
@@ -153,12 +153,12 @@
         return {name.partition(":")[0] for name in found}
 
     def _count_sent(
-        self, outside: environment.Environment, name: str
+        self, env: environment.Environment, name: str
     ) -> environment.Environment:
         async def bind(
             take: environment.TakeDatagram, address: environment.Address
         ) -> environment.DatagramPort:
-            port = await outside.bind(take, address)
+            port = await env.bind(take, address)
 
             def send(data: bytes, to: environment.Address) -> None:
                 self.members[name].sent += 1
@@ -167,7 +167,7 @@
 
             return environment.DatagramPort(send, port.close)
 
-        return dataclasses.replace(outside, bind=bind)
+        return dataclasses.replace(env, bind=bind)
 
 
 def _make_rows(name: str, own: int) -> tuple[dispatched.Dispatched, ...]:
--- a/standins/peer_liar.py
+++ b/standins/peer_liar.py
@@ -23,8 +23,8 @@
         words: Lives of targets, as VMs tell them.
     """
     process = virtual_process.VirtualProcess(_ADDRESS.host, _HALL)
-    outside = cluster.network.make_environment(process, number)
-    port = await outside.bind(lambda data: None, _ADDRESS)
+    env = cluster.network.make_environment(process, number)
+    port = await env.bind(lambda data: None, _ADDRESS)
     digest = load_digest.LoadDigest(
         str(_ADDRESS), _HALL, 0, "run", number, (), leaving=words
     )
--- a/standins/platform_replica.py
+++ b/standins/platform_replica.py
@@ -129,7 +129,7 @@
     def __init__(
         self,
         name: str,
-        outside,  # noqa: ANN001
+        env,  # noqa: ANN001
         figures: pass_engine.Figures | None,
         peers: dict,
     ) -> None:
@@ -150,7 +150,7 @@
         self.orders_s: list[float] = []
         self.probes_s: list[float] = []
         self.rate_limit = ""
-        self._outside = outside
+        self._env = env
         self._peers = peers
         self._count = 0
         self._working = 0
@@ -228,7 +228,7 @@
         return None
 
     def _take_order(self, order: dict) -> message.Response:
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         held = {k: v for k, v in self.tickets.items() if v[1] > now_ms}
         self.tickets = held
         if order["op"] == "release":
@@ -250,7 +250,7 @@
 
     def held_tokens(self) -> int:
         """Returns the memory that is set aside now."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         return sum(
             each[0] for each in self.tickets.values() if each[1] > now_ms
         )
@@ -263,7 +263,7 @@
             self.name,
             found.get("x-tenant-id", ""),
             after,
-            self._outside.now_ms(),
+            self._env.now_ms(),
             incoming.body,
             asyncio.get_running_loop().time(),
         )
@@ -324,7 +324,7 @@
         events = count_events(output)
         breaks_at = -1
         if self._draw(self.wrong.break_off):
-            breaks_at = self._outside.random.randrange(1, events + 1)
+            breaks_at = self._env.random.randrange(1, events + 1)
         async with self.engine.place():
             writer = self.engine.start_writing(prompt)
             with contextlib.ExitStack() as stack:
@@ -343,7 +343,7 @@
                     yield event
 
     def _draw(self, chance: float) -> bool:
-        return chance > 0.0 and self._outside.random.random() < chance
+        return chance > 0.0 and self._env.random.random() < chance
 
 
 def _read_seconds(text: str) -> float:
--- a/standins/rate_limit_fleet.py
+++ b/standins/rate_limit_fleet.py
@@ -74,14 +74,14 @@
         process: Its process.
         exchange: Tells peers.
         limiter: What is tried out.
-        outside: Its clock and chance.
+        env: Its clock and chance.
         passed_on_s: When it first passed on an answer with a limit, by target.
     """
 
     process: virtual_process.VirtualProcess
     exchange: peer_exchange.PeerExchange
     limiter: rate_limiter.RateLimiter
-    outside: environment.Environment
+    env: environment.Environment
     passed_on_s: dict[str, float]
 
 
@@ -143,10 +143,10 @@
         )
         self._starts[name] += 1
         process = virtual_process.VirtualProcess(name, hall)
-        outside = self.network.make_environment(process, self._starts[name])
+        env = self.network.make_environment(process, self._starts[name])
         listen = environment.Address(name, _PORT)
         limiter = rate_limiter.RateLimiter(
-            outside,
+            env,
             str(listen),
             lambda now_ms: self.vms[name].exchange.loads.list_members(now_ms),
             self._find_target,
@@ -155,7 +155,7 @@
             metrics.EntryMetrics(),
         )
         exchange = peer_exchange.PeerExchange(
-            outside,
+            env,
             peer_exchange.PeerConfig(listen, self._seeds),
             hall,
             f"{name}.{self._starts[name]}",
@@ -163,7 +163,7 @@
             summarize_rate_limits=limiter.summarize,
             merge_rate_limits=limiter.merge,
         )
-        self.vms[name] = _Vm(process, exchange, limiter, outside, {})
+        self.vms[name] = _Vm(process, exchange, limiter, env, {})
         process.start(exchange.run)
         process.start(lambda: limiter.run(self._make_probe(name)))
 
@@ -208,7 +208,7 @@
         return broken
 
     async def _call(self, vm: _Vm, name: str) -> None:
-        now_ms = vm.outside.now_ms()
+        now_ms = vm.env.now_ms()
         able = [
             each
             for each in self.found.values()
@@ -218,13 +218,13 @@
         if not able:
             self.counts["refused"] += 1
             return
-        each = vm.outside.random.choice(near or able)
+        each = vm.env.random.choice(near or able)
         if vm.limiter.admit(each.target, "") is not None:
             self.counts["withheld"] += 1
             return
         self.counts["sent"] += 1
-        sent_ms = vm.outside.now_ms()
-        chance = vm.outside.random
+        sent_ms = vm.env.now_ms()
+        chance = vm.env.random
         await asyncio.sleep(chance.uniform(*_WAY_MS) / 1_000.0)
         loop = asyncio.get_running_loop()
         each.calls.append((loop.time(), name))
@@ -248,7 +248,7 @@
         async def probe(target: targets.Target) -> orders.Told:
             vm = self.vms[name]
             each = self.found[target.target_id]
-            sent_ms = vm.outside.now_ms()
+            sent_ms = vm.env.now_ms()
             loop = asyncio.get_running_loop()
             each.probes_s.append(loop.time())
             rate_per_s = rate_limit_check.find_rate(each.limits, loop.time())
--- a/standins/replay.py
+++ b/standins/replay.py
@@ -74,16 +74,16 @@
         cluster.configuration.publish(clusters.encode_tree(self._tree))
         cluster.start()
         process = processes.VirtualProcess("caller", "")
-        outside = cluster.network.make_environment(process, 0)
+        env = cluster.network.make_environment(process, 0)
         addresses = {
             name: environment.Address(name, clusters.ENTRY_PORT)
             for name in cluster.vms
         }
-        balancer = balancers.Balancer(outside, addresses)
+        balancer = balancers.Balancer(env, addresses)
         process.start(balancer.run)
         await process.start(balancer.wait_ready)
         await asyncio.sleep(_SETTLE_MS / 1000.0)
-        found = await self._play(cluster, process, balancer, outside)
+        found = await self._play(cluster, process, balancer, env)
         fault_types.Faults(cluster).heal_all()
         await self._drain(cluster)
         executions = cluster.executions()
@@ -98,18 +98,18 @@
         cluster: clusters.Cluster,
         process: processes.VirtualProcess,
         balancer: balancers.Balancer,
-        outside: environment.Environment,
+        env: environment.Environment,
     ) -> list[outcomes.TracedOutcome]:
         faults = fault_types.Faults(cluster)
-        began_ms = outside.now_ms()
+        began_ms = env.now_ms()
         sending = []
         for line in self._lines:
-            wait_ms = began_ms + line.at_ms - outside.now_ms()
+            wait_ms = began_ms + line.at_ms - env.now_ms()
             await asyncio.sleep(max(0.0, wait_ms) / 1000.0)
             if isinstance(line, trace.TracedFault):
                 faults.apply(line)
                 continue
-            send = self._make_send(line, balancer, outside)
+            send = self._make_send(line, balancer, env)
             sending.append(process.start(send))
         return list(await asyncio.gather(*sending))
 
@@ -117,16 +117,16 @@
         self,
         request: trace.TracedRequest,
         balancer: balancers.Balancer,
-        outside: environment.Environment,
+        env: environment.Environment,
     ) -> Callable[[], Awaitable[outcomes.TracedOutcome]]:
         async def send() -> outcomes.TracedOutcome:
-            outgoing = self._make_outgoing(request, outside.now_ms())
+            outgoing = self._make_outgoing(request, env.now_ms())
             picked = balancer.pick()
             if request.vm:
                 picked = [environment.Address(request.vm, clusters.ENTRY_PORT)]
             for address in picked:
                 found = await caller.send(
-                    outside,
+                    env,
                     address,
                     request,
                     outgoing,
--- a/standins/service.py
+++ b/standins/service.py
@@ -20,13 +20,13 @@
     """
 
     def __init__(
-        self, outside: environment.Environment, work_ms: float = 15.0
+        self, env: environment.Environment, work_ms: float = 15.0
     ) -> None:
         self.executions: dict[str, int] = {}
         self.draining = False
         self._work_ms = work_ms
         self._running = 0
-        self._generation = environment.make_token(outside.random)
+        self._generation = environment.make_token(env.random)
 
     async def handle(
         self, incoming: message.IncomingRequest
@@ -59,13 +59,13 @@
 
 
 async def serve(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     service: Service,
 ) -> None:
     """Serves a service until cancelled."""
     handler = server.make_stream_handler(service.handle, server.Limits())
-    await outside.serve(handler, address)
+    await env.serve(handler, address)
     await asyncio.Event().wait()
 
 
@@ -76,10 +76,10 @@
         listen: Where to serve (HOST:PORT).
         work_ms: Time that a call takes.
     """
-    outside = environment.make_system_environment()
-    service = Service(outside, work_ms)
+    env = environment.make_system_environment()
+    service = Service(env, work_ms)
     _private.run_until_signal(
-        serve(outside, environment.parse_address(listen), service)
+        serve(env, environment.parse_address(listen), service)
     )
 
 
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -93,7 +93,7 @@
         self._keys = [gateway_cluster.KEY] * 3
         if sizes.fleet:
             self._keys.append(soak_store.REMOVED_KEY)
-        self._outside = environment.make_system_environment()
+        self._env = environment.make_system_environment()
         self._published = soak_store.SoakStore(self._chance)
         self._store = self._published.store
         # Each gateway's own way to the store, in a fleet.
@@ -211,7 +211,7 @@
     ) -> None:
         figures = pass_engine.Figures() if is_engine else None
         replica = platform_replica.PlatformReplica(
-            f"replica-{number}", self._outside, figures, engines
+            f"replica-{number}", self._env, figures, engines
         )
         self._replicas.append(replica)
         port = await self._serve(replica.make_handler())
--- a/standins/suspect_spread.py
+++ b/standins/suspect_spread.py
@@ -56,7 +56,7 @@
 
     def _add(self, name: str) -> None:
         process = virtual_process.VirtualProcess(name, "h")
-        outside = self._network.make_environment(process, 1)
+        env = self._network.make_environment(process, 1)
         where = environment.Address(name, _PORT)
 
         def list_peers() -> list[str]:
@@ -66,13 +66,13 @@
             size = len(codec.encode(told))
             for receiver in receivers:
                 self.vms[name].sent_bytes += size
-                if outside.random.random() >= _LOSS:
+                if env.random.random() >= _LOSS:
                     asyncio.get_running_loop().call_later(
                         0.001, self._deliver, receiver, told
                     )
 
         exchange = suspect_exchange.SuspectExchange(
-            outside, where, list_peers, send
+            env, where, list_peers, send
         )
         self.vms[name] = _Vm(exchange)
         process.start(exchange.run)
--- a/standins/vm_list.py
+++ b/standins/vm_list.py
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         vms: list[dict],
         targets: list[dict],
         lag_ms: float = 0.0,
@@ -31,7 +31,7 @@
         self.calls = 0
         self.lag_ms = lag_ms
         self.is_stale = False
-        self._outside = outside
+        self._env = env
         self._vms = {row["id"]: row for row in vms}
         self._targets = {row["id"]: row for row in targets}
         self._version = 1
@@ -57,7 +57,7 @@
         else:
             rows.pop(name, None)
         self._version += 1
-        visible_ms = self._outside.now_ms() + self.lag_ms
+        visible_ms = self._env.now_ms() + self.lag_ms
         self._states.append((visible_ms, self._encode()))
 
     def _encode(self) -> bytes:
@@ -69,7 +69,7 @@
         return orjson.dumps(document)
 
     def _current(self) -> bytes:
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         while len(self._states) > 1 and self._states[1][0] <= now_ms:
             del self._states[0]
         return self._states[0][1]
@@ -90,13 +90,13 @@
 
 
 async def serve(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     vm_list: VmList,
 ) -> None:
     """Serves the list until cancelled."""
     handler = server.make_stream_handler(vm_list.handle, server.Limits())
-    await outside.serve(handler, address)
+    await env.serve(handler, address)
     await asyncio.Event().wait()
 
 
@@ -108,11 +108,11 @@
         listing: File with `vms` and `targets`.
         lag_ms: How long a change takes to show.
     """
-    outside = environment.make_system_environment()
+    env = environment.make_system_environment()
     rows = orjson.loads(listing.read_bytes())
-    vm_list = VmList(outside, rows["vms"], rows["targets"], lag_ms)
+    vm_list = VmList(env, rows["vms"], rows["targets"], lag_ms)
     _private.run_until_signal(
-        serve(outside, environment.parse_address(listen), vm_list)
+        serve(env, environment.parse_address(listen), vm_list)
     )
 
 
--- a/tests/test_accepted_connections.py
+++ b/tests/test_accepted_connections.py
@@ -37,8 +37,8 @@
             )
             port = _private.find_free_port()
             address = environment.Address("127.0.0.1", port)
-            outside = environment.make_system_environment()
-            server = await outside.serve(handle, address)
+            env = environment.make_system_environment()
+            server = await env.serve(handle, address)
             with socket.create_connection((address.host, address.port)):
                 await _cancel_next_task()
                 await asyncio.sleep(0.01)
@@ -61,8 +61,8 @@
             )
             port = _private.find_free_port()
             address = environment.Address("127.0.0.1", port)
-            outside = environment.make_system_environment()
-            server = await outside.serve(handle, address)
+            env = environment.make_system_environment()
+            server = await env.serve(handle, address)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             # Its connection is closed, too.
             self.assertEqual(await reader.read(), b"")
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -39,8 +39,8 @@
     async def run() -> object:
         network = virtual_network.VirtualNetwork(1, virtual_network.Latency())
         listener = virtual_process.VirtualProcess("vm-1", "h")
-        outside = network.make_environment(listener, 1)
-        await listener.start(lambda: outside.serve(handler, _ADDRESS))
+        env = network.make_environment(listener, 1)
+        await listener.start(lambda: env.serve(handler, _ADDRESS))
         process = virtual_process.VirtualProcess("caller", "")
         near = network.make_environment(process, 1)
         return await process.start(lambda: talk(near))
@@ -52,8 +52,8 @@
     return message.make_json_response(200, {"path": incoming.path})
 
 
-async def _send(outside: environment.Environment, *pieces: bytes) -> bytes:
-    reader, writer = await outside.connect(_ADDRESS)
+async def _send(env: environment.Environment, *pieces: bytes) -> bytes:
+    reader, writer = await env.connect(_ADDRESS)
     for piece in pieces:
         writer.write(piece)
         await asyncio.sleep(0.2)
@@ -66,8 +66,8 @@
 
 class HttpTest(unittest.TestCase):
     def answer(self, *pieces: bytes) -> bytes:
-        async def talk(outside: environment.Environment) -> bytes:
-            return await _send(outside, *pieces)
+        async def talk(env: environment.Environment) -> bytes:
+            return await _send(env, *pieces)
 
         handler = server.make_stream_handler(_hello, _LIMITS)
         return _talk(talk, handler)
@@ -90,10 +90,10 @@
         self.assertEqual(self.answer(_GOOD + _GOOD).count(b"200"), 2)
 
     def test_too_many_connections_leave_the_first_alone(self) -> None:
-        async def talk(outside: environment.Environment) -> list[bytes]:
-            held = [await outside.connect(_ADDRESS) for _ in range(2)]
+        async def talk(env: environment.Environment) -> list[bytes]:
+            held = [await env.connect(_ADDRESS) for _ in range(2)]
             await asyncio.sleep(0.1)
-            refused = await _send(outside, b"")
+            refused = await _send(env, b"")
             held[0][1].write(_GOOD)
             served = await held[0][0].read(1_000)
             return [refused, served]
@@ -114,8 +114,8 @@
                 raise
             return message.make_json_response(200, {})
 
-        async def talk(outside: environment.Environment) -> None:
-            _, writer = await outside.connect(_ADDRESS)
+        async def talk(env: environment.Environment) -> None:
+            _, writer = await env.connect(_ADDRESS)
             writer.write(_GOOD)
             await asyncio.sleep(0.1)
             writer.close()
@@ -184,8 +184,8 @@
                 if isinstance(received[-1], frames.Closed):
                     return
 
-        async def talk(outside: environment.Environment) -> None:
-            reader, writer = await outside.connect(_ADDRESS)
+        async def talk(env: environment.Environment) -> None:
+            reader, writer = await env.connect(_ADDRESS)
             stream = frames.FrameStream(reader, writer, key)
             await stream.greet()
             await stream.send(tree_wanted.TreeWanted(3, ("a",)))
--- a/tests/test_gateway_store.py
+++ b/tests/test_gateway_store.py
@@ -177,7 +177,7 @@
             await asyncio.sleep(0.6)
             for node in scene.cluster.vms.values():
                 view = node.gateway.tools.view
-                now_ms = node.gateway.tools.outside.now_ms()
+                now_ms = node.gateway.tools.env.now_ms()
                 self.assertLess(view.settings_age_ms(now_ms), 600.0)
 
         gateway_scene.play(scene)
@@ -257,7 +257,7 @@
             await asyncio.sleep(4.0)
             store.trouble = ""
             tools = scene.cluster.vms["vm-0"].gateway.tools
-            now_ms = tools.outside.now_ms
+            now_ms = tools.env.now_ms
             while tools.view.settings_age_ms(now_ms()) > 1_000.0:
                 await asyncio.sleep(0.01)
             regained_ms = now_ms()
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -116,24 +116,24 @@
                 1, virtual_network.Latency()
             )
             process = virtual_process.VirtualProcess("vm", "h")
-            outside = network.make_environment(process, 1)
+            env = network.make_environment(process, 1)
             view = test_scheduler._make_view()
             scheduler = schedulers.Scheduler(
-                outside,
+                env,
                 configs.EntryConfig("vm", "h", environment.Address("vm", 1)),
                 view,
                 collect_lost=lambda: told.pop() if told else bad_news.NOTHING,
             )
             process.start(scheduler.run)
             for born_ms in (5, 6):
-                view.take_targets((_make_target(born_ms),), outside.now_ms())
+                view.take_targets((_make_target(born_ms),), env.now_ms())
                 scheduler.post(schedulers.ViewChanged())
                 await asyncio.sleep(0.1)
             told.extend([bad_news.BadNews(gone=(lost,))] if lost else [])
             for message in messages:
                 scheduler.post(message)
             await asyncio.sleep(0.55)
-            now_ms = outside.now_ms()
+            now_ms = env.now_ms()
             return scheduler.believed_loads()[0].is_usable(now_ms)
 
         return virtual_process.run(run)
--- a/tests/test_losses_found.py
+++ b/tests/test_losses_found.py
@@ -105,7 +105,7 @@
                 await scene.call("long", "vm-0", prompt_tokens=300_000)
             gateway = scene.cluster.vms["vm-2"].gateway
             scheduler = gateway.tools.scheduler
-            now_ms = gateway.tools.outside.now_ms()
+            now_ms = gateway.tools.env.now_ms()
             self.assertFalse(scheduler._losses.is_suspect("hall-1", now_ms))
 
         loguru.logger.remove()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -311,9 +311,9 @@
             ) -> message.Response:
                 return answer
 
-            outside = network.make_environment(far, 1)
+            env = network.make_environment(far, 1)
             handler = store_server(handle)
-            await far.start(lambda: outside.serve(handler, address))
+            await far.start(lambda: env.serve(handler, address))
             near = virtual_process.VirtualProcess("vm", "h")
             source = store.make_source(
                 network.make_environment(near, 1),
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -131,7 +131,7 @@
 
 def _find_age_ms(node: gateway_cluster.Node) -> float:
     tools = node.gateway.tools
-    return tools.view.settings_age_ms(tools.outside.now_ms())
+    return tools.view.settings_age_ms(tools.env.now_ms())
 
 
 def _cut_off(scene: gateway_scene.Scene, name: str) -> None:
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -186,7 +186,7 @@
                 rate_limit_check.find_excess(scene.cluster, got), []
             )
             limits = node.gateway.tools.scheduler
-            now_ms = node.gateway.tools.outside.now_ms()
+            now_ms = node.gateway.tools.env.now_ms()
             limit, _ = limits.find_rate_limit(replica.name, now_ms)
             self.assertEqual(limit, 1.0)
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -122,7 +122,7 @@
             self.assertEqual(len(peers), 5)
             await scene.call("short", "vm-5")
             loads = tools.scheduler.believed_loads()
-            now_ms = tools.outside.now_ms()
+            now_ms = tools.env.now_ms()
             known = sum(each.streams(now_ms) for each in loads)
             self.assertGreaterEqual(known, 10)
             await asyncio.gather(*busy)
--- a/tests/test_replica_calls.py
+++ b/tests/test_replica_calls.py
@@ -76,8 +76,8 @@
         passed = plain.now_ms()
         return passed + (stands_still_ms if passed > began_ms + 500.0 else 0.0)
 
-    outside = dataclasses.replace(plain, now_ms=now_ms)
-    send = replicas.make_send(outside, statements.ignore)
+    env = dataclasses.replace(plain, now_ms=now_ms)
+    send = replicas.make_send(env, statements.ignore)
 
     async def collect() -> list[answers.Event]:
         return [event async for event in send(_make_errand(now_ms()))]
@@ -123,10 +123,10 @@
                 connected.append(True)
                 return streams
 
-            outside = dataclasses.replace(plain, connect=connect)
-            send = replicas.make_send(outside, statements.ignore)
+            env = dataclasses.replace(plain, connect=connect)
+            send = replicas.make_send(env, statements.ignore)
             errand = dataclasses.replace(
-                _make_errand(outside.now_ms()), refuse=refuse
+                _make_errand(env.now_ms()), refuse=refuse
             )
 
             async def collect() -> list[answers.Event]:
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -146,9 +146,9 @@
             gateway.tools.budget.tokens = 0.0
             cut = gateway_cluster.virtual_network.Cut("vm-0", "")
             scene.cluster.network.cuts.append(cut)
-            began_ms = gateway.tools.outside.now_ms()
+            began_ms = gateway.tools.env.now_ms()
             self.assertFalse(await gateway.tools.secure_retry(True))
-            took_ms = gateway.tools.outside.now_ms() - began_ms
+            took_ms = gateway.tools.env.now_ms() - began_ms
             self.assertLess(took_ms, 150.0)
 
         loguru.logger.remove()
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -105,12 +105,12 @@
                 1, virtual_network.Latency()
             )
             process = virtual_process.VirtualProcess("vm-1", "h")
-            outside = network.make_environment(process, 1)
+            env = network.make_environment(process, 1)
             config = configs.EntryConfig(
                 "vm-1", "h", _WHERE, _WHERE, _WHERE, b""
             )
             view = _make_view()
-            scheduler = schedulers.Scheduler(outside, config, view)
+            scheduler = schedulers.Scheduler(env, config, view)
             running = asyncio.ensure_future(scheduler.run())
             scheduler.post(schedulers.ViewChanged())
             scheduler.post(_report("a", draining=True))
@@ -152,10 +152,10 @@
                 1, virtual_network.Latency()
             )
             process = virtual_process.VirtualProcess("vm-1", "h")
-            outside = network.make_environment(process, 1)
+            env = network.make_environment(process, 1)
             view = _make_view()
             scheduler = schedulers.Scheduler(
-                outside, configs.EntryConfig("vm-1", "h", _WHERE), view
+                env, configs.EntryConfig("vm-1", "h", _WHERE), view
             )
             scheduler._seating._policy = policies.Policy(
                 choose, choose_helpers=choose_helpers
@@ -163,7 +163,7 @@
             running = asyncio.ensure_future(scheduler.run())
             scheduler.post(schedulers.ViewChanged())
             asked = _ask(view)
-            route = dataclasses.replace(asked.route, waited_ms=outside.now_ms())
+            route = dataclasses.replace(asked.route, waited_ms=env.now_ms())
             asked = dataclasses.replace(asked, route=route)
             await scheduler.place(asked)
             running.cancel()
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -25,10 +25,10 @@
 class ClockTest(unittest.TestCase):
     def test_clock_counts_a_suspension(self) -> None:
         shown = {time.CLOCK_MONOTONIC: 100.0, time.CLOCK_BOOTTIME: 107.0}
-        outside = environment.make_system_environment()
+        env = environment.make_system_environment()
         with mock.patch("time.clock_gettime", shown.get):
             self.assertEqual(clock.read_s(), 107.0)
-            self.assertEqual(outside.now_ms(), 107_000.0)
+            self.assertEqual(env.now_ms(), 107_000.0)
 
     def test_timers_are_due_after_a_suspension(self) -> None:
         slept_s = 0.0
--- a/tests/test_virtual_network.py
+++ b/tests/test_virtual_network.py
@@ -22,8 +22,8 @@
             ports = []
             for number in (1, 2):
                 process = virtual_process.VirtualProcess("vm-0", "h")
-                outside = network.make_environment(process, number)
-                ports.append(await outside.bind(got.append, _ADDRESS))
+                env = network.make_environment(process, number)
+                ports.append(await env.bind(got.append, _ADDRESS))
             ports[0].close()
             ports[1].send(b"news", _ADDRESS)
             await asyncio.sleep(0.1)
@@ -52,10 +52,8 @@
             await network.make_environment(receiver, 1).bind(
                 got.append, _ADDRESS
             )
-            outside = network.make_environment(sender, 1)
-            port = await outside.bind(
-                got.append, environment.Address("vm-1", 1)
-            )
+            env = network.make_environment(sender, 1)
+            port = await env.bind(got.append, environment.Address("vm-1", 1))
 
             async def send() -> None:
                 port.send(b"last words", _ADDRESS)
