--- a/src/ruddergate/decisions/reading_plan.py
+++ b/src/ruddergate/decisions/prefill_plan.py
@@ -13,33 +13,33 @@
 
 # Worth grows with a prompt's length, but more slowly; a prompt of the short
 # length here is worth as much as an answer of the first class of pauses.
-WORTH_EXPONENT = 0.75
-SHORT_PROMPT_TOKENS = 5_000.0
+VALUE_EXPONENT = 0.75
+REFERENCE_PROMPT_TOKENS = 5_000.0
 # Part of an answer's worth that is lost when it is late.
-LATE_LOSS = 0.75
+LATE_LOSS_SHARE = 0.75
 # Part of the aim up to which a plan is certain to be in time, and from which on
 # it is late: predictions err by up to a factor of two, mostly to the late side.
-SAFE_AIMS = 0.25
-LATE_AIMS = 0.95
+ON_TIME_SLO_SHARE = 0.25
+LATE_SLO_SHARE = 0.95
 # A route without an aim is taken to have this one.
-AIM_LEAST_MS = 1.0
+MIN_SLO_MS = 1.0
 # From a piece's end to the first token at the caller: the last pass and the
 # engines' start at different moments.
-START_MS = 150.0
+FIRST_TOKEN_DELAY_MS = 150.0
 # Callers give a stream up that has not begun after four times its aim. Some of
 # that is left for what a prediction does not know.
-GIVE_UP_AIMS = 3.0
+GIVE_UP_SLO_SHARE = 3.0
 # What each engine taking part costs besides, so that none does for nothing.
 ENGINE_COST = 0.01
 # A piece that joins an engine goes ahead of what is being read there: a prompt
 # of 280,000 tokens, due in 1 s, got its first token after 9 s when two of its
 # nine engines were given pieces of 8 s. A delay of this length makes the other
 # prompt late for certain.
-READER_SLACK_MS = 1_000.0
+MAX_PREFILL_DELAY_MS = 1_000.0
 # A piece that is longer blocks its engine for prompts to come, and costs this
 # for each second beyond.
-PIECE_MS = 500.0
-BLOCKED_COST_PER_S = 0.5
+UNPENALIZED_SEGMENT_MS = 500.0
+BLOCKING_COST_PER_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -58,10 +58,10 @@
     """
 
     target_id: str
-    rest_ms: float
-    answers: tuple[int, ...]
+    backlog_ms: float
+    decoding_streams: tuple[int, ...]
     has_room: bool
-    reader_worth: float = 0.0
+    prefill_value: float = 0.0
     extra_cost: float = 0.0
     is_pinned: bool = False
     bears_ms: tuple[float, ...] = pause_class.BEARS_MS
@@ -81,20 +81,20 @@
     """
 
     engines: tuple[str, ...]
-    first_ms: float
-    harm: float
-    reader_harm: float
+    ttft_ms: float
+    decode_loss: float
+    prefill_loss: float
     cost: float
 
 
 def make_plan(
-    whole_ms: float,
+    prefill_ms: float,
     prompt_tokens: int,
-    aim_ms: float,
+    ttft_slo_ms: float,
     waited_ms: float,
     engines: Sequence[Engine],
-    holders_needed: int,
-    parts_most: int,
+    min_holders: int,
+    max_parts: int,
 ) -> Plan | None:
     """Returns the plan that costs least, or None if there is none.
 
@@ -108,15 +108,15 @@
         parts_most: Most engines that can read one prompt.
     """
     best: Plan | None = None
-    most = min(parts_most, len(engines))
-    for parts in range(holders_needed, most + 1):
-        found = _plan_parts(
-            whole_ms,
+    limit = min(max_parts, len(engines))
+    for parts in range(min_holders, limit + 1):
+        found = _plan_with_parts(
+            prefill_ms,
             prompt_tokens,
-            aim_ms,
+            ttft_slo_ms,
             waited_ms,
             engines,
-            holders_needed,
+            min_holders,
             parts,
         )
         if found is not None and (best is None or found.cost < best.cost):
@@ -124,78 +124,87 @@
     return best
 
 
-def _plan_parts(
-    whole_ms: float,
+def _plan_with_parts(
+    prefill_ms: float,
     prompt_tokens: int,
-    aim_ms: float,
+    ttft_slo_ms: float,
     waited_ms: float,
     engines: Sequence[Engine],
-    holders_needed: int,
+    min_holders: int,
     parts: int,
 ) -> Plan | None:
-    piece_ms = whole_ms / parts
+    segment_ms = prefill_ms / parts
     ranked = sorted(
         engines,
         key=lambda each: (
             not each.is_pinned,
-            _find_harm(each, piece_ms)
-            + _find_reader_harm(each, piece_ms)
+            _estimate_decode_loss(each, segment_ms)
+            + _estimate_prefill_loss(each, segment_ms)
             + each.extra_cost,
-            each.rest_ms,
+            each.backlog_ms,
         ),
     )
-    holders = [each for each in ranked if each.has_room][:holders_needed]
-    if len(holders) < holders_needed:
+    holders = [each for each in ranked if each.has_room][:min_holders]
+    if len(holders) < min_holders:
         return None
     others = [each for each in ranked if each not in holders]
-    chosen = [*holders, *others[: parts - holders_needed]]
+    chosen = [*holders, *others[: parts - min_holders]]
     writer = min(
-        holders, key=lambda each: (not each.is_pinned, _count_answers(each))
+        holders,
+        key=lambda each: (not each.is_pinned, _count_decoding_streams(each)),
     )
-    harm = sum(_find_harm(each, piece_ms) for each in chosen)
-    rest_ms = max(each.rest_ms for each in chosen)
-    first_ms = rest_ms + piece_ms + START_MS
+    decode_loss = sum(
+        _estimate_decode_loss(each, segment_ms) for each in chosen
+    )
+    backlog_ms = max(each.backlog_ms for each in chosen)
+    ttft_ms = backlog_ms + segment_ms + FIRST_TOKEN_DELAY_MS
     # A prompt that several of these engines read is late but once.
-    reader_harm = max(_find_reader_harm(each, piece_ms) for each in chosen)
-    blocked_s = max(0.0, piece_ms - PIECE_MS) / 1000.0
-    cost = harm + reader_harm + parts * ENGINE_COST
+    prefill_loss = max(
+        _estimate_prefill_loss(each, segment_ms) for each in chosen
+    )
+    blocking_s = max(0.0, segment_ms - UNPENALIZED_SEGMENT_MS) / 1000.0
+    cost = decode_loss + prefill_loss + parts * ENGINE_COST
     cost += sum(each.extra_cost for each in chosen)
-    cost += parts * blocked_s * BLOCKED_COST_PER_S
-    worth = find_worth(prompt_tokens)
-    aims = (waited_ms + first_ms) / max(AIM_LEAST_MS, aim_ms)
-    cost += _find_late_risk(aims) * LATE_LOSS * worth
-    if aims > GIVE_UP_AIMS:
-        cost += (1.0 - LATE_LOSS) * worth
+    cost += parts * blocking_s * BLOCKING_COST_PER_S
+    value = estimate_value(prompt_tokens)
+    slo_share = (waited_ms + ttft_ms) / max(MIN_SLO_MS, ttft_slo_ms)
+    cost += _estimate_late_risk(slo_share) * LATE_LOSS_SHARE * value
+    if slo_share > GIVE_UP_SLO_SHARE:
+        cost += (1.0 - LATE_LOSS_SHARE) * value
     rest = [each.target_id for each in chosen if each is not writer]
-    return Plan((writer.target_id, *rest), first_ms, harm, reader_harm, cost)
+    return Plan(
+        (writer.target_id, *rest), ttft_ms, decode_loss, prefill_loss, cost
+    )
 
 
-def _find_late_risk(aims: float) -> float:
+def _estimate_late_risk(slo_share: float) -> float:
     """Returns the chance that a first token predicted so is late."""
-    risk = (aims - SAFE_AIMS) / (LATE_AIMS - SAFE_AIMS)
+    risk = (slo_share - ON_TIME_SLO_SHARE) / (
+        LATE_SLO_SHARE - ON_TIME_SLO_SHARE
+    )
     return min(1.0, max(0.0, risk))
 
 
-def _find_harm(engine: Engine, piece_ms: float) -> float:
+def _estimate_decode_loss(engine: Engine, segment_ms: float) -> float:
     """Returns the worth that a piece makes late on an engine."""
-    reading_ms = engine.rest_ms + piece_ms
-    harm = 0.0
-    for class_, count in enumerate(engine.answers):
-        if reading_ms > engine.bears_ms[class_]:
-            harm += count * pause_class.WORTH[class_] * LATE_LOSS
-    return harm
+    total_prefill_ms = engine.backlog_ms + segment_ms
+    decode_loss = 0.0
+    for class_, count in enumerate(engine.decoding_streams):
+        if total_prefill_ms > engine.bears_ms[class_]:
+            decode_loss += count * pause_class.WORTH[class_] * LATE_LOSS_SHARE
+    return decode_loss
 
 
-def _find_reader_harm(engine: Engine, piece_ms: float) -> float:
+def _estimate_prefill_loss(engine: Engine, segment_ms: float) -> float:
     """Returns the worth that a piece makes late of what an engine reads."""
-    risk = min(1.0, piece_ms / READER_SLACK_MS)
-    return engine.reader_worth * LATE_LOSS * risk
+    risk = min(1.0, segment_ms / MAX_PREFILL_DELAY_MS)
+    return engine.prefill_value * LATE_LOSS_SHARE * risk
 
 
-def _count_answers(engine: Engine) -> int:
-    return sum(engine.answers)
+def _count_decoding_streams(engine: Engine) -> int:
+    return sum(engine.decoding_streams)
 
 
-def find_worth(prompt_tokens: int) -> float:
+def estimate_value(prompt_tokens: int) -> float:
     """Returns about what an answer to a prompt of that length is worth."""
-    return (prompt_tokens / SHORT_PROMPT_TOKENS) ** WORTH_EXPONENT
+    return (prompt_tokens / REFERENCE_PROMPT_TOKENS) ** VALUE_EXPONENT
--- a/src/ruddergate/decisions/routing/long_prompts.py
+++ b/src/ruddergate/decisions/routing/long_prompts.py
@@ -14,7 +14,7 @@
 from ruddergate.decisions import gangs
 from ruddergate.decisions import length_band
 from ruddergate.decisions import pause_class
-from ruddergate.decisions import reading_plan
+from ruddergate.decisions import prefill_plan
 from ruddergate.decisions.routing import boundary
 from ruddergate.decisions.routing import job as jobs
 from ruddergate.settings import effective
@@ -41,7 +41,7 @@
 
 def make_plan(
     job: jobs.Job, candidates: Sequence[estimates.Estimate], now_ms: float
-) -> reading_plan.Plan | None:
+) -> prefill_plan.Plan | None:
     """Returns the best plan in the long region, or else on all engines.
 
     A small pool has no region of its own for long prompts, a great prompt may
@@ -78,7 +78,7 @@
 
 def had_better_wait(
     job: jobs.Job,
-    plan: reading_plan.Plan,
+    plan: prefill_plan.Plan,
     candidates: Sequence[estimates.Estimate],
     now_ms: float,
 ) -> bool:
@@ -87,38 +87,38 @@
     later_ms = IDLE_AIM_PART * job.aim_ms
     if (
         later is not None
-        and _is_late(job, plan.first_ms)
-        and not _is_late(job, later_ms + later.first_ms)
+        and _is_late(job, plan.ttft_ms)
+        and not _is_late(job, later_ms + later.ttft_ms)
     ):
         return True
     if job.waited_ms >= HOLD_AIM_PART * job.aim_ms:
         return False
-    if plan.reader_harm > PATIENT_HARM:
+    if plan.prefill_loss > PATIENT_HARM:
         # What is being read there would have to be waited for anyway.
         return True
     if later is not None and plan.cost - later.cost > BETTER_COST:
         return True
-    slack_ms = job.aim_ms * reading_plan.LATE_AIMS
-    slack_ms -= job.waited_ms + plan.first_ms
-    return plan.harm > PATIENT_HARM and slack_ms > SLACK_MS
+    slack_ms = job.aim_ms * prefill_plan.LATE_SLO_SHARE
+    slack_ms -= job.waited_ms + plan.ttft_ms
+    return plan.decode_loss > PATIENT_HARM and slack_ms > SLACK_MS
 
 
 def _is_late(job: jobs.Job, first_ms: float) -> bool:
     """Returns whether a first token in this time would come too late."""
-    return job.waited_ms + first_ms > reading_plan.LATE_AIMS * job.aim_ms
+    return job.waited_ms + first_ms > prefill_plan.LATE_SLO_SHARE * job.aim_ms
 
 
 def _plan_later(
     job: jobs.Job, candidates: Sequence[estimates.Estimate], now_ms: float
-) -> reading_plan.Plan | None:
+) -> prefill_plan.Plan | None:
     """Returns a plan on the long region when it has become idle."""
     long_ids = boundary.find_long_region(candidates, now_ms)
     idle = [
         dataclasses.replace(
             _describe(job, each, 0, now_ms),
-            rest_ms=0.0,
-            answers=(0,) * pause_class.CLASSES,
-            reader_worth=0.0,
+            backlog_ms=0.0,
+            decoding_streams=(0,) * pause_class.CLASSES,
+            prefill_value=0.0,
         )
         for each in candidates
         if each.target.target_id in long_ids
@@ -131,7 +131,7 @@
 
 def _plan_on(
     job: jobs.Job, engines: Sequence[estimates.Estimate], now_ms: float
-) -> reading_plan.Plan | None:
+) -> prefill_plan.Plan | None:
     if not engines:
         return None
     pool = engines[0].pool
@@ -141,9 +141,9 @@
 
 
 def _plan_with(
-    job: jobs.Job, pool: effective.Pool, engines: Sequence[reading_plan.Engine]
-) -> reading_plan.Plan | None:
-    return reading_plan.make_plan(
+    job: jobs.Job, pool: effective.Pool, engines: Sequence[prefill_plan.Engine]
+) -> prefill_plan.Plan | None:
+    return prefill_plan.make_plan(
         costs.predict_prefill_ms(pool, job.prompt_tokens),
         job.prompt_tokens,
         job.aim_ms,
@@ -156,14 +156,14 @@
 
 def _describe(
     job: jobs.Job, each: estimates.Estimate, share_tokens: int, now_ms: float
-) -> reading_plan.Engine:
+) -> prefill_plan.Engine:
     room = each.free_tokens(now_ms)
-    return reading_plan.Engine(
+    return prefill_plan.Engine(
         target_id=each.target.target_id,
-        rest_ms=each.prefilling_ms(now_ms),
-        answers=each.streams_by_pause(now_ms),
+        backlog_ms=each.prefilling_ms(now_ms),
+        decoding_streams=each.streams_by_pause(now_ms),
         has_room=share_tokens <= room or each.recent_streams(now_ms) == 0.0,
-        reader_worth=_find_reader_worth(each, now_ms),
+        prefill_value=_find_reader_worth(each, now_ms),
         extra_cost=_find_extra_cost(job, each, now_ms),
         is_pinned=each.target.target_id == job.pinned_target,
         bears_ms=pause_class.bears_ms(each.pool),
@@ -175,7 +175,7 @@
 ) -> float:
     cost = AWAY_COST if jobs.is_away(job, each.target) else 0.0
     if each.is_doubtful(now_ms):
-        cost += DOUBT_RISK * reading_plan.find_worth(job.prompt_tokens)
+        cost += DOUBT_RISK * prefill_plan.estimate_value(job.prompt_tokens)
     return cost
 
 
@@ -183,4 +183,4 @@
     band = each.longest_band_in_reading(now_ms)
     if band is None:
         return 0.0
-    return reading_plan.find_worth(length_band.TYPICAL_TOKENS[band])
+    return prefill_plan.estimate_value(length_band.TYPICAL_TOKENS[band])
--- a/tests/test_reading_plan.py
+++ b/tests/test_reading_plan.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from ruddergate.decisions import reading_plan
+from ruddergate.decisions import prefill_plan
 from standins import pass_engine
 from standins import virtual_process
 
@@ -17,18 +17,18 @@
     rest_ms: float = 0.0,
     answers: tuple[int, ...] = (0, 0, 0),
     has_room: bool = True,
-) -> reading_plan.Engine:
-    return reading_plan.Engine(name, rest_ms, answers, has_room)
+) -> prefill_plan.Engine:
+    return prefill_plan.Engine(name, rest_ms, answers, has_room)
 
 
 def _plan(
-    engines: list[reading_plan.Engine],
+    engines: list[prefill_plan.Engine],
     tokens: int = _ARCHIVE_TOKENS,
     whole_ms: float = _ARCHIVE_MS,
     holders: int = 1,
     waited_ms: float = 0.0,
-) -> reading_plan.Plan | None:
-    return reading_plan.make_plan(
+) -> prefill_plan.Plan | None:
+    return prefill_plan.make_plan(
         whole_ms, tokens, 3_000.0, waited_ms, engines, holders, _PARTS_MOST
     )
 
@@ -37,8 +37,8 @@
     def test_idle_engines_share_until_it_is_surely_in_time(self) -> None:
         plan = _plan([_engine(f"e{n}") for n in range(12)])
         self.assertGreater(len(plan.engines), 3)
-        self.assertLess(plan.first_ms, 1_000.0)
-        self.assertEqual(plan.harm, 0.0)
+        self.assertLess(plan.ttft_ms, 1_000.0)
+        self.assertEqual(plan.decode_loss, 0.0)
 
     def test_short_answers_are_spared(self) -> None:
         idle = [_engine(f"idle{n}") for n in range(4)]
@@ -49,7 +49,7 @@
     def test_pieces_short_enough_harm_nobody(self) -> None:
         busy = [_engine(f"e{n}", answers=(0, 3, 0)) for n in range(12)]
         plan = _plan(busy)
-        self.assertEqual(plan.harm, 0.0)
+        self.assertEqual(plan.decode_loss, 0.0)
         self.assertGreaterEqual(len(plan.engines), 7)
 
     def test_great_prompt_outweighs_a_few_short_answers(self) -> None:
@@ -67,19 +67,19 @@
         self.assertTrue(all(name.startswith("f") for name in plan.engines))
 
     def test_pieces_stay_off_engines_that_read_a_great_prompt(self) -> None:
-        worth = reading_plan.find_worth(_ARCHIVE_TOKENS)
+        worth = prefill_plan.estimate_value(_ARCHIVE_TOKENS)
         reading = [
-            reading_plan.Engine(f"e{n}", 600.0, (0, 0, 0), True, worth)
+            prefill_plan.Engine(f"e{n}", 600.0, (0, 0, 0), True, worth)
             for n in range(9)
         ]
         free = [_engine(f"f{n}") for n in range(6)]
         plan = _plan([*reading, *free])
         self.assertTrue(all(name.startswith("f") for name in plan.engines))
-        self.assertEqual(plan.reader_harm, 0.0)
-        self.assertGreater(_plan(reading).reader_harm, 1.0)
+        self.assertEqual(plan.prefill_loss, 0.0)
+        self.assertGreater(_plan(reading).prefill_loss, 1.0)
 
     def test_pinned_engine_writes(self) -> None:
-        pinned = reading_plan.Engine(
+        pinned = prefill_plan.Engine(
             "p", 900.0, (3, 0, 0), True, 0.0, 0.0, True
         )
         plan = _plan([*(_engine(f"e{n}") for n in range(8)), pinned])
@@ -102,7 +102,7 @@
 
     def test_more_worth_for_longer_prompts(self) -> None:
         worths = [
-            reading_plan.find_worth(tokens)
+            prefill_plan.estimate_value(tokens)
             for tokens in (5_000, 45_000, 210_000)
         ]
         self.assertEqual(worths, sorted(worths))
