--- a/src/ruddergate/decisions/cost.py
+++ b/src/ruddergate/decisions/cost.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from ruddergate.decisions import pause_class
+from ruddergate.decisions import gap_class
 from ruddergate.settings import effective
 
 # Streams that an engine decodes together for about the price of one.
@@ -46,7 +46,10 @@
 
 def is_long(pool: effective.Pool, tokens: int) -> bool:
     """Returns whether prefilling a prompt holds up the answers beside it."""
-    return predict_prefill_ms(pool, tokens) > pause_class.bears_ms(pool)[0]
+    return (
+        predict_prefill_ms(pool, tokens)
+        > gap_class.find_prefill_budgets_ms(pool)[0]
+    )
 
 
 def predict(
--- a/src/ruddergate/decisions/estimate.py
+++ b/src/ruddergate/decisions/estimate.py
@@ -4,9 +4,9 @@
 from collections.abc import Sequence
 import math
 
+from ruddergate.decisions import gap_class
 from ruddergate.decisions import length_band
 from ruddergate.decisions import own_work
-from ruddergate.decisions import pause_class
 from ruddergate.fleet import cache_event
 from ruddergate.fleet import condition
 from ruddergate.fleet import dispatched
@@ -289,9 +289,9 @@
         return tuple(map(sum, zip(own, peers, strict=True)))
 
     def _own_by_pause(self) -> tuple[int, ...]:
-        counts = [0] * pause_class.CLASSES
+        counts = [0] * gap_class.CLASSES
         for work in self._own.values():
-            counts[work.pause_class] += work.is_writing
+            counts[work.gap_class] += work.is_writing
         return tuple(counts)
 
     def prefilling_ms(self, now_ms: float) -> float:
--- a/src/ruddergate/decisions/own_work.py
+++ b/src/ruddergate/decisions/own_work.py
@@ -2,8 +2,8 @@
 
 import dataclasses
 
+from ruddergate.decisions import gap_class
 from ruddergate.decisions import length_band
-from ruddergate.decisions import pause_class
 
 
 @dataclasses.dataclass(slots=True)
@@ -17,7 +17,7 @@
         band: Band of the prompt's length.
         prefill_ms: Predicted time of the engine for the fresh tokens.
         is_long: Whether its prefill holds up the answers beside it.
-        pause_class: Class of the pause that its answer bears.
+        gap_class: Class of the pause that its answer bears.
         is_writing: Whether the answer is written here; else this target only
             reads part of the prompt.
         has_first_token: Whether its prefill has ended.
@@ -29,7 +29,7 @@
     band: int
     prefill_ms: float = 0.0
     is_long: bool = False
-    pause_class: int = pause_class.CLASSES - 1
+    gap_class: int = gap_class.CLASSES - 1
     is_writing: bool = True
     has_first_token: bool = False
 
--- a/src/ruddergate/decisions/peer_loads.py
+++ b/src/ruddergate/decisions/peer_loads.py
@@ -5,9 +5,9 @@
 import dataclasses
 import random
 
+from ruddergate.decisions import gap_class
 from ruddergate.decisions import length_band
 from ruddergate.decisions import losses_found
-from ruddergate.decisions import pause_class
 from ruddergate.decisions import peer_groups
 from ruddergate.fleet import bad_news
 from ruddergate.fleet import dispatched
@@ -291,7 +291,7 @@
     held = 0
     streams = 0
     prefill_ms = 0.0
-    by_pause = [0] * pause_class.CLASSES
+    by_pause = [0] * gap_class.CLASSES
     pending = [0] * length_band.BANDS
     for row in rows:
         held += row.held_tokens
--- a/src/ruddergate/decisions/prefill_plan.py
+++ b/src/ruddergate/decisions/prefill_plan.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 import dataclasses
 
-from ruddergate.decisions import pause_class
+from ruddergate.decisions import gap_class
 
 # Worth grows with a prompt's length, but more slowly; a prompt of the short
 # length here is worth as much as an answer of the first class of pauses.
@@ -64,7 +64,7 @@
     prefill_value: float = 0.0
     extra_cost: float = 0.0
     is_pinned: bool = False
-    bears_ms: tuple[float, ...] = pause_class.BEARS_MS
+    prefill_budgets_ms: tuple[float, ...] = gap_class.DEFAULT_PREFILL_BUDGETS_MS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -99,13 +99,13 @@
     """Returns the plan that costs least, or None if there is none.
 
     Args:
-        whole_ms: Time that one idle engine would read for.
+        prefill_ms: Time that one idle engine would read for.
         prompt_tokens: Length of the prompt.
-        aim_ms: Time to its first token within which it is in time.
+        ttft_slo_ms: Time to its first token within which it is in time.
         waited_ms: How much of that has passed.
         engines: Engines to choose from.
-        holders_needed: Engines whose memory the prompt takes.
-        parts_most: Most engines that can read one prompt.
+        min_holders: Engines whose memory the prompt takes.
+        max_parts: Most engines that can read one prompt.
     """
     best: Plan | None = None
     limit = min(max_parts, len(engines))
@@ -190,8 +190,8 @@
     total_prefill_ms = engine.backlog_ms + segment_ms
     decode_loss = 0.0
     for class_, count in enumerate(engine.decoding_streams):
-        if total_prefill_ms > engine.bears_ms[class_]:
-            decode_loss += count * pause_class.WORTH[class_] * LATE_LOSS_SHARE
+        if total_prefill_ms > engine.prefill_budgets_ms[class_]:
+            decode_loss += count * gap_class.VALUES[class_] * LATE_LOSS_SHARE
     return decode_loss
 
 
--- a/src/ruddergate/decisions/routing/by_region.py
+++ b/src/ruddergate/decisions/routing/by_region.py
@@ -10,7 +10,7 @@
 
 from ruddergate.decisions import cost as costs
 from ruddergate.decisions import estimate as estimates
-from ruddergate.decisions import pause_class
+from ruddergate.decisions import gap_class
 from ruddergate.decisions.routing import boundary
 from ruddergate.decisions.routing import job as jobs
 from ruddergate.decisions.routing import long_prompts
@@ -141,7 +141,7 @@
     rest_ms = each.prefilling_ms(now_ms)
     own_ms = costs.predict_prefill_ms(each.pool, job.prompt_tokens)
     score_ms = rest_ms + streams * STREAM_MS
-    if rest_ms + own_ms > pause_class.bears_ms(each.pool)[0]:
+    if rest_ms + own_ms > gap_class.find_prefill_budgets_ms(each.pool)[0]:
         score_ms += each.streams_by_pause(now_ms)[0] * LATE_MS
     if job.held_tokens > each.free_tokens(now_ms):
         score_ms += NO_ROOM_MS
--- a/src/ruddergate/decisions/routing/long_prompts.py
+++ b/src/ruddergate/decisions/routing/long_prompts.py
@@ -12,8 +12,8 @@
 from ruddergate.decisions import cost as costs
 from ruddergate.decisions import estimate as estimates
 from ruddergate.decisions import gangs
+from ruddergate.decisions import gap_class
 from ruddergate.decisions import length_band
-from ruddergate.decisions import pause_class
 from ruddergate.decisions import prefill_plan
 from ruddergate.decisions.routing import boundary
 from ruddergate.decisions.routing import job as jobs
@@ -117,7 +117,7 @@
         dataclasses.replace(
             _describe(job, each, 0, now_ms),
             backlog_ms=0.0,
-            decoding_streams=(0,) * pause_class.CLASSES,
+            decoding_streams=(0,) * gap_class.CLASSES,
             prefill_value=0.0,
         )
         for each in candidates
@@ -166,7 +166,7 @@
         prefill_value=_find_reader_worth(each, now_ms),
         extra_cost=_find_extra_cost(job, each, now_ms),
         is_pinned=each.target.target_id == job.pinned_target,
-        bears_ms=pause_class.bears_ms(each.pool),
+        prefill_budgets_ms=gap_class.find_prefill_budgets_ms(each.pool),
     )
 
 
--- a/src/ruddergate/entry/seating.py
+++ b/src/ruddergate/entry/seating.py
@@ -8,9 +8,9 @@
 from ruddergate.decisions import cost as costs
 from ruddergate.decisions import estimate as estimates
 from ruddergate.decisions import gangs
+from ruddergate.decisions import gap_class
 from ruddergate.decisions import length_band
 from ruddergate.decisions import own_work
-from ruddergate.decisions import pause_class
 from ruddergate.decisions.routing import policy as policies
 from ruddergate.entry import placement
 
@@ -175,7 +175,7 @@
             band,
             prefill_ms / parts,
             is_long,
-            pause_class.find_class(asked.route.pause_aim_ms),
+            gap_class.find_class(asked.route.pause_aim_ms),
             is_writing,
         )
         believed = chosen.describe(now_ms)
--- a/src/ruddergate/fleet/dispatched.py
+++ b/src/ruddergate/fleet/dispatched.py
@@ -13,7 +13,7 @@
         held_tokens: Memory that the work takes up, in tokens.
         streams: Requests in flight.
         streams_by_pause: The requests by class of the pause that their
-            answers bear, see decisions/pause_class.py.
+            answers bear, see decisions/gap_class.py.
         prefill_ms: Predicted rest of their prefills on the target.
     """
 
--- a/standins/digest_cost.py
+++ b/standins/digest_cost.py
@@ -11,8 +11,8 @@
 import sys
 import time
 
+from ruddergate.decisions import gap_class
 from ruddergate.decisions import length_band
-from ruddergate.decisions import pause_class
 from ruddergate.decisions import peer_groups
 from ruddergate.decisions import peer_loads
 from ruddergate.fleet import dispatched
@@ -67,7 +67,7 @@
             (5_000, *[0] * (length_band.BANDS - 1)),
             chance.randrange(5_000, 400_000),
             chance.randrange(1, 5),
-            (1, *[0] * (pause_class.CLASSES - 1)),
+            (1, *[0] * (gap_class.CLASSES - 1)),
             chance.uniform(0.0, 900.0),
         )
         for _ in range(count)
--- a/tests/test_pause_class.py
+++ b/tests/test_pause_class.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from ruddergate.decisions import pause_class
+from ruddergate.decisions import gap_class
 from ruddergate.platform import configuration
 
 
@@ -34,7 +34,7 @@
             {"a": 250, "b": 600, "c": 1_000, "d": 220}, stride=34, step_ms=1.31
         )
         self.assertEqual(pool.pause_aims_ms, (220.0, 250.0, 600.0, 1_000.0))
-        short, middle, long_ = pause_class.bears_ms(pool)
+        short, middle, long_ = gap_class.find_prefill_budgets_ms(pool)
         # The shortest pause of a class counts.
         self.assertAlmostEqual(short, 220.0 * 0.95 - 34 * 1.31 - 17.0)
         self.assertAlmostEqual(middle, 600.0 * 0.95 - 34 * 1.31 - 17.0)
@@ -42,8 +42,11 @@
 
     def test_without_published_pauses_the_defaults_hold(self) -> None:
         pool = _make_pool({}, read_per_s=1_000.0)
-        self.assertEqual(pause_class.bears_ms(pool), pause_class.BEARS_MS)
+        self.assertEqual(
+            gap_class.find_prefill_budgets_ms(pool),
+            gap_class.DEFAULT_PREFILL_BUDGETS_MS,
+        )
 
     def test_a_pause_shorter_than_a_pass_leaves_nothing(self) -> None:
         pool = _make_pool({"a": 50}, stride=34, step_ms=2.0)
-        self.assertEqual(pause_class.bears_ms(pool)[0], 0.0)
+        self.assertEqual(gap_class.find_prefill_budgets_ms(pool)[0], 0.0)
