--- a/src/ruddergate/decisions/cost.py
+++ b/src/ruddergate/decisions/cost.py
@@ -28,7 +28,7 @@
     engine_ms: float
 
     @property
-    def alone_ms(self) -> float:
+    def unloaded_ms(self) -> float:
         """Time to finish on an idle engine."""
         return self.prefill_ms + self.decode_ms
 
@@ -39,9 +39,9 @@
     Reading takes a constant time a token, and attention a time for each pair
     of a token and one before it, which soon outweighs it in long prompts.
     """
-    reading_ms = tokens * 1000.0 / pool.prefill_tokens_per_s
+    linear_ms = tokens * 1000.0 / pool.prefill_tokens_per_s
     pairs_m = tokens * tokens / 2.0 / _MILLION
-    return reading_ms + pairs_m * pool.attention_ms_per_m_pairs
+    return linear_ms + pairs_m * pool.attention_ms_per_m_pairs
 
 
 def is_long(pool: effective.Pool, tokens: int) -> bool:
@@ -59,13 +59,13 @@
     output_tokens: int,
 ) -> Cost:
     """Returns the predicted cost of a prompt on one engine of the pool."""
-    fresh_tokens = max(0, prompt_tokens - cached_tokens)
-    prefill_ms = predict_prefill_ms(pool, fresh_tokens)
+    uncached_tokens = max(0, prompt_tokens - cached_tokens)
+    prefill_ms = predict_prefill_ms(pool, uncached_tokens)
     decode_ms = output_tokens * pool.decode_ms_per_token
     held_tokens = prompt_tokens + output_tokens
     computing_ms = prefill_ms + decode_ms / TYPICAL_BATCH
-    part = held_tokens / pool.memory_tokens
-    memory_ms = part * (prefill_ms + decode_ms)
+    memory_share = held_tokens / pool.memory_tokens
+    memory_ms = memory_share * (prefill_ms + decode_ms)
     return Cost(
         prefill_ms, decode_ms, held_tokens, max(computing_ms, memory_ms)
     )
--- a/src/ruddergate/decisions/estimate.py
+++ b/src/ruddergate/decisions/estimate.py
@@ -100,7 +100,7 @@
     def begin(self, attempt_id: str, work: own_work.OwnWork) -> None:
         """Notes an attempt of this VM."""
         self._own[attempt_id] = work
-        self._count(work, work.fresh_tokens, work.held_tokens, 1)
+        self._count(work, work.uncached_tokens, work.held_tokens, 1)
 
     def first_token(self, attempt_id: str, now_ms: float) -> bool:
         """Notes that an attempt's prefill has ended.
@@ -113,7 +113,7 @@
             return False
         work.has_first_token = True
         self._doubted_until_ms = 0.0
-        self._count(work, -work.fresh_tokens, 0, 0)
+        self._count(work, -work.uncached_tokens, 0, 0)
         self.note_response(now_ms - work.sent_ms, now_ms)
         self.faults = 0
         return work.is_long
@@ -123,7 +123,7 @@
         work = self._own.pop(attempt_id, None)
         if work is None:
             return
-        open_tokens = 0 if work.has_first_token else work.fresh_tokens
+        open_tokens = 0 if work.has_first_token else work.uncached_tokens
         self._count(work, -open_tokens, -work.held_tokens, -1)
 
     def _count(
@@ -187,7 +187,7 @@
         self._since = own_work.Totals()
         for work in self._own.values():
             if work.sent_ms > taken_ms:
-                fresh = 0 if work.has_first_token else work.fresh_tokens
+                fresh = 0 if work.has_first_token else work.uncached_tokens
                 self._since.add(work.band, fresh, work.held_tokens, 1)
         # Draining is sticky for an incarnation: late accounts can't undo it.
         self.draining = self.draining or report.draining
@@ -278,7 +278,7 @@
         return own + self._others_streams * (1.0 - max(0.0, faded))
 
     def _own_answers(self) -> int:
-        return sum(work.is_writing for work in self._own.values())
+        return sum(work.is_decoding for work in self._own.values())
 
     def streams_by_pause(self, now_ms: float) -> tuple[int, ...]:
         """Returns own and peers' requests by class of the pause they bear."""
@@ -291,7 +291,7 @@
     def _own_by_pause(self) -> tuple[int, ...]:
         counts = [0] * gap_class.CLASSES
         for work in self._own.values():
-            counts[work.gap_class] += work.is_writing
+            counts[work.gap_class] += work.is_decoding
         return tuple(counts)
 
     def prefilling_ms(self, now_ms: float) -> float:
--- a/src/ruddergate/decisions/own_work.py
+++ b/src/ruddergate/decisions/own_work.py
@@ -23,14 +23,14 @@
         has_first_token: Whether its prefill has ended.
     """
 
-    fresh_tokens: int
+    uncached_tokens: int
     held_tokens: int
     sent_ms: float
     band: int
     prefill_ms: float = 0.0
     is_long: bool = False
     gap_class: int = gap_class.CLASSES - 1
-    is_writing: bool = True
+    is_decoding: bool = True
     has_first_token: bool = False
 
 
--- a/src/ruddergate/decisions/queueing.py
+++ b/src/ruddergate/decisions/queueing.py
@@ -54,7 +54,7 @@
     weight: float
     lane: Lane
     cost_ms: float
-    alone_ms: float
+    unloaded_ms: float
     deadline_ms: float
 
 
@@ -113,10 +113,10 @@
     def offer(self, job: Job, now_ms: float) -> outcomes.NotServed | None:
         """Takes a job in, or returns at once why it can't be served."""
         wait_ms = self.predict_wait_ms(job.priority, job.lane.band)
-        if now_ms + wait_ms + job.alone_ms > job.deadline_ms:
+        if now_ms + wait_ms + job.unloaded_ms > job.deadline_ms:
             return outcomes.refuse(
                 outcomes.Reason.CANNOT_FINISH_IN_TIME,
-                f"about {wait_ms + job.alone_ms:.0f} ms would be needed",
+                f"about {wait_ms + job.unloaded_ms:.0f} ms would be needed",
                 max(_RETRY_AFTER_LEAST_MS, wait_ms),
             )
         own = self._find_class(job.priority)
@@ -168,7 +168,7 @@
         late = [
             job
             for job in self.jobs()
-            if now_ms + job.alone_ms > job.deadline_ms
+            if now_ms + job.unloaded_ms > job.deadline_ms
         ]
         for job in late:
             self.withdraw(job)
--- a/src/ruddergate/entry/model_run.py
+++ b/src/ruddergate/entry/model_run.py
@@ -89,7 +89,7 @@
         request.repeatable,
         progress.attempts,
         request.remaining_ms(now_ms),
-        needed.alone_ms,
+        needed.unloaded_ms,
         tools.budget,
         tools.env.random,
     )
@@ -126,7 +126,7 @@
             weight=request.workload.weight,
             lane=queueing.Lane(pool.name, band),
             cost_ms=cost.engine_ms,
-            alone_ms=cost.alone_ms,
+            unloaded_ms=cost.unloaded_ms,
             deadline_ms=request.deadline_ms,
         ),
         route=jobs.Job(
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -283,7 +283,7 @@
             weight=request.workload.weight,
             lane=queueing.Lane(pool.name, band),
             cost_ms=cost.engine_ms,
-            alone_ms=0.0,
+            unloaded_ms=0.0,
             deadline_ms=now_ms + wait_ms,
         ),
         route=jobs.Job(
--- a/src/ruddergate/entry/service_run.py
+++ b/src/ruddergate/entry/service_run.py
@@ -85,7 +85,7 @@
             weight=request.workload.weight,
             lane=queueing.Lane(pool.name, 0),
             cost_ms=_CALL_COST_MS,
-            alone_ms=0.0,
+            unloaded_ms=0.0,
             deadline_ms=request.deadline_ms,
         ),
         route=jobs.Job(0, 0, "", 0, False, now_ms),
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -19,7 +19,7 @@
         "weight": 1.0,
         "lane": LANE,
         "cost_ms": 100.0,
-        "alone_ms": 100.0,
+        "unloaded_ms": 100.0,
         "deadline_ms": 60_000.0,
         **fields,
     }
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -181,7 +181,7 @@
         pool = _make_view().index.find_pool("engines")
         estimate = estimates.Estimate(_TARGET, pool)
         work = own_work.OwnWork(
-            1_000, 0, 0.0, 0, prefill_ms=300.0, is_long=True, is_writing=False
+            1_000, 0, 0.0, 0, prefill_ms=300.0, is_long=True, is_decoding=False
         )
         estimate.begin("a", work)
         self.assertEqual(estimate.recent_streams(1.0), 0.0)
