--- a/examples/embed_routing.py
+++ b/examples/embed_routing.py
@@ -51,7 +51,7 @@
         job = routing.job.Job(tokens, tokens, "", 0, tokens > 65_536, 0.0)
         chosen = policy.choose(job, engines, 0.0, chance)
         work = own_work.OwnWork(tokens, tokens, 0.0, 3 if job.is_long else 0)
-        chosen.begin(name, work)
+        chosen.begin_attempt(name, work)
         print(name, "goes to", chosen.target.target_id)
 
 
--- a/src/ruddergate/decisions/routing/boundary.py
+++ b/src/ruddergate/decisions/routing/boundary.py
@@ -41,7 +41,7 @@
     engines: Sequence[estimates.Estimate], now_ms: float
 ) -> Sequence[str]:
     ranked = sorted((each.target.target_id for each in engines), key=_rank_of)
-    streams = sum(each.streams_by_pause(now_ms)[0] for each in engines)
+    streams = sum(each.streams_by_gap_class(now_ms)[0] for each in engines)
     places = [each.target.streams_max or PLACES_UNTOLD for each in engines]
     fill = SHORT_FILL * sum(places) / len(places)
     needed = math.ceil(streams / fill + FRONT_SPARE)
--- a/src/ruddergate/decisions/routing/by_length.py
+++ b/src/ruddergate/decisions/routing/by_length.py
@@ -21,7 +21,7 @@
 # keeps VMs with the same lagged view from all going to one engine.
 SAME_MS = 40.0
 # Memory that may be promised; the rest absorbs what peers send meanwhile.
-MEMORY_USE_MAX = 0.95
+MAX_MEMORY_USE = 0.95
 # A prompt waits here rather than behind more prefill than this ...
 HOLD_MS = 1_000.0
 # ... or than this many times its own prefill.
@@ -67,11 +67,11 @@
     job: jobs.Job, band: int, each: estimates.Estimate, now_ms: float
 ) -> float | None:
     """Returns the predicted time to first token; None if it is to wait."""
-    room = each.pool.memory_tokens * MEMORY_USE_MAX - each.held_tokens(now_ms)
+    room = each.pool.memory_tokens * MAX_MEMORY_USE - each.held_tokens(now_ms)
     # A prompt larger than what may be promised still gets an empty engine.
     if job.held_tokens > room and each.streams(now_ms) > 0:
         return None
-    long_tokens = each.long_tokens(now_ms)
+    long_tokens = each.long_prefill_tokens(now_ms)
     if job.is_long and long_tokens > 0:
         return None
     per_ms = each.pool.prefill_tokens_per_s / 1000.0
--- a/src/ruddergate/decisions/routing/by_region.py
+++ b/src/ruddergate/decisions/routing/by_region.py
@@ -95,7 +95,7 @@
 
     def find_load(each: estimates.Estimate) -> tuple[int, int]:
         streams = round(each.recent_streams(now_ms))
-        return streams, round(each.prefilling_ms(now_ms) / SAME_MS)
+        return streams, round(each.remaining_prefill_ms(now_ms) / SAME_MS)
 
     loads = [find_load(each) for each in candidates]
     least = min(loads)
@@ -138,11 +138,11 @@
 ) -> float:
     """Returns what this engine would cost a short job, in milliseconds."""
     streams = each.recent_streams(now_ms)
-    rest_ms = each.prefilling_ms(now_ms)
+    rest_ms = each.remaining_prefill_ms(now_ms)
     own_ms = costs.predict_prefill_ms(each.pool, job.prompt_tokens)
     score_ms = rest_ms + streams * STREAM_MS
     if rest_ms + own_ms > gap_class.find_prefill_budgets_ms(each.pool)[0]:
-        score_ms += each.streams_by_pause(now_ms)[0] * LATE_MS
+        score_ms += each.streams_by_gap_class(now_ms)[0] * LATE_MS
     if job.held_tokens > each.free_tokens(now_ms):
         score_ms += NO_ROOM_MS
     if in_long_region:
--- a/src/ruddergate/decisions/routing/long_prompts.py
+++ b/src/ruddergate/decisions/routing/long_prompts.py
@@ -160,8 +160,8 @@
     room = each.free_tokens(now_ms)
     return prefill_plan.Engine(
         target_id=each.target.target_id,
-        backlog_ms=each.prefilling_ms(now_ms),
-        decoding_streams=each.streams_by_pause(now_ms),
+        backlog_ms=each.remaining_prefill_ms(now_ms),
+        decoding_streams=each.streams_by_gap_class(now_ms),
         has_room=share_tokens <= room or each.recent_streams(now_ms) == 0.0,
         prefill_value=_find_reader_worth(each, now_ms),
         extra_cost=_find_extra_cost(job, each, now_ms),
@@ -174,13 +174,13 @@
     job: jobs.Job, each: estimates.Estimate, now_ms: float
 ) -> float:
     cost = AWAY_COST if jobs.is_away(job, each.target) else 0.0
-    if each.is_doubtful(now_ms):
+    if each.has_failed_recently(now_ms):
         cost += DOUBT_RISK * prefill_plan.estimate_value(job.prompt_tokens)
     return cost
 
 
 def _find_reader_worth(each: estimates.Estimate, now_ms: float) -> float:
-    band = each.longest_band_in_reading(now_ms)
+    band = each.longest_prefill_band(now_ms)
     if band is None:
         return 0.0
     return prefill_plan.estimate_value(length_band.TYPICAL_TOKENS[band])
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -292,7 +292,7 @@
             self._limits.note_unplaced(seat.target.target_id, seat.attempt_id)
             estimate = self._table.find(seat.target)
             if estimate is not None:
-                estimate.end(seat.attempt_id)
+                estimate.end_attempt(seat.attempt_id)
 
     def _take_first_token(
         self, message: placement.FirstToken, now_ms: float
@@ -301,7 +301,7 @@
         if estimate is None:
             return
         self._withdrawn.note_served(estimate.target.life, now_ms)
-        if estimate.first_token(message.seat.attempt_id, now_ms):
+        if estimate.note_first_token(message.seat.attempt_id, now_ms):
             self._note_change()
         if message.prefix:
             estimate.note_prefix(message.prefix, message.prefix_tokens)
@@ -312,7 +312,7 @@
         estimate = self._table.find(target)
         if estimate is None:
             return
-        estimate.end(message.seat.attempt_id)
+        estimate.end_attempt(message.seat.attempt_id)
         if message.unreachable:
             self._losses.note_silent(target, now_ms)
         elif message.gone:
@@ -343,7 +343,7 @@
         estimate = self._table.find_named(report.target_id)
         if estimate is None or report.born_ms != estimate.target.born_ms:
             return
-        estimate.take_report(report, now_ms)
+        estimate.apply_report(report, now_ms)
 
     def _take_loads(self, loads: load_messages.Loads, now_ms: float) -> None:
         for report in loads.reports:
@@ -352,14 +352,14 @@
         for event in loads.events:
             estimate = self._table.find_named(event.target_id)
             if estimate is not None:
-                estimate.take_event(event)
+                estimate.apply_cache_event(event)
 
     def _take_peers(self, rows: Sequence[dispatched.Dispatched]) -> None:
         now_ms = self._env.now_ms()
         for row in rows:
             estimate = self._table.find_named(row.target_id)
             if estimate is not None:
-                estimate.take_peers(row, now_ms)
+                estimate.apply_peer_work(row, now_ms)
 
     def _take_view(self, now_ms: float) -> None:
         if self._view.age_ms(now_ms) < self._config.wake_gap_ms:
--- a/src/ruddergate/entry/seating.py
+++ b/src/ruddergate/entry/seating.py
@@ -138,7 +138,7 @@
             each
             for each in candidates
             if each.pool.memory_tokens - each.held_tokens(now_ms) >= needed
-            and not each.long_tokens(now_ms)
+            and not each.long_prefill_tokens(now_ms)
         ]
         if len(room) < len(asked.segments):
             return ()
@@ -179,7 +179,7 @@
             is_writing,
         )
         believed = chosen.describe(now_ms)
-        chosen.begin(attempt_id, work)
+        chosen.begin_attempt(attempt_id, work)
         self._note_change()
         return placement.Seat(
             chosen.target, attempt_id, cached_tokens, believed, held_tokens
--- a/src/ruddergate/entry/target_losses.py
+++ b/src/ruddergate/entry/target_losses.py
@@ -69,7 +69,7 @@
             estimate = find_estimate(lives.parse_life(name))
             if estimate is not None:
                 pause_ms = self._chance.uniform(*losses_found.PAUSE_MS)
-                estimate.note_told_lost(now_ms, pause_ms)
+                estimate.note_reported_lost(now_ms, pause_ms)
         for hall in told.halls:
             if self._reachability.note_told(hall, now_ms):
                 self._log.warning("Hall {} is out of reach of peers.", hall)
--- a/src/ruddergate/entry/target_table.py
+++ b/src/ruddergate/entry/target_table.py
@@ -107,7 +107,7 @@
         of six VMs that waited for one target reached it within 90 ms otherwise,
         now 6 at most (emulated fleet).
         """
-        if not each.may_take_work():
+        if not each.accepts_requests():
             return False
         target_id = each.target.target_id
         if len(self._limits) and not self._limits.can_send(target_id, now_ms):
@@ -127,7 +127,9 @@
             A time not after now where one does; infinity where all leave.
         """
         able = (
-            each for each in self._by_pool.get(pool, []) if each.may_take_work()
+            each
+            for each in self._by_pool.get(pool, [])
+            if each.accepts_requests()
         )
         if not self._withdrawn.has_quiet() and not len(self._limits):
             return now_ms if any(True for _ in able) else _NEVER_MS
@@ -151,7 +153,7 @@
         shares = [
             self._limits.find_share(each.target.target_id, now_ms)[1]
             for each in self._by_pool.get(pool, [])
-            if each.may_take_work()
+            if each.accepts_requests()
             and self._withdrawn.takes_calls(each.target.life, now_ms)
         ]
         return sum(shares)
--- a/standins/decision_cost.py
+++ b/standins/decision_cost.py
@@ -36,11 +36,11 @@
     known = paper_table.make_estimates(size)
     for number, each in enumerate(known):
         work = own_work.OwnWork(1_000 + number, 2_000, 5.0, 0)
-        each.begin("a", work)
+        each.begin_attempt("a", work)
         report = load_report.LoadReport(
             each.target.target_id, "g", 3, 2_000, 9_000, False, 0.0
         )
-        each.take_report(report, 1.0)
+        each.apply_report(report, 1.0)
     return known
 
 
--- a/standins/paper_table.py
+++ b/standins/paper_table.py
@@ -97,7 +97,7 @@
             _note(known[index], str(done), now_ms, failed, fault_guard)
         chosen = policy.choose(_JOB, known, now_ms, chance)
         index = known.index(chosen)
-        chosen.begin(str(number), own_work.OwnWork(1, 1, now_ms, 0))
+        chosen.begin_attempt(str(number), own_work.OwnWork(1, 1, now_ms, 0))
         end_ms, failed = servers[index].serve(now_ms, chance, fast_failures)
         heapq.heappush(open_, (end_ms, number, index, now_ms, failed))
     return times, failures
@@ -115,8 +115,8 @@
         # This table has no circuit breaker: only the guarded average counts.
         known.open_until_ms = 0.0
     else:
-        known.first_token(name, now_ms)
-    known.end(name)
+        known.note_first_token(name, now_ms)
+    known.end_attempt(name)
 
 
 def main(*, requests: int = 20_000, seed: int = 1) -> None:
--- a/tests/test_by_region.py
+++ b/tests/test_by_region.py
@@ -109,7 +109,7 @@
                 row = dispatched.Dispatched(
                     each.target.target_id, (), 0, 9, (9, 0, 0), 0.0
                 )
-                each.take_peers(row, 0.0)
+                each.apply_peer_work(row, 0.0)
         (chosen,) = _choose(job, engines)
         self.assertNotEqual(chosen.target.hall, "h1")
 
@@ -120,7 +120,7 @@
                 row = dispatched.Dispatched(
                     each.target.target_id, (), 0, 4, (4, 0, 0), 0.0
                 )
-                each.take_peers(row, 0.0)
+                each.apply_peer_work(row, 0.0)
         long_ids = boundary.find_long_region(engines, 0.0)
         counts = {
             hall: sum(
@@ -141,7 +141,7 @@
             row = dispatched.Dispatched(
                 engines[1].target.target_id, (), 0, streams, (), 0.0
             )
-            engines[1].take_peers(row, 0.0)
+            engines[1].apply_peer_work(row, 0.0)
             chosen = policy.choose(job, engines, 0.0, chance)
             self.assertEqual(chosen.target.hall == "h1", expected)
 
@@ -152,7 +152,7 @@
             row = dispatched.Dispatched(
                 each.target.target_id, (), 0, 6, (6, 0, 0), 0.0
             )
-            each.take_peers(row, 0.0)
+            each.apply_peer_work(row, 0.0)
         after = len(boundary.find_long_region(engines, 0.0))
         self.assertGreater(before, after)
         self.assertEqual(after, boundary.REGION_LEAST)
@@ -164,7 +164,7 @@
                 row = dispatched.Dispatched(
                     each.target.target_id, (), 0, 3, (3, 0, 0), 0.0
                 )
-                each.take_peers(row, 0.0)
+                each.apply_peer_work(row, 0.0)
             front = 60 - len(boundary.find_long_region(engines, 0.0))
             self.assertLessEqual(120 / front, boundary.SHORT_FILL * places)
 
@@ -175,7 +175,7 @@
             row = dispatched.Dispatched(
                 each.target.target_id, (), 0, 4, (0, 2, 2), 0.0
             )
-            each.take_peers(row, 0.0)
+            each.apply_peer_work(row, 0.0)
         self.assertEqual(boundary.find_long_region(engines, 0.0), before)
 
     def test_long_prompt_waits_for_the_end_of_another_ones_reading(
@@ -186,7 +186,7 @@
             row = dispatched.Dispatched(
                 each.target.target_id, (0, 0, 0, 0, 20_000), 0, 0, (), 600.0
             )
-            each.take_peers(row, 0.0)
+            each.apply_peer_work(row, 0.0)
         self.assertEqual(_choose(_LONG, engines), [])
         waited = dataclasses.replace(_LONG, waited_ms=1_000.0)
         self.assertTrue(_choose(waited, engines))
@@ -202,7 +202,7 @@
             row = dispatched.Dispatched(
                 each.target.target_id, (), 0, 1, (1, 2, 1), 0.0
             )
-            each.take_peers(row, 0.0)
+            each.apply_peer_work(row, 0.0)
         self.assertEqual(_choose(great, engines), [])
         # It could still be in time after a second, and not after two.
         waited = dataclasses.replace(great, waited_ms=1_000.0)
--- a/tests/test_hanging_engine.py
+++ b/tests/test_hanging_engine.py
@@ -31,15 +31,15 @@
 class OverdueTest(unittest.TestCase):
     def test_prefill_that_is_overdue_lasts_on(self) -> None:
         found = _make_estimate()
-        found.begin("a", own_work.OwnWork(5_000, 5_000, 0.0, 1, 30.0))
-        self.assertEqual(found.prefilling_ms(0.0), 30.0)
-        self.assertEqual(found.prefilling_ms(30.0), 15.0)
-        self.assertEqual(found.prefilling_ms(730.0), 500.0)
+        found.begin_attempt("a", own_work.OwnWork(5_000, 5_000, 0.0, 1, 30.0))
+        self.assertEqual(found.remaining_prefill_ms(0.0), 30.0)
+        self.assertEqual(found.remaining_prefill_ms(30.0), 15.0)
+        self.assertEqual(found.remaining_prefill_ms(730.0), 500.0)
         self.assertEqual(
-            found.prefilling_ms(60_000.0), estimates.OVERDUE_MOST_MS
+            found.remaining_prefill_ms(60_000.0), estimates.MAX_OVERDUE_MS
         )
-        found.first_token("a", 60_000.0)
-        self.assertEqual(found.prefilling_ms(60_000.0), 0.0)
+        found.note_first_token("a", 60_000.0)
+        self.assertEqual(found.remaining_prefill_ms(60_000.0), 0.0)
 
 
 class HangingEngineTest(unittest.TestCase):
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -183,10 +183,10 @@
         work = own_work.OwnWork(
             1_000, 0, 0.0, 0, prefill_ms=300.0, is_long=True, is_decoding=False
         )
-        estimate.begin("a", work)
+        estimate.begin_attempt("a", work)
         self.assertEqual(estimate.recent_streams(1.0), 0.0)
-        self.assertEqual(sum(estimate.streams_by_pause(1.0)), 0)
+        self.assertEqual(sum(estimate.streams_by_gap_class(1.0)), 0)
         self.assertEqual(estimate.summarize(1.0).streams, 0)
-        self.assertGreater(estimate.prefilling_ms(1.0), 200.0)
-        estimate.first_token("a", 300.0)
-        self.assertEqual(estimate.prefilling_ms(301.0), 0.0)
+        self.assertGreater(estimate.remaining_prefill_ms(1.0), 200.0)
+        estimate.note_first_token("a", 300.0)
+        self.assertEqual(estimate.remaining_prefill_ms(301.0), 0.0)
