--- a/src/ruddergate/decisions/queueing.py
+++ b/src/ruddergate/decisions/queueing.py
@@ -16,8 +16,8 @@
 from ruddergate import outcomes
 from ruddergate.settings import effective
 
-SERVED_HORIZON_MS = 10_000.0
-_RETRY_AFTER_LEAST_MS = 100.0
+SERVED_DECAY_MS = 10_000.0
+_MIN_RETRY_AFTER_MS = 100.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -59,23 +59,23 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Workspace:
+class _WorkspaceQueue:
     lanes: dict[Lane, collections.deque[Job]]
-    finish: float = 0.0
+    finish_tag: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Class:
-    workspaces: dict[str, _Workspace]
+class _ClassQueue:
+    workspaces: dict[str, _WorkspaceQueue]
     priority: effective.PriorityClass
     count: int = 0
     waiting_cost_ms: float = 0.0
     cost_by_band: dict[int, float] = dataclasses.field(default_factory=dict)
-    virtual_ms: float = 0.0
+    virtual_time_ms: float = 0.0
     served_ms: float = 0.0
     served_at_ms: float = 0.0
 
-    def note_waiting(self, job: Job, cost_ms: float) -> None:
+    def add_waiting_cost(self, job: Job, cost_ms: float) -> None:
         self.count += 1 if cost_ms > 0.0 else -1
         band = job.lane.band
         known_ms = self.cost_by_band.get(band, 0.0)
@@ -85,13 +85,13 @@
     def cost_up_to(self, band: int) -> float:
         return sum(
             cost_ms
-            for each, cost_ms in self.cost_by_band.items()
-            if each <= band
+            for job_band, cost_ms in self.cost_by_band.items()
+            if job_band <= band
         )
 
-    def served_lately(self, now_ms: float) -> float:
+    def recent_served_ms(self, now_ms: float) -> float:
         age_ms = now_ms - self.served_at_ms
-        return self.served_ms * math.exp(-age_ms / SERVED_HORIZON_MS)
+        return self.served_ms * math.exp(-age_ms / SERVED_DECAY_MS)
 
 
 class Queue:
@@ -103,7 +103,7 @@
     """
 
     def __init__(self, drain_rate: Callable[[], float]) -> None:
-        self._classes: dict[str, _Class] = {}
+        self._classes: dict[str, _ClassQueue] = {}
         self._drain_rate = drain_rate
         self._count = 0
 
@@ -117,53 +117,53 @@
             return outcomes.refuse(
                 outcomes.Reason.CANNOT_FINISH_IN_TIME,
                 f"about {wait_ms + job.unloaded_ms:.0f} ms would be needed",
-                max(_RETRY_AFTER_LEAST_MS, wait_ms),
+                max(_MIN_RETRY_AFTER_MS, wait_ms),
             )
-        own = self._find_class(job.priority)
+        class_ = self._find_class(job.priority)
         bound_ms = job.priority.queue_cost_ms_max
-        if own.count and (own.waiting_cost_ms + job.cost_ms > bound_ms):
+        if class_.count and (class_.waiting_cost_ms + job.cost_ms > bound_ms):
             return outcomes.refuse(
                 outcomes.Reason.QUEUE_FULL,
                 f"the queue of class {job.priority.name} is full",
-                max(_RETRY_AFTER_LEAST_MS, wait_ms / 2.0),
+                max(_MIN_RETRY_AFTER_MS, wait_ms / 2.0),
             )
-        self._add(own, job)
+        self._add_job(class_, job)
         return None
 
-    def take(self, now_ms: float, closed: set[Lane]) -> Job | None:
+    def take_next(self, now_ms: float, blocked_lanes: set[Lane]) -> Job | None:
         """Removes and returns the job that goes next, if any.
 
         Args:
             now_ms: Monotonic time.
-            closed: Lanes that no target can take from now.
+            blocked_lanes: Lanes that no target can take jobs from now.
         """
-        for own in self._in_order(now_ms):
-            found = self._take_from(own, closed)
+        for class_ in self._rank_classes(now_ms):
+            found = self._take_from(class_, blocked_lanes)
             if found is not None:
-                self._note_served(own, found.cost_ms, now_ms)
+                self._note_served(class_, found.cost_ms, now_ms)
                 return found
         return None
 
-    def put_back(self, job: Job, now_ms: float) -> None:
+    def requeue(self, job: Job, now_ms: float) -> None:
         """Returns a job just taken to the head of its line."""
-        own = self._find_class(job.priority)
-        self._note_served(own, -job.cost_ms, now_ms)
-        self._add(own, job, at_head=True)
-        space = own.workspaces[job.workspace]
-        space.finish -= job.cost_ms / job.weight
+        class_ = self._find_class(job.priority)
+        self._note_served(class_, -job.cost_ms, now_ms)
+        self._add_job(class_, job, at_head=True)
+        workspace = class_.workspaces[job.workspace]
+        workspace.finish_tag -= job.cost_ms / job.weight
 
-    def withdraw(self, job: Job) -> bool:
+    def remove(self, job: Job) -> bool:
         """Removes a waiting job; returns whether it was still waiting."""
-        own = self._find_class(job.priority)
-        space = own.workspaces.get(job.workspace)
-        line = space.lanes.get(job.lane) if space else None
-        if line is None or job not in line:
+        class_ = self._find_class(job.priority)
+        workspace = class_.workspaces.get(job.workspace)
+        waiting_jobs = workspace.lanes.get(job.lane) if workspace else None
+        if waiting_jobs is None or job not in waiting_jobs:
             return False
-        line.remove(job)
-        self._forget(own, job)
+        waiting_jobs.remove(job)
+        self._note_removed(class_, job)
         return True
 
-    def expire(self, now_ms: float) -> list[Job]:
+    def remove_expired(self, now_ms: float) -> list[Job]:
         """Removes and returns the jobs that can't finish in time any more."""
         late = [
             job
@@ -171,20 +171,21 @@
             if now_ms + job.unloaded_ms > job.deadline_ms
         ]
         for job in late:
-            self.withdraw(job)
+            self.remove(job)
         return late
 
     def jobs(self) -> Iterator[Job]:
         """Yields all waiting jobs, in no particular order."""
-        for own in self._classes.values():
-            for space in own.workspaces.values():
-                for line in space.lanes.values():
-                    yield from line
+        for class_ in self._classes.values():
+            for workspace in class_.workspaces.values():
+                for waiting_jobs in workspace.lanes.values():
+                    yield from waiting_jobs
 
     def waiting_by_class(self) -> dict[str, float]:
         """Returns the cost waiting in each class, in milliseconds."""
         return {
-            name: own.waiting_cost_ms for name, own in self._classes.items()
+            name: class_.waiting_cost_ms
+            for name, class_ in self._classes.items()
         }
 
     def predict_wait_ms(
@@ -195,85 +196,93 @@
         Longer prompts do not count: their lanes hold up nobody.
         """
         ahead_ms = sum(
-            own.cost_up_to(band)
-            for own in self._classes.values()
-            if own.priority.rank >= priority.rank
+            class_.cost_up_to(band)
+            for class_ in self._classes.values()
+            if class_.priority.rank >= priority.rank
         )
         rate = max(1e-6, self._drain_rate())
         floor_rate = rate * max(0.0, priority.floor_percent) / 100.0
-        own = self._classes.get(priority.name)
-        own_ms = own.cost_up_to(band) if own else 0.0
+        class_ = self._classes.get(priority.name)
+        class_ms = class_.cost_up_to(band) if class_ else 0.0
         wait_ms = ahead_ms / rate
         if floor_rate > 0:
-            wait_ms = min(wait_ms, own_ms / floor_rate)
+            wait_ms = min(wait_ms, class_ms / floor_rate)
         return wait_ms
 
-    def _find_class(self, priority: effective.PriorityClass) -> _Class:
-        own = self._classes.get(priority.name)
-        if own is None:
-            own = self._classes[priority.name] = _Class({}, priority)
-        own.priority = priority
-        return own
-
-    def _add(self, own: _Class, job: Job, at_head: bool = False) -> None:
-        space = own.workspaces.get(job.workspace)
-        if space is None:
-            space = own.workspaces[job.workspace] = _Workspace({})
-        line = space.lanes.get(job.lane)
-        if line is None:
-            line = space.lanes[job.lane] = collections.deque()
+    def _find_class(self, priority: effective.PriorityClass) -> _ClassQueue:
+        class_ = self._classes.get(priority.name)
+        if class_ is None:
+            class_ = self._classes[priority.name] = _ClassQueue({}, priority)
+        class_.priority = priority
+        return class_
+
+    def _add_job(
+        self, class_: _ClassQueue, job: Job, at_head: bool = False
+    ) -> None:
+        workspace = class_.workspaces.get(job.workspace)
+        if workspace is None:
+            workspace = class_.workspaces[job.workspace] = _WorkspaceQueue({})
+        waiting_jobs = workspace.lanes.get(job.lane)
+        if waiting_jobs is None:
+            waiting_jobs = workspace.lanes[job.lane] = collections.deque()
         if at_head:
-            line.appendleft(job)
+            waiting_jobs.appendleft(job)
         else:
-            line.append(job)
-        own.note_waiting(job, job.cost_ms)
+            waiting_jobs.append(job)
+        class_.add_waiting_cost(job, job.cost_ms)
         self._count += 1
 
-    def _forget(self, own: _Class, job: Job) -> None:
-        own.note_waiting(job, -job.cost_ms)
+    def _note_removed(self, class_: _ClassQueue, job: Job) -> None:
+        class_.add_waiting_cost(job, -job.cost_ms)
         self._count -= 1
-        space = own.workspaces[job.workspace]
-        if not space.lanes[job.lane]:
-            del space.lanes[job.lane]
+        workspace = class_.workspaces[job.workspace]
+        if not workspace.lanes[job.lane]:
+            del workspace.lanes[job.lane]
 
-    def _in_order(self, now_ms: float) -> list[_Class]:
-        waiting = [c for c in self._classes.values() if c.count]
-        total = sum(c.served_lately(now_ms) for c in self._classes.values())
+    def _rank_classes(self, now_ms: float) -> list[_ClassQueue]:
+        class_queues = [c for c in self._classes.values() if c.count]
+        total = sum(c.recent_served_ms(now_ms) for c in self._classes.values())
 
-        def order(own: _Class) -> tuple[bool, float, str]:
-            floor = own.priority.floor_percent / 100.0
-            starved = own.served_lately(now_ms) < floor * total
-            return (not starved, -own.priority.rank, own.priority.name)
+        def rank_key(class_: _ClassQueue) -> tuple[bool, float, str]:
+            floor = class_.priority.floor_percent / 100.0
+            starved = class_.recent_served_ms(now_ms) < floor * total
+            return (not starved, -class_.priority.rank, class_.priority.name)
 
-        return sorted(waiting, key=order)
+        return sorted(class_queues, key=rank_key)
 
-    def _take_from(self, own: _Class, closed: set[Lane]) -> Job | None:
+    def _take_from(
+        self, class_: _ClassQueue, blocked_lanes: set[Lane]
+    ) -> Job | None:
         best: tuple[float, str, Lane] | None = None
-        for name, space in own.workspaces.items():
-            lane = _first_open(space, closed)
+        for name, workspace in class_.workspaces.items():
+            lane = _find_lane(workspace, blocked_lanes)
             if lane is None:
                 continue
-            start = max(own.virtual_ms, space.finish)
-            if best is None or (start, name) < best[:2]:
-                best = (start, name, lane)
+            start_tag = max(class_.virtual_time_ms, workspace.finish_tag)
+            if best is None or (start_tag, name) < best[:2]:
+                best = (start_tag, name, lane)
         if best is None:
             return None
-        start, name, lane = best
-        space = own.workspaces[name]
-        job = space.lanes[lane].popleft()
-        own.virtual_ms = start
-        space.finish = start + job.cost_ms / job.weight
-        self._forget(own, job)
+        start_tag, name, lane = best
+        workspace = class_.workspaces[name]
+        job = workspace.lanes[lane].popleft()
+        class_.virtual_time_ms = start_tag
+        workspace.finish_tag = start_tag + job.cost_ms / job.weight
+        self._note_removed(class_, job)
         return job
 
-    def _note_served(self, own: _Class, cost_ms: float, now_ms: float) -> None:
-        own.served_ms = max(0.0, own.served_lately(now_ms) + cost_ms)
-        own.served_at_ms = now_ms
+    def _note_served(
+        self, class_: _ClassQueue, cost_ms: float, now_ms: float
+    ) -> None:
+        class_.served_ms = max(0.0, class_.recent_served_ms(now_ms) + cost_ms)
+        class_.served_at_ms = now_ms
 
 
-def _first_open(space: _Workspace, closed: set[Lane]) -> Lane | None:
+def _find_lane(
+    workspace: _WorkspaceQueue, blocked_lanes: set[Lane]
+) -> Lane | None:
     """Returns the open lane whose first job must end soonest."""
-    lanes = [lane for lane in space.lanes if lane not in closed]
+    lanes = [lane for lane in workspace.lanes if lane not in blocked_lanes]
     if not lanes:
         return None
-    return min(lanes, key=lambda lane: space.lanes[lane][0].deadline_ms)
+    return min(lanes, key=lambda lane: workspace.lanes[lane][0].deadline_ms)
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -280,7 +280,7 @@
 
     def _take_withdraw(self, asked: placement.Place) -> None:
         self._asked.pop(asked.job.job_id, None)
-        if self._find_queue(asked.pool.name).withdraw(asked.job):
+        if self._find_queue(asked.pool.name).remove(asked.job):
             return
         if asked.reply.done() and not asked.reply.cancelled():
             placed = asked.reply.result()
@@ -391,7 +391,7 @@
                 self._give_places_of(pool, queue, now_ms)
 
     def _expire(self, queue: queueing.Queue, now_ms: float) -> None:
-        for job in queue.expire(now_ms):
+        for job in queue.remove_expired(now_ms):
             asked = self._asked.pop(job.job_id)
             refusal = outcomes.refuse(
                 outcomes.Reason.CANNOT_FINISH_IN_TIME,
@@ -411,11 +411,11 @@
         usable = self._find_usable(pool, now_ms)
         if not usable:
             self._refuse_hopeless(pool, queue, now_ms)
-        while usable and (job := queue.take(now_ms, closed)) is not None:
+        while usable and (job := queue.take_next(now_ms, closed)) is not None:
             asked = self._asked[job.job_id]
             seats = self._seating.seat(asked, usable, now_ms, self._is_blind())
             if not seats:
-                queue.put_back(job, now_ms)
+                queue.requeue(job, now_ms)
                 closed.add(job.lane)
                 rest_ms = self._env.random.uniform(*_LANE_REST_MS)
                 self._lane_rests_until_ms[job.lane] = now_ms + rest_ms
@@ -447,7 +447,7 @@
         first_ms = self._table.find_first_ms(pool, now_ms)
         hopeless = [job for job in queue.jobs() if first_ms > job.deadline_ms]
         for job in hopeless:
-            queue.withdraw(job)
+            queue.remove(job)
             asked = self._asked.pop(job.job_id)
             _answer(asked, self._refuse_until(pool, first_ms))
 
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -29,7 +29,7 @@
 def take_all(queue: queueing.Queue) -> list[str]:
     """Returns the names of all jobs in the order in which they go."""
     names = []
-    while (found := queue.take(0.0, set())) is not None:
+    while (found := queue.take_next(0.0, set())) is not None:
         names.append(found.job_id)
     return names
 
@@ -67,19 +67,19 @@
     def test_closed_lane_holds_up_nobody(self) -> None:
         long = queueing.Lane("pool", 4)
         self.offer(job("long", lane=long), job("short"))
-        self.assertEqual(self.queue.take(0.0, {long}).job_id, "short")
+        self.assertEqual(self.queue.take_next(0.0, {long}).job_id, "short")
 
     def test_job_put_back_is_the_next(self) -> None:
         self.offer(job("a"), job("b"))
-        taken = self.queue.take(0.0, set())
-        self.queue.put_back(taken, 0.0)
+        taken = self.queue.take_next(0.0, set())
+        self.queue.requeue(taken, 0.0)
         self.assertEqual(take_all(self.queue), ["a", "b"])
 
     def test_withdrawn_job_is_gone(self) -> None:
         waiting = job("a")
         self.offer(waiting, job("b"))
-        self.assertTrue(self.queue.withdraw(waiting))
-        self.assertFalse(self.queue.withdraw(waiting))
+        self.assertTrue(self.queue.remove(waiting))
+        self.assertFalse(self.queue.remove(waiting))
         self.assertEqual(take_all(self.queue), ["b"])
 
 
@@ -112,6 +112,6 @@
     def test_jobs_that_can_no_longer_finish_are_given_up(self) -> None:
         queue = queueing.Queue(lambda: 1.0)
         queue.offer(job("a", deadline_ms=150.0), 0.0)
-        self.assertEqual(queue.expire(40.0), [])
-        self.assertEqual([x.job_id for x in queue.expire(60.0)], ["a"])
+        self.assertEqual(queue.remove_expired(40.0), [])
+        self.assertEqual([x.job_id for x in queue.remove_expired(60.0)], ["a"])
         self.assertEqual(len(queue), 0)
