--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -283,7 +283,7 @@
                     question.question, position, question.part
                 )
             case retry_loan.RetriesWanted():
-                lent = self.tools.budget.lend(
+                lent = self.tools.budget.transfer_out(
                     question.retries, question.is_great
                 )
                 return retry_loan.RetriesLent(question.question, lent)
@@ -307,7 +307,7 @@
         """Sizes this VM's part of the fleet's second sends."""
         self._vms_most = max(self._vms_most, peers + 1)
         slack = self._gateway_config.retry_slack
-        most = retries.find_saved_most(slack, self._vms_most)
+        most = retries.compute_capacity(slack, self._vms_most)
         self.tools.budget.resize(most)
 
     async def run(self, stop: asyncio.Event) -> None:
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -181,7 +181,7 @@
     tools: tool_types.Tools,
 ) -> answers.Event | None:
     """Returns None after a pause, or the outcome if no try is left."""
-    if retries.may_run_again(ended, request.repeatable):
+    if retries.is_safe_to_retry(ended, request.repeatable):
         await tools.secure_retry(length_band.is_long(request.prompt_tokens))
     decided = retries.decide(
         ended,
--- a/src/ruddergate/entry/retry_loans.py
+++ b/src/ruddergate/entry/retry_loans.py
@@ -53,13 +53,13 @@
         Args:
             is_great: Whether it is for a prompt worth many short ones.
         """
-        if self._budget.has_one():
+        if self._budget.can_retry():
             return True
         now_ms = self._env.now_ms()
         if now_ms < self._paused_until_ms[is_great]:
             return False
         asked, lent = await self._borrow(is_great)
-        is_had = self._budget.has_one()
+        is_had = self._budget.can_retry()
         if not is_had:
             self._paused_until_ms[is_great] = now_ms + REFUSED_PAUSE_MS
         self._log.info(
@@ -84,11 +84,11 @@
         asked = 0
         given = 0.0
         for peer in self._env.random.sample(peers, count):
-            if self._budget.has_one() or self._env.now_ms() >= until_ms:
+            if self._budget.can_retry() or self._env.now_ms() >= until_ms:
                 break
             asked += 1
-            missing = retries.ONE - self._budget.tokens
+            missing = retries.RETRY_COST - self._budget.tokens
             lent = await self._questions.ask_retries(peer, missing, is_great)
-            self._budget.take_loan(lent)
+            self._budget.receive_transfer(lent)
             given += lent
         return asked, given
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -228,8 +228,8 @@
         lines = self.once(0.0, output_tokens=100)
         lines += [virtual.fault(800, "kill", "engine-1")]
 
-        def always(ended: object, *rest: object) -> retries.Again:
-            return retries.Again(10.0)
+        def always(ended: object, *rest: object) -> retries.RetryDelay:
+            return retries.RetryDelay(10.0)
 
         with mock.patch.object(retries, "decide", always):
             found = virtual.play(lines)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -18,23 +18,23 @@
 class BudgetTest(unittest.TestCase):
     def test_all_vms_together_stay_below_half_of_the_slack(self) -> None:
         for vms in (2, 6, 9, 80, 195, 940):
-            most = retries.find_saved_most(_SLACK, vms)
+            most = retries.compute_capacity(_SLACK, vms)
             self.assertLess(most * vms, _SLACK / 2.0)
         # Each may have started again, and the rest be out of sight.
-        alone = retries.find_saved_most(_SLACK, 1)
+        alone = retries.compute_capacity(_SLACK, 1)
         self.assertLess(alone * 60, _SLACK / 2.0)
 
     def test_parts_of_a_fleet_that_is_cut_stay_below_it(self) -> None:
         parts = 3
-        most = retries.find_saved_most(_SLACK, 3)
+        most = retries.compute_capacity(_SLACK, 3)
         self.assertLess(parts * 3 * most, _SLACK)
 
     def test_saved_sends_follow_the_size(self) -> None:
         budget = retries.Budget(0.15, 0.0, 0.0)
-        self.assertFalse(budget.spend())
+        self.assertFalse(budget.try_spend())
         budget.resize(3.0)
         self.assertEqual(budget.tokens, 3.0)
-        self.assertTrue(budget.spend())
+        self.assertTrue(budget.try_spend())
         budget.resize(5.0)
         self.assertEqual(budget.tokens, 4.0)
         budget.resize(1.0)
@@ -45,8 +45,8 @@
             await asyncio.sleep(1.1)
             for node in scene.cluster.vms.values():
                 self.assertAlmostEqual(
-                    node.gateway.tools.budget.most,
-                    gateway_cluster.RETRY_SLACK * retries.SLACK_PART / 9,
+                    node.gateway.tools.budget.capacity,
+                    gateway_cluster.RETRY_SLACK * retries.SLACK_SHARE / 9,
                 )
             # One that starts again alone takes little until it knows more.
             node = scene.cluster.vms["vm-4"]
@@ -55,7 +55,7 @@
             scene.cluster.network.cuts.append(cut)
             scene.cluster.start_vm(node)
             await asyncio.sleep(1.0)
-            self.assertLess(node.gateway.tools.budget.most, 1.0)
+            self.assertLess(node.gateway.tools.budget.capacity, 1.0)
 
         loguru.logger.remove()
         gateway_scene.play(scene, vms=9)
@@ -84,24 +84,24 @@
         spent = 0
         for borrower, lender, deed in deeds:
             if deed == "spend":
-                spent += budgets[borrower].spend()
+                spent += budgets[borrower].try_spend()
             elif deed == "first":
                 budgets[borrower].note_first_attempt()
                 allowed += share
             else:
                 is_great = deed != "borrow"
-                lent = budgets[lender].lend(0.7, is_great)
+                lent = budgets[lender].transfer_out(0.7, is_great)
                 if deed != "lost":
-                    budgets[borrower].take_loan(lent)
+                    budgets[borrower].receive_transfer(lent)
             left = sum(each.tokens for each in budgets)
             self.assertLessEqual(spent + left, allowed + 1e-9)
             self.assertGreaterEqual(min(e.tokens for e in budgets), 0.0)
 
     def test_short_prompts_leave_some_to_long_ones(self) -> None:
         budget = retries.Budget(0.15, 1.0, 1.0)
-        self.assertEqual(budget.lend(1.0, False), 0.5)
-        self.assertEqual(budget.lend(1.0, False), 0.0)
-        self.assertEqual(budget.lend(1.0, True), 0.5)
+        self.assertEqual(budget.transfer_out(1.0, False), 0.5)
+        self.assertEqual(budget.transfer_out(1.0, False), 0.0)
+        self.assertEqual(budget.transfer_out(1.0, True), 0.5)
 
     def test_loan_that_lies_is_dropped(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
