--- a/src/ruddergate/adapters/engines/load.py
+++ b/src/ruddergate/adapters/engines/load.py
@@ -37,8 +37,8 @@
 
     report: load_report.LoadReport
     events: tuple[cache_event.CacheEvent, ...]
-    held: tuple[sweeping.Held, ...]
-    loaded: orders.Loaded
+    held: tuple[sweeping.HeldItem, ...]
+    loaded: orders.LoadedState
 
 
 async def fetch_account(
@@ -90,8 +90,8 @@
     )
 
 
-def _parse_held(row: object) -> sweeping.Held:
-    return sweeping.Held(
+def _parse_held(row: object) -> sweeping.HeldItem:
+    return sweeping.HeldItem(
         _private.get(row, "id", str, ""),
         _private.get(row, "owner", str, ""),
         _private.get(row, "age_ms", float, 0.0),
@@ -99,9 +99,9 @@
     )
 
 
-def _parse_loaded(generation: str, document: object) -> orders.Loaded:
+def _parse_loaded(generation: str, document: object) -> orders.LoadedState:
     adapters = _private.get(document, "adapters", list, [])
-    return orders.Loaded(
+    return orders.LoadedState(
         generation=generation,
         revision=_private.get(document, "order_revision", int, 0),
         model=_private.get(document, "model", str, ""),
--- a/src/ruddergate/agent/order_task.py
+++ b/src/ruddergate/agent/order_task.py
@@ -28,11 +28,11 @@
         self._metrics = metrics
         self._log = logs.make_logger("orders")
         self._owner_since_ms: dict[str, float] = {}
-        self._budgets: dict[str, orders.StoreBudget] = {}
+        self._budgets: dict[str, orders.WeightReadBudget] = {}
         self._index = indexes.Index(knowledge.in_force.tree)
 
     async def consider(
-        self, target: targets.Target, loaded: orders.Loaded
+        self, target: targets.Target, loaded: orders.LoadedState
     ) -> None:
         """Gives the engine its order if it is due and this VM's to give."""
         pool = self._find_pool(target)
@@ -79,7 +79,9 @@
             self._knowledge.listing_age_ms(),
         )
 
-    def _reads_store(self, order: orders.Order, loaded: orders.Loaded) -> bool:
+    def _reads_store(
+        self, order: orders.Order, loaded: orders.LoadedState
+    ) -> bool:
         has = (loaded.model, loaded.version, loaded.adapters)
         return has != (order.model, order.version, order.adapters)
 
@@ -90,7 +92,7 @@
         rate = pool.weight_reads_per_s_max / listed
         budget = self._budgets.get(pool.name)
         if budget is None:
-            budget = orders.StoreBudget(rate, 0.0, now_ms)
+            budget = orders.WeightReadBudget(rate, 0.0, now_ms)
             self._budgets[pool.name] = budget
         budget.rate_per_s = rate
-        return budget.take(now_ms)
+        return budget.try_take(now_ms)
--- a/src/ruddergate/agent/target_task.py
+++ b/src/ruddergate/agent/target_task.py
@@ -94,7 +94,7 @@
     async def _sweep(
         self, target: targets.Target, account: loads.Account
     ) -> None:
-        lapsed = sweeping.find_lapsed(account.held)
+        lapsed = sweeping.find_expired(account.held)
         if lapsed:
             await control.cancel(self._env, target, lapsed, _TIMEOUT_MS)
             self._metrics.swept.add({}, len(lapsed))
--- a/src/ruddergate/decisions/gangs.py
+++ b/src/ruddergate/decisions/gangs.py
@@ -4,9 +4,9 @@
 import math
 
 # Memory of an engine that a gang leaves to other requests.
-LEFT_FREE = 0.1
+FREE_MEMORY_SHARE = 0.1
 # Part of an engine's memory that a part of a prompt may take: others run there.
-SHARE_MOST = 0.55
+MAX_SEGMENT_SHARE = 0.55
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
 
     The last segment's engine also holds the answer.
     """
-    usable = int(memory_tokens * (1.0 - LEFT_FREE))
+    usable = int(memory_tokens * (1.0 - FREE_MEMORY_SHARE))
     total = prompt_tokens + output_tokens
     count = max(2, math.ceil(total / usable))
     if count > engines_max or count > prompt_tokens:
@@ -65,8 +65,8 @@
 
     A request that leaves an engine some memory for others stays whole.
     """
-    if held_tokens <= memory_tokens * (1.0 - LEFT_FREE):
+    if held_tokens <= memory_tokens * (1.0 - FREE_MEMORY_SHARE):
         return (held_tokens,)
-    count = math.ceil(held_tokens / (memory_tokens * SHARE_MOST))
+    count = math.ceil(held_tokens / (memory_tokens * MAX_SEGMENT_SHARE))
     each = math.ceil(held_tokens / count)
     return (each,) * count
--- a/src/ruddergate/decisions/ledger.py
+++ b/src/ruddergate/decisions/ledger.py
@@ -15,14 +15,14 @@
 from ruddergate.decisions import rendezvous
 from ruddergate.fleet import listing as listings
 
-ENTRIES_MAX = 200_000
-RECORDING_BYTES_MAX = 65_536
-RECORDINGS_BYTES_MAX = 16_000_000
+MAX_ENTRIES = 200_000
+MAX_RECORDING_BYTES = 65_536
+MAX_RECORDINGS_BYTES = 16_000_000
 
 T = TypeVar("T")
 
 
-class Standing(enum.Enum):
+class KeyVerdict(enum.Enum):
     """What a home may do with a key that it has not seen."""
 
     MAY_RUN = "may_run"
@@ -56,7 +56,7 @@
     return chosen[0] if chosen else None
 
 
-def judge(
+def judge_key(
     key: str,
     key_age_ms: float,
     vm_id: str,
@@ -64,7 +64,7 @@
     list_age_ms: float,
     settled_ms: float,
     bounds: Bounds,
-) -> Standing:
+) -> KeyVerdict:
     """Returns whether this VM may run a key that its ledger does not hold.
 
     Args:
@@ -77,12 +77,12 @@
         bounds: Times that the promise rests on.
     """
     if find_home(key, listing) != vm_id:
-        return Standing.NOT_THE_HOME
+        return KeyVerdict.NOT_THE_HOME
     if list_age_ms > bounds.list_age_max_ms:
-        return Standing.LIST_TOO_OLD
+        return KeyVerdict.LIST_TOO_OLD
     if settled_ms < key_age_ms + bounds.margin_ms:
-        return Standing.HOME_TOO_NEW
-    return Standing.MAY_RUN
+        return KeyVerdict.HOME_TOO_NEW
+    return KeyVerdict.MAY_RUN
 
 
 @dataclasses.dataclass(slots=True)
@@ -113,10 +113,10 @@
         self._entries: collections.OrderedDict[str, Entry[T]] = (
             collections.OrderedDict()
         )
-        self._began_ms: dict[str, float] = {}
-        self._kept: collections.deque[str] = collections.deque()
+        self._started_ms: dict[str, float] = {}
+        self._kept_keys: collections.deque[str] = collections.deque()
         self._kept_bytes = 0
-        self.whole_since_ms = float("-inf")
+        self.complete_since_ms = float("-inf")
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -128,31 +128,31 @@
     def open(self, key: str, recording: T, now_ms: float) -> Entry[T]:
         """Adds an entry for a key that is about to run."""
         entry = self._entries[key] = Entry(recording)
-        self._began_ms[key] = now_ms
-        while len(self._entries) > ENTRIES_MAX:
+        self._started_ms[key] = now_ms
+        while len(self._entries) > MAX_ENTRIES:
             oldest, dropped = self._entries.popitem(last=False)
             self._kept_bytes -= dropped.size_bytes
-            self.whole_since_ms = self._began_ms.pop(oldest)
+            self.complete_since_ms = self._started_ms.pop(oldest)
         return entry
 
-    def forget(self, key: str) -> None:
+    def remove(self, key: str) -> None:
         """Drops a key that certainly did not run; it may be used again."""
         self._entries.pop(key, None)
-        self._began_ms.pop(key, None)
+        self._started_ms.pop(key, None)
 
-    def keep(self, key: str, size_bytes: int) -> None:
+    def keep_recording(self, key: str, size_bytes: int) -> None:
         """Keeps the recording of an ended run, if it is small enough."""
         entry = self._entries.get(key)
         if entry is None:
             return
-        if size_bytes > RECORDING_BYTES_MAX:
+        if size_bytes > MAX_RECORDING_BYTES:
             entry.recording = None
             return
         entry.size_bytes = size_bytes
-        self._kept.append(key)
+        self._kept_keys.append(key)
         self._kept_bytes += size_bytes
-        while self._kept_bytes > RECORDINGS_BYTES_MAX:
-            self._drop_recording(self._kept.popleft())
+        while self._kept_bytes > MAX_RECORDINGS_BYTES:
+            self._drop_recording(self._kept_keys.popleft())
 
     def _drop_recording(self, key: str) -> None:
         entry = self._entries.get(key)
--- a/src/ruddergate/decisions/meter.py
+++ b/src/ruddergate/decisions/meter.py
@@ -10,8 +10,8 @@
 # that two requests close together would otherwise be one too many.
 BURST_S = 5.0
 # A fresh meter holds this much: a restart must not earn a whole burst.
-FRESH_S = 1.0
-DEMAND_HORIZON_MS = 2_000.0
+INITIAL_TOKENS_S = 1.0
+DEMAND_DECAY_MS = 2_000.0
 _CONCURRENCY_RETRY_MS = 500.0
 _ROUNDING = 1e-9
 
@@ -27,10 +27,10 @@
         refused_ms: When one was last refused.
     """
 
-    at_ms: float
+    updated_ms: float
     tokens: float | None = None
     running: int = 0
-    refused_ms: float = float("-inf")
+    last_refused_ms: float = float("-inf")
 
     def start(
         self, limit: effective.Limit, fraction: float, now_ms: float
@@ -38,18 +38,18 @@
         """Counts a request in, or returns why the limit forbids it."""
         allowed = limit.concurrency_max * fraction
         if math.isnan(allowed) or self.running + 1 > allowed + _ROUNDING:
-            self.refused_ms = now_ms
+            self.last_refused_ms = now_ms
             return _refuse("requests at once", _CONCURRENCY_RETRY_MS)
         if math.isfinite(limit.requests_per_s_max):
             rate = limit.requests_per_s_max * fraction
-            earned = (now_ms - self.at_ms) / 1000.0 * rate
+            earned = (now_ms - self.updated_ms) / 1000.0 * rate
             burst = max(1.0, rate * BURST_S)
             if self.tokens is None:
-                self.tokens = max(1.0, rate * FRESH_S)
+                self.tokens = max(1.0, rate * INITIAL_TOKENS_S)
             self.tokens = min(burst, self.tokens + earned)
-            self.at_ms = now_ms
+            self.updated_ms = now_ms
             if self.tokens < 1.0 or rate <= 0.0:
-                self.refused_ms = now_ms
+                self.last_refused_ms = now_ms
                 wait_ms = (1.0 - self.tokens) * 1000.0 / max(rate, 0.1)
                 return _refuse("requests a second", wait_ms)
             self.tokens -= 1.0
@@ -71,17 +71,17 @@
     """
 
     per_s: float = 0.0
-    at_ms: float = 0.0
+    updated_ms: float = 0.0
 
     def note_arrival(self, now_ms: float) -> None:
         """Counts an arrival."""
-        self.per_s = self.now_per_s(now_ms) + 1000.0 / DEMAND_HORIZON_MS
-        self.at_ms = now_ms
+        self.per_s = self.current_per_s(now_ms) + 1000.0 / DEMAND_DECAY_MS
+        self.updated_ms = now_ms
 
-    def now_per_s(self, now_ms: float) -> float:
+    def current_per_s(self, now_ms: float) -> float:
         """Returns the recent demand in requests a second."""
-        passed_ms = now_ms - self.at_ms
-        return self.per_s * math.exp(-passed_ms / DEMAND_HORIZON_MS)
+        passed_ms = now_ms - self.updated_ms
+        return self.per_s * math.exp(-passed_ms / DEMAND_DECAY_MS)
 
 
 def _refuse(what: str, retry_after_ms: float) -> outcomes.NotServed:
--- a/src/ruddergate/decisions/orders.py
+++ b/src/ruddergate/decisions/orders.py
@@ -13,7 +13,7 @@
 from ruddergate.fleet import target as targets
 from ruddergate.settings import effective
 
-QUIET_MS = 5_000.0
+SETTLE_MS = 5_000.0
 ORDER_TIMEOUT_MS = 2_000.0
 
 
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Loaded:
+class LoadedState:
     """What an engine says that it has.
 
     Attributes:
@@ -74,15 +74,20 @@
     )
 
 
-def is_needed(order: Order, loaded: Loaded) -> bool:
+def is_needed(order: Order, loaded: LoadedState) -> bool:
     """Returns whether an engine is to be given the order.
 
     An engine that has taken a higher revision is never ordered back.
     """
     if loaded.revision > order.revision or loaded.is_loading:
         return False
-    has = (loaded.model, loaded.version, loaded.adapters, loaded.role)
-    return has != (order.model, order.version, order.adapters, order.role)
+    loaded_state = (loaded.model, loaded.version, loaded.adapters, loaded.role)
+    return loaded_state != (
+        order.model,
+        order.version,
+        order.adapters,
+        order.role,
+    )
 
 
 def find_owners(
@@ -96,8 +101,8 @@
 def may_order(
     is_owner: bool,
     checks_fence: bool,
-    owner_for_ms: float,
-    tree_for_ms: float,
+    owned_for_ms: float,
+    settings_age_ms: float,
     view_age_ms: float,
 ) -> bool:
     """Returns whether this VM may give a target its order now.
@@ -105,20 +110,20 @@
     Args:
         is_owner: Whether it is among the target's owners.
         checks_fence: Whether the target refuses older orders itself.
-        owner_for_ms: Time since it became an owner.
-        tree_for_ms: Time for which its tree has been in force.
+        owned_for_ms: Time since it became an owner.
+        settings_age_ms: Time for which its settings tree has been in force.
         view_age_ms: Age of its view of the fleet.
     """
     if not is_owner:
         return False
     if checks_fence:
         return True
-    settled = min(owner_for_ms, tree_for_ms) >= QUIET_MS
-    return settled and view_age_ms < QUIET_MS / 2.0
+    settled = min(owned_for_ms, settings_age_ms) >= SETTLE_MS
+    return settled and view_age_ms < SETTLE_MS / 2.0
 
 
 @dataclasses.dataclass(slots=True)
-class StoreBudget:
+class WeightReadBudget:
     """Reads of the weight store that this VM may still start.
 
     Attributes:
@@ -129,13 +134,13 @@
 
     rate_per_s: float
     tokens: float
-    at_ms: float
+    updated_ms: float
 
-    def take(self, now_ms: float) -> bool:
+    def try_take(self, now_ms: float) -> bool:
         """Takes one read out; returns whether there was one."""
-        earned = (now_ms - self.at_ms) / 1000.0 * self.rate_per_s
+        earned = (now_ms - self.updated_ms) / 1000.0 * self.rate_per_s
         self.tokens = min(1.0, self.tokens + earned)
-        self.at_ms = now_ms
+        self.updated_ms = now_ms
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
--- a/src/ruddergate/decisions/sweeping.py
+++ b/src/ruddergate/decisions/sweeping.py
@@ -4,11 +4,11 @@
 import dataclasses
 
 # Beyond an item's lapse: covers clock drift and the last answer's way.
-GRACE_MS = 2_000.0
+EXPIRY_GRACE_MS = 2_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Held:
+class HeldItem:
     """A stream, reservation or export as an engine lists it.
 
     Attributes:
@@ -21,10 +21,10 @@
     item_id: str
     owner: str
     age_ms: float
-    lapse_ms: float
+    expiry_age_ms: float
 
 
-def find_lapsed(items: Iterable[Held]) -> tuple[str, ...]:
+def find_expired(items: Iterable[HeldItem]) -> tuple[str, ...]:
     """Returns the items that no request can still need.
 
     An item lapses with the time limit of its request, so a request of a VM
@@ -32,5 +32,7 @@
     seems dead, plays no part.
     """
     return tuple(
-        item.item_id for item in items if item.age_ms > item.lapse_ms + GRACE_MS
+        item.item_id
+        for item in items
+        if item.age_ms > item.expiry_age_ms + EXPIRY_GRACE_MS
     )
--- a/src/ruddergate/entry/keyed.py
+++ b/src/ruddergate/entry/keyed.py
@@ -57,8 +57,8 @@
     ) -> outcomes.NotServed | None:
         now_ms = self._tools.env.now_ms()
         view = self._tools.view
-        whole_ms = max(self._tools.began_ms, self._ledger.whole_since_ms)
-        standing = ledgers.judge(
+        whole_ms = max(self._tools.began_ms, self._ledger.complete_since_ms)
+        standing = ledgers.judge_key(
             key,
             request.key_age_ms,
             self._tools.config.vm_id,
@@ -67,7 +67,7 @@
             view.settled_ms(now_ms, whole_ms),
             self._tools.config.bounds,
         )
-        if standing is ledgers.Standing.MAY_RUN:
+        if standing is ledgers.KeyVerdict.MAY_RUN:
             return None
         return outcomes.NotServed(
             outcomes.Reason.KEY_HOME_UNSETTLED,
@@ -113,10 +113,10 @@
         async for event in serve.serve(request, self._limits, self._tools):
             if _never_ran(event):
                 # Before it is told, so that a resend starts afresh.
-                self._ledger.forget(key)
+                self._ledger.remove(key)
             record.add(event)
         if not _never_ran(record.last):
-            self._ledger.keep(key, record.size_bytes())
+            self._ledger.keep_recording(key, record.size_bytes())
 
 
 def _never_ran(event: recording.Event | None) -> bool:
--- a/src/ruddergate/entry/limits.py
+++ b/src/ruddergate/entry/limits.py
@@ -62,10 +62,10 @@
     ) -> float:
         highest = 0.0
         for limit in self._limits.get(workspace, ()):
-            rate = demand.now_per_s(now_ms) / limit.requests_per_s_max
+            rate = demand.current_per_s(now_ms) / limit.requests_per_s_max
             meter = self._find_meter(limit.scope, now_ms)
             running = meter.running / limit.concurrency_max
-            if now_ms - meter.refused_ms < meters.DEMAND_HORIZON_MS:
+            if now_ms - meter.last_refused_ms < meters.DEMAND_DECAY_MS:
                 running *= _WANTED_WHEN_REFUSED
             highest = max(highest, rate, running)
         return highest
--- a/standins/models.py
+++ b/standins/models.py
@@ -156,7 +156,7 @@
     if holds:
         yield explore.Step(f"join at {index}", state)
         return
-    standing = ledger.judge(
+    standing = ledger.judge_key(
         _KEY,
         state.now - state.first_sent,
         _NAMES[index],
@@ -165,7 +165,7 @@
         state.now - max(settled, began),
         bounds,
     )
-    if standing is not ledger.Standing.MAY_RUN:
+    if standing is not ledger.KeyVerdict.MAY_RUN:
         yield explore.Step(f"refuse at {index}", state)
         return
     vm = (view, seen, settled, began, True)
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -56,7 +56,7 @@
     def test_dropped_recording_is_still_refused(self) -> None:
         book: ledger.Ledger[str] = ledger.Ledger()
         book.open("k", "run", 0.0)
-        book.keep("k", ledger.RECORDING_BYTES_MAX + 1)
+        book.keep_recording("k", ledger.MAX_RECORDING_BYTES + 1)
         self.assertIsNone(book.find("k").recording)
 
     def test_key_that_never_ran_may_be_used_again(self) -> None:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -68,9 +68,9 @@
 
 class StoreBudgetTest(unittest.TestCase):
     def test_sum_over_vms_stays_below_the_limit(self) -> None:
-        budgets = [orders.StoreBudget(0.5 / 8, 0.0, 0.0) for _ in range(8)]
+        budgets = [orders.WeightReadBudget(0.5 / 8, 0.0, 0.0) for _ in range(8)]
         reads = sum(
-            budget.take(step * 100.0)
+            budget.try_take(step * 100.0)
             for step in range(6_000)
             for budget in budgets
         )
@@ -89,11 +89,11 @@
         )
         order = orders.make_order(pool, 5, "g")
         self.assertEqual(order.adapters, ("a", "b"))
-        loaded = orders.Loaded("g", 6, "m", "2", (), "both", False)
+        loaded = orders.LoadedState("g", 6, "m", "2", (), "both", False)
         self.assertFalse(orders.is_needed(order, loaded))
 
     def test_quiet_time_where_nobody_checks_fences(self) -> None:
-        quiet = orders.QUIET_MS
+        quiet = orders.SETTLE_MS
         cases = {
             (True, True, 0.0, 0.0, 1e9): True,
             (False, True, quiet, quiet, 0.0): False,
