--- a/examples/embed_routing.py
+++ b/examples/embed_routing.py
@@ -46,10 +46,10 @@
         for number in range(3)
     ]
     policy = routing.by_name.make_policy("by_length")
-    chance = random.Random(1)
+    rng = random.Random(1)
     for name, tokens in (("archive", 300_000), ("repair", 1_200)):
         job = routing.job.Job(tokens, tokens, "", 0, tokens > 65_536, 0.0)
-        chosen = policy.choose(job, engines, 0.0, chance)
+        chosen = policy.choose(job, engines, 0.0, rng)
         work = own_work.OwnWork(tokens, tokens, 0.0, 3 if job.is_long else 0)
         chosen.begin_attempt(name, work)
         print(name, "goes to", chosen.target.target_id)
--- a/src/ruddergate/decisions/routing/baselines.py
+++ b/src/ruddergate/decisions/routing/baselines.py
@@ -19,7 +19,7 @@
         job: jobs.Job,
         candidates: Sequence[estimates.Estimate],
         now_ms: float,
-        chance: random.Random,
+        rng: random.Random,
     ) -> estimates.Estimate | None:
         nonlocal turn
         turn += 1
@@ -30,17 +30,19 @@
 
 def make_random() -> policies.Policy:
     """Returns a policy that takes any target."""
-    return _make_least(lambda job, each, now_ms: ())
+    return _make_min_score(lambda job, estimate, now_ms: ())
 
 
 def make_least_requests() -> policies.Policy:
     """Returns a policy that takes the fewest requests in flight."""
-    return _make_least(lambda job, each, now_ms: (each.streams(now_ms),))
+    return _make_min_score(
+        lambda job, estimate, now_ms: (estimate.streams(now_ms),)
+    )
 
 
 # So many more requests make a target of the home hall as bad as one elsewhere:
 # half of the places of a replica of the users' plain services.
-AWAY_REQUESTS = 3.0
+OTHER_HALL_REQUESTS = 3.0
 
 
 def make_least_recent() -> policies.Policy:
@@ -52,41 +54,47 @@
     """
 
     def score(
-        job: jobs.Job, each: estimates.Estimate, now_ms: float
+        job: jobs.Job, estimate: estimates.Estimate, now_ms: float
     ) -> tuple[float, ...]:
-        away = AWAY_REQUESTS if jobs.is_away(job, each.target) else 0.0
-        return (each.recent_streams(now_ms) + away,)
+        penalty = (
+            OTHER_HALL_REQUESTS
+            if jobs.is_in_other_hall(job, estimate.target)
+            else 0.0
+        )
+        return (estimate.recent_streams(now_ms) + penalty,)
 
-    return _make_least(score)
+    return _make_min_score(score)
 
 
 def make_least_tokens() -> policies.Policy:
     """Returns a policy that takes the fewest prompt tokens waiting."""
-    return _make_least(lambda job, each, now_ms: (each.waiting_tokens(now_ms),))
+    return _make_min_score(
+        lambda job, estimate, now_ms: (estimate.waiting_tokens(now_ms),)
+    )
 
 
 def make_prefix_affinity() -> policies.Policy:
     """Returns a policy that goes where the prefix is cached, else least."""
-    return _make_least(
-        lambda job, each, now_ms: (
-            not each.cached_tokens(job.prefix),
-            each.waiting_tokens(now_ms),
+    return _make_min_score(
+        lambda job, estimate, now_ms: (
+            not estimate.cached_tokens(job.prefix),
+            estimate.waiting_tokens(now_ms),
         )
     )
 
 
-def _make_least(score: _Score) -> policies.Policy:
+def _make_min_score(score: _Score) -> policies.Policy:
     """Returns a policy that takes the lowest score, by chance among equals."""
 
     def choose(
         job: jobs.Job,
         candidates: Sequence[estimates.Estimate],
         now_ms: float,
-        chance: random.Random,
+        rng: random.Random,
     ) -> estimates.Estimate | None:
         return min(
             candidates,
-            key=lambda each: (score(job, each, now_ms), chance.random()),
+            key=lambda estimate: (score(job, estimate, now_ms), rng.random()),
         )
 
     return policies.Policy(choose)
--- a/src/ruddergate/decisions/routing/boundary.py
+++ b/src/ruddergate/decisions/routing/boundary.py
@@ -13,15 +13,15 @@
 
 # Part of an engine's places that the front region is to have taken: the rest is
 # left for what VMs do not know of each other yet, and a pass stays short.
-SHORT_FILL = 0.625
+SHORT_REGION_FILL = 0.625
 # Places of an engine that does not tell them.
-PLACES_UNTOLD = 8
+DEFAULT_SLOTS = 8
 # Engines that either region of a hall keeps, whatever the other one needs.
-REGION_LEAST = 1
+MIN_REGION_ENGINES = 1
 # Engines in front of the boundary besides those that short prompts fill: for
 # what VMs do not know of each other yet. With a whole one in each hall, long
 # prompts had too few engines when there were many of them.
-FRONT_SPARE = 0.25
+SPARE_SHORT_ENGINES = 0.25
 
 
 def find_long_region(
@@ -29,8 +29,8 @@
 ) -> frozenset[str]:
     """Returns the engines at the back that short prompts do not need now."""
     by_hall: dict[str, list[estimates.Estimate]] = {}
-    for each in candidates:
-        by_hall.setdefault(each.target.hall, []).append(each)
+    for estimate in candidates:
+        by_hall.setdefault(estimate.target.hall, []).append(estimate)
     found: list[str] = []
     for engines in by_hall.values():
         found += _find_long_region_of_hall(engines, now_ms)
@@ -40,15 +40,23 @@
 def _find_long_region_of_hall(
     engines: Sequence[estimates.Estimate], now_ms: float
 ) -> Sequence[str]:
-    ranked = sorted((each.target.target_id for each in engines), key=_rank_of)
-    streams = sum(each.streams_by_gap_class(now_ms)[0] for each in engines)
-    places = [each.target.streams_max or PLACES_UNTOLD for each in engines]
-    fill = SHORT_FILL * sum(places) / len(places)
-    needed = math.ceil(streams / fill + FRONT_SPARE)
-    least = min(REGION_LEAST, len(ranked) // 2)
-    needed = max(least, min(len(ranked) - least, needed))
-    return ranked[needed:]
-
-
-def _rank_of(target_id: str) -> int:
+    ranked = sorted(
+        (estimate.target.target_id for estimate in engines), key=_rank_target
+    )
+    streams = sum(
+        estimate.streams_by_gap_class(now_ms)[0] for estimate in engines
+    )
+    slots = [
+        estimate.target.streams_max or DEFAULT_SLOTS for estimate in engines
+    ]
+    fill = SHORT_REGION_FILL * sum(slots) / len(slots)
+    short_engines = math.ceil(streams / fill + SPARE_SHORT_ENGINES)
+    min_engines = min(MIN_REGION_ENGINES, len(ranked) // 2)
+    short_engines = max(
+        min_engines, min(len(ranked) - min_engines, short_engines)
+    )
+    return ranked[short_engines:]
+
+
+def _rank_target(target_id: str) -> int:
     return zlib.crc32(target_id.encode())
--- a/src/ruddergate/decisions/routing/by_length.py
+++ b/src/ruddergate/decisions/routing/by_length.py
@@ -16,18 +16,18 @@
 
 # Above this many targets a decision looks at a sample, so that its cost does
 # not grow with the fleet; entries hold few more (decisions/subset.py).
-SAMPLE = 24
+SAMPLE_SIZE = 24
 # Estimates this close are as good as equal; choosing among them by chance
 # keeps VMs with the same lagged view from all going to one engine.
-SAME_MS = 40.0
+TIE_MS = 40.0
 # Memory that may be promised; the rest absorbs what peers send meanwhile.
 MAX_MEMORY_USE = 0.95
 # A prompt waits here rather than behind more prefill than this ...
-HOLD_MS = 1_000.0
+MAX_BACKLOG_MS = 1_000.0
 # ... or than this many times its own prefill.
-HOLD_OWN_TIMES = 2.0
+MAX_BACKLOG_PREFILLS = 2.0
 # What a long prefill in progress adds to each step of its engine.
-LONG_STEP_MS = 10.0
+LONG_PREFILL_STEP_MS = 10.0
 
 
 def make_by_length() -> policies.Policy:
@@ -39,46 +39,52 @@
     job: jobs.Job,
     candidates: Sequence[estimates.Estimate],
     now_ms: float,
-    chance: random.Random,
+    rng: random.Random,
 ) -> estimates.Estimate | None:
     band = length_band.find_band(job.prompt_tokens)
     scored = []
-    for each in _sample(candidates, chance):
-        score_ms = _predict_ms(job, band, each, now_ms)
+    for estimate in _sample(candidates, rng):
+        score_ms = _predict_ms(job, band, estimate, now_ms)
         if score_ms is not None:
-            scored.append((score_ms, each))
+            scored.append((score_ms, estimate))
     if not scored:
         return None
     best_ms = min(score_ms for score_ms, _ in scored)
-    near = [each for score_ms, each in scored if score_ms <= best_ms + SAME_MS]
-    return chance.choice(near)
+    ties = [
+        estimate
+        for score_ms, estimate in scored
+        if score_ms <= best_ms + TIE_MS
+    ]
+    return rng.choice(ties)
 
 
 def _sample(
     candidates: Sequence[estimates.Estimate],
-    chance: random.Random,
+    rng: random.Random,
 ) -> Sequence[estimates.Estimate]:
-    if len(candidates) <= SAMPLE:
+    if len(candidates) <= SAMPLE_SIZE:
         return candidates
-    return chance.sample(candidates, SAMPLE)
+    return rng.sample(candidates, SAMPLE_SIZE)
 
 
 def _predict_ms(
-    job: jobs.Job, band: int, each: estimates.Estimate, now_ms: float
+    job: jobs.Job, band: int, estimate: estimates.Estimate, now_ms: float
 ) -> float | None:
     """Returns the predicted time to first token; None if it is to wait."""
-    room = each.pool.memory_tokens * MAX_MEMORY_USE - each.held_tokens(now_ms)
+    room = estimate.pool.memory_tokens * MAX_MEMORY_USE - estimate.held_tokens(
+        now_ms
+    )
     # A prompt larger than what may be promised still gets an empty engine.
-    if job.held_tokens > room and each.streams(now_ms) > 0:
+    if job.held_tokens > room and estimate.streams(now_ms) > 0:
         return None
-    long_tokens = each.long_prefill_tokens(now_ms)
+    long_tokens = estimate.long_prefill_tokens(now_ms)
     if job.is_long and long_tokens > 0:
         return None
-    per_ms = each.pool.prefill_tokens_per_s / 1000.0
-    cached = min(job.prefix_tokens, each.cached_tokens(job.prefix))
-    own_ms = (job.prompt_tokens - cached) / per_ms
-    ahead_ms = each.waiting_tokens(now_ms, band) / per_ms
-    if ahead_ms > max(HOLD_MS, HOLD_OWN_TIMES * own_ms):
+    per_ms = estimate.pool.prefill_tokens_per_s / 1000.0
+    cached = min(job.prefix_tokens, estimate.cached_tokens(job.prefix))
+    job_prefill_ms = (job.prompt_tokens - cached) / per_ms
+    ahead_ms = estimate.waiting_tokens(now_ms, band) / per_ms
+    if ahead_ms > max(MAX_BACKLOG_MS, MAX_BACKLOG_PREFILLS * job_prefill_ms):
         return None
-    step_ms = LONG_STEP_MS if long_tokens > 0 else 0.0
-    return ahead_ms + own_ms + step_ms
+    step_ms = LONG_PREFILL_STEP_MS if long_tokens > 0 else 0.0
+    return ahead_ms + job_prefill_ms + step_ms
--- a/src/ruddergate/decisions/routing/by_region.py
+++ b/src/ruddergate/decisions/routing/by_region.py
@@ -17,18 +17,18 @@
 from ruddergate.decisions.routing import policy as policies
 
 # What one more stream beside it costs a stream, from the time of a step.
-STREAM_MS = 8.0
+STREAM_COST_MS = 8.0
 # Going to an engine for long prompts, as a cost that load must outweigh.
-SPILL_MS = 60.0
+SPILL_COST_MS = 60.0
 # Going to another hall's engine, likewise: a cut between halls makes late what
 # runs there. It is more than a place at home behind the boundary costs.
-AWAY_MS = 100.0
+OTHER_HALL_COST_MS = 100.0
 # What it costs each short answer there when a pass becomes too long for it.
-LATE_MS = 40.0
+LATE_COST_MS = 40.0
 # Without room the newest request is put off and read again.
-NO_ROOM_MS = 1_000.0
+NO_MEMORY_COST_MS = 1_000.0
 # Scores this close are as good as equal; see by_length.
-SAME_MS = 10.0
+TIE_MS = 10.0
 
 
 def make_by_region() -> policies.Policy:
@@ -42,48 +42,59 @@
     job: jobs.Job,
     candidates: Sequence[estimates.Estimate],
     now_ms: float,
-    chance: random.Random,
+    rng: random.Random,
 ) -> estimates.Estimate | None:
     if costs.is_long(candidates[0].pool, job.prompt_tokens):
         plan = long_prompts.make_plan(job, candidates, now_ms)
-        if plan is None or long_prompts.had_better_wait(
+        if plan is None or long_prompts.should_wait(
             job, plan, candidates, now_ms
         ):
             return None
-        return _find(candidates, plan.engines[0])
+        return _find_estimate(candidates, plan.engines[0])
     long_ids = frozenset()
-    if not job.is_blind:
+    if not job.is_peer_load_unknown:
         # Without it, VMs that know nothing of each other yet would all fill
         # the same few engines.
         long_ids = boundary.find_long_region(candidates, now_ms)
-    free = [each for each in candidates if _has_place(each, now_ms)]
+    free = [
+        estimate for estimate in candidates if _has_free_slot(estimate, now_ms)
+    ]
     if not free:
         return None
-    if job.is_suspect:
-        return _choose_apart(free, now_ms, chance)
+    if job.may_be_poison:
+        return _choose_for_poison_suspect(free, now_ms, rng)
     scored = [
-        (_score_ms(job, each, each.target.target_id in long_ids, now_ms), each)
-        for each in free
+        (
+            _score_ms(
+                job, estimate, estimate.target.target_id in long_ids, now_ms
+            ),
+            estimate,
+        )
+        for estimate in free
     ]
     best_ms = min(score_ms for score_ms, _ in scored)
-    near = [each for score_ms, each in scored if score_ms <= best_ms + SAME_MS]
-    return chance.choice(near)
+    ties = [
+        estimate
+        for score_ms, estimate in scored
+        if score_ms <= best_ms + TIE_MS
+    ]
+    return rng.choice(ties)
 
 
-def _has_place(each: estimates.Estimate, now_ms: float) -> bool:
+def _has_free_slot(estimate: estimates.Estimate, now_ms: float) -> bool:
     """Returns whether a short prompt would not wait for a place there.
 
     Where all engines are full, it is better kept here: the next place that
     becomes free anywhere is nearer than that of any one engine.
     """
-    most = each.target.streams_max
-    return not most or each.recent_streams(now_ms) < most
+    most = estimate.target.streams_max
+    return not most or estimate.recent_streams(now_ms) < most
 
 
-def _choose_apart(
+def _choose_for_poison_suspect(
     candidates: Sequence[estimates.Estimate],
     now_ms: float,
-    chance: random.Random,
+    rng: random.Random,
 ) -> estimates.Estimate:
     """Returns an engine where a suspect can harm fewest answers.
 
@@ -93,18 +104,18 @@
     the idle engines of all halls, they part.
     """
 
-    def find_load(each: estimates.Estimate) -> tuple[int, int]:
-        streams = round(each.recent_streams(now_ms))
-        return streams, round(each.remaining_prefill_ms(now_ms) / SAME_MS)
+    def find_load(estimate: estimates.Estimate) -> tuple[int, int]:
+        streams = round(estimate.recent_streams(now_ms))
+        return streams, round(estimate.remaining_prefill_ms(now_ms) / TIE_MS)
 
-    loads = [find_load(each) for each in candidates]
+    loads = [find_load(estimate) for estimate in candidates]
     least = min(loads)
     idle = [
-        each
-        for each, load in zip(candidates, loads, strict=True)
+        estimate
+        for estimate, load in zip(candidates, loads, strict=True)
         if load == least
     ]
-    return chance.choice(idle)
+    return rng.choice(idle)
 
 
 def _choose_helpers(
@@ -112,41 +123,46 @@
     chosen: estimates.Estimate,
     candidates: Sequence[estimates.Estimate],
     now_ms: float,
-    chance: random.Random,
+    rng: random.Random,
 ) -> Sequence[estimates.Estimate]:
     if not costs.is_long(chosen.pool, job.prompt_tokens):
         return ()
     plan = long_prompts.make_plan(job, candidates, now_ms)
     if plan is None:
         return ()
-    return [_find(candidates, name) for name in plan.engines[1:]]
+    return [_find_estimate(candidates, name) for name in plan.engines[1:]]
 
 
-def _find(
+def _find_estimate(
     candidates: Sequence[estimates.Estimate], target_id: str
 ) -> estimates.Estimate:
     return next(
-        each for each in candidates if each.target.target_id == target_id
+        estimate
+        for estimate in candidates
+        if estimate.target.target_id == target_id
     )
 
 
 def _score_ms(
     job: jobs.Job,
-    each: estimates.Estimate,
+    estimate: estimates.Estimate,
     in_long_region: bool,
     now_ms: float,
 ) -> float:
     """Returns what this engine would cost a short job, in milliseconds."""
-    streams = each.recent_streams(now_ms)
-    rest_ms = each.remaining_prefill_ms(now_ms)
-    own_ms = costs.predict_prefill_ms(each.pool, job.prompt_tokens)
-    score_ms = rest_ms + streams * STREAM_MS
-    if rest_ms + own_ms > gap_class.find_prefill_budgets_ms(each.pool)[0]:
-        score_ms += each.streams_by_gap_class(now_ms)[0] * LATE_MS
-    if job.held_tokens > each.free_tokens(now_ms):
-        score_ms += NO_ROOM_MS
+    streams = estimate.recent_streams(now_ms)
+    backlog_ms = estimate.remaining_prefill_ms(now_ms)
+    job_prefill_ms = costs.predict_prefill_ms(estimate.pool, job.prompt_tokens)
+    score_ms = backlog_ms + streams * STREAM_COST_MS
+    if (
+        backlog_ms + job_prefill_ms
+        > gap_class.find_prefill_budgets_ms(estimate.pool)[0]
+    ):
+        score_ms += estimate.streams_by_gap_class(now_ms)[0] * LATE_COST_MS
+    if job.held_tokens > estimate.free_tokens(now_ms):
+        score_ms += NO_MEMORY_COST_MS
     if in_long_region:
-        score_ms += SPILL_MS
-    if jobs.is_away(job, each.target):
-        score_ms += AWAY_MS
+        score_ms += SPILL_COST_MS
+    if jobs.is_in_other_hall(job, estimate.target):
+        score_ms += OTHER_HALL_COST_MS
     return score_ms
--- a/src/ruddergate/decisions/routing/job.py
+++ b/src/ruddergate/decisions/routing/job.py
@@ -35,15 +35,15 @@
     prefix_tokens: int
     is_long: bool
     waited_ms: float
-    aim_ms: float = 0.0
-    pause_aim_ms: float = math.inf
-    is_blind: bool = False
-    home_hall: str = ""
-    pinned_target: str = ""
-    salt: int = 0
-    is_suspect: bool = False
+    ttft_slo_ms: float = 0.0
+    gap_slo_ms: float = math.inf
+    is_peer_load_unknown: bool = False
+    local_hall: str = ""
+    pinned_target_id: str = ""
+    tie_break_seed: int = 0
+    may_be_poison: bool = False
 
 
-def is_away(job: Job, target: targets.Target) -> bool:
+def is_in_other_hall(job: Job, target: targets.Target) -> bool:
     """Returns whether a target is in another hall than the job's VM."""
-    return bool(job.home_hall) and target.hall != job.home_hall
+    return bool(job.local_hall) and target.hall != job.local_hall
--- a/src/ruddergate/decisions/routing/long_prompts.py
+++ b/src/ruddergate/decisions/routing/long_prompts.py
@@ -22,21 +22,21 @@
 # A long prompt waits while it would be late now and could be in time on engines
 # that have become idle. It also waits rather than cost others more than this
 # (in answers to short prompts), but for no longer than this part of its aim.
-PATIENT_HARM = 1.0
-HOLD_AIM_PART = 0.3
+MAX_LOSS_WITHOUT_WAIT = 1.0
+MAX_HOLD_SLO_SHARE = 0.3
 # It also waits where the plan at hand costs so much more than one on engines
 # that have become idle, which takes about this part of its aim.
-BETTER_COST = 3.0
-IDLE_AIM_PART = 0.15
+MIN_WAIT_GAIN = 3.0
+IDLE_WAIT_SLO_SHARE = 0.15
 # Without this much time to spare a long prompt waits no longer.
-SLACK_MS = 200.0
+MIN_SLACK_MS = 200.0
 # What it costs a long prompt, in answers to short ones, to have an engine of
 # another hall take part.
-AWAY_COST = 0.05
+OTHER_HALL_COST = 0.05
 # Part of its worth that a prompt is taken to lose by having an engine take part
 # that has failed lately: each that fails it costs a second send, and without
 # one it is refused.
-DOUBT_RISK = 0.15
+RECENT_FAULT_RISK = 0.15
 
 
 def make_plan(
@@ -48,7 +48,7 @@
     need the memory of more engines than the region has, and short pieces do no
     harm beside short answers.
     """
-    candidates = _put_in_order(job, candidates)
+    candidates = _shuffle(job, candidates)
     long_ids = boundary.find_long_region(candidates, now_ms)
     region = [each for each in candidates if each.target.target_id in long_ids]
     plans = (
@@ -62,7 +62,7 @@
     )
 
 
-def _put_in_order(
+def _shuffle(
     job: jobs.Job, candidates: Sequence[estimates.Estimate]
 ) -> Sequence[estimates.Estimate]:
     """Returns the engines in an order of the job's own.
@@ -72,50 +72,52 @@
     same.
     """
     ordered = list(candidates)
-    random.Random(job.salt).shuffle(ordered)
+    random.Random(job.tie_break_seed).shuffle(ordered)
     return ordered
 
 
-def had_better_wait(
+def should_wait(
     job: jobs.Job,
     plan: prefill_plan.Plan,
     candidates: Sequence[estimates.Estimate],
     now_ms: float,
 ) -> bool:
     """Returns whether a prompt is better kept waiting than sent by its plan."""
-    later = _plan_later(job, candidates, now_ms)
-    later_ms = IDLE_AIM_PART * job.aim_ms
+    idle_plan = _plan_when_idle(job, candidates, now_ms)
+    idle_wait_ms = IDLE_WAIT_SLO_SHARE * job.ttft_slo_ms
     if (
-        later is not None
+        idle_plan is not None
         and _is_late(job, plan.ttft_ms)
-        and not _is_late(job, later_ms + later.ttft_ms)
+        and not _is_late(job, idle_wait_ms + idle_plan.ttft_ms)
     ):
         return True
-    if job.waited_ms >= HOLD_AIM_PART * job.aim_ms:
+    if job.waited_ms >= MAX_HOLD_SLO_SHARE * job.ttft_slo_ms:
         return False
-    if plan.prefill_loss > PATIENT_HARM:
+    if plan.prefill_loss > MAX_LOSS_WITHOUT_WAIT:
         # What is being read there would have to be waited for anyway.
         return True
-    if later is not None and plan.cost - later.cost > BETTER_COST:
+    if idle_plan is not None and plan.cost - idle_plan.cost > MIN_WAIT_GAIN:
         return True
-    slack_ms = job.aim_ms * prefill_plan.LATE_SLO_SHARE
+    slack_ms = job.ttft_slo_ms * prefill_plan.LATE_SLO_SHARE
     slack_ms -= job.waited_ms + plan.ttft_ms
-    return plan.decode_loss > PATIENT_HARM and slack_ms > SLACK_MS
+    return plan.decode_loss > MAX_LOSS_WITHOUT_WAIT and slack_ms > MIN_SLACK_MS
 
 
 def _is_late(job: jobs.Job, first_ms: float) -> bool:
     """Returns whether a first token in this time would come too late."""
-    return job.waited_ms + first_ms > prefill_plan.LATE_SLO_SHARE * job.aim_ms
+    return (
+        job.waited_ms + first_ms > prefill_plan.LATE_SLO_SHARE * job.ttft_slo_ms
+    )
 
 
-def _plan_later(
+def _plan_when_idle(
     job: jobs.Job, candidates: Sequence[estimates.Estimate], now_ms: float
 ) -> prefill_plan.Plan | None:
     """Returns a plan on the long region when it has become idle."""
     long_ids = boundary.find_long_region(candidates, now_ms)
     idle = [
         dataclasses.replace(
-            _describe(job, each, 0, now_ms),
+            _describe_engine(job, each, 0, now_ms),
             backlog_ms=0.0,
             decoding_streams=(0,) * gap_class.CLASSES,
             prefill_value=0.0,
@@ -123,7 +125,7 @@
         for each in candidates
         if each.target.target_id in long_ids
     ]
-    waited_ms = job.waited_ms + IDLE_AIM_PART * job.aim_ms
+    waited_ms = job.waited_ms + IDLE_WAIT_SLO_SHARE * job.ttft_slo_ms
     return _plan_with(
         dataclasses.replace(job, waited_ms=waited_ms), candidates[0].pool, idle
     )
@@ -136,7 +138,9 @@
         return None
     pool = engines[0].pool
     shares = gangs.split_memory(job.held_tokens, pool.memory_tokens)
-    described = [_describe(job, each, shares[0], now_ms) for each in engines]
+    described = [
+        _describe_engine(job, each, shares[0], now_ms) for each in engines
+    ]
     return _plan_with(job, pool, described)
 
 
@@ -146,7 +150,7 @@
     return prefill_plan.make_plan(
         costs.predict_prefill_ms(pool, job.prompt_tokens),
         job.prompt_tokens,
-        job.aim_ms,
+        job.ttft_slo_ms,
         job.waited_ms,
         engines,
         len(gangs.split_memory(job.held_tokens, pool.memory_tokens)),
@@ -154,7 +158,7 @@
     )
 
 
-def _describe(
+def _describe_engine(
     job: jobs.Job, each: estimates.Estimate, share_tokens: int, now_ms: float
 ) -> prefill_plan.Engine:
     room = each.free_tokens(now_ms)
@@ -163,23 +167,25 @@
         backlog_ms=each.remaining_prefill_ms(now_ms),
         decoding_streams=each.streams_by_gap_class(now_ms),
         has_room=share_tokens <= room or each.recent_streams(now_ms) == 0.0,
-        prefill_value=_find_reader_worth(each, now_ms),
-        extra_cost=_find_extra_cost(job, each, now_ms),
-        is_pinned=each.target.target_id == job.pinned_target,
+        prefill_value=_estimate_prefill_value(each, now_ms),
+        extra_cost=_compute_extra_cost(job, each, now_ms),
+        is_pinned=each.target.target_id == job.pinned_target_id,
         prefill_budgets_ms=gap_class.find_prefill_budgets_ms(each.pool),
     )
 
 
-def _find_extra_cost(
+def _compute_extra_cost(
     job: jobs.Job, each: estimates.Estimate, now_ms: float
 ) -> float:
-    cost = AWAY_COST if jobs.is_away(job, each.target) else 0.0
+    cost = OTHER_HALL_COST if jobs.is_in_other_hall(job, each.target) else 0.0
     if each.has_failed_recently(now_ms):
-        cost += DOUBT_RISK * prefill_plan.estimate_value(job.prompt_tokens)
+        cost += RECENT_FAULT_RISK * prefill_plan.estimate_value(
+            job.prompt_tokens
+        )
     return cost
 
 
-def _find_reader_worth(each: estimates.Estimate, now_ms: float) -> float:
+def _estimate_prefill_value(each: estimates.Estimate, now_ms: float) -> float:
     band = each.longest_prefill_band(now_ms)
     if band is None:
         return 0.0
--- a/src/ruddergate/decisions/routing/peak_ewma.py
+++ b/src/ruddergate/decisions/routing/peak_ewma.py
@@ -22,11 +22,11 @@
         job: jobs.Job,
         candidates: Sequence[estimates.Estimate],
         now_ms: float,
-        chance: random.Random,
+        rng: random.Random,
     ) -> estimates.Estimate | None:
         if len(candidates) == 1:
             return candidates[0]
-        first, second = chance.sample(candidates, 2)
+        first, second = rng.sample(candidates, 2)
         if _expected_ms(second, now_ms) < _expected_ms(first, now_ms):
             return second
         return first
--- a/src/ruddergate/decisions/routing/policy.py
+++ b/src/ruddergate/decisions/routing/policy.py
@@ -35,7 +35,7 @@
     chosen: estimates.Estimate,
     candidates: Sequence[estimates.Estimate],
     now_ms: float,
-    chance: random.Random,
+    rng: random.Random,
 ) -> Sequence[estimates.Estimate]:
     """Leaves the whole prompt to the chosen engine."""
     return ()
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -324,12 +324,13 @@
             name = seat.target.target_id
             # A helper that a target blames may well be out of its reach.
             is_blamed = name in self._progress.blamed
-            is_away = seat.target.hall != writers_hall
+            is_in_other_hall = seat.target.hall != writers_hall
             self._tools.scheduler.post(
                 placement.Ended(
                     seat,
                     name in self._at_fault,
-                    name in self._out_of_reach or (is_blamed and is_away),
+                    name in self._out_of_reach
+                    or (is_blamed and is_in_other_hall),
                     self._has_answered,
                     name in self._gone,
                 )
--- a/src/ruddergate/entry/seating.py
+++ b/src/ruddergate/entry/seating.py
@@ -80,7 +80,7 @@
             ] or candidates
         waited_ms = now_ms - asked.route.waited_ms
         route = dataclasses.replace(
-            asked.route, waited_ms=waited_ms, is_blind=is_blind
+            asked.route, waited_ms=waited_ms, is_peer_load_unknown=is_blind
         )
         chosen = self._policy.choose(route, candidates, now_ms, self._chance)
         if chosen is None:
--- a/tests/test_by_region.py
+++ b/tests/test_by_region.py
@@ -84,7 +84,7 @@
             self.assertNotIn(short.target.target_id, long_)
 
     def test_vms_that_know_nothing_of_each_other_spread(self) -> None:
-        blind = dataclasses.replace(_SHORT, is_blind=True)
+        blind = dataclasses.replace(_SHORT, is_peer_load_unknown=True)
         for job, least, most in ((blind, 13, 18), (_SHORT, 1, 4)):
             chosen = set()
             for seed in range(60):
@@ -100,7 +100,7 @@
         self,
     ) -> None:
         engines = _make_engines(18, halls=3)
-        job = dataclasses.replace(_SHORT, home_hall="h1")
+        job = dataclasses.replace(_SHORT, local_hall="h1")
         for _ in range(30):
             (chosen,) = _choose(job, engines)
             self.assertEqual(chosen.target.hall, "h1")
@@ -135,7 +135,7 @@
     def test_plain_calls_stay_in_their_hall_unless_it_is_busier(self) -> None:
         policy = by_name.make_policy("least_recent")
         engines = _make_engines(3, halls=3)
-        job = dataclasses.replace(_SHORT, home_hall="h1")
+        job = dataclasses.replace(_SHORT, local_hall="h1")
         chance = random.Random(1)
         for streams, expected in ((2, True), (4, False)):
             row = dispatched.Dispatched(
@@ -155,7 +155,7 @@
             each.apply_peer_work(row, 0.0)
         after = len(boundary.find_long_region(engines, 0.0))
         self.assertGreater(before, after)
-        self.assertEqual(after, boundary.REGION_LEAST)
+        self.assertEqual(after, boundary.MIN_REGION_ENGINES)
 
     def test_boundary_leaves_places_free_on_engines_of_any_size(self) -> None:
         for places in (4, 6, 8, 12):
@@ -166,7 +166,9 @@
                 )
                 each.apply_peer_work(row, 0.0)
             front = 60 - len(boundary.find_long_region(engines, 0.0))
-            self.assertLessEqual(120 / front, boundary.SHORT_FILL * places)
+            self.assertLessEqual(
+                120 / front, boundary.SHORT_REGION_FILL * places
+            )
 
     def test_long_answers_leave_the_boundary(self) -> None:
         engines = _make_engines(18)
