--- a/src/ruddergate/_private.py
+++ b/src/ruddergate/_private.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 
-async def wait_beside(
+async def wait_while_running(
     awaited: Awaitable[object], tasks: Iterable[asyncio.Future]
 ) -> None:
     """Waits while tasks run beside; raises if one of them fails.
--- a/src/ruddergate/agent/program.py
+++ b/src/ruddergate/agent/program.py
@@ -76,7 +76,7 @@
         self._log.info("Feeding the entry at {}.", self._config.feed_listen)
         tasks = [asyncio.ensure_future(self._begin())]
         try:
-            await _private.wait_beside(stop.wait(), tasks)
+            await _private.wait_while_running(stop.wait(), tasks)
         finally:
             for task in tasks:
                 task.cancel()
--- a/src/ruddergate/entry/admit.py
+++ b/src/ruddergate/entry/admit.py
@@ -58,7 +58,7 @@
     if call.output_tokens_max is not None:
         output_max = expected = min(output_max, call.output_tokens_max)
     return requests.Request(
-        request_id=environment.make_token(env.random, 16),
+        request_id=environment.make_random_id(env.random, 16),
         workload=workload,
         prompt=call.prompt,
         prompt_tokens=call.prompt_tokens,
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -162,7 +162,7 @@
         self.tools = tool_types.Tools(
             env=env,
             config=config,
-            incarnation=environment.make_token(env.random),
+            incarnation=environment.make_random_id(env.random),
             began_ms=env.now_ms(),
             view=view,
             scheduler=scheduler,
@@ -338,7 +338,7 @@
             ready_age_max_ms=self._gateway_config.ready_age_max_ms,
         )
         try:
-            await _private.wait_beside(stop.wait(), tasks)
+            await _private.wait_while_running(stop.wait(), tasks)
             await self._stop(callers)
         finally:
             for server in (*servers, callers):
--- a/src/ruddergate/entry/peer_questions.py
+++ b/src/ruddergate/entry/peer_questions.py
@@ -137,7 +137,7 @@
 
         An answer that comes late, or after a restart, then fits no question.
         """
-        return environment.make_token(self._env.random, 16)
+        return environment.make_random_id(self._env.random, 16)
 
     async def _ask(self, question: Question, peer: str) -> Answer | None:
         loop = asyncio.get_running_loop()
--- a/src/ruddergate/entry/program.py
+++ b/src/ruddergate/entry/program.py
@@ -46,7 +46,7 @@
         self.tools = tool_types.Tools(
             env=env,
             config=config,
-            incarnation=environment.make_token(env.random),
+            incarnation=environment.make_random_id(env.random),
             began_ms=env.now_ms(),
             view=view,
             scheduler=scheduler,
@@ -73,7 +73,7 @@
         peers = await self._serve_peers()
         self._log.info("Serving callers at {}.", self._config.listen)
         try:
-            await _private.wait_beside(stop.wait(), tasks)
+            await _private.wait_while_running(stop.wait(), tasks)
             await self._stop(callers)
         finally:
             peers.close()
--- a/src/ruddergate/entry/seating.py
+++ b/src/ruddergate/entry/seating.py
@@ -164,7 +164,7 @@
         parts: int = 1,
         is_writing: bool = True,
     ) -> placement.Seat:
-        attempt_id = environment.make_token(self._chance)
+        attempt_id = environment.make_random_id(self._chance)
         band = length_band.find_band(asked.route.prompt_tokens)
         is_long = costs.is_long(chosen.pool, fresh_tokens * parts)
         prefill_ms = costs.predict_prefill_ms(chosen.pool, fresh_tokens * parts)
--- a/src/ruddergate/entry/tickets.py
+++ b/src/ruddergate/entry/tickets.py
@@ -43,7 +43,7 @@
     chance: random.Random,
 ) -> str:
     """Returns a fresh ticket as text; no other workspace can use it."""
-    name = environment.make_token(chance, 16)
+    name = environment.make_random_id(chance, 16)
     body = f"{vm_id}~{incarnation}~{int(now_ms)}~{name}"
     return f"{body}~{_sign(key, workspace, body)}"
 
--- a/src/ruddergate/environment.py
+++ b/src/ruddergate/environment.py
@@ -17,7 +17,7 @@
 from ruddergate import clock
 
 StreamPair: TypeAlias = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-TakeDatagram: TypeAlias = Callable[[bytes], None]
+DatagramHandler: TypeAlias = Callable[[bytes], None]
 StreamHandler: TypeAlias = Callable[
     [asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]
 ]
@@ -26,10 +26,10 @@
 # A peer without power or behind a cut says nothing. Probes find it within
 # about 6 s: longer than a cut of a few seconds, which connections outlive, and
 # shorter than most time limits.
-PEER_IDLE_S = 2
-PEER_PROBE_S = 2
-PEER_PROBES = 2
-PEER_TIMEOUT_MS = 6_000
+KEEPALIVE_IDLE_S = 2
+KEEPALIVE_INTERVAL_S = 2
+KEEPALIVE_PROBES = 2
+TCP_USER_TIMEOUT_MS = 6_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -80,7 +80,7 @@
     random: random.Random
     connect: Callable[[Address], Awaitable[StreamPair]]
     serve: Callable[[StreamHandler, Address], Awaitable[asyncio.Server]]
-    bind: Callable[[TakeDatagram, Address], Awaitable["DatagramPort"]]
+    bind: Callable[[DatagramHandler, Address], Awaitable["DatagramPort"]]
 
 
 def parse_address(text: str) -> Address:
@@ -93,14 +93,14 @@
     return Address(host, int(port))
 
 
-class _Datagrams(asyncio.DatagramProtocol):
+class _DatagramProtocol(asyncio.DatagramProtocol):
     """Hands datagrams on; a port that nobody listens at is no fault."""
 
-    def __init__(self, take: TakeDatagram) -> None:
-        self._take = take
+    def __init__(self, handler: DatagramHandler) -> None:
+        self._handle = handler
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        self._take(data)
+        self._handle(data)
 
 
 def make_system_environment() -> Environment:
@@ -110,7 +110,7 @@
         reader, writer = await asyncio.open_connection(
             address.host, address.port, limit=STREAM_LIMIT_BYTES
         )
-        _notice_dead_peers(writer)
+        _enable_keepalive(writer)
         return reader, writer
 
     async def serve(handler: StreamHandler, address: Address) -> asyncio.Server:
@@ -120,7 +120,7 @@
         async def accept(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            _notice_dead_peers(writer)
+            _enable_keepalive(writer)
             await handler(reader, writer)
 
         # A function, as asyncio reports each cancelled task of a coroutine
@@ -131,16 +131,19 @@
             task = asyncio.ensure_future(accept(reader, writer))
             open_tasks.add(task)
             task.add_done_callback(open_tasks.discard)
-            task.add_done_callback(lambda ended: _end_accepted(ended, writer))
+            task.add_done_callback(
+                lambda ended: _report_task_failure(ended, writer)
+            )
 
         return await asyncio.start_server(
             start, address.host, address.port, limit=STREAM_LIMIT_BYTES
         )
 
-    async def bind(take: TakeDatagram, address: Address) -> DatagramPort:
+    async def bind(handler: DatagramHandler, address: Address) -> DatagramPort:
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: _Datagrams(take), local_addr=(address.host, address.port)
+            lambda: _DatagramProtocol(handler),
+            local_addr=(address.host, address.port),
         )
         return DatagramPort(
             lambda data, to: transport.sendto(data, (to.host, to.port)),
@@ -157,31 +160,33 @@
     )
 
 
-def _end_accepted(task: asyncio.Task, writer: asyncio.StreamWriter) -> None:
+def _report_task_failure(
+    task: asyncio.Task, writer: asyncio.StreamWriter
+) -> None:
     """Reports the fault of a connection's task, if it had one."""
     if task.cancelled():
         return
-    fault = task.exception()
-    if fault is not None:
+    error = task.exception()
+    if error is not None:
         task.get_loop().call_exception_handler(
-            {"message": "A connection's task has failed.", "exception": fault}
+            {"message": "A connection's task has failed.", "exception": error}
         )
         writer.transport.close()
 
 
-def _notice_dead_peers(writer: asyncio.StreamWriter) -> None:
+def _enable_keepalive(writer: asyncio.StreamWriter) -> None:
     """Has the system end a connection whose other side is gone in silence."""
-    found = writer.get_extra_info("socket")
-    if found is None:
+    sock = writer.get_extra_info("socket")
+    if sock is None:
         return
-    found.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     tcp = socket.IPPROTO_TCP
-    found.setsockopt(tcp, socket.TCP_KEEPIDLE, PEER_IDLE_S)
-    found.setsockopt(tcp, socket.TCP_KEEPINTVL, PEER_PROBE_S)
-    found.setsockopt(tcp, socket.TCP_KEEPCNT, PEER_PROBES)
-    found.setsockopt(tcp, socket.TCP_USER_TIMEOUT, PEER_TIMEOUT_MS)
+    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(tcp, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
 
-def make_token(source: random.Random, length: int = 12) -> str:
+def make_random_id(rng: random.Random, length: int = 12) -> str:
     """Returns a random identifier of `length` hexadecimal digits."""
-    return f"{source.getrandbits(4 * length):0{length}x}"
+    return f"{rng.getrandbits(4 * length):0{length}x}"
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -48,7 +48,7 @@
         self._env = env
         self._settings = settings
         self._weight_store = weight_store
-        self._generation = environment.make_token(env.random)
+        self._generation = environment.make_random_id(env.random)
         self._chance = random.Random(self._generation)
         self._batch = batches.Batch(settings)
         self._items = self._batch.items
--- a/standins/peer_fleet.py
+++ b/standins/peer_fleet.py
@@ -156,7 +156,7 @@
         self, env: environment.Environment, name: str
     ) -> environment.Environment:
         async def bind(
-            take: environment.TakeDatagram, address: environment.Address
+            take: environment.DatagramHandler, address: environment.Address
         ) -> environment.DatagramPort:
             port = await env.bind(take, address)
 
--- a/standins/service.py
+++ b/standins/service.py
@@ -26,7 +26,7 @@
         self.draining = False
         self._work_ms = work_ms
         self._running = 0
-        self._generation = environment.make_token(env.random)
+        self._generation = environment.make_random_id(env.random)
 
     async def handle(
         self, incoming: message.IncomingRequest
--- a/standins/virtual_network.py
+++ b/standins/virtual_network.py
@@ -226,7 +226,7 @@
             return _Server(lambda: self._unlisten(process, address))
 
         async def bind(
-            take: environment.TakeDatagram, address: environment.Address
+            take: environment.DatagramHandler, address: environment.Address
         ) -> environment.DatagramPort:
             self._datagram_ports[address] = (process, take)
             return environment.DatagramPort(
