--- a/src/ruddergate/clock.py
+++ b/src/ruddergate/clock.py
@@ -9,9 +9,9 @@
 import time
 
 # Where the system has none that counts, the monotonic clock has to do.
-_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+_CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 def read_s() -> float:
     """Returns seconds since some moment, those of a suspension included."""
-    return time.clock_gettime(_CLOCK)
+    return time.clock_gettime(_CLOCK_ID)
--- a/src/ruddergate/decisions/gap_class.py
+++ b/src/ruddergate/decisions/gap_class.py
@@ -21,9 +21,9 @@
 VALUES = (1.0, 4.0, 12.0)
 
 
-def find_class(pause_aim_ms: float) -> int:
+def find_class(gap_slo_ms: float) -> int:
     """Returns the class of a route's longest pause; 0 bears the least."""
-    return sum(pause_aim_ms > bound_ms for bound_ms in _BOUNDS_MS)
+    return sum(gap_slo_ms > bound_ms for bound_ms in _BOUNDS_MS)
 
 
 def find_prefill_budgets_ms(pool: effective.Pool) -> tuple[float, ...]:
--- a/src/ruddergate/entry/seating.py
+++ b/src/ruddergate/entry/seating.py
@@ -175,7 +175,7 @@
             band,
             prefill_ms / parts,
             is_long,
-            gap_class.find_class(asked.route.pause_aim_ms),
+            gap_class.find_class(asked.route.gap_slo_ms),
             is_writing,
         )
         believed = chosen.describe(now_ms)
--- a/tests/test_by_region.py
+++ b/tests/test_by_region.py
@@ -213,5 +213,5 @@
         self.assertTrue(_choose(waited, engines))
 
     def test_route_without_an_aim_is_served(self) -> None:
-        job = dataclasses.replace(_LONG, aim_ms=0.0)
+        job = dataclasses.replace(_LONG, ttft_slo_ms=0.0)
         self.assertTrue(_choose(job, _make_engines(18)))
--- a/tests/test_hanging_engine.py
+++ b/tests/test_hanging_engine.py
@@ -75,4 +75,6 @@
         for node in scene.cluster.targets.values()
         if node.replica.engine is not None
     ]
-    return min(engines, key=lambda node: boundary._rank_of(node.replica.name))
+    return min(
+        engines, key=lambda node: boundary._rank_target(node.replica.name)
+    )
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -62,5 +62,5 @@
     def test_key_that_never_ran_may_be_used_again(self) -> None:
         book: ledger.Ledger[str] = ledger.Ledger()
         book.open("k", "run", 0.0)
-        book.forget("k")
+        book.remove("k")
         self.assertIsNone(book.find("k"))
