--- a/src/ruddergate/decisions/peer_groups.py
+++ b/src/ruddergate/decisions/peer_groups.py
@@ -55,7 +55,7 @@
 def divide(fleet: Fleet) -> tuple[Group, ...]:
     """Returns the groups of a fleet, given its VMs by name."""
     by_hall: dict[str, list[str]] = {}
-    for name in sorted(fleet, key=lambda name: _rank_target(name, fleet[name])):
+    for name in sorted(fleet, key=lambda name: _rank_of(name, fleet[name])):
         by_hall.setdefault(fleet[name].hall, []).append(name)
     groups: list[Group] = []
     for hall in sorted(by_hall):
@@ -66,9 +66,7 @@
 def rank_hall(fleet: Fleet, hall: str) -> tuple[str, ...]:
     """Returns the VMs of a hall in the order in which they are to be relay."""
     names = [name for name, place in fleet.items() if place.hall == hall]
-    return tuple(
-        sorted(names, key=lambda name: _rank_target(name, fleet[name]))
-    )
+    return tuple(sorted(names, key=lambda name: _rank_of(name, fleet[name])))
 
 
 def _divide_hall(hall: str, ranked: Sequence[str]) -> list[Group]:
@@ -89,6 +87,6 @@
     return next(filter(may_be_relay, group.members), None)
 
 
-def _rank_target(name: str, place: Place) -> tuple[int, int, str]:
+def _rank_of(name: str, place: Place) -> tuple[int, int, str]:
     """Lets fast links go first, and any of them among equals."""
     return (-place.link_mbps, zlib.crc32(name.encode()), name)
