--- a/src/ruddergate/decisions/gap_class.py
+++ b/src/ruddergate/decisions/gap_class.py
@@ -1,36 +1,36 @@
-"""Classes of answers by the pause that they bear between two events."""
+"""Classes of streams by the longest gap between events that they tolerate."""
 
 import functools
 
 from ruddergate.settings import effective
 
-# Bounds of a route's longest pause, in milliseconds.
+# Upper bounds of the gap SLO of the classes below the last one.
 _BOUNDS_MS = (300.0, 650.0)
 CLASSES = len(_BOUNDS_MS) + 1
-# What an engine may read in one pass beside an answer of each class, where the
-# routes' pauses are not known: the least of pauses of 200, 500 and 800 ms, less
-# what `bears_ms` takes off.
+# Longest prefill in one batch iteration that streams of each class tolerate
+# when the routes' gap SLOs are unknown. They stand for gap SLOs of 200, 500 and
+# 800 ms, less about what `find_prefill_budgets_ms` subtracts.
 DEFAULT_PREFILL_BUDGETS_MS = (130.0, 420.0, 700.0)
-# Part of a pause that is counted on: events come late by some milliseconds.
+# Usable share of a gap SLO: events arrive some milliseconds late.
 _USABLE_GAP_SHARE = 0.95
-# On the way to the caller, besides the pass itself: an event waits for a turn
-# of two processes and two networks.
+# Delay of an event on its way to the caller, on top of the batch iteration: it
+# passes through two processes and two networks.
 _DELIVERY_MS = 17.0
-# Answers that bear longer pauses belong to longer prompts and are worth more,
-# here in answers of the first class.
+# Value of an answer of each class, relative to the first. Streams that tolerate
+# longer gaps belong to longer prompts and are worth more.
 VALUES = (1.0, 4.0, 12.0)
 
 
 def find_class(gap_slo_ms: float) -> int:
-    """Returns the class of a route's longest pause; 0 bears the least."""
+    """Returns the class of a gap SLO; 0 tolerates the shortest gaps."""
     return sum(gap_slo_ms > bound_ms for bound_ms in _BOUNDS_MS)
 
 
 def find_prefill_budgets_ms(pool: effective.Pool) -> tuple[float, ...]:
-    """Returns what an engine may read in a pass beside answers, by class.
+    """Returns the longest prefill per batch iteration, by gap class.
 
-    It is what the shortest of the class's pauses leaves beside a pass that
-    reads nothing.
+    It is what the shortest gap SLO of the class leaves beside an iteration
+    without any prefill.
     """
     return _compute_prefill_budgets_ms(pool.pause_aims_ms, pool.pass_ms)
 
@@ -40,7 +40,7 @@
     pause_aims_ms: tuple[float, ...], pass_ms: float
 ) -> tuple[float, ...]:
     budgets_ms = list(DEFAULT_PREFILL_BUDGETS_MS)
-    for aim_ms in sorted(pause_aims_ms, reverse=True):
-        remaining_ms = aim_ms * _USABLE_GAP_SHARE - pass_ms - _DELIVERY_MS
-        budgets_ms[find_class(aim_ms)] = max(0.0, remaining_ms)
+    for gap_slo_ms in sorted(pause_aims_ms, reverse=True):
+        remaining_ms = gap_slo_ms * _USABLE_GAP_SHARE - pass_ms - _DELIVERY_MS
+        budgets_ms[find_class(gap_slo_ms)] = max(0.0, remaining_ms)
     return tuple(budgets_ms)
--- a/src/ruddergate/decisions/prefill_plan.py
+++ b/src/ruddergate/decisions/prefill_plan.py
@@ -1,9 +1,12 @@
-"""On which engines a long prompt is read, and what that does to others.
+"""Plans which engines prefill a long prompt, and what that costs others.
 
-An engine works in passes. While answers are written there, a pass holds all
-that is read meanwhile, so a piece of a long prompt shows up as one pause in
-each of these answers. A plan weighs the first token of the prompt against the
-answers that its pieces would make late.
+A prompt is split into even segments, one for each engine that takes part. An
+engine works in batch iterations: an iteration that decodes streams also
+prefills all that is waiting, so a segment of a long prompt appears as one gap
+in each of these streams. A plan weighs the prompt's time to first token against
+the answers that its segments would make late.
+
+Values, losses and costs are in answers of the first gap class.
 """
 
 from collections.abc import Sequence
@@ -11,50 +14,52 @@
 
 from ruddergate.decisions import gap_class
 
-# Worth grows with a prompt's length, but more slowly; a prompt of the short
-# length here is worth as much as an answer of the first class of pauses.
+# The value of a prompt grows more slowly than its length; one of the reference
+# length is worth as much as an answer of the first gap class.
 VALUE_EXPONENT = 0.75
 REFERENCE_PROMPT_TOKENS = 5_000.0
-# Part of an answer's worth that is lost when it is late.
+# Share of an answer's value that is lost when it is late.
 LATE_LOSS_SHARE = 0.75
-# Part of the aim up to which a plan is certain to be in time, and from which on
-# it is late: predictions err by up to a factor of two, mostly to the late side.
-ON_TIME_SLO_SHARE = 0.25
-LATE_SLO_SHARE = 0.95
-# A route without an aim is taken to have this one.
+# Ratio of predicted time to SLO up to which a plan counts as certainly in time,
+# and from which it counts as late: predictions err by up to a factor of two,
+# mostly by being too short.
+ON_TIME_SLO_RATIO = 0.25
+LATE_SLO_RATIO = 0.95
+# SLO assumed for a route that has none.
 MIN_SLO_MS = 1.0
-# From a piece's end to the first token at the caller: the last pass and the
-# engines' start at different moments.
+# Time from the predicted end of the prefill to the first token at the caller:
+# the last batch iteration, and engines that start at different moments.
 FIRST_TOKEN_DELAY_MS = 150.0
-# Callers give a stream up that has not begun after four times its aim. Some of
-# that is left for what a prediction does not know.
-GIVE_UP_SLO_SHARE = 3.0
-# What each engine taking part costs besides, so that none does for nothing.
+# Callers abandon a stream that has not begun after four times its SLO. The
+# difference is a margin for errors of the prediction.
+GIVE_UP_SLO_RATIO = 3.0
+# Cost of each engine that takes part, so that none does without a benefit.
 ENGINE_COST = 0.01
-# A piece that joins an engine goes ahead of what is being read there: a prompt
-# of 280,000 tokens, due in 1 s, got its first token after 9 s when two of its
-# nine engines were given pieces of 8 s. A delay of this length makes the other
-# prompt late for certain.
+# A new segment goes ahead of the prompts that its engine is prefilling: a
+# prompt of 280,000 tokens with 1 s left got its first token after 9 s because
+# two of its nine engines were given segments of 8 s. A delay of this length
+# certainly makes the other prompt late.
 MAX_PREFILL_DELAY_MS = 1_000.0
-# A piece that is longer blocks its engine for prompts to come, and costs this
-# for each second beyond.
+# A longer segment blocks its engine for prompts that arrive later, at this cost
+# for each second above the limit.
 UNPENALIZED_SEGMENT_MS = 500.0
 BLOCKING_COST_PER_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Engine:
-    """An engine that could read a piece.
+    """An engine that could prefill a segment.
 
     Attributes:
-        target_id: Its name.
-        rest_ms: Predicted rest of what it has to read already.
-        answers: Answers under way there, by class of the pause they bear.
-        has_room: Whether its memory takes the answer's part.
-        reader_worth: About what the longest prompt is worth that it reads.
-        extra_cost: What its taking part costs for other reasons.
-        bears_ms: What it may read in a pass beside answers, by class.
-        is_pinned: Whether it is to write the answer, whatever that costs.
+        target_id: Name of the engine.
+        backlog_ms: Predicted remaining time of its current prefills.
+        decoding_streams: Streams that it decodes, by gap class.
+        has_room: Whether its memory can hold a share of the request.
+        prefill_value: Approximate value of the longest prompt in prefill there.
+        extra_cost: Cost of its taking part for other reasons.
+        is_pinned: Whether it must decode the answer, whatever that costs.
+        prefill_budgets_ms: Longest prefill in one batch iteration that streams
+            decoded beside it tolerate, by gap class.
     """
 
     target_id: str
@@ -69,15 +74,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """Engines that read a prompt in even pieces.
+    """Engines that prefill a prompt in even segments.
 
     Attributes:
-        engines: Their names; the first one writes the answer, those behind it
-            hold parts of the prompt if one engine's memory is too small.
-        first_ms: Predicted time from now to the first token.
-        harm: Worth lost by answers under way.
-        reader_harm: Worth lost by prompts that are being read.
-        cost: Worth lost by all, with the prompt's own.
+        engines: Names of the engines. The first one decodes the answer; the
+            next ones hold parts of the prompt if one engine's memory is too
+            small.
+        ttft_ms: Predicted time from now to the first token.
+        decode_loss: Value lost by streams being decoded.
+        prefill_loss: Value lost by other prompts in prefill.
+        cost: Value lost in all, the prompt's own included.
     """
 
     engines: tuple[str, ...]
@@ -96,21 +102,21 @@
     min_holders: int,
     max_parts: int,
 ) -> Plan | None:
-    """Returns the plan that costs least, or None if there is none.
+    """Returns the plan of the lowest cost, or None if there is none.
 
     Args:
-        prefill_ms: Time that one idle engine would read for.
+        prefill_ms: Time that one idle engine needs for the whole prefill.
         prompt_tokens: Length of the prompt.
-        ttft_slo_ms: Time to its first token within which it is in time.
-        waited_ms: How much of that has passed.
+        ttft_slo_ms: Longest time to first token that is in time.
+        waited_ms: How much of that time has passed.
         engines: Engines to choose from.
-        min_holders: Engines whose memory the prompt takes.
-        max_parts: Most engines that can read one prompt.
+        min_holders: Number of engines whose memory the request needs.
+        max_parts: Most engines that can prefill one prompt.
     """
     best: Plan | None = None
     limit = min(max_parts, len(engines))
     for parts in range(min_holders, limit + 1):
-        found = _plan_with_parts(
+        plan = _plan_with_parts(
             prefill_ms,
             prompt_tokens,
             ttft_slo_ms,
@@ -119,8 +125,8 @@
             min_holders,
             parts,
         )
-        if found is not None and (best is None or found.cost < best.cost):
-            best = found
+        if plan is not None and (best is None or plan.cost < best.cost):
+            best = plan
     return best
 
 
@@ -136,57 +142,70 @@
     segment_ms = prefill_ms / parts
     ranked = sorted(
         engines,
-        key=lambda each: (
-            not each.is_pinned,
-            _estimate_decode_loss(each, segment_ms)
-            + _estimate_prefill_loss(each, segment_ms)
-            + each.extra_cost,
-            each.backlog_ms,
+        key=lambda engine: (
+            not engine.is_pinned,
+            _estimate_decode_loss(engine, segment_ms)
+            + _estimate_prefill_loss(engine, segment_ms)
+            + engine.extra_cost,
+            engine.backlog_ms,
         ),
     )
-    holders = [each for each in ranked if each.has_room][:min_holders]
+    holders = [engine for engine in ranked if engine.has_room][:min_holders]
     if len(holders) < min_holders:
         return None
-    others = [each for each in ranked if each not in holders]
+    others = [engine for engine in ranked if engine not in holders]
     chosen = [*holders, *others[: parts - min_holders]]
-    writer = min(
+    decode_engine = min(
         holders,
-        key=lambda each: (not each.is_pinned, _count_decoding_streams(each)),
+        key=lambda engine: (
+            not engine.is_pinned,
+            _count_decoding_streams(engine),
+        ),
     )
     decode_loss = sum(
-        _estimate_decode_loss(each, segment_ms) for each in chosen
+        _estimate_decode_loss(engine, segment_ms) for engine in chosen
     )
-    backlog_ms = max(each.backlog_ms for each in chosen)
+    backlog_ms = max(engine.backlog_ms for engine in chosen)
     ttft_ms = backlog_ms + segment_ms + FIRST_TOKEN_DELAY_MS
-    # A prompt that several of these engines read is late but once.
+    # A prompt in prefill on several of these engines is late only once.
     prefill_loss = max(
-        _estimate_prefill_loss(each, segment_ms) for each in chosen
+        _estimate_prefill_loss(engine, segment_ms) for engine in chosen
     )
     blocking_s = max(0.0, segment_ms - UNPENALIZED_SEGMENT_MS) / 1000.0
     cost = decode_loss + prefill_loss + parts * ENGINE_COST
-    cost += sum(each.extra_cost for each in chosen)
+    cost += sum(engine.extra_cost for engine in chosen)
     cost += parts * blocking_s * BLOCKING_COST_PER_S
     value = estimate_value(prompt_tokens)
-    slo_share = (waited_ms + ttft_ms) / max(MIN_SLO_MS, ttft_slo_ms)
-    cost += _estimate_late_risk(slo_share) * LATE_LOSS_SHARE * value
-    if slo_share > GIVE_UP_SLO_SHARE:
+    slo_ratio = (waited_ms + ttft_ms) / max(MIN_SLO_MS, ttft_slo_ms)
+    cost += _estimate_late_risk(slo_ratio) * LATE_LOSS_SHARE * value
+    if slo_ratio > GIVE_UP_SLO_RATIO:
         cost += (1.0 - LATE_LOSS_SHARE) * value
-    rest = [each.target_id for each in chosen if each is not writer]
+    other_ids = [
+        engine.target_id for engine in chosen if engine is not decode_engine
+    ]
     return Plan(
-        (writer.target_id, *rest), ttft_ms, decode_loss, prefill_loss, cost
+        (decode_engine.target_id, *other_ids),
+        ttft_ms,
+        decode_loss,
+        prefill_loss,
+        cost,
     )
 
 
-def _estimate_late_risk(slo_share: float) -> float:
-    """Returns the chance that a first token predicted so is late."""
-    risk = (slo_share - ON_TIME_SLO_SHARE) / (
-        LATE_SLO_SHARE - ON_TIME_SLO_SHARE
+def _estimate_late_risk(slo_ratio: float) -> float:
+    """Returns the probability that the first token is late.
+
+    Args:
+        slo_ratio: Predicted time to first token, as a ratio of the SLO.
+    """
+    risk = (slo_ratio - ON_TIME_SLO_RATIO) / (
+        LATE_SLO_RATIO - ON_TIME_SLO_RATIO
     )
     return min(1.0, max(0.0, risk))
 
 
 def _estimate_decode_loss(engine: Engine, segment_ms: float) -> float:
-    """Returns the worth that a piece makes late on an engine."""
+    """Returns the value that a segment costs the streams of an engine."""
     total_prefill_ms = engine.backlog_ms + segment_ms
     decode_loss = 0.0
     for class_, count in enumerate(engine.decoding_streams):
@@ -196,7 +215,7 @@
 
 
 def _estimate_prefill_loss(engine: Engine, segment_ms: float) -> float:
-    """Returns the worth that a piece makes late of what an engine reads."""
+    """Returns the value that a segment costs prefills of an engine."""
     risk = min(1.0, segment_ms / MAX_PREFILL_DELAY_MS)
     return engine.prefill_value * LATE_LOSS_SHARE * risk
 
@@ -206,5 +225,5 @@
 
 
 def estimate_value(prompt_tokens: int) -> float:
-    """Returns about what an answer to a prompt of that length is worth."""
+    """Returns the approximate value of an answer to a prompt."""
     return (prompt_tokens / REFERENCE_PROMPT_TOKENS) ** VALUE_EXPONENT
--- a/src/ruddergate/decisions/routing/long_prompts.py
+++ b/src/ruddergate/decisions/routing/long_prompts.py
@@ -98,7 +98,7 @@
         return True
     if idle_plan is not None and plan.cost - idle_plan.cost > MIN_WAIT_GAIN:
         return True
-    slack_ms = job.ttft_slo_ms * prefill_plan.LATE_SLO_SHARE
+    slack_ms = job.ttft_slo_ms * prefill_plan.LATE_SLO_RATIO
     slack_ms -= job.waited_ms + plan.ttft_ms
     return plan.decode_loss > MAX_LOSS_WITHOUT_WAIT and slack_ms > MIN_SLACK_MS
 
@@ -106,7 +106,7 @@
 def _is_late(job: jobs.Job, first_ms: float) -> bool:
     """Returns whether a first token in this time would come too late."""
     return (
-        job.waited_ms + first_ms > prefill_plan.LATE_SLO_SHARE * job.ttft_slo_ms
+        job.waited_ms + first_ms > prefill_plan.LATE_SLO_RATIO * job.ttft_slo_ms
     )
 
 
