--- a/src/ruddergate/decisions/__init__.py
+++ b/src/ruddergate/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions as plain functions: state and time go in, a value comes out."""
+"""Decisions as pure logic: state and time go in, a value comes out."""
--- a/src/ruddergate/decisions/cost.py
+++ b/src/ruddergate/decisions/cost.py
@@ -1,11 +1,11 @@
-"""What a request is expected to take up, before it runs."""
+"""Predicts the resources that a request will use."""
 
 import dataclasses
 
 from ruddergate.decisions import gap_class
 from ruddergate.settings import effective
 
-# Streams that an engine decodes together for about the price of one.
+# Number of streams that an engine decodes together in about the time of one.
 TYPICAL_BATCH = 32.0
 _MILLION = 1_000_000.0
 
@@ -15,11 +15,11 @@
     """Predicted cost of one request.
 
     Attributes:
-        prefill_ms: Engine time to prefill what is not cached.
+        prefill_ms: Engine time to prefill the tokens that are not cached.
         decode_ms: Time from first to last token.
         held_tokens: Memory held, in tokens.
-        engine_ms: Part of an engine used, as time of a whole engine: the
-            larger of its computing and its memory.
+        engine_ms: Use of an engine, as time of a whole engine: the larger of
+            its share of the computing time and of the memory.
     """
 
     prefill_ms: float
@@ -34,10 +34,10 @@
 
 
 def predict_prefill_ms(pool: effective.Pool, tokens: int) -> float:
-    """Returns how long one idle engine needs to prefill so many tokens.
+    """Returns how long one idle engine takes to prefill a number of tokens.
 
-    Reading takes a constant time a token, and attention a time for each pair
-    of a token and one before it, which soon outweighs it in long prompts.
+    Each token takes a constant time. Attention takes additional time for each
+    pair of a token and an earlier one, which dominates in long prompts.
     """
     linear_ms = tokens * 1000.0 / pool.prefill_tokens_per_s
     pairs_m = tokens * tokens / 2.0 / _MILLION
@@ -45,7 +45,7 @@
 
 
 def is_long(pool: effective.Pool, tokens: int) -> bool:
-    """Returns whether prefilling a prompt holds up the answers beside it."""
+    """Returns whether prefilling a prompt delays streams decoded beside it."""
     return (
         predict_prefill_ms(pool, tokens)
         > gap_class.find_prefill_budgets_ms(pool)[0]
--- a/src/ruddergate/decisions/gangs.py
+++ b/src/ruddergate/decisions/gangs.py
@@ -1,11 +1,12 @@
-"""Prompts larger than one engine's memory: one prompt over several engines."""
+"""Divides prompts that exceed one engine's memory among several engines."""
 
 import dataclasses
 import math
 
-# Memory of an engine that a gang leaves to other requests.
+# Share of an engine's memory that a gang leaves to other requests.
 FREE_MEMORY_SHARE = 0.1
-# Part of an engine's memory that a part of a prompt may take: others run there.
+# Largest share of an engine's memory that one part of a prompt may take, as
+# other requests run there too.
 MAX_SEGMENT_SHARE = 0.55
 
 
@@ -16,7 +17,7 @@
     Attributes:
         first_token: Position of its first token.
         tokens: Its length.
-        held_tokens: Memory to reserve for it.
+        held_tokens: Memory to reserve for it, in tokens.
     """
 
     first_token: int
@@ -37,9 +38,9 @@
     memory_tokens: int,
     engines_max: int,
 ) -> tuple[Segment, ...] | None:
-    """Divides a prompt evenly; None if it needs more than `engines_max`.
+    """Returns even segments, or None if more than `engines_max` are needed.
 
-    The last segment's engine also holds the answer.
+    The engine of the last segment also holds the answer.
     """
     usable = int(memory_tokens * (1.0 - FREE_MEMORY_SHARE))
     total = prompt_tokens + output_tokens
@@ -61,9 +62,9 @@
 
 
 def split_memory(held_tokens: int, memory_tokens: int) -> tuple[int, ...]:
-    """Returns the memory that each engine of a gang is to hold, evenly.
+    """Returns the memory that each engine of a gang holds, evenly divided.
 
-    A request that leaves an engine some memory for others stays whole.
+    A request that fits one engine, with memory left for others, stays whole.
     """
     if held_tokens <= memory_tokens * (1.0 - FREE_MEMORY_SHARE):
         return (held_tokens,)
--- a/src/ruddergate/decisions/ledger.py
+++ b/src/ruddergate/decisions/ledger.py
@@ -1,9 +1,9 @@
-"""At most once for requests that carry a key or a ticket.
+"""At-most-once execution of requests with an idempotency key or a ticket.
 
-The VM that decides about a key is its home. A home answers for a key only if
-no other VM can have decided about it: it must have been the home, with an
-unchanged list, for longer than the key exists and for a margin that covers the
-list's lag. In any doubt the answer is a refusal.
+One VM, the key's home, decides whether a key may run. It does so only if no
+other VM can have decided about the key: it must have been the home, under an
+unchanged VM list, for longer than the key has existed plus a margin for the
+list's propagation delay. Whenever that is uncertain, the request is refused.
 """
 
 import collections
@@ -23,7 +23,7 @@
 
 
 class KeyVerdict(enum.Enum):
-    """What a home may do with a key that it has not seen."""
+    """Whether this VM may run a key that its ledger does not hold."""
 
     MAY_RUN = "may_run"
     LIST_TOO_OLD = "list_too_old"
@@ -33,12 +33,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bounds:
-    """Times that the promise of keys rests on.
+    """Time bounds that the at-most-once guarantee rests on.
 
     Attributes:
-        list_age_max_ms: Oldest list by which a home may decide.
-        margin_ms: Greatest time by which VMs may learn of a new list at
-            different times.
+        list_age_max_ms: Greatest age of the list with which a home may decide.
+        margin_ms: Longest time from the first VM that learns of a new list to
+            the last one.
     """
 
     list_age_max_ms: float = 10_000.0
@@ -48,8 +48,8 @@
 def find_home(key: str, listing: listings.Listing) -> str | None:
     """Returns the VM that decides about a key, or None without VMs.
 
-    Leaving VMs count until they are off the list, so that a planned stop
-    moves a key once, when its old home has ended.
+    Draining VMs count until they are off the list, so that a planned stop moves
+    a key only once, when its old home has ended.
     """
     names = [vm.vm_id for vm in listing.vms]
     chosen = rendezvous.choose(key, names, 1)
@@ -68,13 +68,13 @@
     """Returns whether this VM may run a key that its ledger does not hold.
 
     Args:
-        key: Workspace and key, joined.
+        key: Workspace and idempotency key, joined.
         key_age_ms: How long ago the caller first used the key.
         vm_id: This VM.
         listing: The list as this VM knows it.
-        list_age_ms: Time since the platform last confirmed it.
+        list_age_ms: Time since the platform last confirmed the list.
         settled_ms: Time for which this process has known the same VMs.
-        bounds: Times that the promise rests on.
+        bounds: Time bounds that the guarantee rests on.
     """
     if find_home(key, listing) != vm_id:
         return KeyVerdict.NOT_THE_HOME
@@ -90,10 +90,10 @@
     """What a home knows of a key.
 
     Attributes:
-        recording: The run, from which resends are answered; None once it
-            was dropped to save memory.
-        may_have_run: Whether a dispatch may have been made.
-        size_bytes: Memory that the kept recording takes up.
+        recording: Recording of the run, from which resends are answered; None
+            once it was dropped to save memory.
+        may_have_run: Whether the request may have been dispatched.
+        size_bytes: Size of the kept recording.
     """
 
     recording: T | None
@@ -105,8 +105,8 @@
     """Keys that this process has decided about.
 
     Entries outlive recordings: a key whose recording was dropped is still
-    refused. When even the entries overflow, `whole_since_ms` tells since when
-    the ledger is whole.
+    refused. When entries are evicted as well, the ledger is complete only for
+    keys that were opened after `complete_since_ms`.
     """
 
     def __init__(self) -> None:
@@ -136,7 +136,7 @@
         return entry
 
     def remove(self, key: str) -> None:
-        """Drops a key that certainly did not run; it may be used again."""
+        """Removes a key that certainly did not run; it may be used again."""
         self._entries.pop(key, None)
         self._started_ms.pop(key, None)
 
--- a/src/ruddergate/decisions/orders.py
+++ b/src/ruddergate/decisions/orders.py
@@ -1,9 +1,9 @@
-"""What engines are to load, as a pure function of tree and targets.
+"""Decides what engines load, as a pure function of settings tree and targets.
 
-Two agents that act at once give the same order; the fence lets the engine
-refuse an older one. For a pool whose engines do not check fences, one owner
-gives the orders, after a quiet time in which an earlier owner's order has
-certainly arrived or been given up.
+Two agents that act at the same time send the same order, and the fencing token
+lets the engine refuse an older one. For a pool whose engines do not check
+fencing tokens, a single owner sends the orders. A new owner first waits until
+an earlier owner's order has certainly arrived or timed out.
 """
 
 from collections.abc import Iterable
@@ -13,6 +13,8 @@
 from ruddergate.fleet import target as targets
 from ruddergate.settings import effective
 
+# How long a VM must have been the owner, and its settings in force, before it
+# sends orders to engines that do not check fencing tokens.
 SETTLE_MS = 5_000.0
 ORDER_TIMEOUT_MS = 2_000.0
 
@@ -22,11 +24,12 @@
     """One order to one engine.
 
     Attributes:
-        revision: Revision of the tree that it follows from; the fence.
-        generation: The engine's incarnation that it is meant for.
+        revision: Revision of the settings tree that it is derived from; the
+            fencing token.
+        generation: Incarnation of the engine that it is meant for.
         model: Model to load.
         version: Version of the model.
-        adapters: Adapters to load, in order of name.
+        adapters: Adapters to load, sorted by name.
         role: Role to take.
     """
 
@@ -40,14 +43,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadedState:
-    """What an engine says that it has.
+    """What an engine reports to have loaded.
 
     Attributes:
-        generation: Its incarnation.
-        revision: Fence of the last order that it took.
+        generation: Incarnation of the engine.
+        revision: Fencing token of the last order that it accepted.
         model: Its model.
         version: Version of the model.
-        adapters: Its adapters, in order of name.
+        adapters: Its adapters, sorted by name.
         role: Its role.
         is_loading: Whether it is loading now.
     """
@@ -62,7 +65,7 @@
 
 
 def make_order(pool: effective.Pool, revision: int, generation: str) -> Order:
-    """Returns the order that the tree implies for an engine of the pool."""
+    """Returns the order that the settings imply for an engine of the pool."""
     named = (name.strip() for name in pool.adapters.split(","))
     return Order(
         revision=revision,
@@ -75,9 +78,9 @@
 
 
 def is_needed(order: Order, loaded: LoadedState) -> bool:
-    """Returns whether an engine is to be given the order.
+    """Returns whether an order must be sent to an engine.
 
-    An engine that has taken a higher revision is never ordered back.
+    An engine that has accepted a higher revision is never ordered back.
     """
     if loaded.revision > order.revision or loaded.is_loading:
         return False
@@ -93,7 +96,7 @@
 def find_owners(
     target: targets.Target, vm_ids: Iterable[str], checks_fence: bool
 ) -> list[str]:
-    """Returns the VMs that give a target its orders."""
+    """Returns the VMs that own a target: those that send its orders."""
     count = 2 if checks_fence else 1
     return rendezvous.choose(f"orders {target.target_id}", vm_ids, count)
 
@@ -105,11 +108,11 @@
     settings_age_ms: float,
     view_age_ms: float,
 ) -> bool:
-    """Returns whether this VM may give a target its order now.
+    """Returns whether this VM may send a target its order now.
 
     Args:
         is_owner: Whether it is among the target's owners.
-        checks_fence: Whether the target refuses older orders itself.
+        checks_fence: Whether the target itself refuses older orders.
         owned_for_ms: Time since it became an owner.
         settings_age_ms: Time for which its settings tree has been in force.
         view_age_ms: Age of its view of the fleet.
@@ -124,12 +127,12 @@
 
 @dataclasses.dataclass(slots=True)
 class WeightReadBudget:
-    """Reads of the weight store that this VM may still start.
+    """Token bucket for this VM's reads of the weight store.
 
     Attributes:
-        rate_per_s: Reads a second; this VM's part of the store's limit.
+        rate_per_s: Reads per second; this VM's share of the store's limit.
         tokens: Reads that may start now; never more than one.
-        at_ms: When `tokens` was brought up to date.
+        updated_ms: When `tokens` was last updated.
     """
 
     rate_per_s: float
@@ -137,7 +140,7 @@
     updated_ms: float
 
     def try_take(self, now_ms: float) -> bool:
-        """Takes one read out; returns whether there was one."""
+        """Takes the token of one read; returns whether there was one."""
         earned = (now_ms - self.updated_ms) / 1000.0 * self.rate_per_s
         self.tokens = min(1.0, self.tokens + earned)
         self.updated_ms = now_ms
--- a/src/ruddergate/decisions/own_work.py
+++ b/src/ruddergate/decisions/own_work.py
@@ -1,4 +1,4 @@
-"""What a VM itself has on a target, attempt by attempt and in sums."""
+"""Attempts that this VM has open on a target, singly and in sums."""
 
 import dataclasses
 
@@ -8,18 +8,18 @@
 
 @dataclasses.dataclass(slots=True)
 class OwnWork:
-    """One attempt of this VM on a target.
+    """One open attempt of this VM on a target.
 
     Attributes:
-        fresh_tokens: Prompt tokens to prefill.
-        held_tokens: Memory it takes up.
+        uncached_tokens: Prompt tokens to prefill.
+        held_tokens: Memory that it holds, in tokens.
         sent_ms: When it was dispatched.
-        band: Band of the prompt's length.
-        prefill_ms: Predicted time of the engine for the fresh tokens.
-        is_long: Whether its prefill holds up the answers beside it.
-        gap_class: Class of the pause that its answer bears.
-        is_writing: Whether the answer is written here; else this target only
-            reads part of the prompt.
+        band: Length band of the prompt.
+        prefill_ms: Predicted engine time for the uncached tokens.
+        is_long: Whether its prefill delays streams decoded beside it.
+        gap_class: Gap class of its answer.
+        is_decoding: Whether this target decodes the answer; otherwise it only
+            prefills part of the prompt.
         has_first_token: Whether its prefill has ended.
     """
 
@@ -36,7 +36,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Totals:
-    """Sums over own work, kept so that a decision need not add them up."""
+    """Running sums over the open attempts, so that decisions need no loop.
+
+    Attributes:
+        open_tokens: Tokens whose prefill has not ended, by length band.
+        all_open_tokens: Sum of `open_tokens`.
+        held_tokens: Memory held, in tokens.
+        streams: Number of attempts.
+    """
 
     open_tokens: list[int] = dataclasses.field(
         default_factory=lambda: [0] * length_band.BANDS
@@ -48,7 +55,7 @@
     def add(
         self, band: int, open_tokens: int, held_tokens: int, streams: int
     ) -> None:
-        """Adds work, or takes it out by numbers below 0."""
+        """Adds to the sums; negative numbers subtract."""
         self.open_tokens[band] += open_tokens
         self.all_open_tokens += open_tokens
         self.held_tokens += held_tokens
--- a/src/ruddergate/decisions/sweeping.py
+++ b/src/ruddergate/decisions/sweeping.py
@@ -1,9 +1,10 @@
-"""Memory that engines hold for nobody."""
+"""Finds items that engines still hold although no request needs them."""
 
 from collections.abc import Iterable
 import dataclasses
 
-# Beyond an item's lapse: covers clock drift and the last answer's way.
+# Time after an item's expiry: covers clock drift and the delivery of the last
+# answer.
 EXPIRY_GRACE_MS = 2_000.0
 
 
@@ -15,7 +16,7 @@
         item_id: The engine's name for it.
         owner: VM and incarnation of the entry that it belongs to.
         age_ms: Age on the engine's own clock.
-        lapse_ms: Age at which its owner has no more use for it.
+        expiry_age_ms: Age from which its owner no longer needs it.
     """
 
     item_id: str
@@ -27,9 +28,9 @@
 def find_expired(items: Iterable[HeldItem]) -> tuple[str, ...]:
     """Returns the items that no request can still need.
 
-    An item lapses with the time limit of its request, so a request of a VM
-    that is only cut off is never swept. Who the owner is, and whether it
-    seems dead, plays no part.
+    An item expires with the time limit of its request, so requests of a VM that
+    is only partitioned are never swept. The owner, and whether it seems dead,
+    plays no part.
     """
     return tuple(
         item.item_id
