--- a/src/ruddergate/decisions/routing/__init__.py
+++ b/src/ruddergate/decisions/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routing policies: plain functions with one signature, chosen by name."""
+"""Routing policies: functions with one signature, selected by name."""
 
 from ruddergate.decisions.routing import by_name
 from ruddergate.decisions.routing import job
--- a/src/ruddergate/decisions/routing/baselines.py
+++ b/src/ruddergate/decisions/routing/baselines.py
@@ -1,4 +1,4 @@
-"""The plain policies that the product's own is measured against."""
+"""Simple policies, as baselines for the default policy."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 
 
 def make_round_robin() -> policies.Policy:
-    """Returns a policy that takes targets in turn."""
+    """Returns a policy that chooses targets in turn."""
     turn = 0
 
     def choose(
@@ -29,28 +29,28 @@
 
 
 def make_random() -> policies.Policy:
-    """Returns a policy that takes any target."""
+    """Returns a policy that chooses a random target."""
     return _make_min_score(lambda job, estimate, now_ms: ())
 
 
 def make_least_requests() -> policies.Policy:
-    """Returns a policy that takes the fewest requests in flight."""
+    """Returns a policy that chooses the fewest requests in flight."""
     return _make_min_score(
         lambda job, estimate, now_ms: (estimate.streams(now_ms),)
     )
 
 
-# So many more requests make a target of the home hall as bad as one elsewhere:
-# half of the places of a replica of the users' plain services.
+# Penalty of a target in another hall, in requests: half of the slots of a
+# replica of the users' plain services.
 OTHER_HALL_REQUESTS = 3.0
 
 
 def make_least_recent() -> policies.Policy:
-    """Returns a policy that takes the fewest requests as lately known.
+    """Returns a policy that chooses the fewest recently known requests.
 
-    What targets told with old answers fades, so that a target that was busy
-    once is not passed over for good. Targets of the home hall are preferred
-    while they are not much busier than others.
+    The load that a target reported decays with the age of the report, so that a
+    target that was once busy is not avoided for good. Targets of the local hall
+    are preferred unless they are much busier than others.
     """
 
     def score(
@@ -67,14 +67,17 @@
 
 
 def make_least_tokens() -> policies.Policy:
-    """Returns a policy that takes the fewest prompt tokens waiting."""
+    """Returns a policy that chooses the fewest waiting prompt tokens."""
     return _make_min_score(
         lambda job, estimate, now_ms: (estimate.waiting_tokens(now_ms),)
     )
 
 
 def make_prefix_affinity() -> policies.Policy:
-    """Returns a policy that goes where the prefix is cached, else least."""
+    """Returns a policy that prefers targets with the prefix in their cache.
+
+    Among these, or if there are none, it chooses the fewest waiting tokens.
+    """
     return _make_min_score(
         lambda job, estimate, now_ms: (
             not estimate.cached_tokens(job.prefix),
@@ -84,7 +87,7 @@
 
 
 def _make_min_score(score: _Score) -> policies.Policy:
-    """Returns a policy that takes the lowest score, by chance among equals."""
+    """Returns a policy of the lowest score, at random among equals."""
 
     def choose(
         job: jobs.Job,
--- a/src/ruddergate/decisions/routing/boundary.py
+++ b/src/ruddergate/decisions/routing/boundary.py
@@ -1,8 +1,9 @@
-"""Where short prompts end and long ones begin, in the engines of each hall.
+"""Divides the engines of each hall into a short and a long region.
 
-All VMs rank the engines of a hall alike, by a hash of their names, and without
-a message between them short prompts fill the ranking from its front and long
-ones from its back. The boundary follows the short prompts in flight.
+All VMs rank the engines of a hall by the same hash of their names, so without
+any coordination short prompts fill the ranking from the front and long ones
+from the back. The boundary between them follows the number of short prompts in
+flight.
 """
 
 from collections.abc import Sequence
@@ -11,23 +12,24 @@
 
 from ruddergate.decisions import estimate as estimates
 
-# Part of an engine's places that the front region is to have taken: the rest is
-# left for what VMs do not know of each other yet, and a pass stays short.
+# Share of an engine's slots that the short region aims to fill. The rest is for
+# requests that VMs do not know of each other yet, and keeps batch iterations
+# short.
 SHORT_REGION_FILL = 0.625
-# Places of an engine that does not tell them.
+# Slots of an engine that does not report its number of slots.
 DEFAULT_SLOTS = 8
-# Engines that either region of a hall keeps, whatever the other one needs.
+# Engines that each region of a hall keeps, whatever the other one needs.
 MIN_REGION_ENGINES = 1
-# Engines in front of the boundary besides those that short prompts fill: for
-# what VMs do not know of each other yet. With a whole one in each hall, long
-# prompts had too few engines when there were many of them.
+# Engines of the short region beyond those that short prompts fill, for requests
+# that VMs do not know of each other yet. A whole engine in each hall left too
+# few to long prompts when there were many of them.
 SPARE_SHORT_ENGINES = 0.25
 
 
 def find_long_region(
     candidates: Sequence[estimates.Estimate], now_ms: float
 ) -> frozenset[str]:
-    """Returns the engines at the back that short prompts do not need now."""
+    """Returns the engines that short prompts do not need now."""
     by_hall: dict[str, list[estimates.Estimate]] = {}
     for estimate in candidates:
         by_hall.setdefault(estimate.target.hall, []).append(estimate)
--- a/src/ruddergate/decisions/routing/by_name.py
+++ b/src/ruddergate/decisions/routing/by_name.py
@@ -1,4 +1,4 @@
-"""All routing policies by name."""
+"""Looks up routing policies by name."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -25,5 +25,5 @@
 
 
 def make_policy(name: str) -> policies.Policy:
-    """Returns the policy of that name; raises KeyError for an unknown one."""
+    """Returns a new policy; raises KeyError for an unknown name."""
     return FACTORIES[name]()
--- a/src/ruddergate/decisions/routing/by_region.py
+++ b/src/ruddergate/decisions/routing/by_region.py
@@ -1,7 +1,7 @@
-"""Keeps long prefills and short prompts on different engines.
+"""Policy that keeps long prefills and short prompts on different engines.
 
-Short prompts go to the front of their own hall's engines, long ones are read by
-several engines behind it (boundary.py, long_prompts.py). See
+Short prompts go to the front region of their own hall's engines; long ones are
+prefilled by several engines behind it (boundary.py, long_prompts.py). See
 docs/design/platform.md.
 """
 
@@ -16,23 +16,25 @@
 from ruddergate.decisions.routing import long_prompts
 from ruddergate.decisions.routing import policy as policies
 
-# What one more stream beside it costs a stream, from the time of a step.
+# Cost of each stream on an engine: the time that it adds to a decoding step.
 STREAM_COST_MS = 8.0
-# Going to an engine for long prompts, as a cost that load must outweigh.
+# Cost of an engine of the long region; the load elsewhere must exceed it.
 SPILL_COST_MS = 60.0
-# Going to another hall's engine, likewise: a cut between halls makes late what
-# runs there. It is more than a place at home behind the boundary costs.
+# Cost of an engine in another hall: a network partition between halls delays
+# what runs there. It is higher than the cost of the local long region.
 OTHER_HALL_COST_MS = 100.0
-# What it costs each short answer there when a pass becomes too long for it.
+# Cost for each short answer on an engine whose batch iteration becomes too long
+# for its gap SLO.
 LATE_COST_MS = 40.0
-# Without room the newest request is put off and read again.
+# Cost of an engine without enough free memory: it evicts the newest request and
+# prefills it again later.
 NO_MEMORY_COST_MS = 1_000.0
-# Scores this close are as good as equal; see by_length.
+# Scores that differ by less count as equal; see by_length.
 TIE_MS = 10.0
 
 
 def make_by_region() -> policies.Policy:
-    """Returns the policy; it keeps nothing between two decisions."""
+    """Returns the policy, which is stateless."""
     return policies.Policy(
         _choose, choose_helpers=_choose_helpers, splits_memory=True
     )
@@ -53,7 +55,7 @@
         return _find_estimate(candidates, plan.engines[0])
     long_ids = frozenset()
     if not job.is_peer_load_unknown:
-        # Without it, VMs that know nothing of each other yet would all fill
+        # VMs that know nothing of each other's load would otherwise all fill
         # the same few engines.
         long_ids = boundary.find_long_region(candidates, now_ms)
     free = [
@@ -82,13 +84,13 @@
 
 
 def _has_free_slot(estimate: estimates.Estimate, now_ms: float) -> bool:
-    """Returns whether a short prompt would not wait for a place there.
+    """Returns whether an engine has a free slot for a short prompt.
 
-    Where all engines are full, it is better kept here: the next place that
-    becomes free anywhere is nearer than that of any one engine.
+    When all engines are full, the prompt waits on this VM: the first slot that
+    becomes free on any engine comes sooner than one on a given engine.
     """
-    most = estimate.target.streams_max
-    return not most or estimate.recent_streams(now_ms) < most
+    slots = estimate.target.streams_max
+    return not slots or estimate.recent_streams(now_ms) < slots
 
 
 def _choose_for_poison_suspect(
@@ -96,24 +98,24 @@
     now_ms: float,
     rng: random.Random,
 ) -> estimates.Estimate:
-    """Returns an engine where a suspect can harm fewest answers.
+    """Returns a random one of the least loaded engines of all halls.
 
-    Calls that lost their engine together went on together, at the next engine
-    of the ranking, and so beside the one that had ended the first: of 47 that
-    lost an engine so, 26 lost another one (logs of nine VMs, 40 s). Drawn from
-    the idle engines of all halls, they part.
+    A poison request does the least damage there. Requests that lose an engine
+    together would otherwise all move to the next engine of the ranking, with
+    the poison request among them: of 47 such requests, 26 lost another engine
+    (logs of nine VMs, 40 s). A random choice separates them.
     """
 
-    def find_load(estimate: estimates.Estimate) -> tuple[int, int]:
+    def measure_load(estimate: estimates.Estimate) -> tuple[int, int]:
         streams = round(estimate.recent_streams(now_ms))
         return streams, round(estimate.remaining_prefill_ms(now_ms) / TIE_MS)
 
-    loads = [find_load(estimate) for estimate in candidates]
-    least = min(loads)
+    loads = [measure_load(estimate) for estimate in candidates]
+    min_load = min(loads)
     idle = [
         estimate
         for estimate, load in zip(candidates, loads, strict=True)
-        if load == least
+        if load == min_load
     ]
     return rng.choice(idle)
 
@@ -149,7 +151,7 @@
     in_long_region: bool,
     now_ms: float,
 ) -> float:
-    """Returns what this engine would cost a short job, in milliseconds."""
+    """Returns the cost of this engine for a short job, in milliseconds."""
     streams = estimate.recent_streams(now_ms)
     backlog_ms = estimate.remaining_prefill_ms(now_ms)
     job_prefill_ms = costs.predict_prefill_ms(estimate.pool, job.prompt_tokens)
--- a/src/ruddergate/decisions/routing/job.py
+++ b/src/ruddergate/decisions/routing/job.py
@@ -8,25 +8,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """What matters for where a request runs.
+    """The properties of a request that decide where it runs.
 
     Attributes:
         prompt_tokens: Length of its prompt.
-        held_tokens: Memory it will take up.
+        held_tokens: Memory that it will hold, in tokens.
         prefix: Name of its shared prefix, or empty.
         prefix_tokens: Length of the shared prefix.
         is_long: Whether it counts as a long prompt.
-        waited_ms: How long it has waited here.
-        aim_ms: Time to the first token within which it is in time; 0 when no
-            aim is known.
-        pause_aim_ms: Longest pause between two events of its answer within
-            which it is in time; infinite when no pause matters.
-        is_blind: Whether nothing is known of peers yet.
-        home_hall: Data hall of this VM, or empty.
-        pinned_target: The target that is to write the answer, or empty.
-        salt: A number of its own, by which targets that are as good as each
-            other are put in order.
-        is_suspect: Whether a target has ended under what it asks for.
+        waited_ms: How long it has waited on this VM.
+        ttft_slo_ms: Longest time to first token that is in time; 0 when none is
+            known.
+        gap_slo_ms: Longest gap between two events of its answer that is in
+            time; infinite when gaps do not matter.
+        is_peer_load_unknown: Whether nothing is known of the peers' load yet.
+        local_hall: Data hall of this VM, or empty.
+        pinned_target_id: The target that must write the answer, or empty.
+        tie_break_seed: Random number that orders equally good targets
+            differently for each request.
+        may_be_poison: Whether a target has died while it ran a request with
+            this content.
     """
 
     prompt_tokens: int
@@ -45,5 +46,5 @@
 
 
 def is_in_other_hall(job: Job, target: targets.Target) -> bool:
-    """Returns whether a target is in another hall than the job's VM."""
+    """Returns whether a target is in another hall than this VM."""
     return bool(job.local_hall) and target.hall != job.local_hall
--- a/src/ruddergate/decisions/routing/long_prompts.py
+++ b/src/ruddergate/decisions/routing/long_prompts.py
@@ -1,8 +1,8 @@
-"""Which engines read a long prompt, and whether it had better wait for them.
+"""Chooses the engines that prefill a long prompt, or keeps the prompt waiting.
 
-A plan weighs what its pieces do to answers under way and to other prompts that
-are being read (decisions/reading_plan.py). Where engines that will soon be idle
-would do much better, the prompt is kept waiting.
+A plan weighs what its segments cost streams being decoded and other prompts in
+prefill (decisions/prefill_plan.py). Where engines that will soon be idle would
+do much better, the prompt is kept waiting.
 """
 
 from collections.abc import Sequence
@@ -19,45 +19,49 @@
 from ruddergate.decisions.routing import job as jobs
 from ruddergate.settings import effective
 
-# A long prompt waits while it would be late now and could be in time on engines
-# that have become idle. It also waits rather than cost others more than this
-# (in answers to short prompts), but for no longer than this part of its aim.
+# A long prompt waits while it would be late now but in time on engines that
+# have become idle. It also waits rather than make others lose more than this
+# (in answers to short prompts), but for no longer than this share of its SLO.
 MAX_LOSS_WITHOUT_WAIT = 1.0
 MAX_HOLD_SLO_SHARE = 0.3
-# It also waits where the plan at hand costs so much more than one on engines
-# that have become idle, which takes about this part of its aim.
+# It also waits where a plan on the engines as they are costs more than one on
+# idle engines by this much. Engines become idle in about this share of the SLO.
 MIN_WAIT_GAIN = 3.0
 IDLE_WAIT_SLO_SHARE = 0.15
-# Without this much time to spare a long prompt waits no longer.
+# With less time to spare than this, a long prompt does not wait to spare
+# streams being decoded.
 MIN_SLACK_MS = 200.0
-# What it costs a long prompt, in answers to short ones, to have an engine of
-# another hall take part.
+# Cost of an engine of another hall in a plan, in answers to short prompts.
 OTHER_HALL_COST = 0.05
-# Part of its worth that a prompt is taken to lose by having an engine take part
-# that has failed lately: each that fails it costs a second send, and without
-# one it is refused.
+# Share of a prompt's value that each recently failed engine in a plan costs: an
+# engine that fails the prompt costs a retry, and without one the prompt is
+# refused.
 RECENT_FAULT_RISK = 0.15
 
 
 def make_plan(
     job: jobs.Job, candidates: Sequence[estimates.Estimate], now_ms: float
 ) -> prefill_plan.Plan | None:
-    """Returns the best plan in the long region, or else on all engines.
+    """Returns the cheapest plan, on the long region or on all engines.
 
-    A small pool has no region of its own for long prompts, a great prompt may
-    need the memory of more engines than the region has, and short pieces do no
-    harm beside short answers.
+    All engines are considered since a small pool has no separate region for
+    long prompts, a large prompt may need the memory of more engines than the
+    region has, and short segments cost nothing beside short answers.
     """
     candidates = _shuffle(job, candidates)
     long_ids = boundary.find_long_region(candidates, now_ms)
-    region = [each for each in candidates if each.target.target_id in long_ids]
+    region = [
+        estimate
+        for estimate in candidates
+        if estimate.target.target_id in long_ids
+    ]
     plans = (
-        _plan_on(job, region, now_ms),
-        _plan_on(job, candidates, now_ms),
+        _plan_on_engines(job, region, now_ms),
+        _plan_on_engines(job, candidates, now_ms),
     )
     return min(
-        (each for each in plans if each is not None),
-        key=lambda each: each.cost,
+        (plan for plan in plans if plan is not None),
+        key=lambda plan: plan.cost,
         default=None,
     )
 
@@ -65,11 +69,11 @@
 def _shuffle(
     job: jobs.Job, candidates: Sequence[estimates.Estimate]
 ) -> Sequence[estimates.Estimate]:
-    """Returns the engines in an order of the job's own.
+    """Returns the engines in a random order that is fixed for the job.
 
-    Of engines that are as good as each other a plan takes the first ones. In
-    one order for all, VMs that plan within the time that digests take chose the
-    same.
+    Among equally good engines a plan takes the first ones. With the same order
+    everywhere, VMs that plan within the time that digests take to arrive would
+    choose the same engines.
     """
     ordered = list(candidates)
     random.Random(job.tie_break_seed).shuffle(ordered)
@@ -82,7 +86,7 @@
     candidates: Sequence[estimates.Estimate],
     now_ms: float,
 ) -> bool:
-    """Returns whether a prompt is better kept waiting than sent by its plan."""
+    """Returns whether a prompt should wait rather than be sent by its plan."""
     idle_plan = _plan_when_idle(job, candidates, now_ms)
     idle_wait_ms = IDLE_WAIT_SLO_SHARE * job.ttft_slo_ms
     if (
@@ -94,7 +98,7 @@
     if job.waited_ms >= MAX_HOLD_SLO_SHARE * job.ttft_slo_ms:
         return False
     if plan.prefill_loss > MAX_LOSS_WITHOUT_WAIT:
-        # What is being read there would have to be waited for anyway.
+        # It would have to wait for the other prompts in prefill anyway.
         return True
     if idle_plan is not None and plan.cost - idle_plan.cost > MIN_WAIT_GAIN:
         return True
@@ -103,48 +107,51 @@
     return plan.decode_loss > MAX_LOSS_WITHOUT_WAIT and slack_ms > MIN_SLACK_MS
 
 
-def _is_late(job: jobs.Job, first_ms: float) -> bool:
-    """Returns whether a first token in this time would come too late."""
+def _is_late(job: jobs.Job, ttft_ms: float) -> bool:
+    """Returns whether a first token after this time would be too late."""
     return (
-        job.waited_ms + first_ms > prefill_plan.LATE_SLO_RATIO * job.ttft_slo_ms
+        job.waited_ms + ttft_ms > prefill_plan.LATE_SLO_RATIO * job.ttft_slo_ms
     )
 
 
 def _plan_when_idle(
     job: jobs.Job, candidates: Sequence[estimates.Estimate], now_ms: float
 ) -> prefill_plan.Plan | None:
-    """Returns a plan on the long region when it has become idle."""
+    """Returns a plan on the long region as if it had become idle."""
     long_ids = boundary.find_long_region(candidates, now_ms)
-    idle = [
+    idle_engines = [
         dataclasses.replace(
-            _describe_engine(job, each, 0, now_ms),
+            _describe_engine(job, estimate, 0, now_ms),
             backlog_ms=0.0,
             decoding_streams=(0,) * gap_class.CLASSES,
             prefill_value=0.0,
         )
-        for each in candidates
-        if each.target.target_id in long_ids
+        for estimate in candidates
+        if estimate.target.target_id in long_ids
     ]
     waited_ms = job.waited_ms + IDLE_WAIT_SLO_SHARE * job.ttft_slo_ms
-    return _plan_with(
-        dataclasses.replace(job, waited_ms=waited_ms), candidates[0].pool, idle
+    return _plan_with_described(
+        dataclasses.replace(job, waited_ms=waited_ms),
+        candidates[0].pool,
+        idle_engines,
     )
 
 
-def _plan_on(
+def _plan_on_engines(
     job: jobs.Job, engines: Sequence[estimates.Estimate], now_ms: float
 ) -> prefill_plan.Plan | None:
     if not engines:
         return None
     pool = engines[0].pool
     shares = gangs.split_memory(job.held_tokens, pool.memory_tokens)
-    described = [
-        _describe_engine(job, each, shares[0], now_ms) for each in engines
+    described_engines = [
+        _describe_engine(job, estimate, shares[0], now_ms)
+        for estimate in engines
     ]
-    return _plan_with(job, pool, described)
+    return _plan_with_described(job, pool, described_engines)
 
 
-def _plan_with(
+def _plan_with_described(
     job: jobs.Job, pool: effective.Pool, engines: Sequence[prefill_plan.Engine]
 ) -> prefill_plan.Plan | None:
     return prefill_plan.make_plan(
@@ -159,34 +166,42 @@
 
 
 def _describe_engine(
-    job: jobs.Job, each: estimates.Estimate, share_tokens: int, now_ms: float
+    job: jobs.Job,
+    estimate: estimates.Estimate,
+    share_tokens: int,
+    now_ms: float,
 ) -> prefill_plan.Engine:
-    room = each.free_tokens(now_ms)
+    free_tokens = estimate.free_tokens(now_ms)
     return prefill_plan.Engine(
-        target_id=each.target.target_id,
-        backlog_ms=each.remaining_prefill_ms(now_ms),
-        decoding_streams=each.streams_by_gap_class(now_ms),
-        has_room=share_tokens <= room or each.recent_streams(now_ms) == 0.0,
-        prefill_value=_estimate_prefill_value(each, now_ms),
-        extra_cost=_compute_extra_cost(job, each, now_ms),
-        is_pinned=each.target.target_id == job.pinned_target_id,
-        prefill_budgets_ms=gap_class.find_prefill_budgets_ms(each.pool),
+        target_id=estimate.target.target_id,
+        backlog_ms=estimate.remaining_prefill_ms(now_ms),
+        decoding_streams=estimate.streams_by_gap_class(now_ms),
+        has_room=share_tokens <= free_tokens
+        or estimate.recent_streams(now_ms) == 0.0,
+        prefill_value=_estimate_prefill_value(estimate, now_ms),
+        extra_cost=_compute_extra_cost(job, estimate, now_ms),
+        is_pinned=estimate.target.target_id == job.pinned_target_id,
+        prefill_budgets_ms=gap_class.find_prefill_budgets_ms(estimate.pool),
     )
 
 
 def _compute_extra_cost(
-    job: jobs.Job, each: estimates.Estimate, now_ms: float
+    job: jobs.Job, estimate: estimates.Estimate, now_ms: float
 ) -> float:
-    cost = OTHER_HALL_COST if jobs.is_in_other_hall(job, each.target) else 0.0
-    if each.has_failed_recently(now_ms):
+    cost = (
+        OTHER_HALL_COST if jobs.is_in_other_hall(job, estimate.target) else 0.0
+    )
+    if estimate.has_failed_recently(now_ms):
         cost += RECENT_FAULT_RISK * prefill_plan.estimate_value(
             job.prompt_tokens
         )
     return cost
 
 
-def _estimate_prefill_value(each: estimates.Estimate, now_ms: float) -> float:
-    band = each.longest_prefill_band(now_ms)
+def _estimate_prefill_value(
+    estimate: estimates.Estimate, now_ms: float
+) -> float:
+    band = estimate.longest_prefill_band(now_ms)
     if band is None:
         return 0.0
     return prefill_plan.estimate_value(length_band.TYPICAL_TOKENS[band])
--- a/src/ruddergate/decisions/routing/peak_ewma.py
+++ b/src/ruddergate/decisions/routing/peak_ewma.py
@@ -1,10 +1,10 @@
 """Peak-sensitive moving average with power of two choices.
 
-After "How MOSN's New Latency-Based Load Balancing Cuts Tail Latency" (JD
-Cloud Developers): two random targets are compared by their response time,
-weighted by requests in flight and by the longest one still open. The article
-names fast failures as the weakness; the guard counts a failure as a slow
-response instead.
+From "How MOSN's New Latency-Based Load Balancing Cuts Tail Latency" (JD Cloud
+Developers): two random targets are compared by their response time, or the age
+of their oldest open request if that is longer, times the requests in flight.
+The article names fast failures as the weakness of the method; here a failure
+counts as a slow response instead (`Estimate.note_fault`).
 """
 
 from collections.abc import Sequence
@@ -16,7 +16,7 @@
 
 
 def make_peak_ewma_p2c() -> policies.Policy:
-    """Returns the policy of the article; the guard is the estimate's."""
+    """Returns the policy of the article."""
 
     def choose(
         job: jobs.Job,
--- a/src/ruddergate/decisions/routing/policy.py
+++ b/src/ruddergate/decisions/routing/policy.py
@@ -1,4 +1,4 @@
-"""The one signature of routing policies."""
+"""The common signature of routing policies."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -9,15 +9,15 @@
 from ruddergate.decisions import estimate as estimates
 from ruddergate.decisions.routing import job as jobs
 
-# Chooses among usable targets (never empty); None means that the job is
-# better kept waiting here.
+# Chooses one of the usable targets, of which there is at least one; None means
+# that the job should wait on this VM.
 Choose: TypeAlias = Callable[
     [jobs.Job, Sequence[estimates.Estimate], float, random.Random],
     estimates.Estimate | None,
 ]
 
 
-# Chooses engines that read parts of the prompt for the chosen one.
+# Chooses the engines that prefill parts of the prompt for the chosen one.
 ChooseHelpers: TypeAlias = Callable[
     [
         jobs.Job,
@@ -37,7 +37,7 @@
     now_ms: float,
     rng: random.Random,
 ) -> Sequence[estimates.Estimate]:
-    """Leaves the whole prompt to the chosen engine."""
+    """Returns no helpers: the chosen engine prefills the whole prompt."""
     return ()
 
 
@@ -46,10 +46,11 @@
     """A routing policy.
 
     Attributes:
-        choose: Where a request runs.
+        choose: Chooses the target of a request.
         shorter_first: Whether engines are asked to prefill shorter prompts of
-            a class before longer ones.
-        choose_helpers: Which other engines read parts of a prompt.
+            a priority class before longer ones.
+        choose_helpers: Chooses the other engines that prefill parts of a
+            prompt.
         splits_memory: Whether helpers also hold parts of a prompt that does
             not fit one engine.
     """
