--- a/src/ruddergate/__init__.py
+++ b/src/ruddergate/__init__.py
@@ -1,7 +1,7 @@
-"""ruddergate: a serving layer for model prompts of very unequal length.
+"""ruddergate: a serving layer for model prompts of widely varying length.
 
-The decisions are re-exported here by module; they know no clock, socket or
-logger and can be embedded in other programs.
+The decision modules are re-exported here. They use no clock, socket or logger,
+so other programs can embed them.
 """
 
 from ruddergate.decisions import adoption
--- a/src/ruddergate/_private.py
+++ b/src/ruddergate/_private.py
@@ -1,4 +1,4 @@
-"""Helpers that the programs share."""
+"""Helpers shared by the programs."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -8,10 +8,10 @@
 async def wait_while_running(
     awaited: Awaitable[object], tasks: Iterable[asyncio.Future]
 ) -> None:
-    """Waits while tasks run beside; raises if one of them fails.
+    """Waits while background tasks run; raises if one of them fails.
 
-    A task that ends by an exception is a broken invariant: its process must
-    not go on as if nothing had happened.
+    An exception in a background task means that an invariant is broken, so the
+    process must not continue.
     """
     waiting = asyncio.ensure_future(awaited)
     try:
--- a/src/ruddergate/clock.py
+++ b/src/ruddergate/clock.py
@@ -1,17 +1,17 @@
-"""The clock that ages, deadlines and timers go by.
+"""The clock behind ages, deadlines and timers.
 
-A VM may be suspended for seconds. The monotonic clock stands still meanwhile,
-and a VM that goes by it wakes with proofs, leases and deadlines that look as
-young as they were: it would use a key that was removed while it slept. The
-clock used here counts that time.
+A VM may be suspended for seconds. The monotonic clock stops meanwhile, so a VM
+that relied on it would resume with freshness proofs, leases and deadlines that
+look as young as before, and would for instance accept a key that was removed
+during the suspension. The clock used here includes suspended time.
 """
 
 import time
 
-# Where the system has none that counts, the monotonic clock has to do.
+# Systems without CLOCK_BOOTTIME fall back to the monotonic clock.
 _CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 def read_s() -> float:
-    """Returns seconds since some moment, those of a suspension included."""
+    """Returns seconds since an arbitrary moment, suspended time included."""
     return time.clock_gettime(_CLOCK_ID)
--- a/src/ruddergate/environment.py
+++ b/src/ruddergate/environment.py
@@ -1,7 +1,7 @@
-"""What a task needs from outside itself: time, chance and streams.
+"""The environment of a task: clocks, randomness and network streams.
 
-Tasks take an `Environment` instead of reaching for the clock or for sockets,
-so that the same tasks run on loopback and, in tests, in virtual time.
+Tasks take an `Environment` instead of using the clock or sockets directly, so
+that the same tasks run on real sockets and, in tests, in virtual time.
 """
 
 import asyncio
@@ -23,9 +23,9 @@
 ]
 
 STREAM_LIMIT_BYTES = 1 << 20
-# A peer without power or behind a cut says nothing. Probes find it within
-# about 6 s: longer than a cut of a few seconds, which connections outlive, and
-# shorter than most time limits.
+# A peer that has lost power, or is behind a network partition, sends nothing.
+# Keepalive probes detect it within about 6 s: longer than an interruption of a
+# few seconds, which connections survive, and shorter than most time limits.
 KEEPALIVE_IDLE_S = 2
 KEEPALIVE_INTERVAL_S = 2
 KEEPALIVE_PROBES = 2
@@ -37,8 +37,8 @@
     """Where a process listens.
 
     Attributes:
-        host: IP number.
-        port: TCP port.
+        host: IP address.
+        port: Port number.
     """
 
     host: str
@@ -50,10 +50,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DatagramPort:
-    """An open port for datagrams, which may get lost on their way.
+    """An open port for datagrams, which may be lost on their way.
 
     Attributes:
-        send: Sends a datagram and does not wait.
+        send: Sends a datagram without waiting.
         close: Closes the port.
     """
 
@@ -63,16 +63,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Environment:
-    """The outside world as one process sees it.
+    """Clocks, randomness and network of one process.
 
     Attributes:
-        now_ms: Clock in milliseconds that never goes back and that counts the
-            time of a suspension, see `clock`.
-        wall_ms: Wall clock in milliseconds; orders incarnations, no more.
-        random: Source of chance for jitter, sampling and identifiers.
-        connect: Opens a stream; raises OSError when it cannot.
+        now_ms: Clock in milliseconds that never goes back and includes the time
+            of a suspension, see `clock`.
+        wall_ms: Wall clock in milliseconds; used only to order incarnations.
+        random: Random generator for jitter, sampling and identifiers.
+        connect: Opens a stream; raises OSError on failure.
         serve: Starts listening and calls the handler for each stream.
-        bind: Starts taking datagrams and calls the function for each.
+        bind: Starts receiving datagrams and calls the handler for each.
     """
 
     now_ms: Callable[[], float]
@@ -84,7 +84,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Reads `host:port`; raises ValueError with a message for users."""
+    """Parses `host:port`; raises ValueError with a message for users."""
     host, separator, port = text.rpartition(":")
     if not separator or not host or not port.isdigit():
         raise ValueError(f"expected HOST:PORT, found {text!r}")
@@ -94,7 +94,7 @@
 
 
 class _DatagramProtocol(asyncio.DatagramProtocol):
-    """Hands datagrams on; a port that nobody listens at is no fault."""
+    """Passes datagrams to a handler; ignores unreachable-port errors."""
 
     def __init__(self, handler: DatagramHandler) -> None:
         self._handle = handler
@@ -104,7 +104,7 @@
 
 
 def make_system_environment() -> Environment:
-    """Returns the real clock, operating system entropy and TCP streams."""
+    """Returns the system clocks, a generator seeded by the system, and TCP."""
 
     async def connect(address: Address) -> StreamPair:
         reader, writer = await asyncio.open_connection(
@@ -114,7 +114,7 @@
         return reader, writer
 
     async def serve(handler: StreamHandler, address: Address) -> asyncio.Server:
-        # The loop keeps only weak references to tasks.
+        # The event loop keeps only weak references to tasks.
         open_tasks: set[asyncio.Task] = set()
 
         async def accept(
@@ -123,8 +123,8 @@
             _enable_keepalive(writer)
             await handler(reader, writer)
 
-        # A function, as asyncio reports each cancelled task of a coroutine
-        # function as a fault; connections end with the process.
+        # Not a coroutine function, since asyncio reports each cancelled task of
+        # one as an error; connections are cancelled when the process ends.
         def start(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
@@ -163,19 +163,19 @@
 def _report_task_failure(
     task: asyncio.Task, writer: asyncio.StreamWriter
 ) -> None:
-    """Reports the fault of a connection's task, if it had one."""
+    """Reports a connection's task that failed, and closes the connection."""
     if task.cancelled():
         return
     error = task.exception()
     if error is not None:
         task.get_loop().call_exception_handler(
-            {"message": "A connection's task has failed.", "exception": error}
+            {"message": "The task of a connection failed.", "exception": error}
         )
         writer.transport.close()
 
 
 def _enable_keepalive(writer: asyncio.StreamWriter) -> None:
-    """Has the system end a connection whose other side is gone in silence."""
+    """Has the system close a connection whose peer is silently unreachable."""
     sock = writer.get_extra_info("socket")
     if sock is None:
         return
--- a/src/ruddergate/event_loop.py
+++ b/src/ruddergate/event_loop.py
@@ -1,10 +1,10 @@
-"""The programs' event loop, whose timers count the time of a suspension.
+"""The programs' event loop, whose timers include the time of a suspension.
 
-asyncio's own loops go by the monotonic clock: after a suspension of five
-seconds each timer is five seconds late, deadlines of calls among them. With a
-clock that counts, all that is overdue runs as soon as the loop goes on; one
-wait of the selector, half a second at most while the scheduler ticks, may
-still be in the way.
+asyncio's own loops use the monotonic clock: after a suspension of five seconds
+every timer is five seconds late, deadlines of requests among them. With a clock
+that includes suspended time, overdue timers run as soon as the loop resumes, or
+after one more wait of the selector, which takes at most half a second while the
+scheduler ticks.
 """
 
 import asyncio
@@ -16,12 +16,12 @@
 def make_event_loop(
     read_s: Callable[[], float] = clock.read_s,
 ) -> asyncio.AbstractEventLoop:
-    """Returns a loop that goes by a clock.
+    """Returns an event loop that uses the given clock.
 
     Args:
-        read_s: The clock, in seconds.
+        read_s: Returns the time in seconds.
     """
     loop = asyncio.SelectorEventLoop()
-    # The loop asks itself for the time; nothing else of it depends on a clock.
+    # The loop reads the time only through this method.
     loop.time = read_s
     return loop
--- a/src/ruddergate/outcomes.py
+++ b/src/ruddergate/outcomes.py
@@ -1,6 +1,6 @@
-"""How a request can end, as values.
+"""The outcomes of a request, as values.
 
-Nothing here is raised: every stage of a request's way returns one of these.
+They are returned and never raised, by every stage that handles a request.
 """
 
 import dataclasses
@@ -8,7 +8,7 @@
 
 
 class Ran(enum.StrEnum):
-    """Whether a target did any of the work of a request."""
+    """Whether a target executed any part of a request."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -58,10 +58,10 @@
     """A request that ended without its whole answer.
 
     Attributes:
-        reason: Why, as a stable name.
-        ran: Whether a target did any of the work.
+        reason: Why it ended, as a stable name.
+        ran: Whether a target executed any part of it.
         detail: One sentence for the caller.
-        retry_after_ms: When to come back; None when coming back won't help.
+        retry_after_ms: Delay after which to retry; None if retrying won't help.
     """
 
     reason: Reason
@@ -72,11 +72,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finished:
-    """A request whose whole answer has been handed over.
+    """A request whose whole answer has been delivered.
 
     Attributes:
         output_tokens: Tokens delivered; 0 for a plain service.
-        finish_reason: The engine's reason for ending, such as `stop`.
+        finish_reason: The engine's reason to stop, such as `stop`.
     """
 
     output_tokens: int
@@ -89,5 +89,5 @@
 def refuse(
     reason: Reason, detail: str, retry_after_ms: float | None = None
 ) -> NotServed:
-    """Returns an outcome for work that no target has seen."""
+    """Returns the outcome of a request that no target has received."""
     return NotServed(reason, Ran.NOT_RUN, detail, retry_after_ms)
--- a/src/ruddergate/payload.py
+++ b/src/ruddergate/payload.py
@@ -1,4 +1,4 @@
-"""A call that is passed on to a target as it came."""
+"""A request that is forwarded to a target unchanged."""
 
 import dataclasses
 
@@ -8,17 +8,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Payload:
-    """What a target is to receive unchanged.
+    """The parts of a request that a target receives unchanged.
 
     Attributes:
-        route: The route that covers the call.
+        route: The route that the request matches.
         method: HTTP method.
-        host: Host that the caller asked for.
+        host: Host that the caller requested.
         target: Path and query exactly as received.
-        fields: Header lines to pass on.
+        fields: Header fields to forward.
         body: Whole body.
-        last_event: Id of the last event that the caller already has; empty
-            when it asks for a stream from its start.
+        last_event: Id of the last event that the caller has received; empty
+            when it requests a stream from its start.
     """
 
     route: routes.Route
--- a/src/ruddergate/request.py
+++ b/src/ruddergate/request.py
@@ -1,4 +1,4 @@
-"""The one frozen value that travels through the stages of a request's way."""
+"""The immutable request that all stages of its handling share."""
 
 import dataclasses
 
@@ -11,7 +11,7 @@
     """A leading part of the prompt that other requests may share.
 
     Attributes:
-        name: Names the shared text within its workspace.
+        name: Name of the shared text within its workspace.
         tokens: Its length in tokens.
     """
 
@@ -24,22 +24,24 @@
     """A caller's request after parsing and authentication.
 
     Attributes:
-        request_id: Unique; made by the entry that took the request.
+        request_id: Unique name; assigned by the entry that received the
+            request.
         workload: Effective settings at the time of arrival.
         prompt: Prompt text, or the body of a plain service's call.
         prompt_tokens: Length of the prompt in tokens.
         output_tokens_max: Most tokens to generate.
         output_tokens_expected: Tokens that its cost is predicted from.
         prefix: Shared leading part, if any.
-        repeatable: Whether a second run does no harm.
-        idempotency_key: The caller's key for all resends, if any.
+        repeatable: Whether running the request twice is safe.
+        idempotency_key: The key that the caller sends with every resend, if
+            any.
         key_age_ms: How long ago the caller first used the key.
-        ticket: The ticket under which this is sent, if any.
+        ticket: The ticket under which the request is sent, if any.
         arrived_ms: Monotonic arrival time on this VM.
         deadline_ms: Monotonic time by which it must have ended.
         service_path: Path at a plain service; empty for a model.
         traceparent: W3C trace context of the caller, or empty.
-        payload: The call itself where it is passed on unchanged.
+        payload: The request as received, where it is forwarded unchanged.
     """
 
     request_id: str
@@ -60,5 +62,5 @@
     payload: payloads.Payload | None = None
 
     def remaining_ms(self, now_ms: float) -> float:
-        """Returns what is left of the time limit; never negative."""
+        """Returns the time left until the deadline; never negative."""
         return max(0.0, self.deadline_ms - now_ms)
