--- a/src/ruddergate/decisions/routing/long_prompts.py
+++ b/src/ruddergate/decisions/routing/long_prompts.py
@@ -50,18 +50,14 @@
     """
     candidates = _shuffle(job, candidates)
     long_ids = boundary.find_long_region(candidates, now_ms)
-    region = [
-        estimate
-        for estimate in candidates
-        if estimate.target.target_id in long_ids
-    ]
+    region = [each for each in candidates if each.target.target_id in long_ids]
     plans = (
         _plan_on_engines(job, region, now_ms),
         _plan_on_engines(job, candidates, now_ms),
     )
     return min(
-        (plan for plan in plans if plan is not None),
-        key=lambda plan: plan.cost,
+        (each for each in plans if each is not None),
+        key=lambda each: each.cost,
         default=None,
     )
 
