--- a/src/ruddergate/decisions/estimate.py
+++ b/src/ruddergate/decisions/estimate.py
@@ -87,7 +87,7 @@
         self._report: load_report.LoadReport | None = None
         self._report_ms = 0.0
         self._other_streams = 0
-        self._own: dict[str, own_work.OwnWork] = {}
+        self._attempts: dict[str, own_work.OwnWork] = {}
         self._totals = own_work.Totals()
         self._since_report = own_work.Totals()
         self._peer_work = dispatched.Dispatched(target.target_id, (), 0, 0)
@@ -108,7 +108,7 @@
 
     def begin_attempt(self, attempt_id: str, work: own_work.OwnWork) -> None:
         """Adds an attempt of this VM."""
-        self._own[attempt_id] = work
+        self._attempts[attempt_id] = work
         self._add_work(work, work.uncached_tokens, work.held_tokens, 1)
 
     def note_first_token(self, attempt_id: str, now_ms: float) -> bool:
@@ -117,7 +117,7 @@
         Returns whether the prompt was long, so that its end matters to other
         prompts: a short prefill is over before peers learn that it has ended.
         """
-        work = self._own.get(attempt_id)
+        work = self._attempts.get(attempt_id)
         if work is None or work.has_first_token:
             return False
         work.has_first_token = True
@@ -129,7 +129,7 @@
 
     def end_attempt(self, attempt_id: str) -> None:
         """Removes an attempt that has ended."""
-        work = self._own.pop(attempt_id, None)
+        work = self._attempts.pop(attempt_id, None)
         if work is None:
             return
         open_tokens = 0 if work.has_first_token else work.uncached_tokens
@@ -146,15 +146,15 @@
         if self._report is not None and work.sent_ms > self._report_ms:
             self._since_report.add(work.band, open_tokens, held_tokens, streams)
 
-    def note_response(self, took_ms: float, now_ms: float) -> None:
+    def note_response(self, response_ms: float, now_ms: float) -> None:
         """Updates the peak-sensitive average: rises at once, decays slowly."""
-        passed_ms = now_ms - self._peak_at_ms
-        keep = 0.5 ** (passed_ms / PEAK_HALF_LIFE_MS)
+        elapsed_ms = now_ms - self._peak_at_ms
+        keep = 0.5 ** (elapsed_ms / PEAK_HALF_LIFE_MS)
         self._peak_at_ms = now_ms
-        if took_ms > self.peak_ms:
-            self.peak_ms = took_ms
+        if response_ms > self.peak_ms:
+            self.peak_ms = response_ms
         else:
-            self.peak_ms = self.peak_ms * keep + took_ms * (1.0 - keep)
+            self.peak_ms = self.peak_ms * keep + response_ms * (1.0 - keep)
 
     def note_fault(self, now_ms: float, penalize_latency: bool = True) -> None:
         """Notes a failure and opens the circuit breaker.
@@ -201,11 +201,11 @@
         self._report = report
         self._report_ms = report_ms
         own_streams_then = sum(
-            1 for w in self._own.values() if w.sent_ms <= report_ms
+            1 for w in self._attempts.values() if w.sent_ms <= report_ms
         )
         self._other_streams = max(0, report.running - own_streams_then)
         self._since_report = own_work.Totals()
-        for work in self._own.values():
+        for work in self._attempts.values():
             if work.sent_ms > report_ms:
                 uncached = 0 if work.has_first_token else work.uncached_tokens
                 self._since_report.add(work.band, uncached, work.held_tokens, 1)
@@ -213,10 +213,10 @@
         self.draining = self.draining or report.draining
 
     def apply_peer_work(
-        self, row: dispatched.Dispatched, now_ms: float
+        self, work: dispatched.Dispatched, now_ms: float
     ) -> None:
         """Replaces the sum of what other VMs have on the target."""
-        self._peer_work = row
+        self._peer_work = work
         self._peer_ms = now_ms
 
     def apply_cache_event(self, event: cache_event.CacheEvent) -> None:
@@ -287,7 +287,7 @@
 
     def streams(self, now_ms: float) -> int:
         """Returns the estimated number of requests in flight."""
-        own = len(self._own)
+        own = len(self._attempts)
         if now_ms - self._peer_ms < PEER_WORK_TTL_MS:
             own += self._peer_work.streams
         if self._report is None:
@@ -309,7 +309,7 @@
         return own + self._other_streams * (1.0 - max(0.0, decayed))
 
     def _own_decoding_streams(self) -> int:
-        return sum(work.is_decoding for work in self._own.values())
+        return sum(work.is_decoding for work in self._attempts.values())
 
     def streams_by_gap_class(self, now_ms: float) -> tuple[int, ...]:
         """Returns the streams of this VM and its peers by gap class."""
@@ -321,7 +321,7 @@
 
     def _own_streams_by_gap_class(self) -> tuple[int, ...]:
         counts = [0] * gap_class.CLASSES
-        for work in self._own.values():
+        for work in self._attempts.values():
             counts[work.gap_class] += work.is_decoding
         return tuple(counts)
 
@@ -334,18 +334,18 @@
         return own_ms + self._peer_work.prefill_ms
 
     def _own_remaining_prefill_ms(self, now_ms: float) -> float:
-        waiting = [w for w in self._own.values() if not w.has_first_token]
+        waiting = [w for w in self._attempts.values() if not w.has_first_token]
         if not waiting:
             return 0.0
-        passed_ms = now_ms - min(w.sent_ms for w in waiting)
+        elapsed_ms = now_ms - min(w.sent_ms for w in waiting)
         planned_ms = sum(w.prefill_ms for w in waiting)
         # A prefill that should have ended by now still has time remaining: it
         # waits for the end of a batch iteration or for other VMs' prefills.
         min_ms = planned_ms * MIN_PREFILL_REMAINDER
-        overdue_ms = passed_ms - planned_ms - OVERDUE_SLACK_MS
+        overdue_ms = elapsed_ms - planned_ms - OVERDUE_SLACK_MS
         return max(
             min_ms,
-            planned_ms - passed_ms,
+            planned_ms - elapsed_ms,
             min(overdue_ms, MAX_OVERDUE_MS),
         )
 
@@ -363,12 +363,12 @@
 
     def own_streams(self) -> int:
         """Returns how many attempts this VM has open on the target."""
-        return len(self._own)
+        return len(self._attempts)
 
     def longest_open_ms(self, now_ms: float) -> float:
         """Returns how long the oldest attempt of this VM has been open."""
         return max(
-            (now_ms - w.sent_ms for w in self._own.values()), default=0.0
+            (now_ms - w.sent_ms for w in self._attempts.values()), default=0.0
         )
 
     def long_prefill_tokens(self, now_ms: float) -> float:
@@ -393,7 +393,8 @@
     def describe(self, now_ms: float) -> str:
         """Returns the estimate for logs, with the age of its sources."""
         return (
-            f"streams={self.recent_streams(now_ms):.1f} own={len(self._own)} "
+            f"streams={self.recent_streams(now_ms):.1f} "
+            f"own={len(self._attempts)} "
             f"prefill_ms={self.remaining_prefill_ms(now_ms):.0f} "
             f"peers_age_ms={_format_age(now_ms - self._peer_ms)} "
             f"report_age_ms={self._format_report_age(now_ms)}"
--- a/src/ruddergate/decisions/gangs.py
+++ b/src/ruddergate/decisions/gangs.py
@@ -42,20 +42,20 @@
 
     The engine of the last segment also holds the answer.
     """
-    usable = int(memory_tokens * (1.0 - FREE_MEMORY_SHARE))
-    total = prompt_tokens + output_tokens
-    count = max(2, math.ceil(total / usable))
+    usable_tokens = int(memory_tokens * (1.0 - FREE_MEMORY_SHARE))
+    total_tokens = prompt_tokens + output_tokens
+    count = max(2, math.ceil(total_tokens / usable_tokens))
     if count > engines_max or count > prompt_tokens:
         return None
-    each = math.ceil(total / count)
+    tokens_per_engine = math.ceil(total_tokens / count)
     segments = []
-    first = 0
+    first_token = 0
     for index in range(count):
         is_last = index == count - 1
-        tokens = prompt_tokens - first if is_last else each
-        held = tokens + output_tokens if is_last else tokens
-        segments.append(Segment(first, tokens, held))
-        first += tokens
+        tokens = prompt_tokens - first_token if is_last else tokens_per_engine
+        held_tokens = tokens + output_tokens if is_last else tokens
+        segments.append(Segment(first_token, tokens, held_tokens))
+        first_token += tokens
     if segments[-1].tokens <= 0:
         return None
     return tuple(segments)
@@ -69,5 +69,5 @@
     if held_tokens <= memory_tokens * (1.0 - FREE_MEMORY_SHARE):
         return (held_tokens,)
     count = math.ceil(held_tokens / (memory_tokens * MAX_SEGMENT_SHARE))
-    each = math.ceil(held_tokens / count)
-    return (each,) * count
+    tokens_per_engine = math.ceil(held_tokens / count)
+    return (tokens_per_engine,) * count
--- a/src/ruddergate/decisions/meter.py
+++ b/src/ruddergate/decisions/meter.py
@@ -88,8 +88,8 @@
 
     def current_per_s(self, now_ms: float) -> float:
         """Returns the recent demand in requests per second."""
-        passed_ms = now_ms - self.updated_ms
-        return self.per_s * math.exp(-passed_ms / DEMAND_DECAY_MS)
+        elapsed_ms = now_ms - self.updated_ms
+        return self.per_s * math.exp(-elapsed_ms / DEMAND_DECAY_MS)
 
 
 def _refuse(what: str, retry_after_ms: float) -> outcomes.NotServed:
--- a/src/ruddergate/decisions/orders.py
+++ b/src/ruddergate/decisions/orders.py
@@ -66,13 +66,13 @@
 
 def make_order(pool: effective.Pool, revision: int, generation: str) -> Order:
     """Returns the order that the settings imply for an engine of the pool."""
-    named = (name.strip() for name in pool.adapters.split(","))
+    adapter_names = (name.strip() for name in pool.adapters.split(","))
     return Order(
         revision=revision,
         generation=generation,
         model=pool.model,
         version=pool.model_version,
-        adapters=tuple(sorted(name for name in named if name)),
+        adapters=tuple(sorted(name for name in adapter_names if name)),
         role=pool.role,
     )
 
@@ -105,7 +105,7 @@
     is_owner: bool,
     checks_fence: bool,
     owned_for_ms: float,
-    settings_age_ms: float,
+    settings_in_force_ms: float,
     view_age_ms: float,
 ) -> bool:
     """Returns whether this VM may send a target its order now.
@@ -114,14 +114,14 @@
         is_owner: Whether it is among the target's owners.
         checks_fence: Whether the target itself refuses older orders.
         owned_for_ms: Time since it became an owner.
-        settings_age_ms: Time for which its settings tree has been in force.
+        settings_in_force_ms: How long its settings tree has been in force.
         view_age_ms: Age of its view of the fleet.
     """
     if not is_owner:
         return False
     if checks_fence:
         return True
-    settled = min(owned_for_ms, settings_age_ms) >= SETTLE_MS
+    settled = min(owned_for_ms, settings_in_force_ms) >= SETTLE_MS
     return settled and view_age_ms < SETTLE_MS / 2.0
 
 
--- a/src/ruddergate/decisions/routing/boundary.py
+++ b/src/ruddergate/decisions/routing/boundary.py
@@ -33,13 +33,13 @@
     by_hall: dict[str, list[estimates.Estimate]] = {}
     for estimate in candidates:
         by_hall.setdefault(estimate.target.hall, []).append(estimate)
-    found: list[str] = []
+    target_ids: list[str] = []
     for engines in by_hall.values():
-        found += _find_long_region_of_hall(engines, now_ms)
-    return frozenset(found)
+        target_ids += _find_long_region_in_hall(engines, now_ms)
+    return frozenset(target_ids)
 
 
-def _find_long_region_of_hall(
+def _find_long_region_in_hall(
     engines: Sequence[estimates.Estimate], now_ms: float
 ) -> Sequence[str]:
     ranked = sorted(
--- a/src/ruddergate/decisions/routing/by_region.py
+++ b/src/ruddergate/decisions/routing/by_region.py
@@ -148,7 +148,7 @@
 def _score_ms(
     job: jobs.Job,
     estimate: estimates.Estimate,
-    in_long_region: bool,
+    is_in_long_region: bool,
     now_ms: float,
 ) -> float:
     """Returns the cost of this engine for a short job, in milliseconds."""
@@ -163,7 +163,7 @@
         score_ms += estimate.streams_by_gap_class(now_ms)[0] * LATE_COST_MS
     if job.held_tokens > estimate.free_tokens(now_ms):
         score_ms += NO_MEMORY_COST_MS
-    if in_long_region:
+    if is_in_long_region:
         score_ms += SPILL_COST_MS
     if jobs.is_in_other_hall(job, estimate.target):
         score_ms += OTHER_HALL_COST_MS
--- a/src/ruddergate/decisions/routing/peak_ewma.py
+++ b/src/ruddergate/decisions/routing/peak_ewma.py
@@ -27,13 +27,13 @@
         if len(candidates) == 1:
             return candidates[0]
         first, second = rng.sample(candidates, 2)
-        if _expected_ms(second, now_ms) < _expected_ms(first, now_ms):
+        if _score_ms(second, now_ms) < _score_ms(first, now_ms):
             return second
         return first
 
     return policies.Policy(choose)
 
 
-def _expected_ms(estimate: estimates.Estimate, now_ms: float) -> float:
+def _score_ms(estimate: estimates.Estimate, now_ms: float) -> float:
     slowest_ms = max(estimate.peak_ms, estimate.longest_open_ms(now_ms))
     return slowest_ms * (estimate.streams(now_ms) + 1)
