--- a/src/ruddergate/adapters/engines/load.py
+++ b/src/ruddergate/adapters/engines/load.py
@@ -37,12 +37,12 @@
 
     report: load_report.LoadReport
     events: tuple[cache_event.CacheEvent, ...]
-    held: tuple[sweeping.Held, ...]
-    loaded: orders.Loaded
+    held: tuple[sweeping.HeldItem, ...]
+    loaded: orders.LoadedState
 
 
 async def fetch_account(
-    outside: environment.Environment,
+    env: environment.Environment,
     target: targets.Target,
     after_event: int,
     with_held: bool,
@@ -51,7 +51,7 @@
     """Polls an engine or a plain service for its load."""
     query = f"after={after_event}" + ("&held=1" if with_held else "")
     request = client.make_json_request("GET", f"/v1/load?{query}")
-    answer = await client.fetch(outside, target.address, request, timeout_ms)
+    answer = await client.fetch(env, target.address, request, timeout_ms)
     if isinstance(answer, client.Fault):
         return answer
     document = answer.json()
@@ -90,8 +90,8 @@
     )
 
 
-def _parse_held(row: object) -> sweeping.Held:
-    return sweeping.Held(
+def _parse_held(row: object) -> sweeping.HeldItem:
+    return sweeping.HeldItem(
         _private.get(row, "id", str, ""),
         _private.get(row, "owner", str, ""),
         _private.get(row, "age_ms", float, 0.0),
@@ -99,9 +99,9 @@
     )
 
 
-def _parse_loaded(generation: str, document: object) -> orders.Loaded:
+def _parse_loaded(generation: str, document: object) -> orders.LoadedState:
     adapters = _private.get(document, "adapters", list, [])
-    return orders.Loaded(
+    return orders.LoadedState(
         generation=generation,
         revision=_private.get(document, "order_revision", int, 0),
         model=_private.get(document, "model", str, ""),
--- a/src/ruddergate/agent/order_task.py
+++ b/src/ruddergate/agent/order_task.py
@@ -17,22 +17,22 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         config: configs.AgentConfig,
         knowledge: knowledge_types.Knowledge,
         metrics: metric_types.AgentMetrics,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._config = config
         self._knowledge = knowledge
         self._metrics = metrics
         self._log = logs.make_logger("orders")
         self._owner_since_ms: dict[str, float] = {}
-        self._budgets: dict[str, orders.StoreBudget] = {}
+        self._budgets: dict[str, orders.WeightReadBudget] = {}
         self._index = indexes.Index(knowledge.in_force.tree)
 
     async def consider(
-        self, target: targets.Target, loaded: orders.Loaded
+        self, target: targets.Target, loaded: orders.LoadedState
     ) -> None:
         """Gives the engine its order if it is due and this VM's to give."""
         pool = self._find_pool(target)
@@ -47,7 +47,7 @@
         if self._reads_store(order, loaded) and not self._take_read(pool):
             return
         answer = await control.order(
-            self._outside, target, order, orders.ORDER_TIMEOUT_MS
+            self._env, target, order, orders.ORDER_TIMEOUT_MS
         )
         result = type(answer).__name__.lower()
         self._metrics.orders.inc({"result": result})
@@ -62,7 +62,7 @@
         return self._index.find_pool(target.pool)
 
     def _may_order(self, target: targets.Target, pool: effective.Pool) -> bool:
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         live = set(self._knowledge.live_in_hall()) | {self._config.vm_id}
         owners = orders.find_owners(target, live, pool.checks_fence)
         is_owner = self._config.vm_id in owners
@@ -79,18 +79,20 @@
             self._knowledge.listing_age_ms(),
         )
 
-    def _reads_store(self, order: orders.Order, loaded: orders.Loaded) -> bool:
+    def _reads_store(
+        self, order: orders.Order, loaded: orders.LoadedState
+    ) -> bool:
         has = (loaded.model, loaded.version, loaded.adapters)
         return has != (order.model, order.version, order.adapters)
 
     def _take_read(self, pool: effective.Pool) -> bool:
         """Takes a read out of this VM's part of the store's limit."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         listed = max(1, len(self._knowledge.listing.vms))
         rate = pool.weight_reads_per_s_max / listed
         budget = self._budgets.get(pool.name)
         if budget is None:
-            budget = orders.StoreBudget(rate, 0.0, now_ms)
+            budget = orders.WeightReadBudget(rate, 0.0, now_ms)
             self._budgets[pool.name] = budget
         budget.rate_per_s = rate
-        return budget.take(now_ms)
+        return budget.try_take(now_ms)
--- a/src/ruddergate/decisions/cost.py
+++ b/src/ruddergate/decisions/cost.py
@@ -1,11 +1,11 @@
-"""What a request is expected to take up, before it runs."""
+"""Predicts the resources that a request will use."""
 
 import dataclasses
 
-from ruddergate.decisions import pause_class
+from ruddergate.decisions import gap_class
 from ruddergate.settings import effective
 
-# Streams that an engine decodes together for about the price of one.
+# Number of streams that an engine decodes together in about the time of one.
 TYPICAL_BATCH = 32.0
 _MILLION = 1_000_000.0
 
@@ -15,11 +15,11 @@
     """Predicted cost of one request.
 
     Attributes:
-        prefill_ms: Engine time to prefill what is not cached.
+        prefill_ms: Engine time to prefill the tokens that are not cached.
         decode_ms: Time from first to last token.
         held_tokens: Memory held, in tokens.
-        engine_ms: Part of an engine used, as time of a whole engine: the
-            larger of its computing and its memory.
+        engine_ms: Use of an engine, as time of a whole engine: the larger of
+            its share of the computing time and of the memory.
     """
 
     prefill_ms: float
@@ -28,25 +28,28 @@
     engine_ms: float
 
     @property
-    def alone_ms(self) -> float:
+    def unloaded_ms(self) -> float:
         """Time to finish on an idle engine."""
         return self.prefill_ms + self.decode_ms
 
 
 def predict_prefill_ms(pool: effective.Pool, tokens: int) -> float:
-    """Returns how long one idle engine needs to prefill so many tokens.
+    """Returns how long one idle engine takes to prefill a number of tokens.
 
-    Reading takes a constant time a token, and attention a time for each pair
-    of a token and one before it, which soon outweighs it in long prompts.
+    Each token takes a constant time. Attention takes additional time for each
+    pair of a token and an earlier one, which dominates in long prompts.
     """
-    reading_ms = tokens * 1000.0 / pool.prefill_tokens_per_s
+    linear_ms = tokens * 1000.0 / pool.prefill_tokens_per_s
     pairs_m = tokens * tokens / 2.0 / _MILLION
-    return reading_ms + pairs_m * pool.attention_ms_per_m_pairs
+    return linear_ms + pairs_m * pool.attention_ms_per_m_pairs
 
 
 def is_long(pool: effective.Pool, tokens: int) -> bool:
-    """Returns whether prefilling a prompt holds up the answers beside it."""
-    return predict_prefill_ms(pool, tokens) > pause_class.bears_ms(pool)[0]
+    """Returns whether prefilling a prompt delays streams decoded beside it."""
+    return (
+        predict_prefill_ms(pool, tokens)
+        > gap_class.find_prefill_budgets_ms(pool)[0]
+    )
 
 
 def predict(
@@ -56,13 +59,13 @@
     output_tokens: int,
 ) -> Cost:
     """Returns the predicted cost of a prompt on one engine of the pool."""
-    fresh_tokens = max(0, prompt_tokens - cached_tokens)
-    prefill_ms = predict_prefill_ms(pool, fresh_tokens)
+    uncached_tokens = max(0, prompt_tokens - cached_tokens)
+    prefill_ms = predict_prefill_ms(pool, uncached_tokens)
     decode_ms = output_tokens * pool.decode_ms_per_token
     held_tokens = prompt_tokens + output_tokens
     computing_ms = prefill_ms + decode_ms / TYPICAL_BATCH
-    part = held_tokens / pool.memory_tokens
-    memory_ms = part * (prefill_ms + decode_ms)
+    memory_share = held_tokens / pool.memory_tokens
+    memory_ms = memory_share * (prefill_ms + decode_ms)
     return Cost(
         prefill_ms, decode_ms, held_tokens, max(computing_ms, memory_ms)
     )
--- a/src/ruddergate/decisions/gangs.py
+++ b/src/ruddergate/decisions/gangs.py
@@ -1,12 +1,13 @@
-"""Prompts larger than one engine's memory: one prompt over several engines."""
+"""Divides prompts that exceed one engine's memory among several engines."""
 
 import dataclasses
 import math
 
-# Memory of an engine that a gang leaves to other requests.
-LEFT_FREE = 0.1
-# Part of an engine's memory that a part of a prompt may take: others run there.
-SHARE_MOST = 0.55
+# Share of an engine's memory that a gang leaves to other requests.
+FREE_MEMORY_SHARE = 0.1
+# Largest share of an engine's memory that one part of a prompt may take, as
+# other requests run there too.
+MAX_SEGMENT_SHARE = 0.55
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -16,7 +17,7 @@
     Attributes:
         first_token: Position of its first token.
         tokens: Its length.
-        held_tokens: Memory to reserve for it.
+        held_tokens: Memory to reserve for it, in tokens.
     """
 
     first_token: int
@@ -37,36 +38,36 @@
     memory_tokens: int,
     engines_max: int,
 ) -> tuple[Segment, ...] | None:
-    """Divides a prompt evenly; None if it needs more than `engines_max`.
+    """Returns even segments, or None if more than `engines_max` are needed.
 
-    The last segment's engine also holds the answer.
+    The engine of the last segment also holds the answer.
     """
-    usable = int(memory_tokens * (1.0 - LEFT_FREE))
-    total = prompt_tokens + output_tokens
-    count = max(2, math.ceil(total / usable))
+    usable_tokens = int(memory_tokens * (1.0 - FREE_MEMORY_SHARE))
+    total_tokens = prompt_tokens + output_tokens
+    count = max(2, math.ceil(total_tokens / usable_tokens))
     if count > engines_max or count > prompt_tokens:
         return None
-    each = math.ceil(total / count)
+    tokens_per_engine = math.ceil(total_tokens / count)
     segments = []
-    first = 0
+    first_token = 0
     for index in range(count):
         is_last = index == count - 1
-        tokens = prompt_tokens - first if is_last else each
-        held = tokens + output_tokens if is_last else tokens
-        segments.append(Segment(first, tokens, held))
-        first += tokens
+        tokens = prompt_tokens - first_token if is_last else tokens_per_engine
+        held_tokens = tokens + output_tokens if is_last else tokens
+        segments.append(Segment(first_token, tokens, held_tokens))
+        first_token += tokens
     if segments[-1].tokens <= 0:
         return None
     return tuple(segments)
 
 
 def split_memory(held_tokens: int, memory_tokens: int) -> tuple[int, ...]:
-    """Returns the memory that each engine of a gang is to hold, evenly.
+    """Returns the memory that each engine of a gang holds, evenly divided.
 
-    A request that leaves an engine some memory for others stays whole.
+    A request that fits one engine, with memory left for others, stays whole.
     """
-    if held_tokens <= memory_tokens * (1.0 - LEFT_FREE):
+    if held_tokens <= memory_tokens * (1.0 - FREE_MEMORY_SHARE):
         return (held_tokens,)
-    count = math.ceil(held_tokens / (memory_tokens * SHARE_MOST))
-    each = math.ceil(held_tokens / count)
-    return (each,) * count
+    count = math.ceil(held_tokens / (memory_tokens * MAX_SEGMENT_SHARE))
+    tokens_per_engine = math.ceil(held_tokens / count)
+    return (tokens_per_engine,) * count
--- a/src/ruddergate/decisions/peer_loads.py
+++ b/src/ruddergate/decisions/peer_loads.py
@@ -5,9 +5,9 @@
 import dataclasses
 import random
 
+from ruddergate.decisions import gap_class
 from ruddergate.decisions import length_band
 from ruddergate.decisions import loss_reports
-from ruddergate.decisions import pause_class
 from ruddergate.decisions import peer_groups
 from ruddergate.fleet import bad_news
 from ruddergate.fleet import dispatched
@@ -299,7 +299,7 @@
     held_tokens = 0
     streams = 0
     prefill_ms = 0.0
-    by_pause = [0] * pause_class.CLASSES
+    by_pause = [0] * gap_class.CLASSES
     pending = [0] * length_band.BANDS
     for row in rows:
         held_tokens += row.held_tokens
--- a/src/ruddergate/entry/digest_relay.py
+++ b/src/ruddergate/entry/digest_relay.py
@@ -42,12 +42,12 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         own: str,
         loads: peer_loads.PeerLoads,
         send: Callable[[load_bundle.LoadBundle, Iterable[str]], None],
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._own = own
         self._loads = loads
         self._send = send
@@ -75,7 +75,7 @@
                 return
             self._timer.cancel()
         self._due_ms = due_ms
-        delay_ms = max(0.0, due_ms - self._outside.now_ms())
+        delay_ms = max(0.0, due_ms - self._env.now_ms())
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(delay_ms / 1000.0, self._forward)
 
@@ -87,21 +87,21 @@
             )
         interval_ms = min(interval_ms, MAX_FORWARD_INTERVAL_MS)
         return max(
-            self._outside.now_ms() + BATCH_DELAY_MS,
+            self._env.now_ms() + BATCH_DELAY_MS,
             self._forwarded_ms + interval_ms,
         )
 
     def _forward(self) -> None:
         """Sends all digests to the group, and its members' to other groups."""
         self._timer = None
-        now_ms = self._forwarded_ms = self._outside.now_ms()
+        now_ms = self._forwarded_ms = self._env.now_ms()
         own = tuple(self._from_members.values())
         queued = (*own, *self._from_relays.values())
         self._from_members.clear()
         self._from_relays.clear()
         self._send_bundles(queued, False, self._loads.list_group_members())
         if own:
-            rng = self._outside.random
+            rng = self._env.random
             relays = self._loads.find_other_relays(now_ms, rng)
             self._send_bundles(own, True, relays)
 
--- a/src/ruddergate/entry/drain_check.py
+++ b/src/ruddergate/entry/drain_check.py
@@ -40,14 +40,14 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         drain_state: draining.DrainState,
         view: views.View,
         probe: Callable[[targets.Target], Awaitable[orders.Told]],
         on_refuted: Callable[[], None],
         metrics: metric_types.EntryMetrics,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._drain_state = drain_state
         self._view = view
         self._probe = probe
@@ -70,7 +70,7 @@
     async def _wait(self) -> None:
         """Waits until a probe is due or a suspicion may have been added."""
         due_ms = self._drain_state.suspects.find_next_due_ms()
-        left_ms = max(_MIN_PAUSE_MS, due_ms - self._outside.now_ms())
+        left_ms = max(_MIN_PAUSE_MS, due_ms - self._env.now_ms())
         wait_s = None if due_ms == _NEVER_MS else left_ms / 1000.0
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
@@ -78,15 +78,13 @@
         self._changed.clear()
 
     async def _probe_due(self) -> None:
-        due = self._drain_state.suspects.find_due(self._outside.now_ms())
+        due = self._drain_state.suspects.find_due(self._env.now_ms())
         listed = {each.life: each for each in self._view.listing.targets}
         probed = [
             listed[incarnation] for incarnation in due if incarnation in listed
         ]
         for incarnation in due:
-            self._drain_state.suspects.postpone(
-                incarnation, self._outside.now_ms()
-            )
+            self._drain_state.suspects.postpone(incarnation, self._env.now_ms())
         refuted = await asyncio.gather(*map(self._probe_target, probed))
         if any(refuted):
             self._on_refuted()
@@ -100,7 +98,7 @@
         )
         if not result.is_staying or not is_same_incarnation:
             return False
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         if not self._drain_state.note_refuted(target.life, now_ms):
             return False
         self._metrics.leavings_denied.inc({})
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -115,13 +115,13 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         config: configs.EntryConfig,
         gateway_config: GatewayConfig,
         platform: Platform,
         tracer: traces.Tracer,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._config = config
         self._gateway_config = gateway_config
         self._log = logs.make_logger("entry")
@@ -134,7 +134,7 @@
         drain_state = draining.DrainState()
         metrics = metric_types.EntryMetrics()
         self._rate_limiter = rate_limiter.RateLimiter(
-            outside,
+            env,
             str(gateway_config.peers.listen),
             lambda now_ms: self._peers.loads.find_member_halls(now_ms),
             lambda target_id: self.tools.scheduler.find_target(target_id),
@@ -143,7 +143,7 @@
             metrics,
         )
         scheduler = schedulers.Scheduler(
-            outside,
+            env,
             config,
             view,
             lambda: self._peers.note_change(),
@@ -154,22 +154,22 @@
             limits=self._rate_limiter.limits,
         )
         self._quarantine_gossip = quarantine_gossip.QuarantineGossip(
-            outside,
+            env,
             gateway_config.peers.listen,
             lambda: self._peers.loads.list_peers(),
             lambda message, peers: self._peers.send_evidence(message, peers),
         )
         self._availability = target_availability.TargetAvailability(
-            outside, drain_state, metrics, self._on_draining
+            env, drain_state, metrics, self._on_draining
         )
         self.tools = tool_types.Tools(
-            outside=outside,
+            env=env,
             config=config,
-            incarnation=environment.make_token(outside.random),
-            began_ms=outside.now_ms(),
+            incarnation=environment.make_random_id(env.random),
+            began_ms=env.now_ms(),
             view=view,
             scheduler=scheduler,
-            canceller=cancellers.Canceller(outside, view),
+            canceller=cancellers.Canceller(env, view),
             budget=retries.Budget(gateway_config.retry_ratio, 0.0, 0.0),
             metrics=metrics,
             tracer=tracer,
@@ -184,14 +184,14 @@
         )
         self._orders = platform.make_orders(self._on_hints)
         self._keeper = reservation_keeper.ReservationKeeper(
-            outside,
+            env,
             self._rate_limiter.charge_orders(self._orders),
             view.is_superseded,
             lambda target: scheduler.post(placement.LifeEnded(target)),
             self._rate_limiter.limits.is_limited,
         )
         self._drain_check = drain_check.DrainCheck(
-            outside,
+            env,
             drain_state,
             view,
             self._keeper.probe,
@@ -215,7 +215,7 @@
             ),
         )
         self._peers = peer_gossip.PeerGossip(
-            outside,
+            env,
             gateway_config.peers,
             config.hall,
             self.tools.incarnation,
@@ -233,7 +233,7 @@
             note_newer_settings=self.note_newer_settings,
         )
         self._retry_transfers = retry_transfers.RetryTransfers(
-            outside,
+            env,
             self.tools.budget,
             self._peers.rpc,
             self._peers.find_hall_peers,
@@ -241,7 +241,7 @@
         self._vms_max = 1
         self._resize_retry_budget(0)
         self._sync = store_sync.StoreSync(
-            outside,
+            env,
             platform.source,
             view,
             scheduler,
@@ -288,7 +288,7 @@
                     request.question, position, request.part
                 )
             case retry_loan.RetriesWanted():
-                transferred = self.tools.budget.lend(
+                transferred = self.tools.budget.transfer_out(
                     request.retries, request.is_great
                 )
                 return retry_loan.RetriesLent(request.question, transferred)
@@ -312,7 +312,7 @@
         """Sets the size of this VM's share of the fleet's retry budget."""
         self._vms_max = max(self._vms_max, peers + 1)
         slack = self._gateway_config.retry_slack
-        budget_max = retries.find_saved_most(slack, self._vms_max)
+        budget_max = retries.compute_capacity(slack, self._vms_max)
         self.tools.budget.resize(budget_max)
 
     async def run(self, stop: asyncio.Event) -> None:
@@ -335,9 +335,7 @@
                 self._answer_metrics, self._gateway_config.metrics_listen
             ),
         ]
-        callers = await self._outside.serve(
-            self._serve_caller, self._config.listen
-        )
+        callers = await self._env.serve(self._serve_caller, self._config.listen)
         self._log.info(
             "Serving callers at {}.",
             self._config.listen,
@@ -345,7 +343,7 @@
             ready_age_max_ms=self._gateway_config.ready_age_max_ms,
         )
         try:
-            await _private.wait_beside(stop.wait(), tasks)
+            await _private.wait_while_running(stop.wait(), tasks)
             await self._stop(callers)
         finally:
             for server in (*servers, callers):
@@ -358,7 +356,7 @@
         self, handle: open_calls.Handle, address: environment.Address
     ) -> asyncio.Server:
         handler = http_server.make_stream_handler(handle, self._config.limits)
-        return await self._outside.serve(handler, address)
+        return await self._env.serve(handler, address)
 
     async def _serve_caller(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -393,7 +391,7 @@
         view = self.tools.view
         if view.catalog.revision == 0:
             return False
-        age_ms = view.settings_age_ms(self._outside.now_ms())
+        age_ms = view.settings_age_ms(self._env.now_ms())
         return age_ms <= self._gateway_config.ready_age_max_ms
 
     def _has_room(self) -> bool:
@@ -429,14 +427,14 @@
     async def _stop(self, callers: asyncio.Server) -> None:
         config = self._gateway_config
         self._log.info("Planned stop begins.", open=len(self._open_requests))
-        began_ms = self._outside.now_ms()
+        began_ms = self._env.now_ms()
         self._is_stopping = True
         # Callers still connect until the load balancer has noticed.
         await asyncio.sleep(config.stop_lag_ms / 1000.0)
         callers.close()
         self._connections.close_idle()
         until_ms = began_ms + config.stop_limit_ms
-        while len(self._connections) and self._outside.now_ms() < until_ms:
+        while len(self._connections) and self._env.now_ms() < until_ms:
             await asyncio.sleep(_POLL_MS / 1000.0)
             self._connections.close_idle()
         self._log.info("Planned stop ends.", open=len(self._open_requests))
--- a/src/ruddergate/entry/peer_gossip.py
+++ b/src/ruddergate/entry/peer_gossip.py
@@ -102,7 +102,7 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         config: PeerConfig,
         hall: str,
         incarnation: str,
@@ -131,7 +131,7 @@
             [str, int], None
         ] = lambda peer, revision: None,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._config = config
         self._hall = hall
         self._incarnation = incarnation
@@ -151,19 +151,19 @@
             self._own, peer_groups.VmAttributes(hall, config.link_mbps)
         )
         self.rpc = peer_rpc.PeerRpc(
-            outside,
+            env,
             config.listen,
             lambda message, peer: self._send(message, (peer,)),
             handle_request or _answer_no_request,
         )
         self._port: environment.DatagramPort | None = None
         self._sequence_number = 0
-        self._started_ms = outside.now_ms()
+        self._started_ms = env.now_ms()
         self._next_seed_ms = float("-inf")
         self._changed = asyncio.Event()
         self._refreshed_ms = float("-inf")
         self._digest_relay = digest_relay.DigestRelay(
-            outside, self._own, self.loads, self._send
+            env, self._own, self.loads, self._send
         )
         self._known_count = 0
         # The relay that was last used, for logs.
@@ -194,7 +194,7 @@
 
     def rank_hall(self) -> list[str]:
         """Returns this hall's VMs, this one included, in order of readers."""
-        return self.loads.rank_hall(self._outside.now_ms())
+        return self.loads.rank_hall(self._env.now_ms())
 
     def note_change(self) -> None:
         """Schedules a digest after a change of this VM's load."""
@@ -204,9 +204,7 @@
         """Binds the port, retrying until it is free; callers are served."""
         while True:
             try:
-                return await self._outside.bind(
-                    self._receive, self._config.listen
-                )
+                return await self._env.bind(self._receive, self._config.listen)
             except OSError as error:
                 self._log.error("Could not bind the datagram port. {}", error)
             await asyncio.sleep(_REBIND_MS / 1000.0)
@@ -217,7 +215,7 @@
         The scheduler calls this when it needs them: waking it for each datagram
         would cost more than handling the datagram.
         """
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         if now_ms >= self._refreshed_ms + FULL_REFRESH_MS:
             self._refreshed_ms = now_ms
             self.loads.forget_silent(now_ms)
@@ -231,7 +229,7 @@
         """
         round_ms = ROUND_INTERVAL_MS
         if not len(self.loads):
-            due_ms = self._next_seed_ms - self._outside.now_ms()
+            due_ms = self._next_seed_ms - self._env.now_ms()
             round_ms = max(0.0, min(ROUND_INTERVAL_MS, due_ms))
         try:
             async with asyncio.timeout(round_ms / 1000.0):
@@ -244,7 +242,7 @@
         """Sends this VM's digest to the peers, or to its relay."""
         self._check_peer_count()
         digest = self._make_digest()
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         self._send_to_seeds(digest, now_ms)
         if len(self.loads) <= peer_groups.MAX_FULL_MESH_VMS:
             bundle = load_bundle.LoadBundle(self._own, False, (digest,))
@@ -332,7 +330,7 @@
         forward: Callable[[load_digest.LoadDigest], None] | None,
     ) -> None:
         """Merges digests, and forwards those that are new."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         own_revision = self._find_settings_revision()
         for digest in digests:
             if not _has_valid_sender(digest):
--- a/src/ruddergate/entry/peer_reader.py
+++ b/src/ruddergate/entry/peer_reader.py
@@ -36,13 +36,13 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         peers: store_peers.StorePeers,
         read_settings: Callable[[bytes], catalogs.Catalog | str],
         find_settings: Callable[[int], bytes | None],
         find_targets: Callable[[store_position.StorePosition], bytes | None],
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._peers = peers
         self._read_settings = read_settings
         self.settings = document_exchange.DocumentExchange(
@@ -67,7 +67,7 @@
         ranked = [name for name in self._peers.rank_hall() if name != own]
         if not ranked:
             return []
-        rng = self._outside.random
+        rng = self._env.random
         first = rng.choice(ranked[: freshness.READERS_PER_HALL])
         rest = [name for name in ranked if name != first]
         return [first, *rng.sample(rest, min(len(rest), MAX_PEERS_ASKED - 1))]
--- a/src/ruddergate/entry/peer_rpc.py
+++ b/src/ruddergate/entry/peer_rpc.py
@@ -47,12 +47,12 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         own: environment.Address,
         send: Callable[[Request | Reply, str], None],
         handle_request: Callable[[Request], Reply | None],
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._own = str(own)
         self._send = send
         self._handle_request = handle_request
@@ -143,7 +143,7 @@
 
         A reply that arrives late, or after a restart, then matches no request.
         """
-        return environment.make_token(self._outside.random, 16)
+        return environment.make_random_id(self._env.random, 16)
 
     async def _call(self, request: Request, peer: str) -> Reply | None:
         loop = asyncio.get_running_loop()
--- a/src/ruddergate/entry/quarantine.py
+++ b/src/ruddergate/entry/quarantine.py
@@ -27,10 +27,10 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         on_change: Callable[[str], None] = lambda fingerprint: None,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._on_change = on_change
         self._evidence = poison_requests.PoisonRequests()
         # Fingerprints that were last logged as quarantined.
@@ -42,7 +42,7 @@
 
     def on_target_ended(self, lost: lost_call.LostCall) -> None:
         """Records that a target ended while it served a request."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         incarnation = lost.target.life
         weight = poison_requests.weigh_crash(lost.there_ms, lost.reading_ms)
         if self._evidence.note_ended(lost.content, incarnation, weight, now_ms):
@@ -56,14 +56,14 @@
         if not len(self._evidence):
             return
         fingerprint = find_fingerprint(request)
-        if self._evidence.note_finished(fingerprint, self._outside.now_ms()):
+        if self._evidence.note_finished(fingerprint, self._env.now_ms()):
             self._announce(fingerprint, request.request_id)
 
     def is_suspected(self, request: requests.Request) -> bool:
         """Returns whether there is evidence against requests like this."""
         if not len(self._evidence):
             return False
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         fingerprint = find_fingerprint(request)
         return self._evidence.count_crashes(fingerprint, now_ms) > 0
 
@@ -80,7 +80,7 @@
             return None
         fingerprint = find_fingerprint(request)
         left_ms = self._evidence.find_quarantine_left_ms(
-            fingerprint, self._outside.now_ms()
+            fingerprint, self._env.now_ms()
         )
         if left_ms <= 0.0:
             return None
@@ -98,7 +98,7 @@
                 "Ignoring evidence of a peer: {}.", problem, peer=message.sender
             )
             return set()
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         changed = self._evidence.take(message.rows, now_ms)
         for fingerprint in changed:
             self._log_change(fingerprint, "", message.sender)
@@ -108,17 +108,17 @@
         self, fingerprints: list[str]
     ) -> tuple[messages.Suspect, ...]:
         """Returns the evidence on fingerprints, to be sent to peers."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         rows = [self._evidence.describe(each, now_ms) for each in fingerprints]
         return tuple(row for row in rows if row is not None)
 
     def rank_fingerprints(self) -> list[str]:
         """Returns the fingerprints, those that ended most targets first."""
-        return self._evidence.rank(self._outside.now_ms())
+        return self._evidence.rank(self._env.now_ms())
 
     def list_quarantined(self) -> list[str]:
         """Returns the quarantined fingerprints."""
-        return self._evidence.list_quarantined(self._outside.now_ms())
+        return self._evidence.list_quarantined(self._env.now_ms())
 
     def _announce(self, fingerprint: str, request_id: str) -> None:
         self._log_change(fingerprint, request_id, "")
@@ -126,7 +126,7 @@
 
     def _log_change(self, fingerprint: str, request_id: str, peer: str) -> None:
         """Logs a change of a quarantine, with the evidence for it."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         left_ms = self._evidence.find_quarantine_left_ms(fingerprint, now_ms)
         is_quarantined = left_ms > 0.0
         if self._logged.get(fingerprint, False) == is_quarantined:
--- a/src/ruddergate/entry/quarantine_gossip.py
+++ b/src/ruddergate/entry/quarantine_gossip.py
@@ -46,19 +46,19 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         own: environment.Address,
         list_peers: Callable[[], list[str]],
         send: Callable[[messages.Suspects, Iterable[str]], None],
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._own = str(own)
         self._list_peers = list_peers
         self._send = send
         self._pending: dict[str, None] = {}
         self._changed = asyncio.Event()
-        self._next_round_ms = outside.now_ms()
-        self.table = quarantines.Quarantine(outside, self._queue_change)
+        self._next_round_ms = env.now_ms()
+        self.table = quarantines.Quarantine(env, self._queue_change)
 
     async def run(self) -> None:
         """Gossips until cancelled; sleeps while there is no evidence."""
@@ -67,8 +67,8 @@
             await asyncio.sleep(BATCH_DELAY_MS / 1000.0)
             self._changed.clear()
             self._send_pending()
-            if self._outside.now_ms() >= self._next_round_ms:
-                self._next_round_ms = self._outside.now_ms() + ROUND_INTERVAL_MS
+            if self._env.now_ms() >= self._next_round_ms:
+                self._next_round_ms = self._env.now_ms() + ROUND_INTERVAL_MS
                 self._send_ranked(self._draw_peers(ROUND_PEERS))
 
     def merge_gossip(self, message: messages.Suspects) -> None:
@@ -83,7 +83,7 @@
     def on_peer_started(self, peer: str) -> None:
         """Sends evidence to a VM that has just started, by chance."""
         probability = FANOUT / max(1, len(self._list_peers()))
-        if len(self.table) and self._outside.random.random() < probability:
+        if len(self.table) and self._env.random.random() < probability:
             self._send_ranked([peer])
 
     def _queue_change(self, fingerprint: str) -> None:
@@ -95,7 +95,7 @@
         if not len(self.table):
             await self._changed.wait()
             return
-        wait_ms = max(0.0, self._next_round_ms - self._outside.now_ms())
+        wait_ms = max(0.0, self._next_round_ms - self._env.now_ms())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_ms / 1000.0):
                 await self._changed.wait()
@@ -131,4 +131,4 @@
 
     def _draw_peers(self, count: int) -> list[str]:
         peers = self._list_peers()
-        return self._outside.random.sample(peers, min(count, len(peers)))
+        return self._env.random.sample(peers, min(count, len(peers)))
--- a/src/ruddergate/entry/rate_limiter.py
+++ b/src/ruddergate/entry/rate_limiter.py
@@ -78,7 +78,7 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         own: str,
         find_members: Callable[[float], Mapping[str, str]],
         find_target: Callable[[str], targets.Target | None],
@@ -86,15 +86,15 @@
         note_change: Callable[[], None],
         metrics: metric_types.EntryMetrics,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._own = own
         self._find_members = find_members
         self._find_target = find_target
         self._find_pool_halls = find_pool_halls
         self._note_change = note_change
         self._metrics = metrics
-        self._ticked_ms = outside.now_ms()
-        self._settling_since_ms = outside.now_ms()
+        self._ticked_ms = env.now_ms()
+        self._settling_since_ms = env.now_ms()
         self._changed = asyncio.Event()
         self._members: Mapping[str, str] = {}
         self._members_refreshed_ms = float("-inf")
@@ -104,14 +104,14 @@
         self._gauge_targets: set[str] = set()
         self._log = logs.make_logger("target")
         self.limits = rate_limits.RateLimits(
-            outside.random,
+            env.random,
             self._count_holders,
             lambda: len(self._members),
         )
 
     def observe(self, hints: statements.Statement) -> None:
         """Applies the rate limit in a target's response, or its absence."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         target_id = hints.life.target_id
         if hints.rate_limit_per_s is not None:
             is_new = self.limits.observe_limit(
@@ -131,13 +131,13 @@
 
     def summarize(self) -> tuple[rate_limit.RateLimitUpdate, ...]:
         """Returns the updates due for peers."""
-        return self.limits.summarize(self._outside.now_ms())
+        return self.limits.summarize(self._env.now_ms())
 
     def merge(
         self, updates: Sequence[rate_limit.RateLimitUpdate], peer: str
     ) -> None:
         """Merges a peer's updates for listed targets."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         for update in updates[: rate_limits.MAX_UPDATES]:
             if not _is_valid(update):
                 self._log.warning("Ignoring malformed rate limit.", peer=peer)
@@ -151,7 +151,7 @@
         self, target: targets.Target, attempt_id: str
     ) -> outcomes.NotServed | None:
         """Takes a token in the step that sends, or returns a refusal."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         if self.limits.take_token(target.target_id, attempt_id, now_ms):
             return None
         next_ms = self.limits.find_token_ms(target.target_id, now_ms)
@@ -178,7 +178,7 @@
         """Wraps orders so that they count against their targets' limits."""
 
         def charge(target: targets.Target) -> None:
-            self.limits.charge(target.target_id, self._outside.now_ms())
+            self.limits.charge(target.target_id, self._env.now_ms())
 
         async def reserve(
             wanted: orders.Reservation, hold_ms: float
@@ -209,7 +209,7 @@
                 async with asyncio.timeout(_TICK_MS / 1_000.0):
                     await self._changed.wait()
             self._changed.clear()
-            now_ms = self._outside.now_ms()
+            now_ms = self._env.now_ms()
             self._detect_suspension(now_ms)
             self.limits.forget_old(now_ms)
             due = map(self._find_target, self.limits.take_due_probes(now_ms))
@@ -219,7 +219,7 @@
 
     def set_gauges(self) -> None:
         """Updates the gauges before they are read."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         self._gauge_targets |= set(self.limits.list_limited())
         for target_id in self._gauge_targets:
             limit, own = self.limits.find_share(target_id, now_ms)
@@ -299,7 +299,7 @@
     ) -> None:
         self._metrics.rate_limit_changes.inc({})
         self._changed.set()
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         _, own = self.limits.find_share(target_id, now_ms)
         if rate_per_s is None:
             self._log.info(
--- a/src/ruddergate/entry/reservation_keeper.py
+++ b/src/ruddergate/entry/reservation_keeper.py
@@ -67,13 +67,13 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         target_orders: orders.Orders,
         has_ended: Callable[[lives.Life], bool] = lambda life: False,
         on_ended: Callable[[targets.Target], None] = lambda target: None,
         is_rate_limited: Callable[[str], bool] = lambda target_id: False,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._orders = target_orders
         self._has_ended = has_ended
         self._on_ended = on_ended
--- a/src/ruddergate/entry/retry_transfers.py
+++ b/src/ruddergate/entry/retry_transfers.py
@@ -37,12 +37,12 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         budget: retries.Budget,
         rpc: peer_rpc.PeerRpc,
         find_peers: Callable[[], Sequence[str]],
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._budget = budget
         self._rpc = rpc
         self._find_peers = find_peers
@@ -56,13 +56,13 @@
             is_large: Whether it is for a prompt that costs as much as many
                 short ones.
         """
-        if self._budget.has_one():
+        if self._budget.can_retry():
             return True
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         if now_ms < self._paused_until_ms[is_large]:
             return False
         asked, received = await self._request_transfers(is_large)
-        is_available = self._budget.has_one()
+        is_available = self._budget.can_retry()
         if not is_available:
             self._paused_until_ms[is_large] = now_ms + EMPTY_PAUSE_MS
         self._log.info(
@@ -83,17 +83,17 @@
         Returns:
             How many peers were asked, and how much they transferred.
         """
-        until_ms = self._outside.now_ms() + REQUEST_WINDOW_MS
+        until_ms = self._env.now_ms() + REQUEST_WINDOW_MS
         peers = list(self._find_peers())
         count = min(MAX_PEERS_ASKED, len(peers))
         asked = 0
         total = 0.0
-        for peer in self._outside.random.sample(peers, count):
-            if self._budget.has_one() or self._outside.now_ms() >= until_ms:
+        for peer in self._env.random.sample(peers, count):
+            if self._budget.can_retry() or self._env.now_ms() >= until_ms:
                 break
             asked += 1
-            missing = retries.ONE - self._budget.tokens
+            missing = retries.RETRY_COST - self._budget.tokens
             received = await self._rpc.request_retries(peer, missing, is_large)
-            self._budget.take_loan(received)
+            self._budget.receive_transfer(received)
             total += received
         return asked, total
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -69,7 +69,7 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         config: configs.EntryConfig,
         view: views.View,
         note_change: Callable[[], None] = lambda: None,
@@ -84,7 +84,7 @@
         """Makes an idle scheduler.
 
         Args:
-            outside: Clock and chance.
+            env: Clock and chance.
             config: Settings of the process.
             view: What it goes by.
             note_change: Called when this VM's work on a target changes, which
@@ -98,19 +98,19 @@
         """
         self._withdrawn = withdrawn or draining.DrainState()
         if limits is None:
-            limits = rate_limits.RateLimits(outside.random, lambda *_: 0)
+            limits = rate_limits.RateLimits(env.random, lambda *_: 0)
         self._limits = limits
         self._note_change = note_change
         self._collect_peers = collect_peers
         self._is_blind = is_blind
         self._collect_lost = collect_lost
-        self._losses = target_losses.TargetLosses(outside.random)
+        self._losses = target_losses.TargetLosses(env.random)
         self.ends = self._losses.ended
-        self._outside = outside
+        self._env = env
         self._config = config
         self._view = view
         self._seating = seatings.Seating(
-            outside.random,
+            env.random,
             by_name.make_policy(config.policy),
             by_name.make_policy(config.service_policy),
             note_change,
@@ -122,7 +122,7 @@
         self._table = target_table.TargetTable(
             view, self._withdrawn, self._limits
         )
-        self._ticked_ms = outside.now_ms()
+        self._ticked_ms = env.now_ms()
         self._held_until_ms = 0.0
         self._log = logs.make_logger("scheduler")
         self._lane_rests_until_ms: dict[queueing.Lane, float] = {}
@@ -148,7 +148,7 @@
 
     def summarize(self) -> tuple[dispatched.Dispatched, ...]:
         """Returns this VM's own work on targets, for peers."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         return tuple(
             estimate.summarize(now_ms)
             for estimate in self._table.list_all()
@@ -157,7 +157,7 @@
 
     def summarize_lost(self) -> bad_news.BadNews:
         """Returns what this VM has just found out of reach, for peers."""
-        return self._losses.summarize(self._outside.now_ms())
+        return self._losses.summarize(self._env.now_ms())
 
     def waiting_by_class(self) -> dict[str, float]:
         """Returns the cost waiting in each class, in milliseconds."""
@@ -172,7 +172,7 @@
         estimate = self._table.find_by_id(target_id)
         if estimate is None:
             return 0.0
-        return estimate.recent_streams(self._outside.now_ms())
+        return estimate.recent_streams(self._env.now_ms())
 
     def find_target(self, target_id: str) -> targets.Target | None:
         """Returns a listed target by name."""
@@ -195,7 +195,7 @@
 
     def is_usable(self, estimate: estimates.Estimate) -> bool:
         """Returns whether a target may be sent work now and had better be."""
-        return self._table.is_usable(estimate, self._outside.now_ms())
+        return self._table.is_usable(estimate, self._env.now_ms())
 
     async def run(self) -> None:
         """Serves the inbox until cancelled."""
@@ -220,13 +220,13 @@
 
     def _note_time(self) -> None:
         """After a gap in time, holds work until the view is fresh again."""
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         if now_ms - self._ticked_ms > self._config.wake_gap_ms:
             self._held_until_ms = now_ms + self._config.wake_refresh_ms
         self._ticked_ms = now_ms
 
     def _take(self, message: Message) -> None:
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         match message:
             case placement.Place():
                 self._take_place(message, now_ms)
@@ -280,7 +280,7 @@
 
     def _take_withdraw(self, asked: placement.Place) -> None:
         self._asked.pop(asked.job.job_id, None)
-        if self._find_queue(asked.pool.name).withdraw(asked.job):
+        if self._find_queue(asked.pool.name).remove(asked.job):
             return
         if asked.reply.done() and not asked.reply.cancelled():
             placed = asked.reply.result()
@@ -292,7 +292,7 @@
             self._limits.note_unplaced(seat.target.target_id, seat.attempt_id)
             estimate = self._table.find(seat.target)
             if estimate is not None:
-                estimate.end(seat.attempt_id)
+                estimate.end_attempt(seat.attempt_id)
 
     def _take_first_token(
         self, message: placement.FirstToken, now_ms: float
@@ -301,7 +301,7 @@
         if estimate is None:
             return
         self._withdrawn.note_success(estimate.target.life, now_ms)
-        if estimate.first_token(message.seat.attempt_id, now_ms):
+        if estimate.note_first_token(message.seat.attempt_id, now_ms):
             self._note_change()
         if message.prefix:
             estimate.note_prefix(message.prefix, message.prefix_tokens)
@@ -312,7 +312,7 @@
         estimate = self._table.find(target)
         if estimate is None:
             return
-        estimate.end(message.seat.attempt_id)
+        estimate.end_attempt(message.seat.attempt_id)
         if message.unreachable:
             self._losses.note_unreachable(target, now_ms)
         elif message.gone:
@@ -334,7 +334,7 @@
 
     def _take_lost(self, told: bad_news.BadNews) -> None:
         if told is not bad_news.NOTHING:
-            now_ms = self._outside.now_ms()
+            now_ms = self._env.now_ms()
             self._losses.merge_gossip(told, self._table.find_reported, now_ms)
 
     def _take_report(
@@ -343,7 +343,7 @@
         estimate = self._table.find_by_id(report.target_id)
         if estimate is None or report.born_ms != estimate.target.born_ms:
             return
-        estimate.take_report(report, now_ms)
+        estimate.apply_report(report, now_ms)
 
     def _take_loads(self, loads: load_messages.Loads, now_ms: float) -> None:
         for report in loads.reports:
@@ -352,14 +352,14 @@
         for event in loads.events:
             estimate = self._table.find_by_id(event.target_id)
             if estimate is not None:
-                estimate.take_event(event)
+                estimate.apply_cache_event(event)
 
     def _take_peers(self, rows: Sequence[dispatched.Dispatched]) -> None:
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         for row in rows:
             estimate = self._table.find_by_id(row.target_id)
             if estimate is not None:
-                estimate.take_peers(row, now_ms)
+                estimate.apply_peer_work(row, now_ms)
 
     def _take_view(self, now_ms: float) -> None:
         if self._view.age_ms(now_ms) < self._config.wake_gap_ms:
@@ -375,14 +375,14 @@
 
     def _make_drain_rate(self, pool: str) -> Callable[[], float]:
         def drain_rate() -> float:
-            now_ms = self._outside.now_ms()
+            now_ms = self._env.now_ms()
             usable = self._table.count_usable(pool, now_ms)
             return usable / self._view.count_live_vms()
 
         return drain_rate
 
     def _give_places(self) -> None:
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         if now_ms < self._held_until_ms:
             return
         for pool, queue in self._queues.items():
@@ -391,7 +391,7 @@
                 self._give_places_of(pool, queue, now_ms)
 
     def _expire(self, queue: queueing.Queue, now_ms: float) -> None:
-        for job in queue.expire(now_ms):
+        for job in queue.remove_expired(now_ms):
             asked = self._asked.pop(job.job_id)
             refusal = outcomes.refuse(
                 outcomes.Reason.CANNOT_FINISH_IN_TIME,
@@ -411,13 +411,13 @@
         usable = self._find_usable(pool, now_ms)
         if not usable:
             self._refuse_hopeless(pool, queue, now_ms)
-        while usable and (job := queue.take(now_ms, closed)) is not None:
+        while usable and (job := queue.take_next(now_ms, closed)) is not None:
             asked = self._asked[job.job_id]
             seats = self._seating.seat(asked, usable, now_ms, self._is_blind())
             if not seats:
-                queue.put_back(job, now_ms)
+                queue.requeue(job, now_ms)
                 closed.add(job.lane)
-                rest_ms = self._outside.random.uniform(*_LANE_REST_MS)
+                rest_ms = self._env.random.uniform(*_LANE_REST_MS)
                 self._lane_rests_until_ms[job.lane] = now_ms + rest_ms
                 continue
             del self._asked[job.job_id]
@@ -447,7 +447,7 @@
         first_ms = self._table.find_next_available_ms(pool, now_ms)
         hopeless = [job for job in queue.jobs() if first_ms > job.deadline_ms]
         for job in hopeless:
-            queue.withdraw(job)
+            queue.remove(job)
             asked = self._asked.pop(job.job_id)
             _answer(asked, self._refuse_until(pool, first_ms))
 
@@ -459,13 +459,13 @@
                 f"no target of pool {pool} takes calls of this VM",
                 _GONE_RETRY_MS,
             )
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         most_ms = _RETURN_SPREAD_MS
         capacity_per_s = self._table.find_capacity_per_s(pool, now_ms)
         if capacity_per_s > 0.0:
             # Under rate limits one caller can be served in such a time.
             most_ms = max(most_ms, 1_000.0 / capacity_per_s)
-        spread_ms = self._outside.random.uniform(0.0, most_ms)
+        spread_ms = self._env.random.uniform(0.0, most_ms)
         return outcomes.refuse(
             outcomes.Reason.CANNOT_FINISH_IN_TIME,
             f"no target of pool {pool} wants calls now",
--- a/src/ruddergate/entry/seating.py
+++ b/src/ruddergate/entry/seating.py
@@ -8,9 +8,9 @@
 from ruddergate.decisions import cost as costs
 from ruddergate.decisions import estimate as estimates
 from ruddergate.decisions import gangs
+from ruddergate.decisions import gap_class
 from ruddergate.decisions import length_band
 from ruddergate.decisions import own_work
-from ruddergate.decisions import pause_class
 from ruddergate.decisions.routing import policy as policies
 from ruddergate.entry import placement
 
@@ -80,7 +80,7 @@
             ] or candidates
         waited_ms = now_ms - asked.route.waited_ms
         route = dataclasses.replace(
-            asked.route, waited_ms=waited_ms, is_blind=is_blind
+            asked.route, waited_ms=waited_ms, is_peer_load_unknown=is_blind
         )
         chosen = self._policy.choose(route, candidates, now_ms, self._chance)
         if chosen is None:
@@ -138,7 +138,7 @@
             each
             for each in candidates
             if each.pool.memory_tokens - each.held_tokens(now_ms) >= needed
-            and not each.long_tokens(now_ms)
+            and not each.long_prefill_tokens(now_ms)
         ]
         if len(room) < len(asked.segments):
             return ()
@@ -164,7 +164,7 @@
         parts: int = 1,
         is_writing: bool = True,
     ) -> placement.Seat:
-        attempt_id = environment.make_token(self._chance)
+        attempt_id = environment.make_random_id(self._chance)
         band = length_band.find_band(asked.route.prompt_tokens)
         is_long = costs.is_long(chosen.pool, fresh_tokens * parts)
         prefill_ms = costs.predict_prefill_ms(chosen.pool, fresh_tokens * parts)
@@ -175,11 +175,11 @@
             band,
             prefill_ms / parts,
             is_long,
-            pause_class.find_class(asked.route.pause_aim_ms),
+            gap_class.find_class(asked.route.gap_slo_ms),
             is_writing,
         )
         believed = chosen.describe(now_ms)
-        chosen.begin(attempt_id, work)
+        chosen.begin_attempt(attempt_id, work)
         self._note_change()
         return placement.Seat(
             chosen.target, attempt_id, cached_tokens, believed, held_tokens
--- a/src/ruddergate/entry/store_reader.py
+++ b/src/ruddergate/entry/store_reader.py
@@ -48,13 +48,13 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         source: published.Source,
         view: views.View,
         polling: poll_config.PollConfig,
         find_age_ms: Callable[[], float],
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._source = source
         self._view = view
         self._polling = polling
@@ -71,11 +71,11 @@
 
     def is_due(self) -> bool:
         """Returns whether the store may be called now."""
-        return self._outside.now_ms() >= self._next_call_ms
+        return self._env.now_ms() >= self._next_call_ms
 
     def find_wait_ms(self) -> float:
         """Returns the time until the store may be called."""
-        return self._next_call_ms - self._outside.now_ms()
+        return self._next_call_ms - self._env.now_ms()
 
     async def read(
         self, since: store_position.StorePosition | None, retry_max_ms: float
@@ -89,18 +89,18 @@
         Returns:
             The answer, or None if there was no valid one.
         """
-        asked_ms = self._outside.now_ms()
+        asked_ms = self._env.now_ms()
         found = await self._call_store(since)
         if isinstance(found, published.HistoryLost):
             self._log_history_lost(found)
-            since, asked_ms = None, self._outside.now_ms()
+            since, asked_ms = None, self._env.now_ms()
             found = await self._call_store(since)
         if isinstance(found, published.Changes):
             self._known_epoch = found.position.epoch
             self._note_answered()
             return Read(found, since, asked_ms)
         self._note_failed(found, asked_ms)
-        self._next_call_ms = self._outside.now_ms() + self._draw_retry_delay_ms(
+        self._next_call_ms = self._env.now_ms() + self._draw_retry_delay_ms(
             retry_max_ms
         )
         self._failed_calls += 1
@@ -124,7 +124,7 @@
         grown_ms = (
             self._polling.retry_initial_ms * _RETRY_FACTOR**self._failed_calls
         )
-        return min(max_ms, grown_ms) * self._outside.random.uniform(0.7, 1.0)
+        return min(max_ms, grown_ms) * self._env.random.uniform(0.7, 1.0)
 
     def _note_answered(self) -> None:
         self._failed_calls = 0
@@ -146,7 +146,7 @@
             self._log_history_lost(found)
             return
         self.failed_ms = asked_ms
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         if not self._is_unavailable:
             self._is_unavailable = True
             self._logged_ms = now_ms
--- a/src/ruddergate/entry/store_sync.py
+++ b/src/ruddergate/entry/store_sync.py
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         source: published.Source,
         view: views.View,
         scheduler: schedulers.Scheduler,
@@ -71,7 +71,7 @@
         on_listed: Callable[[], None] = lambda: None,
     ) -> None:
         self._peers = peer_reader.PeerReader(
-            outside,
+            env,
             peers,
             source.read_settings,
             self._find_settings,
@@ -80,10 +80,10 @@
         self.settings = self._peers.settings
         self.targets = self._peers.targets
         self._reader = store_reader.StoreReader(
-            outside, source, view, polling, self._find_age_ms
+            env, source, view, polling, self._find_age_ms
         )
         self._on_listed = on_listed
-        self._outside = outside
+        self._env = env
         self._view = view
         self._scheduler = scheduler
         self._polling = polling
@@ -94,7 +94,7 @@
         self._targets = target_list.TargetList(drain_state)
         # The view is known to be current as of this time; at first the time
         # at which this VM started.
-        self._current_as_of_ms = outside.now_ms()
+        self._current_as_of_ms = env.now_ms()
         # Targets whose entries expired in an outage are kept until this time.
         self._removed_until_ms = float("-inf")
         # Time of the last full read.
@@ -110,10 +110,10 @@
     async def run(self) -> None:
         """Polls the store or peers until cancelled."""
         while True:
-            began_ms = self._outside.now_ms()
+            began_ms = self._env.now_ms()
             pause_ms = await self._poll()
             await self._fetch_claimed_settings()
-            pause_ms -= self._outside.now_ms() - began_ms
+            pause_ms -= self._env.now_ms() - began_ms
             await asyncio.sleep(max(_MIN_PAUSE_MS, pause_ms) / 1000.0)
 
     def count_refused(self) -> int:
@@ -122,7 +122,7 @@
 
     def note_newer_settings(self, peer: str, revision: int) -> None:
         """Records that a peer uses a later settings revision than this VM."""
-        self._claims.note(peer, revision, self._outside.now_ms())
+        self._claims.note(peer, revision, self._env.now_ms())
 
     def answer_changes_request(
         self, request: news.NewsWanted
@@ -201,14 +201,14 @@
         if self._find_age_ms() > self._polling.full_read_age_ms:
             return True
         # Only another full read shows which stale entries were rewritten.
-        since_read_ms = self._outside.now_ms() - self._full_read_ms
+        since_read_ms = self._env.now_ms() - self._full_read_ms
         return (
             self._targets.has_stale()
             and since_read_ms > self._polling.stale_reread_ms
         )
 
     def _find_age_ms(self) -> float:
-        return self._outside.now_ms() - self._current_as_of_ms
+        return self._env.now_ms() - self._current_as_of_ms
 
     def _find_interval_ms(self, share: float) -> float:
         """Returns the interval to the next poll.
@@ -216,7 +216,7 @@
         Args:
             share: Share of the interval that applies in a hall with a reader.
         """
-        since_ms = self._outside.now_ms() - self._restored_ms
+        since_ms = self._env.now_ms() - self._restored_ms
         if since_ms < self._polling.restored_phase_ms:
             return self._polling.restored_interval_ms
         if self._peers.is_shared():
@@ -226,7 +226,7 @@
     async def _read_peers(self) -> bool:
         """Returns whether a peer's reply made this VM's view fresh."""
         for peer in self._peers.choose():
-            asked_ms = self._outside.now_ms()
+            asked_ms = self._env.now_ms()
             position = self._position
             reply = await self._peers.request_changes(peer, position)
             if reply is None or reply.epoch < position.epoch:
@@ -280,7 +280,7 @@
                 peer=claim.peer,
                 revision=claim.revision,
             )
-            self._claims.reject(claim.peer, self._outside.now_ms())
+            self._claims.reject(claim.peer, self._env.now_ms())
             return
         self._log.info("Using settings of a peer, as the store has lost them.")
         self._adopt_catalog(*fetched)
@@ -304,7 +304,7 @@
         # peers keep answering. So an outage is a gap in the times as of which
         # the view is known to be current. A restore counts as an outage, too:
         # entries may be missing until they are written again.
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         is_restored = self._is_restored(changes.position)
         if (
             is_restored
@@ -416,7 +416,7 @@
         asked_ms: float,
         grace: target_list.Grace,
     ) -> None:
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         self._targets.apply_changes(changes, is_full, now_ms, grace)
         self._start_grace_timer()
         self._publish_targets(asked_ms)
@@ -433,7 +433,7 @@
         until_ms = self._targets.find_grace_end_ms()
         if until_ms is None:
             return
-        grace_ms = until_ms - self._outside.now_ms()
+        grace_ms = until_ms - self._env.now_ms()
         grace_ms = max(_MIN_PAUSE_MS, grace_ms)
         self._grace_timer = asyncio.get_running_loop().call_later(
             grace_ms / 1000.0, self._end_grace
@@ -445,7 +445,7 @@
         This does not wait for the store's next answer, which may be a whole
         poll away: a removed target must get no requests longer than necessary.
         """
-        self._targets.drop_expired(self._outside.now_ms())
+        self._targets.drop_expired(self._env.now_ms())
         self._start_grace_timer()
         self._publish_targets(self._current_as_of_ms)
 
--- a/src/ruddergate/entry/target_availability.py
+++ b/src/ruddergate/entry/target_availability.py
@@ -51,12 +51,12 @@
 
     def __init__(
         self,
-        outside: environment.Environment,
+        env: environment.Environment,
         drain_state: draining.DrainState,
         metrics: metric_types.EntryMetrics,
         on_draining: Callable[[], None] = lambda: None,
     ) -> None:
-        self._outside = outside
+        self._env = env
         self._drain_state = drain_state
         self._metrics = metrics
         self._on_draining = on_draining
@@ -78,7 +78,7 @@
         Targets that are not listed are ignored for now; peers repeat them.
         """
         is_new = False
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         for name in itertools.islice(names, draining.MAX_ANNOUNCED):
             if len(name) > _MAX_INCARNATION_LENGTH:
                 self._log.warning(
@@ -86,7 +86,7 @@
                 )
                 continue
             incarnation = lives.parse_life(name)
-            jitter_ms = self._outside.random.uniform(0.0, _CONFIRM_JITTER_MS)
+            jitter_ms = self._env.random.uniform(0.0, _CONFIRM_JITTER_MS)
             due_ms = now_ms + drain_suspects.CONFIRM_DELAY_MS + jitter_ms
             if self._drain_state.merge_gossip(
                 incarnation, peer, now_ms, due_ms
@@ -110,7 +110,7 @@
         The result is valid at this moment only: a hint may have arrived while
         the request waited for a placement, for memory or for a connection.
         """
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         for number, target in enumerate(chosen):
             if self._drain_state.accepts_requests(target.life, now_ms):
                 continue
@@ -137,7 +137,7 @@
 
     def summarize(self) -> tuple[str, ...]:
         """Returns the draining targets to send to peers now."""
-        return self._drain_state.summarize(self._outside.now_ms())
+        return self._drain_state.summarize(self._env.now_ms())
 
     def on_peer_started(self, peers: int) -> None:
         """Schedules gossip for a VM that has just started.
@@ -147,17 +147,17 @@
         """
         is_large = peers > peer_groups.MAX_FULL_MESH_VMS
         probability = _GREETING_VMS / peers if is_large else 1.0
-        if probability < 1.0 and self._outside.random.random() >= probability:
+        if probability < 1.0 and self._env.random.random() >= probability:
             return
-        if self._drain_state.reannounce(self._outside.now_ms()):
+        if self._drain_state.reannounce(self._env.now_ms()):
             self._on_draining()
 
     def count_backing_off(self) -> int:
         """Returns how many targets have asked this VM to back off now."""
-        return self._drain_state.count_backing_off(self._outside.now_ms())
+        return self._drain_state.count_backing_off(self._env.now_ms())
 
     def _apply_draining(self, hints: statements.Statement) -> None:
-        now_ms = self._outside.now_ms()
+        now_ms = self._env.now_ms()
         is_new = self._drain_state.note_drain_hint(
             hints.life, now_ms, hints.is_dated
         )
@@ -178,9 +178,9 @@
         jitter_ms = min(
             _MAX_BACKOFF_JITTER_MS, _BACKOFF_JITTER_SHARE * quiet_ms
         )
-        jitter_ms = self._outside.random.uniform(0.0, jitter_ms)
-        until_ms = self._outside.now_ms() + quiet_ms + jitter_ms
-        received_wall_ms = None if hints.is_dated else self._outside.wall_ms()
+        jitter_ms = self._env.random.uniform(0.0, jitter_ms)
+        until_ms = self._env.now_ms() + quiet_ms + jitter_ms
+        received_wall_ms = None if hints.is_dated else self._env.wall_ms()
         if self._drain_state.note_backoff(
             hints.life, until_ms, received_wall_ms
         ):
--- a/src/ruddergate/entry/target_losses.py
+++ b/src/ruddergate/entry/target_losses.py
@@ -73,7 +73,7 @@
             estimate = find_estimate(lives.parse_life(name))
             if estimate is not None:
                 pause_ms = self._rng.uniform(*loss_reports.AVOID_RANGE_MS)
-                estimate.note_told_lost(now_ms, pause_ms)
+                estimate.note_reported_lost(now_ms, pause_ms)
         for hall in report.halls:
             if self._reachability.note_reported(hall, now_ms):
                 self._log.warning("Hall {} is unreachable for peers.", hall)
--- a/src/ruddergate/entry/target_table.py
+++ b/src/ruddergate/entry/target_table.py
@@ -119,7 +119,7 @@
         at once: 36 requests of six VMs within 90 ms, against at most 6 with the
         probe (emulated fleet).
         """
-        if not each.may_take_work():
+        if not each.accepts_requests():
             return False
         target_id = each.target.target_id
         if len(self._limits) and not self._limits.can_send(target_id, now_ms):
@@ -145,7 +145,9 @@
             A time not after now if one does already; infinity if all drain.
         """
         eligible = (
-            each for each in self._by_pool.get(pool, []) if each.may_take_work()
+            each
+            for each in self._by_pool.get(pool, [])
+            if each.accepts_requests()
         )
         if not self._drain_state.has_backoffs() and not len(self._limits):
             return now_ms if any(True for _ in eligible) else _NEVER_MS
@@ -171,7 +173,7 @@
         shares = [
             self._limits.find_share(each.target.target_id, now_ms)[1]
             for each in self._by_pool.get(pool, [])
-            if each.may_take_work()
+            if each.accepts_requests()
             and self._drain_state.accepts_requests(each.target.life, now_ms)
         ]
         return sum(shares)
--- a/src/ruddergate/environment.py
+++ b/src/ruddergate/environment.py
@@ -1,7 +1,7 @@
-"""What a task needs from outside itself: time, chance and streams.
+"""The environment of a task: clocks, randomness and network streams.
 
-Tasks take an `Environment` instead of reaching for the clock or for sockets,
-so that the same tasks run on loopback and, in tests, in virtual time.
+Tasks take an `Environment` instead of using the clock or sockets directly, so
+that the same tasks run on real sockets and, in tests, in virtual time.
 """
 
 import asyncio
@@ -17,19 +17,19 @@
 from ruddergate import clock
 
 StreamPair: TypeAlias = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-TakeDatagram: TypeAlias = Callable[[bytes], None]
+DatagramHandler: TypeAlias = Callable[[bytes], None]
 StreamHandler: TypeAlias = Callable[
     [asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]
 ]
 
 STREAM_LIMIT_BYTES = 1 << 20
-# A peer without power or behind a cut says nothing. Probes find it within
-# about 6 s: longer than a cut of a few seconds, which connections outlive, and
-# shorter than most time limits.
-PEER_IDLE_S = 2
-PEER_PROBE_S = 2
-PEER_PROBES = 2
-PEER_TIMEOUT_MS = 6_000
+# A peer that has lost power, or is behind a network partition, sends nothing.
+# Keepalive probes detect it within about 6 s: longer than an interruption of a
+# few seconds, which connections survive, and shorter than most time limits.
+KEEPALIVE_IDLE_S = 2
+KEEPALIVE_INTERVAL_S = 2
+KEEPALIVE_PROBES = 2
+TCP_USER_TIMEOUT_MS = 6_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -37,8 +37,8 @@
     """Where a process listens.
 
     Attributes:
-        host: IP number.
-        port: TCP port.
+        host: IP address.
+        port: Port number.
     """
 
     host: str
@@ -50,10 +50,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DatagramPort:
-    """An open port for datagrams, which may get lost on their way.
+    """An open port for datagrams, which may be lost on their way.
 
     Attributes:
-        send: Sends a datagram and does not wait.
+        send: Sends a datagram without waiting.
         close: Closes the port.
     """
 
@@ -63,16 +63,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Environment:
-    """The outside world as one process sees it.
+    """Clocks, randomness and network of one process.
 
     Attributes:
-        now_ms: Clock in milliseconds that never goes back and that counts the
-            time of a suspension, see `clock`.
-        wall_ms: Wall clock in milliseconds; orders incarnations, no more.
-        random: Source of chance for jitter, sampling and identifiers.
-        connect: Opens a stream; raises OSError when it cannot.
+        now_ms: Clock in milliseconds that never goes back and includes the time
+            of a suspension, see `clock`.
+        wall_ms: Wall clock in milliseconds; used only to order incarnations.
+        random: Random generator for jitter, sampling and identifiers.
+        connect: Opens a stream; raises OSError on failure.
         serve: Starts listening and calls the handler for each stream.
-        bind: Starts taking datagrams and calls the function for each.
+        bind: Starts receiving datagrams and calls the handler for each.
     """
 
     now_ms: Callable[[], float]
@@ -80,11 +80,11 @@
     random: random.Random
     connect: Callable[[Address], Awaitable[StreamPair]]
     serve: Callable[[StreamHandler, Address], Awaitable[asyncio.Server]]
-    bind: Callable[[TakeDatagram, Address], Awaitable["DatagramPort"]]
+    bind: Callable[[DatagramHandler, Address], Awaitable["DatagramPort"]]
 
 
 def parse_address(text: str) -> Address:
-    """Reads `host:port`; raises ValueError with a message for users."""
+    """Parses `host:port`; raises ValueError with a message for users."""
     host, separator, port = text.rpartition(":")
     if not separator or not host or not port.isdigit():
         raise ValueError(f"expected HOST:PORT, found {text!r}")
@@ -93,54 +93,57 @@
     return Address(host, int(port))
 
 
-class _Datagrams(asyncio.DatagramProtocol):
-    """Hands datagrams on; a port that nobody listens at is no fault."""
+class _DatagramProtocol(asyncio.DatagramProtocol):
+    """Passes datagrams to a handler; ignores unreachable-port errors."""
 
-    def __init__(self, take: TakeDatagram) -> None:
-        self._take = take
+    def __init__(self, handler: DatagramHandler) -> None:
+        self._handle = handler
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        self._take(data)
+        self._handle(data)
 
 
 def make_system_environment() -> Environment:
-    """Returns the real clock, operating system entropy and TCP streams."""
+    """Returns the system clocks, a generator seeded by the system, and TCP."""
 
     async def connect(address: Address) -> StreamPair:
         reader, writer = await asyncio.open_connection(
             address.host, address.port, limit=STREAM_LIMIT_BYTES
         )
-        _notice_dead_peers(writer)
+        _enable_keepalive(writer)
         return reader, writer
 
     async def serve(handler: StreamHandler, address: Address) -> asyncio.Server:
-        # The loop keeps only weak references to tasks.
+        # The event loop keeps only weak references to tasks.
         open_tasks: set[asyncio.Task] = set()
 
         async def accept(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            _notice_dead_peers(writer)
+            _enable_keepalive(writer)
             await handler(reader, writer)
 
-        # A function, as asyncio reports each cancelled task of a coroutine
-        # function as a fault; connections end with the process.
+        # Not a coroutine function, since asyncio reports each cancelled task of
+        # one as an error; connections are cancelled when the process ends.
         def start(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             task = asyncio.ensure_future(accept(reader, writer))
             open_tasks.add(task)
             task.add_done_callback(open_tasks.discard)
-            task.add_done_callback(lambda ended: _end_accepted(ended, writer))
+            task.add_done_callback(
+                lambda ended: _report_task_failure(ended, writer)
+            )
 
         return await asyncio.start_server(
             start, address.host, address.port, limit=STREAM_LIMIT_BYTES
         )
 
-    async def bind(take: TakeDatagram, address: Address) -> DatagramPort:
+    async def bind(handler: DatagramHandler, address: Address) -> DatagramPort:
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: _Datagrams(take), local_addr=(address.host, address.port)
+            lambda: _DatagramProtocol(handler),
+            local_addr=(address.host, address.port),
         )
         return DatagramPort(
             lambda data, to: transport.sendto(data, (to.host, to.port)),
@@ -157,31 +160,33 @@
     )
 
 
-def _end_accepted(task: asyncio.Task, writer: asyncio.StreamWriter) -> None:
-    """Reports the fault of a connection's task, if it had one."""
+def _report_task_failure(
+    task: asyncio.Task, writer: asyncio.StreamWriter
+) -> None:
+    """Reports a connection's task that failed, and closes the connection."""
     if task.cancelled():
         return
-    fault = task.exception()
-    if fault is not None:
+    error = task.exception()
+    if error is not None:
         task.get_loop().call_exception_handler(
-            {"message": "A connection's task has failed.", "exception": fault}
+            {"message": "The task of a connection failed.", "exception": error}
         )
         writer.transport.close()
 
 
-def _notice_dead_peers(writer: asyncio.StreamWriter) -> None:
-    """Has the system end a connection whose other side is gone in silence."""
-    found = writer.get_extra_info("socket")
-    if found is None:
+def _enable_keepalive(writer: asyncio.StreamWriter) -> None:
+    """Has the system close a connection whose peer is silently unreachable."""
+    sock = writer.get_extra_info("socket")
+    if sock is None:
         return
-    found.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     tcp = socket.IPPROTO_TCP
-    found.setsockopt(tcp, socket.TCP_KEEPIDLE, PEER_IDLE_S)
-    found.setsockopt(tcp, socket.TCP_KEEPINTVL, PEER_PROBE_S)
-    found.setsockopt(tcp, socket.TCP_KEEPCNT, PEER_PROBES)
-    found.setsockopt(tcp, socket.TCP_USER_TIMEOUT, PEER_TIMEOUT_MS)
+    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(tcp, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
 
-def make_token(source: random.Random, length: int = 12) -> str:
+def make_random_id(rng: random.Random, length: int = 12) -> str:
     """Returns a random identifier of `length` hexadecimal digits."""
-    return f"{source.getrandbits(4 * length):0{length}x}"
+    return f"{rng.getrandbits(4 * length):0{length}x}"
--- a/tests/test_by_region.py
+++ b/tests/test_by_region.py
@@ -84,7 +84,7 @@
             self.assertNotIn(short.target.target_id, long_)
 
     def test_vms_that_know_nothing_of_each_other_spread(self) -> None:
-        blind = dataclasses.replace(_SHORT, is_blind=True)
+        blind = dataclasses.replace(_SHORT, is_peer_load_unknown=True)
         for job, least, most in ((blind, 13, 18), (_SHORT, 1, 4)):
             chosen = set()
             for seed in range(60):
@@ -100,7 +100,7 @@
         self,
     ) -> None:
         engines = _make_engines(18, halls=3)
-        job = dataclasses.replace(_SHORT, home_hall="h1")
+        job = dataclasses.replace(_SHORT, local_hall="h1")
         for _ in range(30):
             (chosen,) = _choose(job, engines)
             self.assertEqual(chosen.target.hall, "h1")
@@ -109,7 +109,7 @@
                 row = dispatched.Dispatched(
                     each.target.target_id, (), 0, 9, (9, 0, 0), 0.0
                 )
-                each.take_peers(row, 0.0)
+                each.apply_peer_work(row, 0.0)
         (chosen,) = _choose(job, engines)
         self.assertNotEqual(chosen.target.hall, "h1")
 
@@ -120,7 +120,7 @@
                 row = dispatched.Dispatched(
                     each.target.target_id, (), 0, 4, (4, 0, 0), 0.0
                 )
-                each.take_peers(row, 0.0)
+                each.apply_peer_work(row, 0.0)
         long_ids = boundary.find_long_region(engines, 0.0)
         counts = {
             hall: sum(
@@ -135,13 +135,13 @@
     def test_plain_calls_stay_in_their_hall_unless_it_is_busier(self) -> None:
         policy = by_name.make_policy("least_recent")
         engines = _make_engines(3, halls=3)
-        job = dataclasses.replace(_SHORT, home_hall="h1")
+        job = dataclasses.replace(_SHORT, local_hall="h1")
         chance = random.Random(1)
         for streams, expected in ((2, True), (4, False)):
             row = dispatched.Dispatched(
                 engines[1].target.target_id, (), 0, streams, (), 0.0
             )
-            engines[1].take_peers(row, 0.0)
+            engines[1].apply_peer_work(row, 0.0)
             chosen = policy.choose(job, engines, 0.0, chance)
             self.assertEqual(chosen.target.hall == "h1", expected)
 
@@ -152,10 +152,10 @@
             row = dispatched.Dispatched(
                 each.target.target_id, (), 0, 6, (6, 0, 0), 0.0
             )
-            each.take_peers(row, 0.0)
+            each.apply_peer_work(row, 0.0)
         after = len(boundary.find_long_region(engines, 0.0))
         self.assertGreater(before, after)
-        self.assertEqual(after, boundary.REGION_LEAST)
+        self.assertEqual(after, boundary.MIN_REGION_ENGINES)
 
     def test_boundary_leaves_places_free_on_engines_of_any_size(self) -> None:
         for places in (4, 6, 8, 12):
@@ -164,9 +164,11 @@
                 row = dispatched.Dispatched(
                     each.target.target_id, (), 0, 3, (3, 0, 0), 0.0
                 )
-                each.take_peers(row, 0.0)
+                each.apply_peer_work(row, 0.0)
             front = 60 - len(boundary.find_long_region(engines, 0.0))
-            self.assertLessEqual(120 / front, boundary.SHORT_FILL * places)
+            self.assertLessEqual(
+                120 / front, boundary.SHORT_REGION_FILL * places
+            )
 
     def test_long_answers_leave_the_boundary(self) -> None:
         engines = _make_engines(18)
@@ -175,7 +177,7 @@
             row = dispatched.Dispatched(
                 each.target.target_id, (), 0, 4, (0, 2, 2), 0.0
             )
-            each.take_peers(row, 0.0)
+            each.apply_peer_work(row, 0.0)
         self.assertEqual(boundary.find_long_region(engines, 0.0), before)
 
     def test_long_prompt_waits_for_the_end_of_another_ones_reading(
@@ -186,7 +188,7 @@
             row = dispatched.Dispatched(
                 each.target.target_id, (0, 0, 0, 0, 20_000), 0, 0, (), 600.0
             )
-            each.take_peers(row, 0.0)
+            each.apply_peer_work(row, 0.0)
         self.assertEqual(_choose(_LONG, engines), [])
         waited = dataclasses.replace(_LONG, waited_ms=1_000.0)
         self.assertTrue(_choose(waited, engines))
@@ -202,7 +204,7 @@
             row = dispatched.Dispatched(
                 each.target.target_id, (), 0, 1, (1, 2, 1), 0.0
             )
-            each.take_peers(row, 0.0)
+            each.apply_peer_work(row, 0.0)
         self.assertEqual(_choose(great, engines), [])
         # It could still be in time after a second, and not after two.
         waited = dataclasses.replace(great, waited_ms=1_000.0)
@@ -211,5 +213,5 @@
         self.assertTrue(_choose(waited, engines))
 
     def test_route_without_an_aim_is_served(self) -> None:
-        job = dataclasses.replace(_LONG, aim_ms=0.0)
+        job = dataclasses.replace(_LONG, ttft_slo_ms=0.0)
         self.assertTrue(_choose(job, _make_engines(18)))
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -105,12 +105,12 @@
                 1, virtual_network.Latency()
             )
             process = virtual_process.VirtualProcess("vm-1", "h")
-            outside = network.make_environment(process, 1)
+            env = network.make_environment(process, 1)
             config = configs.EntryConfig(
                 "vm-1", "h", _WHERE, _WHERE, _WHERE, b""
             )
             view = _make_view()
-            scheduler = schedulers.Scheduler(outside, config, view)
+            scheduler = schedulers.Scheduler(env, config, view)
             running = asyncio.ensure_future(scheduler.run())
             scheduler.post(schedulers.ViewChanged())
             scheduler.post(_report("a", draining=True))
@@ -152,10 +152,10 @@
                 1, virtual_network.Latency()
             )
             process = virtual_process.VirtualProcess("vm-1", "h")
-            outside = network.make_environment(process, 1)
+            env = network.make_environment(process, 1)
             view = _make_view()
             scheduler = schedulers.Scheduler(
-                outside, configs.EntryConfig("vm-1", "h", _WHERE), view
+                env, configs.EntryConfig("vm-1", "h", _WHERE), view
             )
             scheduler._seating._policy = policies.Policy(
                 choose, choose_helpers=choose_helpers
@@ -163,7 +163,7 @@
             running = asyncio.ensure_future(scheduler.run())
             scheduler.post(schedulers.ViewChanged())
             asked = _ask(view)
-            route = dataclasses.replace(asked.route, waited_ms=outside.now_ms())
+            route = dataclasses.replace(asked.route, waited_ms=env.now_ms())
             asked = dataclasses.replace(asked, route=route)
             await scheduler.place(asked)
             running.cancel()
@@ -181,12 +181,12 @@
         pool = _make_view().index.find_pool("engines")
         estimate = estimates.Estimate(_TARGET, pool)
         work = own_work.OwnWork(
-            1_000, 0, 0.0, 0, prefill_ms=300.0, is_long=True, is_writing=False
+            1_000, 0, 0.0, 0, prefill_ms=300.0, is_long=True, is_decoding=False
         )
-        estimate.begin("a", work)
+        estimate.begin_attempt("a", work)
         self.assertEqual(estimate.recent_streams(1.0), 0.0)
-        self.assertEqual(sum(estimate.streams_by_pause(1.0)), 0)
+        self.assertEqual(sum(estimate.streams_by_gap_class(1.0)), 0)
         self.assertEqual(estimate.summarize(1.0).streams, 0)
-        self.assertGreater(estimate.prefilling_ms(1.0), 200.0)
-        estimate.first_token("a", 300.0)
-        self.assertEqual(estimate.prefilling_ms(301.0), 0.0)
+        self.assertGreater(estimate.remaining_prefill_ms(1.0), 200.0)
+        estimate.note_first_token("a", 300.0)
+        self.assertEqual(estimate.remaining_prefill_ms(301.0), 0.0)
