--- a/src/ruddergate/entry/quarantine.py
+++ b/src/ruddergate/entry/quarantine.py
@@ -45,7 +45,7 @@
         now_ms = self._env.now_ms()
         incarnation = lost.target.life
         weight = poison_requests.weigh_crash(lost.there_ms, lost.reading_ms)
-        if self._evidence.note_ended(lost.content, incarnation, weight, now_ms):
+        if self._evidence.note_crash(lost.content, incarnation, weight, now_ms):
             self._announce(lost.content, lost.request_id)
 
     def on_request_finished(self, request: requests.Request) -> None:
@@ -56,7 +56,7 @@
         if not len(self._evidence):
             return
         fingerprint = find_fingerprint(request)
-        if self._evidence.note_finished(fingerprint, self._env.now_ms()):
+        if self._evidence.note_completed(fingerprint, self._env.now_ms()):
             self._announce(fingerprint, request.request_id)
 
     def is_suspected(self, request: requests.Request) -> bool:
@@ -99,7 +99,7 @@
             )
             return set()
         now_ms = self._env.now_ms()
-        changed = self._evidence.take(message.rows, now_ms)
+        changed = self._evidence.merge(message.rows, now_ms)
         for fingerprint in changed:
             self._log_change(fingerprint, "", message.sender)
         return changed
