--- a/src/ruddergate/entry/attempt.py
+++ b/src/ruddergate/entry/attempt.py
@@ -10,7 +10,7 @@
 from ruddergate.adapters.engines import stream as streams
 from ruddergate.decisions import length_band
 from ruddergate.entry import canceller
-from ruddergate.entry import placement
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import tools as tool_types
 
 # After the time limit the agents' sweep takes over from the canceller.
@@ -22,7 +22,7 @@
 
 async def run(
     request: requests.Request,
-    placed: placement.Placed,
+    placed: scheduler_messages.Placed,
     delivered: tuple[str, ...],
     tools: tool_types.Tools,
 ) -> AsyncIterator[Event]:
@@ -35,7 +35,7 @@
 
 def make_generation(
     request: requests.Request,
-    seat: placement.Seat,
+    seat: scheduler_messages.Seat,
     delivered: tuple[str, ...],
     tools: tool_types.Tools,
     kv_parts: tuple[generations.KvPart, ...] = (),
@@ -72,14 +72,14 @@
     return rank * length_band.BANDS + length_band.BANDS - 1 - band
 
 
-def make_stream_id(seat: placement.Seat, tools: tool_types.Tools) -> str:
+def make_stream_id(seat: scheduler_messages.Seat, tools: tool_types.Tools) -> str:
     """Returns the name of an attempt, unlike that of any other VM's."""
     return f"{tools.config.vm_id}.{tools.incarnation}.{seat.attempt_id}"
 
 
 async def follow(
     request: requests.Request,
-    seat: placement.Seat,
+    seat: scheduler_messages.Seat,
     wanted: generations.Generation,
     tools: tool_types.Tools,
 ) -> AsyncIterator[Event]:
@@ -100,14 +100,14 @@
                     ended = True
                 yield event
     finally:
-        tools.scheduler.post(placement.Ended(seat, failed))
+        tools.scheduler.post(scheduler_messages.Ended(seat, failed))
         if not ended:
             cancel_later(request, seat, wanted.stream_id, tools)
 
 
 def cancel_later(
     request: requests.Request,
-    seat: placement.Seat,
+    seat: scheduler_messages.Seat,
     item_id: str,
     tools: tool_types.Tools,
 ) -> None:
@@ -118,12 +118,12 @@
 
 def _note_first_token(
     request: requests.Request,
-    seat: placement.Seat,
+    seat: scheduler_messages.Seat,
     tools: tool_types.Tools,
 ) -> None:
     prefix = request.prefix
     tools.scheduler.post(
-        placement.FirstToken(
+        scheduler_messages.FirstToken(
             seat,
             prefix.name if prefix else "",
             prefix.tokens if prefix else 0,
@@ -133,7 +133,7 @@
 
 async def _read(
     request: requests.Request,
-    seat: placement.Seat,
+    seat: scheduler_messages.Seat,
     wanted: generations.Generation,
     tools: tool_types.Tools,
 ) -> AsyncIterator[Event]:
@@ -150,7 +150,7 @@
             yield stream
             return
         if stream.report is not None:
-            tools.scheduler.post(placement.Reported(stream.report))
+            tools.scheduler.post(scheduler_messages.Reported(stream.report))
         broken: outcomes.NotServed | None = None
         try:
             async for event in _drain(request, stream, tools):
@@ -175,7 +175,7 @@
 
 async def _resume(
     request: requests.Request,
-    seat: placement.Seat,
+    seat: scheduler_messages.Seat,
     wanted: generations.Generation,
     stream: streams.Stream,
     broken: outcomes.NotServed,
--- a/src/ruddergate/entry/attempt_log.py
+++ b/src/ruddergate/entry/attempt_log.py
@@ -2,7 +2,7 @@
 
 from ruddergate import outcomes
 from ruddergate import request as requests
-from ruddergate.entry import placement
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import relay_progress
 from ruddergate.entry import suspects
 from ruddergate.entry import tools as tool_types
@@ -11,7 +11,7 @@
 
 def log_start(
     request: requests.Request,
-    seats: tuple[placement.Seat, ...],
+    seats: tuple[scheduler_messages.Seat, ...],
     progress: relay_progress.Progress,
     tools: tool_types.Tools,
 ) -> None:
@@ -40,7 +40,7 @@
 
 def log_failure(
     request: requests.Request,
-    seat: placement.Seat,
+    seat: scheduler_messages.Seat,
     ended: outcomes.NotServed,
     progress: relay_progress.Progress,
     tools: tool_types.Tools,
--- a/src/ruddergate/entry/gang_attempt.py
+++ b/src/ruddergate/entry/gang_attempt.py
@@ -15,7 +15,7 @@
 from ruddergate.adapters.engines import part as parts
 from ruddergate.decisions import gangs
 from ruddergate.entry import attempt
-from ruddergate.entry import placement
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import tools as tool_types
 
 _RESERVE_TIMEOUT_MS = 2_000.0
@@ -25,7 +25,7 @@
 
 async def run(
     request: requests.Request,
-    placed: placement.Placed,
+    placed: scheduler_messages.Placed,
     delivered: tuple[str, ...],
     tools: tool_types.Tools,
 ) -> AsyncIterator[Event]:
@@ -53,14 +53,14 @@
     finally:
         for seat in placed.seats:
             lost = seat.target.target_id in failed
-            tools.scheduler.post(placement.Ended(seat, lost))
+            tools.scheduler.post(scheduler_messages.Ended(seat, lost))
             reservation = _make_reservation(seat, tools)
             attempt.cancel_later(request, seat, reservation, tools)
 
 
 async def _reserve_all(
     request: requests.Request,
-    placed: placement.Placed,
+    placed: scheduler_messages.Placed,
     segments: tuple[gangs.Segment, ...],
     tools: tool_types.Tools,
 ) -> outcomes.NotServed | None:
@@ -87,7 +87,7 @@
 
 async def _prefill_all(
     request: requests.Request,
-    placed: placement.Placed,
+    placed: scheduler_messages.Placed,
     segments: tuple[gangs.Segment, ...],
     tools: tool_types.Tools,
     failed: set[str],
@@ -104,7 +104,7 @@
             request.remaining_ms(tools.outside.now_ms()),
         )
         if isinstance(answer, control.Done):
-            tools.scheduler.post(placement.FirstToken(seat, "", 0))
+            tools.scheduler.post(scheduler_messages.FirstToken(seat, "", 0))
             continue
         if request.remaining_ms(tools.outside.now_ms()) <= 0.0:
             reason = outcomes.Reason.TIME_LIMIT
@@ -120,7 +120,7 @@
 
 async def _generate(
     request: requests.Request,
-    placed: placement.Placed,
+    placed: scheduler_messages.Placed,
     delivered: tuple[str, ...],
     first_token: int,
     tools: tool_types.Tools,
@@ -140,7 +140,7 @@
 
 
 def _make_kv_parts(
-    seats: tuple[placement.Seat, ...], tools: tool_types.Tools
+    seats: tuple[scheduler_messages.Seat, ...], tools: tool_types.Tools
 ) -> tuple[generations.KvPart, ...]:
     return tuple(
         generations.KvPart(
@@ -150,6 +150,6 @@
     )
 
 
-def _make_reservation(seat: placement.Seat, tools: tool_types.Tools) -> str:
+def _make_reservation(seat: scheduler_messages.Seat, tools: tool_types.Tools) -> str:
     """Returns the name of a seat's reservation, unlike that of its stream."""
     return f"{attempt.make_stream_id(seat, tools)}.part"
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -22,7 +22,7 @@
 from ruddergate.entry import open_calls
 from ruddergate.entry import peer_exchange
 from ruddergate.entry import peer_questions
-from ruddergate.entry import placement
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import rate_limiter
 from ruddergate.entry import relay_admit
 from ruddergate.entry import relay_handler
@@ -182,7 +182,7 @@
             outside,
             self._rate_limiter.charge_orders(self._orders),
             view.is_over,
-            lambda target: scheduler.post(placement.LifeEnded(target)),
+            lambda target: scheduler.post(scheduler_messages.LifeEnded(target)),
             self._rate_limiter.limits.is_limited,
         )
         self._leaving_check = leaving_check.LeavingCheck(
@@ -196,7 +196,7 @@
         self._lives = life_watch.LifeWatch(
             self._keeper.ask_sign,
             self._suspects.table.note_ended,
-            lambda target: scheduler.post(placement.LifeEnded(target)),
+            lambda target: scheduler.post(scheduler_messages.LifeEnded(target)),
             self.tools.metrics,
         )
         self._handler = relay_handler.RelayHandler(
--- a/src/ruddergate/entry/model_run.py
+++ b/src/ruddergate/entry/model_run.py
@@ -15,7 +15,7 @@
 from ruddergate.decisions.routing import job as jobs
 from ruddergate.entry import attempt
 from ruddergate.entry import gang_attempt
-from ruddergate.entry import placement
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import tools as tool_types
 
 _OUTRUN_PAUSE_MS = (500.0, 2_000.0)
@@ -66,7 +66,7 @@
 
 async def _decide(
     request: requests.Request,
-    placed: placement.Placed,
+    placed: scheduler_messages.Placed,
     ended: outcomes.NotServed,
     progress: _Progress,
     tools: tool_types.Tools,
@@ -103,7 +103,7 @@
     request: requests.Request,
     progress: _Progress,
     tools: tool_types.Tools,
-) -> placement.Placed | outcomes.NotServed:
+) -> scheduler_messages.Placed | outcomes.NotServed:
     now_ms = tools.outside.now_ms()
     pool = request.workload.pool
     segments: tuple[gangs.Segment, ...] = ()
@@ -118,7 +118,7 @@
     cost = _predict(request, progress)
     band = length_band.find_band(request.prompt_tokens)
     prefix = request.prefix
-    asked = placement.Place(
+    asked = scheduler_messages.Place(
         job=queueing.Job(
             job_id=f"{request.request_id}.{progress.attempts}",
             priority=request.workload.priority,
@@ -147,9 +147,9 @@
 
 async def place_in_time(
     request: requests.Request,
-    asked: placement.Place,
+    asked: scheduler_messages.Place,
     tools: tool_types.Tools,
-) -> placement.Placed | outcomes.NotServed:
+) -> scheduler_messages.Placed | outcomes.NotServed:
     """Waits for a place until the time limit."""
     left_ms = request.remaining_ms(tools.outside.now_ms())
     try:
@@ -197,7 +197,7 @@
     return dataclasses.replace(ended, ran=ran)
 
 
-def _is_outrun(placed: placement.Placed, ended: outcomes.NotServed) -> bool:
+def _is_outrun(placed: scheduler_messages.Placed, ended: outcomes.NotServed) -> bool:
     return (
         len(placed.seats) > 1
         and ended.ran is outcomes.Ran.NOT_RUN
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -11,7 +11,7 @@
 from ruddergate.entry import attempt_log
 from ruddergate.entry import first_event
 from ruddergate.entry import lost_call
-from ruddergate.entry import placement
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import relay_progress
 from ruddergate.entry import reservation_keeper
 from ruddergate.entry import suspects
@@ -69,7 +69,7 @@
     def __init__(
         self,
         request: requests.Request,
-        placed: placement.Placed,
+        placed: scheduler_messages.Placed,
         progress: relay_progress.Progress,
         send: errands.Send,
         keeper: reservation_keeper.ReservationKeeper,
@@ -260,7 +260,7 @@
         """Takes an event in; returns whether it is to be handed on."""
         match event:
             case answers.LoadTold():
-                self._tools.scheduler.post(placement.Reported(event.report))
+                self._tools.scheduler.post(scheduler_messages.Reported(event.report))
                 return False
             case answers.FaultTold():
                 self._at_fault.add(event.target_id)
@@ -316,7 +316,7 @@
         took_ms = self._tools.outside.now_ms() - request.arrived_ms
         self._tools.metrics.note_first_token(request.prompt_tokens, took_ms)
         for seat in self._seats:
-            self._tools.scheduler.post(placement.FirstToken(seat, "", 0))
+            self._tools.scheduler.post(scheduler_messages.FirstToken(seat, "", 0))
 
     def _post_ends(self) -> None:
         writers_hall = self._seats[0].target.hall
@@ -326,7 +326,7 @@
             is_blamed = name in self._progress.blamed
             is_away = seat.target.hall != writers_hall
             self._tools.scheduler.post(
-                placement.Ended(
+                scheduler_messages.Ended(
                     seat,
                     name in self._at_fault,
                     name in self._out_of_reach or (is_blamed and is_away),
@@ -394,7 +394,7 @@
 
 
 def _make_helper(
-    seat: placement.Seat, reservations: dict[str, orders.Reservation]
+    seat: scheduler_messages.Seat, reservations: dict[str, orders.Reservation]
 ) -> errands.Helper:
     held = reservations.get(seat.target.target_id)
     return errands.Helper(
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -15,7 +15,7 @@
 from ruddergate.decisions.routing import job as jobs
 from ruddergate.entry import attempt_log
 from ruddergate.entry import model_run
-from ruddergate.entry import placement
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import relay_attempt
 from ruddergate.entry import relay_progress
 from ruddergate.entry import reservation_keeper
@@ -107,7 +107,7 @@
 
 async def _decide(
     request: requests.Request,
-    placed: placement.Placed,
+    placed: scheduler_messages.Placed,
     ended: answers.Event | None,
     progress: relay_progress.Progress,
     tools: tool_types.Tools,
@@ -212,7 +212,7 @@
     request: requests.Request,
     progress: relay_progress.Progress,
     tools: tool_types.Tools,
-) -> placement.Placed | outcomes.NotServed:
+) -> scheduler_messages.Placed | outcomes.NotServed:
     """Waits for a place: ahead of late calls first, and then among them."""
     for is_late, wait_ms in _find_waits(request, progress, tools):
         left_ms = request.remaining_ms(tools.outside.now_ms())
@@ -235,7 +235,7 @@
 
 
 def _is_too_long_a_wait(
-    placed: placement.Placed | outcomes.NotServed,
+    placed: scheduler_messages.Placed | outcomes.NotServed,
 ) -> bool:
     return (
         isinstance(placed, outcomes.NotServed)
@@ -262,7 +262,7 @@
     tools: tool_types.Tools,
     is_late: bool,
     wait_ms: float,
-) -> placement.Place:
+) -> scheduler_messages.Place:
     now_ms = tools.outside.now_ms()
     pool = request.workload.pool
     route = request.payload.route
@@ -274,7 +274,7 @@
         pool, request.prompt_tokens, 0, request.output_tokens_expected
     )
     band = length_band.find_band(request.prompt_tokens)
-    return placement.Place(
+    return scheduler_messages.Place(
         job=queueing.Job(
             job_id=f"{request.request_id}.{progress.sent}."
             f"{progress.unreachable}.{now_ms}",
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -18,7 +18,7 @@
 from ruddergate.decisions import withdrawals
 from ruddergate.decisions.routing import by_name
 from ruddergate.entry import config as configs
-from ruddergate.entry import placement
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import seating as seatings
 from ruddergate.entry import target_losses
 from ruddergate.entry import target_table
@@ -49,12 +49,12 @@
 
 
 Message = (
-    placement.Place
-    | placement.Withdraw
-    | placement.FirstToken
-    | placement.Ended
-    | placement.LifeEnded
-    | placement.Reported
+    scheduler_messages.Place
+    | scheduler_messages.Withdraw
+    | scheduler_messages.FirstToken
+    | scheduler_messages.Ended
+    | scheduler_messages.LifeEnded
+    | scheduler_messages.Reported
     | load_messages.Loads
     | ViewChanged
 )
@@ -118,7 +118,7 @@
         )
         self._inbox: asyncio.Queue[Message] = asyncio.Queue()
         self._queues: dict[str, queueing.Queue] = {}
-        self._asked: dict[str, placement.Place] = {}
+        self._asked: dict[str, scheduler_messages.Place] = {}
         self._table = target_table.TargetTable(
             view, self._withdrawn, self._limits
         )
@@ -136,14 +136,14 @@
         return self._seating.shorter_first
 
     async def place(
-        self, asked: placement.Place
-    ) -> placement.Placed | outcomes.NotServed:
+        self, asked: scheduler_messages.Place
+    ) -> scheduler_messages.Placed | outcomes.NotServed:
         """Asks for a place and waits for the answer."""
         self.post(asked)
         try:
             return await asked.reply
         except asyncio.CancelledError:
-            self.post(placement.Withdraw(asked))
+            self.post(scheduler_messages.Withdraw(asked))
             raise
 
     def summarize(self) -> tuple[dispatched.Dispatched, ...]:
@@ -228,24 +228,24 @@
     def _take(self, message: Message) -> None:
         now_ms = self._outside.now_ms()
         match message:
-            case placement.Place():
+            case scheduler_messages.Place():
                 self._take_place(message, now_ms)
-            case placement.Withdraw():
+            case scheduler_messages.Withdraw():
                 self._take_withdraw(message.asked)
-            case placement.FirstToken():
+            case scheduler_messages.FirstToken():
                 self._take_first_token(message, now_ms)
-            case placement.Ended():
+            case scheduler_messages.Ended():
                 self._take_ended(message, now_ms)
-            case placement.LifeEnded():
+            case scheduler_messages.LifeEnded():
                 self._take_life_ended(message.target, now_ms)
-            case placement.Reported():
+            case scheduler_messages.Reported():
                 self._take_report(message.report, now_ms)
             case load_messages.Loads():
                 self._take_loads(message, now_ms)
             case ViewChanged():
                 self._take_view(now_ms)
 
-    def _take_place(self, asked: placement.Place, now_ms: float) -> None:
+    def _take_place(self, asked: scheduler_messages.Place, now_ms: float) -> None:
         if asked.reply.cancelled():
             return
         queue = self._find_queue(asked.pool.name)
@@ -278,16 +278,16 @@
             return first_ms
         return first_ms + ahead / capacity_per_s * 1_000.0
 
-    def _take_withdraw(self, asked: placement.Place) -> None:
+    def _take_withdraw(self, asked: scheduler_messages.Place) -> None:
         self._asked.pop(asked.job.job_id, None)
         if self._find_queue(asked.pool.name).withdraw(asked.job):
             return
         if asked.reply.done() and not asked.reply.cancelled():
             placed = asked.reply.result()
-            if isinstance(placed, placement.Placed):
+            if isinstance(placed, scheduler_messages.Placed):
                 self._release(placed)
 
-    def _release(self, placed: placement.Placed) -> None:
+    def _release(self, placed: scheduler_messages.Placed) -> None:
         for seat in placed.seats:
             self._limits.note_unplaced(seat.target.target_id, seat.attempt_id)
             estimate = self._table.find(seat.target)
@@ -295,7 +295,7 @@
                 estimate.end(seat.attempt_id)
 
     def _take_first_token(
-        self, message: placement.FirstToken, now_ms: float
+        self, message: scheduler_messages.FirstToken, now_ms: float
     ) -> None:
         estimate = self._table.find(message.seat.target)
         if estimate is None:
@@ -306,7 +306,7 @@
         if message.prefix:
             estimate.note_prefix(message.prefix, message.prefix_tokens)
 
-    def _take_ended(self, message: placement.Ended, now_ms: float) -> None:
+    def _take_ended(self, message: scheduler_messages.Ended, now_ms: float) -> None:
         target = message.seat.target
         self._limits.note_unplaced(target.target_id, message.seat.attempt_id)
         estimate = self._table.find(target)
@@ -427,7 +427,7 @@
             )
             if any(self._takes_few(each.target) for each in seats):
                 usable = self._find_usable(pool, now_ms)
-            placed = placement.Placed(seats)
+            placed = scheduler_messages.Placed(seats)
             if asked.reply.done():
                 # Given up in this moment; its withdrawal is still under way.
                 self._release(placed)
@@ -493,7 +493,7 @@
 
 
 def _answer(
-    asked: placement.Place, answer: placement.Placed | outcomes.NotServed
+    asked: scheduler_messages.Place, answer: scheduler_messages.Placed | outcomes.NotServed
 ) -> None:
     if not asked.reply.done():
         asked.reply.set_result(answer)
--- a/src/ruddergate/entry/seating.py
+++ b/src/ruddergate/entry/seating.py
@@ -12,7 +12,7 @@
 from ruddergate.decisions import own_work
 from ruddergate.decisions import pause_class
 from ruddergate.decisions.routing import policy as policies
-from ruddergate.entry import placement
+from ruddergate.entry import scheduler_messages
 
 
 class Seating:
@@ -49,11 +49,11 @@
 
     def seat(
         self,
-        asked: placement.Place,
+        asked: scheduler_messages.Place,
         usable: list[estimates.Estimate],
         now_ms: float,
         is_blind: bool = False,
-    ) -> tuple[placement.Seat, ...]:
+    ) -> tuple[scheduler_messages.Seat, ...]:
         """Returns the seats of a request, or none if it is better kept waiting.
 
         Args:
@@ -114,10 +114,10 @@
 
     def _seat_service(
         self,
-        asked: placement.Place,
+        asked: scheduler_messages.Place,
         candidates: list[estimates.Estimate],
         now_ms: float,
-    ) -> tuple[placement.Seat, ...]:
+    ) -> tuple[scheduler_messages.Seat, ...]:
         most = asked.pool.service_concurrency
         free = [each for each in candidates if each.streams(now_ms) < most]
         if not free:
@@ -129,10 +129,10 @@
 
     def _seat_gang(
         self,
-        asked: placement.Place,
+        asked: scheduler_messages.Place,
         candidates: list[estimates.Estimate],
         now_ms: float,
-    ) -> tuple[placement.Seat, ...]:
+    ) -> tuple[scheduler_messages.Seat, ...]:
         needed = max(segment.held_tokens for segment in asked.segments)
         room = [
             each
@@ -155,7 +155,7 @@
 
     def _sit(
         self,
-        asked: placement.Place,
+        asked: scheduler_messages.Place,
         chosen: estimates.Estimate,
         fresh_tokens: int,
         held_tokens: int,
@@ -163,7 +163,7 @@
         now_ms: float,
         parts: int = 1,
         is_writing: bool = True,
-    ) -> placement.Seat:
+    ) -> scheduler_messages.Seat:
         attempt_id = environment.make_token(self._chance)
         band = length_band.find_band(asked.route.prompt_tokens)
         is_long = costs.is_long(chosen.pool, fresh_tokens * parts)
@@ -181,6 +181,6 @@
         believed = chosen.describe(now_ms)
         chosen.begin(attempt_id, work)
         self._note_change()
-        return placement.Seat(
+        return scheduler_messages.Seat(
             chosen.target, attempt_id, cached_tokens, believed, held_tokens
         )
--- a/src/ruddergate/entry/service_run.py
+++ b/src/ruddergate/entry/service_run.py
@@ -9,7 +9,7 @@
 from ruddergate.decisions import retries
 from ruddergate.decisions.routing import job as jobs
 from ruddergate.entry import model_run
-from ruddergate.entry import placement
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import tools as tool_types
 
 # What a call is taken to cost in the queue, in milliseconds.
@@ -51,7 +51,7 @@
 
 async def _call(
     request: requests.Request,
-    seat: placement.Seat,
+    seat: scheduler_messages.Seat,
     tools: tool_types.Tools,
 ) -> service_calls.ServiceAnswer | outcomes.NotServed:
     failed = True
@@ -66,7 +66,7 @@
         failed = isinstance(answer, outcomes.NotServed)
         return answer
     finally:
-        tools.scheduler.post(placement.Ended(seat, failed))
+        tools.scheduler.post(scheduler_messages.Ended(seat, failed))
 
 
 async def _place(
@@ -74,10 +74,10 @@
     attempts: int,
     excluded: frozenset[str],
     tools: tool_types.Tools,
-) -> placement.Placed | outcomes.NotServed:
+) -> scheduler_messages.Placed | outcomes.NotServed:
     now_ms = tools.outside.now_ms()
     pool = request.workload.pool
-    asked = placement.Place(
+    asked = scheduler_messages.Place(
         job=queueing.Job(
             job_id=f"{request.request_id}.{attempts}",
             priority=request.workload.priority,
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -6,7 +6,7 @@
 
 import loguru
 
-from ruddergate.entry import placement
+from ruddergate.entry import scheduler_messages
 from standins import gateway_caller
 from standins import gateway_cluster
 from standins import gateway_promises
@@ -165,7 +165,7 @@
             cluster.targets[helper.target_id.partition(".")[0]]
         )
         other = cluster.vms["vm-1"].gateway.tools.scheduler
-        other.post(placement.LifeEnded(helper))
+        other.post(scheduler_messages.LifeEnded(helper))
         got = await calling
         self.assertEqual((got.status, got.is_whole), (200, True))
         return got
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -11,7 +11,7 @@
 from ruddergate.decisions.routing import job as jobs
 from ruddergate.decisions.routing import policy as policies
 from ruddergate.entry import config as configs
-from ruddergate.entry import placement
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import scheduler as schedulers
 from ruddergate.entry import view as views
 from ruddergate.fleet import condition
@@ -47,8 +47,8 @@
     return view
 
 
-def _ask(view: views.View) -> placement.Place:
-    return placement.Place(
+def _ask(view: views.View) -> scheduler_messages.Place:
+    return scheduler_messages.Place(
         job=queueing.Job(
             "r",
             _CLASS,
@@ -67,11 +67,11 @@
     )
 
 
-def _report(generation: str, draining: bool) -> placement.Reported:
+def _report(generation: str, draining: bool) -> scheduler_messages.Reported:
     report = load_report.LoadReport(
         "engine-1", generation, 0, 0, 0, draining, 0.0
     )
-    return placement.Reported(report)
+    return scheduler_messages.Reported(report)
 
 
 class PeersTest(unittest.TestCase):
