--- a/src/ruddergate/entry/attempt.py
+++ b/src/ruddergate/entry/attempt.py
@@ -22,20 +22,20 @@
 
 async def run(
     request: requests.Request,
-    placed: scheduler_messages.Placed,
+    grant: scheduler_messages.PlacementGrant,
     delivered: tuple[str, ...],
     tools: tool_types.Tools,
 ) -> AsyncIterator[Event]:
     """Yields the engine's tokens behind those delivered, then the outcome."""
-    seat = placed.seats[0]
-    wanted = make_generation(request, seat, delivered, tools)
-    async for event in follow(request, seat, wanted, tools):
+    placement = grant.placements[0]
+    wanted = make_generation(request, placement, delivered, tools)
+    async for event in follow(request, placement, wanted, tools):
         yield event
 
 
 def make_generation(
     request: requests.Request,
-    seat: scheduler_messages.Seat,
+    placement: scheduler_messages.Placement,
     delivered: tuple[str, ...],
     tools: tool_types.Tools,
     kv_parts: tuple[generations.KvPart, ...] = (),
@@ -45,7 +45,7 @@
     """Returns what an engine is asked for in this attempt."""
     key = request.idempotency_key if request.workload.pool.checks_key else ""
     return generations.Generation(
-        stream_id=make_stream_id(seat, tools),
+        stream_id=make_stream_id(placement, tools),
         owner=tools.owner,
         request_id=request.request_id,
         prompt=request.prompt,
@@ -72,14 +72,16 @@
     return rank * length_band.BANDS + length_band.BANDS - 1 - band
 
 
-def make_stream_id(seat: scheduler_messages.Seat, tools: tool_types.Tools) -> str:
+def make_stream_id(
+    placement: scheduler_messages.Placement, tools: tool_types.Tools
+) -> str:
     """Returns the name of an attempt, unlike that of any other VM's."""
-    return f"{tools.config.vm_id}.{tools.incarnation}.{seat.attempt_id}"
+    return f"{tools.config.vm_id}.{tools.incarnation}.{placement.attempt_id}"
 
 
 async def follow(
     request: requests.Request,
-    seat: scheduler_messages.Seat,
+    placement: scheduler_messages.Placement,
     wanted: generations.Generation,
     tools: tool_types.Tools,
 ) -> AsyncIterator[Event]:
@@ -89,10 +91,10 @@
     started = False
     try:
         with tools.tracer.span("attempt", request.traceparent):
-            async for event in _read(request, seat, wanted, tools):
+            async for event in _read(request, placement, wanted, tools):
                 if isinstance(event, parts.Tokens) and not started:
                     started = True
-                    _note_first_token(request, seat, tools)
+                    _note_first_token(request, placement, tools)
                 if isinstance(event, outcomes.NotServed):
                     failed = event.reason is not outcomes.Reason.TIME_LIMIT
                     ended = event.ran is outcomes.Ran.NOT_RUN
@@ -100,31 +102,31 @@
                     ended = True
                 yield event
     finally:
-        tools.scheduler.post(scheduler_messages.Ended(seat, failed))
+        tools.scheduler.post(scheduler_messages.AttemptEnded(placement, failed))
         if not ended:
-            cancel_later(request, seat, wanted.stream_id, tools)
+            cancel_later(request, placement, wanted.stream_id, tools)
 
 
 def cancel_later(
     request: requests.Request,
-    seat: scheduler_messages.Seat,
+    placement: scheduler_messages.Placement,
     item_id: str,
     tools: tool_types.Tools,
 ) -> None:
     """Has the canceller free something on an engine."""
     until_ms = request.deadline_ms + _CANCEL_BEYOND_MS
-    tools.canceller.post(canceller.Cancel(seat.target, item_id, until_ms))
+    tools.canceller.post(canceller.Cancel(placement.target, item_id, until_ms))
 
 
 def _note_first_token(
     request: requests.Request,
-    seat: scheduler_messages.Seat,
+    placement: scheduler_messages.Placement,
     tools: tool_types.Tools,
 ) -> None:
     prefix = request.prefix
     tools.scheduler.post(
         scheduler_messages.FirstToken(
-            seat,
+            placement,
             prefix.name if prefix else "",
             prefix.tokens if prefix else 0,
         )
@@ -133,13 +135,13 @@
 
 async def _read(
     request: requests.Request,
-    seat: scheduler_messages.Seat,
+    placement: scheduler_messages.Placement,
     wanted: generations.Generation,
     tools: tool_types.Tools,
 ) -> AsyncIterator[Event]:
     stream = await streams.generate(
         tools.outside,
-        seat.target,
+        placement.target,
         wanted,
         tools.config.patience,
         request.remaining_ms(tools.outside.now_ms()),
@@ -150,7 +152,7 @@
             yield stream
             return
         if stream.report is not None:
-            tools.scheduler.post(scheduler_messages.Reported(stream.report))
+            tools.scheduler.post(scheduler_messages.LoadReported(stream.report))
         broken: outcomes.NotServed | None = None
         try:
             async for event in _drain(request, stream, tools):
@@ -166,7 +168,9 @@
             yield broken
             return
         may_resume = False
-        stream = await _resume(request, seat, wanted, stream, broken, tools)
+        stream = await _resume(
+            request, placement, wanted, stream, broken, tools
+        )
 
 
 def _is_resumable(broken: outcomes.NotServed) -> bool:
@@ -175,7 +179,7 @@
 
 async def _resume(
     request: requests.Request,
-    seat: scheduler_messages.Seat,
+    placement: scheduler_messages.Placement,
     wanted: generations.Generation,
     stream: streams.Stream,
     broken: outcomes.NotServed,
@@ -188,7 +192,7 @@
         async with asyncio.timeout(wait_ms / 1000.0):
             resumed = await streams.resume(
                 tools.outside,
-                seat.target,
+                placement.target,
                 wanted.stream_id,
                 stream.position,
                 tools.config.patience,
--- a/src/ruddergate/entry/attempt_log.py
+++ b/src/ruddergate/entry/attempt_log.py
@@ -11,24 +11,24 @@
 
 def log_start(
     request: requests.Request,
-    seats: tuple[scheduler_messages.Seat, ...],
+    placements: tuple[scheduler_messages.Placement, ...],
     progress: relay_progress.Progress,
     tools: tool_types.Tools,
 ) -> None:
     """Tells where an attempt begins, and what that choice went by."""
     now_ms = tools.outside.now_ms()
-    seat = seats[0]
+    placement = placements[0]
     tools.metrics.note_wait(request.prompt_tokens, now_ms - request.arrived_ms)
     logs.make_logger("attempt").info(
         "Attempt begins at {}.",
-        seat.target.target_id,
+        placement.target.target_id,
         request_id=request.request_id,
         route=request.payload.route.name,
-        pool=seat.target.pool,
-        hall=seat.target.hall,
+        pool=placement.target.pool,
+        hall=placement.target.hall,
         prompt_tokens=request.prompt_tokens,
-        helpers=[each.target.target_id for each in seats[1:]],
-        believed=seat.believed,
+        helpers=[each.target.target_id for each in placements[1:]],
+        believed=placement.estimated_load,
         resume_after=progress.last_id,
         sent=progress.sent,
         waited_ms=round(now_ms - request.arrived_ms),
@@ -40,7 +40,7 @@
 
 def log_failure(
     request: requests.Request,
-    seat: scheduler_messages.Seat,
+    placement: scheduler_messages.Placement,
     ended: outcomes.NotServed,
     progress: relay_progress.Progress,
     tools: tool_types.Tools,
@@ -52,7 +52,7 @@
         ended.ran.value,
         ended.detail,
         request_id=request.request_id,
-        target=seat.target.target_id,
+        target=placement.target.target_id,
         content=suspects.name_content(request),
         route=request.payload.route.name,
         sent=progress.sent,
--- a/src/ruddergate/entry/forwarding.py
+++ b/src/ruddergate/entry/forwarding.py
@@ -154,9 +154,9 @@
             async with asyncio.timeout(read_timeout_ms / 1000.0):
                 if await stream.greet() is not None:
                     return
-                asked = await stream.receive()
-            if isinstance(asked, forward.Forward):
-                await _answer(stream, asked, handle)
+                forwarded = await stream.receive()
+            if isinstance(forwarded, forward.Forward):
+                await _answer(stream, forwarded, handle)
         except (OSError, TimeoutError):
             pass  # The other entry is gone; its caller is told there.
         finally:
@@ -166,12 +166,16 @@
 
 
 async def _answer(
-    stream: frames.FrameStream, asked: forward.Forward, handle: LocalHandler
+    stream: frames.FrameStream, forwarded: forward.Forward, handle: LocalHandler
 ) -> None:
-    path, _, query = asked.path.partition("?")
-    limit = {"ruddergate-time-limit-ms": f"{max(1.0, asked.time_limit_ms):.0f}"}
-    headers = {**asked.headers, **limit}
-    incoming = message.IncomingRequest("POST", path, query, headers, asked.body)
+    path, _, query = forwarded.path.partition("?")
+    limit = {
+        "ruddergate-time-limit-ms": f"{max(1.0, forwarded.time_limit_ms):.0f}"
+    }
+    headers = {**forwarded.headers, **limit}
+    incoming = message.IncomingRequest(
+        "POST", path, query, headers, forwarded.body
+    )
     response = await handle(incoming)
     await stream.send(
         forward.ForwardHead(response.status, dict(response.headers))
--- a/src/ruddergate/entry/gang_attempt.py
+++ b/src/ruddergate/entry/gang_attempt.py
@@ -25,7 +25,7 @@
 
 async def run(
     request: requests.Request,
-    placed: scheduler_messages.Placed,
+    grant: scheduler_messages.PlacementGrant,
     delivered: tuple[str, ...],
     tools: tool_types.Tools,
 ) -> AsyncIterator[Event]:
@@ -39,37 +39,39 @@
     )
     failed: set[str] = set()
     try:
-        fault = await _reserve_all(request, placed, segments, tools)
+        fault = await _reserve_all(request, grant, segments, tools)
         if fault is None:
-            fault = await _prefill_all(request, placed, segments, tools, failed)
+            fault = await _prefill_all(request, grant, segments, tools, failed)
         if fault is not None:
             yield fault
             return
         first_token = segments[-1].first_token
         async for event in _generate(
-            request, placed, delivered, first_token, tools
+            request, grant, delivered, first_token, tools
         ):
             yield event
     finally:
-        for seat in placed.seats:
-            lost = seat.target.target_id in failed
-            tools.scheduler.post(scheduler_messages.Ended(seat, lost))
-            reservation = _make_reservation(seat, tools)
-            attempt.cancel_later(request, seat, reservation, tools)
+        for placement in grant.placements:
+            lost = placement.target.target_id in failed
+            tools.scheduler.post(
+                scheduler_messages.AttemptEnded(placement, lost)
+            )
+            reservation = _make_reservation(placement, tools)
+            attempt.cancel_later(request, placement, reservation, tools)
 
 
 async def _reserve_all(
     request: requests.Request,
-    placed: scheduler_messages.Placed,
+    grant: scheduler_messages.PlacementGrant,
     segments: tuple[gangs.Segment, ...],
     tools: tool_types.Tools,
 ) -> outcomes.NotServed | None:
-    for seat, segment in zip(placed.seats, segments, strict=True):
+    for placement, segment in zip(grant.placements, segments, strict=True):
         left_ms = request.remaining_ms(tools.outside.now_ms())
         answer = await control.reserve(
             tools.outside,
-            seat.target,
-            _make_reservation(seat, tools),
+            placement.target,
+            _make_reservation(placement, tools),
             tools.owner,
             segment.held_tokens,
             left_ms,
@@ -79,7 +81,7 @@
             # A reservation runs nothing, whatever became of it.
             return outcomes.refuse(
                 outcomes.Reason.TARGET_REFUSED,
-                f"{seat.target.target_id} has no memory to reserve",
+                f"{placement.target.target_id} has no memory to reserve",
                 1_000.0,
             )
     return None
@@ -87,30 +89,32 @@
 
 async def _prefill_all(
     request: requests.Request,
-    placed: scheduler_messages.Placed,
+    grant: scheduler_messages.PlacementGrant,
     segments: tuple[gangs.Segment, ...],
     tools: tool_types.Tools,
     failed: set[str],
 ) -> outcomes.NotServed | None:
     """Prefills all parts but the last, which generation begins with."""
     for index, segment in enumerate(segments[:-1]):
-        seat = placed.seats[index]
+        placement = grant.placements[index]
         answer = await control.prefill(
             tools.outside,
-            seat.target,
-            _make_reservation(seat, tools),
+            placement.target,
+            _make_reservation(placement, tools),
             segment,
-            _make_kv_parts(placed.seats[:index], tools),
+            _make_kv_parts(grant.placements[:index], tools),
             request.remaining_ms(tools.outside.now_ms()),
         )
         if isinstance(answer, control.Done):
-            tools.scheduler.post(scheduler_messages.FirstToken(seat, "", 0))
+            tools.scheduler.post(
+                scheduler_messages.FirstToken(placement, "", 0)
+            )
             continue
         if request.remaining_ms(tools.outside.now_ms()) <= 0.0:
             reason = outcomes.Reason.TIME_LIMIT
         else:
             reason = outcomes.Reason.TARGET_LOST
-            failed.add(seat.target.target_id)
+            failed.add(placement.target.target_id)
         # Prefill yields no answer, but it is work of a target.
         return outcomes.NotServed(
             reason, outcomes.Ran.UNKNOWN, "a part could not be prefilled"
@@ -120,18 +124,18 @@
 
 async def _generate(
     request: requests.Request,
-    placed: scheduler_messages.Placed,
+    grant: scheduler_messages.PlacementGrant,
     delivered: tuple[str, ...],
     first_token: int,
     tools: tool_types.Tools,
 ) -> AsyncIterator[Event]:
-    last = placed.seats[-1]
+    last = grant.placements[-1]
     wanted = attempt.make_generation(
         request,
         last,
         delivered,
         tools,
-        _make_kv_parts(placed.seats[:-1], tools),
+        _make_kv_parts(grant.placements[:-1], tools),
         _make_reservation(last, tools),
         first_token,
     )
@@ -140,16 +144,19 @@
 
 
 def _make_kv_parts(
-    seats: tuple[scheduler_messages.Seat, ...], tools: tool_types.Tools
+    placements: tuple[scheduler_messages.Placement, ...],
+    tools: tool_types.Tools,
 ) -> tuple[generations.KvPart, ...]:
     return tuple(
         generations.KvPart(
-            str(seat.target.address), _make_reservation(seat, tools)
+            str(placement.target.address), _make_reservation(placement, tools)
         )
-        for seat in seats
+        for placement in placements
     )
 
 
-def _make_reservation(seat: scheduler_messages.Seat, tools: tool_types.Tools) -> str:
+def _make_reservation(
+    placement: scheduler_messages.Placement, tools: tool_types.Tools
+) -> str:
     """Returns the name of a seat's reservation, unlike that of its stream."""
-    return f"{attempt.make_stream_id(seat, tools)}.part"
+    return f"{attempt.make_stream_id(placement, tools)}.part"
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -182,7 +182,9 @@
             outside,
             self._rate_limiter.charge_orders(self._orders),
             view.is_over,
-            lambda target: scheduler.post(scheduler_messages.LifeEnded(target)),
+            lambda target: scheduler.post(
+                scheduler_messages.IncarnationEnded(target)
+            ),
             self._rate_limiter.limits.is_limited,
         )
         self._leaving_check = leaving_check.LeavingCheck(
@@ -196,7 +198,9 @@
         self._lives = life_watch.LifeWatch(
             self._keeper.ask_sign,
             self._suspects.table.note_ended,
-            lambda target: scheduler.post(scheduler_messages.LifeEnded(target)),
+            lambda target: scheduler.post(
+                scheduler_messages.IncarnationEnded(target)
+            ),
             self.tools.metrics,
         )
         self._handler = relay_handler.RelayHandler(
--- a/src/ruddergate/entry/model_run.py
+++ b/src/ruddergate/entry/model_run.py
@@ -40,15 +40,17 @@
     progress = _Progress([], outcomes.Ran.NOT_RUN, 0, frozenset())
     tools.budget.note_first_attempt()
     while True:
-        placed = await _place(request, progress, tools)
-        if isinstance(placed, outcomes.NotServed):
-            yield _with_history(placed, progress)
+        grant = await _place(request, progress, tools)
+        if isinstance(grant, outcomes.NotServed):
+            yield _with_history(grant, progress)
             return
         progress.attempts += 1
-        run_once = gang_attempt.run if len(placed.seats) > 1 else attempt.run
+        run_once = (
+            gang_attempt.run if len(grant.placements) > 1 else attempt.run
+        )
         ended: outcomes.Finished | outcomes.NotServed | None = None
         async for event in run_once(
-            request, placed, tuple(progress.delivered), tools
+            request, grant, tuple(progress.delivered), tools
         ):
             if isinstance(event, parts.Tokens):
                 progress.delivered.extend(event.texts)
@@ -58,7 +60,7 @@
         if isinstance(ended, outcomes.Finished):
             yield ended
             return
-        final = await _decide(request, placed, ended, progress, tools)
+        final = await _decide(request, grant, ended, progress, tools)
         if final is not None:
             yield final
             return
@@ -66,21 +68,21 @@
 
 async def _decide(
     request: requests.Request,
-    placed: scheduler_messages.Placed,
+    grant: scheduler_messages.PlacementGrant,
     ended: outcomes.NotServed,
     progress: _Progress,
     tools: tool_types.Tools,
 ) -> outcomes.NotServed | None:
     """Returns the final outcome, or None after the pause for a retry."""
     tools.metrics.attempts.inc({"result": ended.reason.value})
-    if _is_outrun(placed, ended):
+    if _is_outrun(grant, ended):
         # Another gang took the memory first: no work was lost, and waiting
         # in the queue again costs the engines nothing.
         pause_ms = tools.outside.random.uniform(*_OUTRUN_PAUSE_MS)
         await asyncio.sleep(pause_ms / 1000.0)
         return None
     progress.ran = worse(progress.ran, ended.ran)
-    failed = {seat.target.target_id for seat in placed.seats}
+    failed = {placement.target.target_id for placement in grant.placements}
     progress.excluded = progress.excluded | failed
     now_ms = tools.outside.now_ms()
     needed = _predict(request, progress)
@@ -103,7 +105,7 @@
     request: requests.Request,
     progress: _Progress,
     tools: tool_types.Tools,
-) -> scheduler_messages.Placed | outcomes.NotServed:
+) -> scheduler_messages.PlacementGrant | outcomes.NotServed:
     now_ms = tools.outside.now_ms()
     pool = request.workload.pool
     segments: tuple[gangs.Segment, ...] = ()
@@ -118,7 +120,7 @@
     cost = _predict(request, progress)
     band = length_band.find_band(request.prompt_tokens)
     prefix = request.prefix
-    asked = scheduler_messages.Place(
+    placement_request = scheduler_messages.PlacementRequest(
         job=queueing.Job(
             job_id=f"{request.request_id}.{progress.attempts}",
             priority=request.workload.priority,
@@ -142,19 +144,19 @@
         excluded=progress.excluded,
         reply=asyncio.get_running_loop().create_future(),
     )
-    return await place_in_time(request, asked, tools)
+    return await place_in_time(request, placement_request, tools)
 
 
 async def place_in_time(
     request: requests.Request,
-    asked: scheduler_messages.Place,
+    placement_request: scheduler_messages.PlacementRequest,
     tools: tool_types.Tools,
-) -> scheduler_messages.Placed | outcomes.NotServed:
+) -> scheduler_messages.PlacementGrant | outcomes.NotServed:
     """Waits for a place until the time limit."""
     left_ms = request.remaining_ms(tools.outside.now_ms())
     try:
         async with asyncio.timeout(left_ms / 1000.0):
-            return await tools.scheduler.place(asked)
+            return await tools.scheduler.place(placement_request)
     except TimeoutError:
         return outcomes.refuse(
             outcomes.Reason.TIME_LIMIT, "time was up while it waited"
@@ -197,9 +199,11 @@
     return dataclasses.replace(ended, ran=ran)
 
 
-def _is_outrun(placed: scheduler_messages.Placed, ended: outcomes.NotServed) -> bool:
+def _is_outrun(
+    grant: scheduler_messages.PlacementGrant, ended: outcomes.NotServed
+) -> bool:
     return (
-        len(placed.seats) > 1
+        len(grant.placements) > 1
         and ended.ran is outcomes.Ran.NOT_RUN
         and ended.reason is outcomes.Reason.TARGET_REFUSED
     )
--- a/src/ruddergate/entry/seating.py
+++ b/src/ruddergate/entry/placing.py
@@ -15,7 +15,7 @@
 from ruddergate.entry import scheduler_messages
 
 
-class Seating:
+class Placer:
     """Chooses targets and notes on them what they are given.
 
     Owned by the scheduler task, like the estimates that it changes.
@@ -47,13 +47,13 @@
         """Whether engines are to prefill shorter prompts first."""
         return self._policy.shorter_first
 
-    def seat(
+    def place(
         self,
-        asked: scheduler_messages.Place,
+        request: scheduler_messages.PlacementRequest,
         usable: list[estimates.Estimate],
         now_ms: float,
         is_blind: bool = False,
-    ) -> tuple[scheduler_messages.Seat, ...]:
+    ) -> tuple[scheduler_messages.Placement, ...]:
         """Returns the seats of a request, or none if it is better kept waiting.
 
         Args:
@@ -65,29 +65,31 @@
         candidates = [
             each
             for each in usable
-            if each.target.target_id not in asked.excluded
+            if each.target.target_id not in request.excluded
         ] or usable
-        if asked.pool.pool_kind == "service":
-            return self._seat_service(asked, candidates, now_ms)
-        if asked.segments:
-            return self._seat_gang(asked, candidates, now_ms)
-        if costs.is_long(asked.pool, asked.route.prompt_tokens):
+        if request.pool.pool_kind == "service":
+            return self._place_on_service(request, candidates, now_ms)
+        if request.segments:
+            return self._place_gang(request, candidates, now_ms)
+        if costs.is_long(request.pool, request.route.prompt_tokens):
             # What helpers of a prompt are asked takes many requests.
             candidates = [
                 each
                 for each in candidates
                 if not self._is_limited(each.target.target_id)
             ] or candidates
-        waited_ms = now_ms - asked.route.waited_ms
+        waited_ms = now_ms - request.route.waited_ms
         route = dataclasses.replace(
-            asked.route, waited_ms=waited_ms, is_blind=is_blind
+            request.route, waited_ms=waited_ms, is_blind=is_blind
         )
         chosen = self._policy.choose(route, candidates, now_ms, self._chance)
         if chosen is None:
             return ()
         cached = min(route.prefix_tokens, chosen.cached_tokens(route.prefix))
         fresh = route.prompt_tokens - cached
-        shares = gangs.split_memory(route.held_tokens, asked.pool.memory_tokens)
+        shares = gangs.split_memory(
+            route.held_tokens, request.pool.memory_tokens
+        )
         helpers = ()
         if not self._is_limited(chosen.target.target_id):
             helpers = self._policy.choose_helpers(
@@ -99,8 +101,8 @@
         if not self._policy.splits_memory:
             shares = (route.held_tokens,)
         return tuple(
-            self._sit(
-                asked,
+            self._start_attempt(
+                request,
                 each,
                 fresh // parts,
                 shares[index] if index < len(shares) else 0,
@@ -112,50 +114,50 @@
             for index, each in enumerate((chosen, *helpers))
         )
 
-    def _seat_service(
+    def _place_on_service(
         self,
-        asked: scheduler_messages.Place,
+        request: scheduler_messages.PlacementRequest,
         candidates: list[estimates.Estimate],
         now_ms: float,
-    ) -> tuple[scheduler_messages.Seat, ...]:
-        most = asked.pool.service_concurrency
+    ) -> tuple[scheduler_messages.Placement, ...]:
+        most = request.pool.service_concurrency
         free = [each for each in candidates if each.streams(now_ms) < most]
         if not free:
             return ()
         chosen = self._service_policy.choose(
-            asked.route, free, now_ms, self._chance
+            request.route, free, now_ms, self._chance
         )
-        return (self._sit(asked, chosen, 0, 0, 0, now_ms),)
+        return (self._start_attempt(request, chosen, 0, 0, 0, now_ms),)
 
-    def _seat_gang(
+    def _place_gang(
         self,
-        asked: scheduler_messages.Place,
+        request: scheduler_messages.PlacementRequest,
         candidates: list[estimates.Estimate],
         now_ms: float,
-    ) -> tuple[scheduler_messages.Seat, ...]:
-        needed = max(segment.held_tokens for segment in asked.segments)
+    ) -> tuple[scheduler_messages.Placement, ...]:
+        needed = max(segment.held_tokens for segment in request.segments)
         room = [
             each
             for each in candidates
             if each.pool.memory_tokens - each.held_tokens(now_ms) >= needed
             and not each.long_tokens(now_ms)
         ]
-        if len(room) < len(asked.segments):
+        if len(room) < len(request.segments):
             return ()
         room.sort(key=lambda each: each.waiting_tokens(now_ms))
-        chosen = room[: len(asked.segments)]
+        chosen = room[: len(request.segments)]
         # One global order, so that two gangs never wait for each other.
         chosen.sort(key=lambda each: each.target.target_id)
         return tuple(
-            self._sit(
-                asked, each, segment.tokens, segment.held_tokens, 0, now_ms
+            self._start_attempt(
+                request, each, segment.tokens, segment.held_tokens, 0, now_ms
             )
-            for each, segment in zip(chosen, asked.segments, strict=True)
+            for each, segment in zip(chosen, request.segments, strict=True)
         )
 
-    def _sit(
+    def _start_attempt(
         self,
-        asked: scheduler_messages.Place,
+        request: scheduler_messages.PlacementRequest,
         chosen: estimates.Estimate,
         fresh_tokens: int,
         held_tokens: int,
@@ -163,9 +165,9 @@
         now_ms: float,
         parts: int = 1,
         is_writing: bool = True,
-    ) -> scheduler_messages.Seat:
+    ) -> scheduler_messages.Placement:
         attempt_id = environment.make_token(self._chance)
-        band = length_band.find_band(asked.route.prompt_tokens)
+        band = length_band.find_band(request.route.prompt_tokens)
         is_long = costs.is_long(chosen.pool, fresh_tokens * parts)
         prefill_ms = costs.predict_prefill_ms(chosen.pool, fresh_tokens * parts)
         work = own_work.OwnWork(
@@ -175,12 +177,16 @@
             band,
             prefill_ms / parts,
             is_long,
-            pause_class.find_class(asked.route.pause_aim_ms),
+            pause_class.find_class(request.route.pause_aim_ms),
             is_writing,
         )
-        believed = chosen.describe(now_ms)
+        estimated_load = chosen.describe(now_ms)
         chosen.begin(attempt_id, work)
         self._note_change()
-        return scheduler_messages.Seat(
-            chosen.target, attempt_id, cached_tokens, believed, held_tokens
+        return scheduler_messages.Placement(
+            chosen.target,
+            attempt_id,
+            cached_tokens,
+            estimated_load,
+            held_tokens,
         )
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -69,14 +69,14 @@
     def __init__(
         self,
         request: requests.Request,
-        placed: scheduler_messages.Placed,
+        grant: scheduler_messages.PlacementGrant,
         progress: relay_progress.Progress,
         send: errands.Send,
         keeper: reservation_keeper.ReservationKeeper,
         tools: tool_types.Tools,
     ) -> None:
         self._request = request
-        self._seats = placed.seats
+        self._seats = grant.placements
         self._progress = progress
         self._send = send
         self._keeper = keeper
@@ -134,14 +134,16 @@
         refusal = refusal or self._refuse_withdrawn()
         if refusal is not None:
             return refusal
-        seat = self._seats[0]
-        refusal = self._tools.admit(seat.target, seat.attempt_id)
+        placement = self._seats[0]
+        refusal = self._tools.admit(placement.target, placement.attempt_id)
         self._has_token = refusal is None
         return refusal
 
     def _refuse_withdrawn(self) -> outcomes.NotServed | None:
         """Returns a refusal if the target or a helper takes no calls now."""
-        return self._tools.refuse_send([seat.target for seat in self._seats])
+        return self._tools.refuse_send(
+            [placement.target for placement in self._seats]
+        )
 
     async def _ask_signs(self) -> tuple[orders.Sign, ...]:
         """Returns signs of life of this attempt's targets, once one has failed.
@@ -153,7 +155,7 @@
         if not self._progress.helpers_failed:
             return ()
         return await self._keeper.ask_signs(
-            [seat.target for seat in self._seats]
+            [placement.target for placement in self._seats]
         )
 
     def _give_up_unsent(
@@ -161,13 +163,13 @@
     ) -> outcomes.NotServed:
         """Returns the outcome; nothing was sent."""
         missing = tuple(
-            seat.target.target_id
-            for seat, sign in zip(self._seats, signs, strict=True)
+            placement.target.target_id
+            for placement, sign in zip(self._seats, signs, strict=True)
             if sign is not orders.Sign.ALIVE
         )
         self._out_of_reach |= {
-            seat.target.target_id
-            for seat, sign in zip(self._seats, signs, strict=True)
+            placement.target.target_id
+            for placement, sign in zip(self._seats, signs, strict=True)
             if sign is orders.Sign.SILENT
         }
         self._gone |= set(missing) - self._out_of_reach
@@ -218,7 +220,7 @@
         meanwhile the prompt may be read again with another helper. Where it
         may not be sent again, this waits for as long as the target does.
         """
-        helpers = [seat.target.life for seat in self._seats[1:]]
+        helpers = [placement.target.life for placement in self._seats[1:]]
         life = await self._tools.scheduler.ends.wait_for_any(helpers)
         request = self._request
         is_great = length_band.is_long(request.prompt_tokens)
@@ -260,7 +262,9 @@
         """Takes an event in; returns whether it is to be handed on."""
         match event:
             case answers.LoadTold():
-                self._tools.scheduler.post(scheduler_messages.Reported(event.report))
+                self._tools.scheduler.post(
+                    scheduler_messages.LoadReported(event.report)
+                )
                 return False
             case answers.FaultTold():
                 self._at_fault.add(event.target_id)
@@ -315,19 +319,21 @@
         request = self._request
         took_ms = self._tools.outside.now_ms() - request.arrived_ms
         self._tools.metrics.note_first_token(request.prompt_tokens, took_ms)
-        for seat in self._seats:
-            self._tools.scheduler.post(scheduler_messages.FirstToken(seat, "", 0))
+        for placement in self._seats:
+            self._tools.scheduler.post(
+                scheduler_messages.FirstToken(placement, "", 0)
+            )
 
     def _post_ends(self) -> None:
         writers_hall = self._seats[0].target.hall
-        for seat in self._seats:
-            name = seat.target.target_id
+        for placement in self._seats:
+            name = placement.target.target_id
             # A helper that a target blames may well be out of its reach.
             is_blamed = name in self._progress.blamed
-            is_away = seat.target.hall != writers_hall
+            is_away = placement.target.hall != writers_hall
             self._tools.scheduler.post(
-                scheduler_messages.Ended(
-                    seat,
+                scheduler_messages.AttemptEnded(
+                    placement,
                     name in self._at_fault,
                     name in self._out_of_reach or (is_blamed and is_away),
                     self._has_answered,
@@ -339,11 +345,13 @@
         """Returns the memory to set aside on helpers, by target."""
         owner = f"{self._tools.config.vm_id}.{self._tools.incarnation}"
         return {
-            seat.target.target_id: orders.Reservation(
-                seat.target, f"{owner}.{seat.attempt_id}", seat.held_tokens
+            placement.target.target_id: orders.Reservation(
+                placement.target,
+                f"{owner}.{placement.attempt_id}",
+                placement.held_tokens,
             )
-            for seat in self._seats[1:]
-            if seat.held_tokens
+            for placement in self._seats[1:]
+            if placement.held_tokens
         }
 
     def _make_errand(
@@ -358,7 +366,8 @@
             urgency=_find_urgency(request),
             resume_after=self._progress.last_id,
             helpers=tuple(
-                _make_helper(seat, reservations) for seat in self._seats[1:]
+                _make_helper(placement, reservations)
+                for placement in self._seats[1:]
             ),
             patience=self._find_patience(),
             refuse=self._refuse_send,
@@ -394,11 +403,14 @@
 
 
 def _make_helper(
-    seat: scheduler_messages.Seat, reservations: dict[str, orders.Reservation]
+    placement: scheduler_messages.Placement,
+    reservations: dict[str, orders.Reservation],
 ) -> errands.Helper:
-    held = reservations.get(seat.target.target_id)
+    held = reservations.get(placement.target.target_id)
     return errands.Helper(
-        seat.target.target_id, seat.target.address, held.name if held else ""
+        placement.target.target_id,
+        placement.target.address,
+        held.name if held else "",
     )
 
 
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -80,13 +80,13 @@
         return
     tools.budget.note_first_attempt()
     while True:
-        placed = await _place(request, progress, tools)
-        if isinstance(placed, outcomes.NotServed):
-            yield _conclude(placed, progress)
+        grant = await _place(request, progress, tools)
+        if isinstance(grant, outcomes.NotServed):
+            yield _conclude(grant, progress)
             return
         ended: answers.Event | None = None
         attempt = relay_attempt.RelayAttempt(
-            request, placed, progress, send, keeper, tools
+            request, grant, progress, send, keeper, tools
         )
         async with contextlib.aclosing(attempt.run()) as events:
             async for event in events:
@@ -99,7 +99,7 @@
         if isinstance(ended, answers.StreamEnd):
             yield ended
             return
-        final = await _decide(request, placed, ended, progress, tools)
+        final = await _decide(request, grant, ended, progress, tools)
         if final is not None:
             yield final
             return
@@ -107,7 +107,7 @@
 
 async def _decide(
     request: requests.Request,
-    placed: scheduler_messages.Placed,
+    grant: scheduler_messages.PlacementGrant,
     ended: answers.Event | None,
     progress: relay_progress.Progress,
     tools: tool_types.Tools,
@@ -125,22 +125,22 @@
     if ended is None:
         raise AssertionError("an attempt ended without an outcome")
     route = request.payload.route
-    seat = placed.seats[0]
-    attempt_log.log_failure(request, seat, ended, progress, tools)
+    placement = grant.placements[0]
+    attempt_log.log_failure(request, placement, ended, progress, tools)
     tools.metrics.attempts.inc({"result": ended.reason.value})
     progress.ran = model_run.worse(progress.ran, ended.ran)
     if ended.reason not in _NOTHING_SENT:
-        progress.sent_to |= {seat.target.target_id}
+        progress.sent_to |= {placement.target.target_id}
     if _is_helpers_fault(ended, progress):
         # The target itself may well take the call, with other helpers; it is
         # the same target, and so no further one that was sent the call.
-        progress.pinned = seat.target.target_id
+        progress.pinned = placement.target.target_id
         progress.helpers_failed += 1
         return await _try_again(request, ended, progress, tools)
     if ended.reason not in _KEEP_PINNED:
         progress.pinned = ""
     if ended.reason not in _NOT_THE_WRITERS:
-        progress.excluded |= {seat.target.target_id}
+        progress.excluded |= {placement.target.target_id}
     if ended.reason in _NOTHING_SENT:
         return _conclude_unsent(ended, progress)
     progress.sent += 1
@@ -212,21 +212,23 @@
     request: requests.Request,
     progress: relay_progress.Progress,
     tools: tool_types.Tools,
-) -> scheduler_messages.Placed | outcomes.NotServed:
+) -> scheduler_messages.PlacementGrant | outcomes.NotServed:
     """Waits for a place: ahead of late calls first, and then among them."""
     for is_late, wait_ms in _find_waits(request, progress, tools):
         left_ms = request.remaining_ms(tools.outside.now_ms())
         wait_ms = min(wait_ms, left_ms)
         if wait_ms <= 0.0:
             continue
-        asked = _make_place(request, progress, tools, is_late, wait_ms)
+        placement_request = _make_place(
+            request, progress, tools, is_late, wait_ms
+        )
         try:
             async with asyncio.timeout(wait_ms / 1000.0):
-                placed = await tools.scheduler.place(asked)
+                grant = await tools.scheduler.place(placement_request)
         except TimeoutError:
             continue
-        if is_late or not _is_too_long_a_wait(placed):
-            return placed
+        if is_late or not _is_too_long_a_wait(grant):
+            return grant
     return outcomes.refuse(
         outcomes.Reason.NO_TARGET,
         f"no target of pool {request.workload.pool.name} can be used now",
@@ -235,11 +237,11 @@
 
 
 def _is_too_long_a_wait(
-    placed: scheduler_messages.Placed | outcomes.NotServed,
+    grant: scheduler_messages.PlacementGrant | outcomes.NotServed,
 ) -> bool:
     return (
-        isinstance(placed, outcomes.NotServed)
-        and placed.reason is outcomes.Reason.CANNOT_FINISH_IN_TIME
+        isinstance(grant, outcomes.NotServed)
+        and grant.reason is outcomes.Reason.CANNOT_FINISH_IN_TIME
     )
 
 
@@ -262,7 +264,7 @@
     tools: tool_types.Tools,
     is_late: bool,
     wait_ms: float,
-) -> scheduler_messages.Place:
+) -> scheduler_messages.PlacementRequest:
     now_ms = tools.outside.now_ms()
     pool = request.workload.pool
     route = request.payload.route
@@ -274,7 +276,7 @@
         pool, request.prompt_tokens, 0, request.output_tokens_expected
     )
     band = length_band.find_band(request.prompt_tokens)
-    return scheduler_messages.Place(
+    return scheduler_messages.PlacementRequest(
         job=queueing.Job(
             job_id=f"{request.request_id}.{progress.sent}."
             f"{progress.unreachable}.{now_ms}",
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -19,7 +19,7 @@
 from ruddergate.decisions.routing import by_name
 from ruddergate.entry import config as configs
 from ruddergate.entry import scheduler_messages
-from ruddergate.entry import seating as seatings
+from ruddergate.entry import placing as placings
 from ruddergate.entry import target_losses
 from ruddergate.entry import target_table
 from ruddergate.entry import view as views
@@ -49,12 +49,12 @@
 
 
 Message = (
-    scheduler_messages.Place
-    | scheduler_messages.Withdraw
+    scheduler_messages.PlacementRequest
+    | scheduler_messages.CancelPlacement
     | scheduler_messages.FirstToken
-    | scheduler_messages.Ended
-    | scheduler_messages.LifeEnded
-    | scheduler_messages.Reported
+    | scheduler_messages.AttemptEnded
+    | scheduler_messages.IncarnationEnded
+    | scheduler_messages.LoadReported
     | load_messages.Loads
     | ViewChanged
 )
@@ -109,7 +109,7 @@
         self._outside = outside
         self._config = config
         self._view = view
-        self._seating = seatings.Seating(
+        self._placer = placings.Placer(
             outside.random,
             by_name.make_policy(config.policy),
             by_name.make_policy(config.service_policy),
@@ -118,7 +118,7 @@
         )
         self._inbox: asyncio.Queue[Message] = asyncio.Queue()
         self._queues: dict[str, queueing.Queue] = {}
-        self._asked: dict[str, scheduler_messages.Place] = {}
+        self._pending: dict[str, scheduler_messages.PlacementRequest] = {}
         self._table = target_table.TargetTable(
             view, self._withdrawn, self._limits
         )
@@ -133,17 +133,17 @@
 
     def shorter_first(self) -> bool:
         """Returns whether engines are to prefill shorter prompts first."""
-        return self._seating.shorter_first
+        return self._placer.shorter_first
 
     async def place(
-        self, asked: scheduler_messages.Place
-    ) -> scheduler_messages.Placed | outcomes.NotServed:
+        self, request: scheduler_messages.PlacementRequest
+    ) -> scheduler_messages.PlacementGrant | outcomes.NotServed:
         """Asks for a place and waits for the answer."""
-        self.post(asked)
+        self.post(request)
         try:
-            return await asked.reply
+            return await request.reply
         except asyncio.CancelledError:
-            self.post(scheduler_messages.Withdraw(asked))
+            self.post(scheduler_messages.CancelPlacement(request))
             raise
 
     def summarize(self) -> tuple[dispatched.Dispatched, ...]:
@@ -228,39 +228,41 @@
     def _take(self, message: Message) -> None:
         now_ms = self._outside.now_ms()
         match message:
-            case scheduler_messages.Place():
+            case scheduler_messages.PlacementRequest():
                 self._take_place(message, now_ms)
-            case scheduler_messages.Withdraw():
-                self._take_withdraw(message.asked)
+            case scheduler_messages.CancelPlacement():
+                self._take_withdraw(message.request)
             case scheduler_messages.FirstToken():
                 self._take_first_token(message, now_ms)
-            case scheduler_messages.Ended():
+            case scheduler_messages.AttemptEnded():
                 self._take_ended(message, now_ms)
-            case scheduler_messages.LifeEnded():
+            case scheduler_messages.IncarnationEnded():
                 self._take_life_ended(message.target, now_ms)
-            case scheduler_messages.Reported():
+            case scheduler_messages.LoadReported():
                 self._take_report(message.report, now_ms)
             case load_messages.Loads():
                 self._take_loads(message, now_ms)
             case ViewChanged():
                 self._take_view(now_ms)
 
-    def _take_place(self, asked: scheduler_messages.Place, now_ms: float) -> None:
-        if asked.reply.cancelled():
+    def _take_place(
+        self, request: scheduler_messages.PlacementRequest, now_ms: float
+    ) -> None:
+        if request.reply.cancelled():
             return
-        queue = self._find_queue(asked.pool.name)
-        if not self._table.has_pool(asked.pool.name):
-            _answer(asked, _refuse_no_target(asked.pool.name))
+        queue = self._find_queue(request.pool.name)
+        if not self._table.has_pool(request.pool.name):
+            _answer(request, _refuse_no_target(request.pool.name))
             return
-        first_ms = self._find_turn_ms(asked.pool.name, len(queue), now_ms)
-        if first_ms > asked.job.deadline_ms:
-            _answer(asked, self._refuse_until(asked.pool.name, first_ms))
+        first_ms = self._find_turn_ms(request.pool.name, len(queue), now_ms)
+        if first_ms > request.job.deadline_ms:
+            _answer(request, self._refuse_until(request.pool.name, first_ms))
             return
-        refusal = queue.offer(asked.job, now_ms)
+        refusal = queue.offer(request.job, now_ms)
         if refusal is not None:
-            _answer(asked, refusal)
+            _answer(request, refusal)
             return
-        self._asked[asked.job.job_id] = asked
+        self._pending[request.job.job_id] = request
 
     def _find_turn_ms(self, pool: str, ahead: int, now_ms: float) -> float:
         """Returns when a pool takes a call, as far as targets turn calls away.
@@ -278,48 +280,56 @@
             return first_ms
         return first_ms + ahead / capacity_per_s * 1_000.0
 
-    def _take_withdraw(self, asked: scheduler_messages.Place) -> None:
-        self._asked.pop(asked.job.job_id, None)
-        if self._find_queue(asked.pool.name).withdraw(asked.job):
+    def _take_withdraw(
+        self, request: scheduler_messages.PlacementRequest
+    ) -> None:
+        self._pending.pop(request.job.job_id, None)
+        if self._find_queue(request.pool.name).withdraw(request.job):
             return
-        if asked.reply.done() and not asked.reply.cancelled():
-            placed = asked.reply.result()
-            if isinstance(placed, scheduler_messages.Placed):
-                self._release(placed)
-
-    def _release(self, placed: scheduler_messages.Placed) -> None:
-        for seat in placed.seats:
-            self._limits.note_unplaced(seat.target.target_id, seat.attempt_id)
-            estimate = self._table.find(seat.target)
+        if request.reply.done() and not request.reply.cancelled():
+            grant = request.reply.result()
+            if isinstance(grant, scheduler_messages.PlacementGrant):
+                self._release(grant)
+
+    def _release(self, grant: scheduler_messages.PlacementGrant) -> None:
+        for placement in grant.placements:
+            self._limits.note_unplaced(
+                placement.target.target_id, placement.attempt_id
+            )
+            estimate = self._table.find(placement.target)
             if estimate is not None:
-                estimate.end(seat.attempt_id)
+                estimate.end(placement.attempt_id)
 
     def _take_first_token(
         self, message: scheduler_messages.FirstToken, now_ms: float
     ) -> None:
-        estimate = self._table.find(message.seat.target)
+        estimate = self._table.find(message.placement.target)
         if estimate is None:
             return
         self._withdrawn.note_served(estimate.target.life, now_ms)
-        if estimate.first_token(message.seat.attempt_id, now_ms):
+        if estimate.first_token(message.placement.attempt_id, now_ms):
             self._note_change()
         if message.prefix:
             estimate.note_prefix(message.prefix, message.prefix_tokens)
 
-    def _take_ended(self, message: scheduler_messages.Ended, now_ms: float) -> None:
-        target = message.seat.target
-        self._limits.note_unplaced(target.target_id, message.seat.attempt_id)
+    def _take_ended(
+        self, message: scheduler_messages.AttemptEnded, now_ms: float
+    ) -> None:
+        target = message.placement.target
+        self._limits.note_unplaced(
+            target.target_id, message.placement.attempt_id
+        )
         estimate = self._table.find(target)
         if estimate is None:
             return
-        estimate.end(message.seat.attempt_id)
-        if message.unreachable:
+        estimate.end(message.placement.attempt_id)
+        if message.is_unreachable:
             self._losses.note_silent(target, now_ms)
-        elif message.gone:
+        elif message.has_exited:
             self._losses.note_gone(target, now_ms)
-        if message.failed:
+        if message.is_target_fault:
             estimate.note_fault(now_ms)
-        elif message.answered:
+        elif message.has_answered:
             self._withdrawn.note_served(target.life, now_ms)
             self._losses.note_answered(target, now_ms)
             estimate.answered_ms = now_ms
@@ -392,13 +402,13 @@
 
     def _expire(self, queue: queueing.Queue, now_ms: float) -> None:
         for job in queue.expire(now_ms):
-            asked = self._asked.pop(job.job_id)
+            request = self._pending.pop(job.job_id)
             refusal = outcomes.refuse(
                 outcomes.Reason.CANNOT_FINISH_IN_TIME,
                 "it could no longer have finished in time",
                 _GONE_RETRY_MS,
             )
-            _answer(asked, refusal)
+            _answer(request, refusal)
 
     def _give_places_of(
         self, pool: str, queue: queueing.Queue, now_ms: float
@@ -412,27 +422,29 @@
         if not usable:
             self._refuse_hopeless(pool, queue, now_ms)
         while usable and (job := queue.take(now_ms, closed)) is not None:
-            asked = self._asked[job.job_id]
-            seats = self._seating.seat(asked, usable, now_ms, self._is_blind())
-            if not seats:
+            request = self._pending[job.job_id]
+            placements = self._placer.place(
+                request, usable, now_ms, self._is_blind()
+            )
+            if not placements:
                 queue.put_back(job, now_ms)
                 closed.add(job.lane)
                 rest_ms = self._outside.random.uniform(*_LANE_REST_MS)
                 self._lane_rests_until_ms[job.lane] = now_ms + rest_ms
                 continue
-            del self._asked[job.job_id]
-            first = seats[0]
+            del self._pending[job.job_id]
+            first = placements[0]
             self._limits.note_placed(
                 first.target.target_id, first.attempt_id, now_ms
             )
-            if any(self._takes_few(each.target) for each in seats):
+            if any(self._takes_few(each.target) for each in placements):
                 usable = self._find_usable(pool, now_ms)
-            placed = scheduler_messages.Placed(seats)
-            if asked.reply.done():
+            grant = scheduler_messages.PlacementGrant(placements)
+            if request.reply.done():
                 # Given up in this moment; its withdrawal is still under way.
-                self._release(placed)
+                self._release(grant)
             else:
-                asked.reply.set_result(placed)
+                request.reply.set_result(grant)
 
     def _takes_few(self, target: targets.Target) -> bool:
         """Returns whether a call given to a target may have been its last."""
@@ -448,8 +460,8 @@
         hopeless = [job for job in queue.jobs() if first_ms > job.deadline_ms]
         for job in hopeless:
             queue.withdraw(job)
-            asked = self._asked.pop(job.job_id)
-            _answer(asked, self._refuse_until(pool, first_ms))
+            request = self._pending.pop(job.job_id)
+            _answer(request, self._refuse_until(pool, first_ms))
 
     def _refuse_until(self, pool: str, first_ms: float) -> outcomes.NotServed:
         """Returns the refusal of what no target takes before that time."""
@@ -493,10 +505,11 @@
 
 
 def _answer(
-    asked: scheduler_messages.Place, answer: scheduler_messages.Placed | outcomes.NotServed
+    request: scheduler_messages.PlacementRequest,
+    answer: scheduler_messages.PlacementGrant | outcomes.NotServed,
 ) -> None:
-    if not asked.reply.done():
-        asked.reply.set_result(answer)
+    if not request.reply.done():
+        request.reply.set_result(answer)
 
 
 def _refuse_no_target(pool: str) -> outcomes.NotServed:
--- a/src/ruddergate/entry/scheduler_messages.py
+++ b/src/ruddergate/entry/scheduler_messages.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seat:
+class Placement:
     """One target given to an attempt.
 
     Attributes:
@@ -27,19 +27,19 @@
     target: targets.Target
     attempt_id: str
     cached_tokens: int
-    believed: str = ""
+    estimated_load: str = ""
     held_tokens: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Placed:
+class PlacementGrant:
     """A request may go now; one seat, or one for each part of a gang."""
 
-    seats: tuple[Seat, ...]
+    placements: tuple[Placement, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class PlacementRequest:
     """Asks for a place; the answer is set on `reply`.
 
     Attributes:
@@ -48,7 +48,7 @@
         pool: Its pool.
         segments: Parts of a prompt that spans a gang; else empty.
         excluded: Targets that have failed this request.
-        reply: Gets a Placed or a NotServed.
+        reply: Gets a PlacementGrant or a NotServed.
     """
 
     job: queueing.Job
@@ -56,27 +56,27 @@
     pool: effective.Pool
     segments: tuple[gangs.Segment, ...]
     excluded: frozenset[str]
-    reply: "asyncio.Future[Placed | outcomes.NotServed]"
+    reply: "asyncio.Future[PlacementGrant | outcomes.NotServed]"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Withdraw:
+class CancelPlacement:
     """Takes back a request for a place, or a place just given."""
 
-    asked: Place
+    request: PlacementRequest
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FirstToken:
     """An attempt's prefill has ended."""
 
-    seat: Seat
+    placement: Placement
     prefix: str
     prefix_tokens: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptEnded:
     """An attempt has ended.
 
     Attributes:
@@ -87,22 +87,22 @@
         gone: Whether nobody or another target answered in its place.
     """
 
-    seat: Seat
-    failed: bool
-    unreachable: bool = False
-    answered: bool = True
-    gone: bool = False
+    placement: Placement
+    is_target_fault: bool
+    is_unreachable: bool = False
+    has_answered: bool = True
+    has_exited: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LifeEnded:
+class IncarnationEnded:
     """A target was found to have ended, whatever was running there."""
 
     target: targets.Target
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reported:
+class LoadReported:
     """A target told its load with an answer."""
 
     report: load_report.LoadReport
--- a/src/ruddergate/entry/service_run.py
+++ b/src/ruddergate/entry/service_run.py
@@ -25,16 +25,16 @@
     attempts = 0
     tools.budget.note_first_attempt()
     while True:
-        placed = await _place(request, attempts, excluded, tools)
-        if isinstance(placed, outcomes.NotServed):
-            return _with_ran(placed, ran)
+        grant = await _place(request, attempts, excluded, tools)
+        if isinstance(grant, outcomes.NotServed):
+            return _with_ran(grant, ran)
         attempts += 1
-        seat = placed.seats[0]
-        answer = await _call(request, seat, tools)
+        placement = grant.placements[0]
+        answer = await _call(request, placement, tools)
         if isinstance(answer, service_calls.ServiceAnswer):
             return answer
         ran = model_run.worse(ran, answer.ran)
-        excluded = excluded | {seat.target.target_id}
+        excluded = excluded | {placement.target.target_id}
         decided = retries.decide(
             answer,
             request.repeatable,
@@ -51,7 +51,7 @@
 
 async def _call(
     request: requests.Request,
-    seat: scheduler_messages.Seat,
+    placement: scheduler_messages.Placement,
     tools: tool_types.Tools,
 ) -> service_calls.ServiceAnswer | outcomes.NotServed:
     failed = True
@@ -59,14 +59,14 @@
         with tools.tracer.span("attempt", request.traceparent):
             answer = await service_calls.call(
                 tools.outside,
-                seat.target,
+                placement.target,
                 request,
                 request.remaining_ms(tools.outside.now_ms()),
             )
         failed = isinstance(answer, outcomes.NotServed)
         return answer
     finally:
-        tools.scheduler.post(scheduler_messages.Ended(seat, failed))
+        tools.scheduler.post(scheduler_messages.AttemptEnded(placement, failed))
 
 
 async def _place(
@@ -74,10 +74,10 @@
     attempts: int,
     excluded: frozenset[str],
     tools: tool_types.Tools,
-) -> scheduler_messages.Placed | outcomes.NotServed:
+) -> scheduler_messages.PlacementGrant | outcomes.NotServed:
     now_ms = tools.outside.now_ms()
     pool = request.workload.pool
-    asked = scheduler_messages.Place(
+    placement_request = scheduler_messages.PlacementRequest(
         job=queueing.Job(
             job_id=f"{request.request_id}.{attempts}",
             priority=request.workload.priority,
@@ -94,7 +94,7 @@
         excluded=excluded,
         reply=asyncio.get_running_loop().create_future(),
     )
-    return await model_run.place_in_time(request, asked, tools)
+    return await model_run.place_in_time(request, placement_request, tools)
 
 
 def _with_ran(
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -165,7 +165,7 @@
             cluster.targets[helper.target_id.partition(".")[0]]
         )
         other = cluster.vms["vm-1"].gateway.tools.scheduler
-        other.post(scheduler_messages.LifeEnded(helper))
+        other.post(scheduler_messages.IncarnationEnded(helper))
         got = await calling
         self.assertEqual((got.status, got.is_whole), (200, True))
         return got
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -140,8 +140,12 @@
 
     def test_failures_of_the_former_life(self) -> None:
         for born_ms, is_used in ((5, True), (6, False)):
-            seat = scheduler_messages.Seat(_make_target(born_ms), "attempt", 0)
-            ended = scheduler_messages.Ended(seat, failed=True, answered=False)
+            seat = scheduler_messages.Placement(
+                _make_target(born_ms), "attempt", 0
+            )
+            ended = scheduler_messages.AttemptEnded(
+                seat, is_target_fault=True, has_answered=False
+            )
             self.assertIs(self._play(*[ended] * 4), is_used)
 
     def test_reports_of_the_former_life(self) -> None:
@@ -149,7 +153,9 @@
             report = load_report.LoadReport(
                 "engine-1", "g", 0, 0, 0, True, 0.0, born_ms
             )
-            self.assertIs(self._play(scheduler_messages.Reported(report)), is_used)
+            self.assertIs(
+                self._play(scheduler_messages.LoadReported(report)), is_used
+            )
 
     def test_losses_told_by_peers(self) -> None:
         self.assertTrue(self._play(lost="engine-1@5"))
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -47,8 +47,8 @@
     return view
 
 
-def _ask(view: views.View) -> scheduler_messages.Place:
-    return scheduler_messages.Place(
+def _ask(view: views.View) -> scheduler_messages.PlacementRequest:
+    return scheduler_messages.PlacementRequest(
         job=queueing.Job(
             "r",
             _CLASS,
@@ -67,11 +67,11 @@
     )
 
 
-def _report(generation: str, draining: bool) -> scheduler_messages.Reported:
+def _report(generation: str, draining: bool) -> scheduler_messages.LoadReported:
     report = load_report.LoadReport(
         "engine-1", generation, 0, 0, 0, draining, 0.0
     )
-    return scheduler_messages.Reported(report)
+    return scheduler_messages.LoadReported(report)
 
 
 class PeersTest(unittest.TestCase):
@@ -93,7 +93,7 @@
             process.start(scheduler.run)
             scheduler.post(schedulers.ViewChanged())
             placed = await scheduler.place(_ask(view))
-            return placed.seats[0].believed
+            return placed.placements[0].estimated_load
 
         self.assertIn("streams=7.0", virtual_process.run(run))
 
@@ -157,7 +157,7 @@
             scheduler = schedulers.Scheduler(
                 outside, configs.EntryConfig("vm-1", "h", _WHERE), view
             )
-            scheduler._seating._policy = policies.Policy(
+            scheduler._placer._policy = policies.Policy(
                 choose, choose_helpers=choose_helpers
             )
             running = asyncio.ensure_future(scheduler.run())
