--- a/src/ruddergate/entry/attempt.py
+++ b/src/ruddergate/entry/attempt.py
@@ -10,8 +10,8 @@
 from ruddergate.adapters.engines import stream as streams
 from ruddergate.decisions import length_band
 from ruddergate.entry import canceller
+from ruddergate.entry import context as contexts
 from ruddergate.entry import scheduler_messages
-from ruddergate.entry import tools as tool_types
 
 # After the time limit the agents' sweep takes over from the canceller.
 _CANCEL_BEYOND_MS = 30_000.0
@@ -24,12 +24,12 @@
     request: requests.Request,
     grant: scheduler_messages.PlacementGrant,
     delivered: tuple[str, ...],
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
     """Yields the engine's tokens behind those delivered, then the outcome."""
     placement = grant.placements[0]
-    wanted = make_generation(request, placement, delivered, tools)
-    async for event in follow(request, placement, wanted, tools):
+    wanted = make_generation(request, placement, delivered, context)
+    async for event in follow(request, placement, wanted, context):
         yield event
 
 
@@ -37,7 +37,7 @@
     request: requests.Request,
     placement: scheduler_messages.Placement,
     delivered: tuple[str, ...],
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
     kv_parts: tuple[generations.KvPart, ...] = (),
     reservation: str = "",
     first_token: int = 0,
@@ -45,17 +45,17 @@
     """Returns what an engine is asked for in this attempt."""
     key = request.idempotency_key if request.workload.pool.checks_key else ""
     return generations.Generation(
-        stream_id=make_stream_id(placement, tools),
-        owner=tools.owner,
+        stream_id=make_stream_id(placement, context),
+        owner=context.owner,
         request_id=request.request_id,
         prompt=request.prompt,
         prompt_tokens=request.prompt_tokens,
         first_token=first_token,
         output_tokens_max=request.output_tokens_max,
         delivered=delivered,
-        priority=_make_priority(request, tools),
+        priority=_make_priority(request, context),
         prefix=request.prefix,
-        lapse_ms=request.remaining_ms(tools.outside.now_ms()),
+        lapse_ms=request.remaining_ms(context.outside.now_ms()),
         key=key,
         reservation=reservation,
         kv_parts=kv_parts,
@@ -63,38 +63,42 @@
     )
 
 
-def _make_priority(request: requests.Request, tools: tool_types.Tools) -> int:
+def _make_priority(
+    request: requests.Request, context: contexts.EntryContext
+) -> int:
     """Puts the class first and, inside it, the shorter prompt."""
     rank = request.workload.priority.rank
-    if not tools.scheduler.shorter_first():
+    if not context.scheduler.shorter_first():
         return rank * length_band.BANDS
     band = length_band.find_band(request.prompt_tokens)
     return rank * length_band.BANDS + length_band.BANDS - 1 - band
 
 
 def make_stream_id(
-    placement: scheduler_messages.Placement, tools: tool_types.Tools
+    placement: scheduler_messages.Placement, context: contexts.EntryContext
 ) -> str:
     """Returns the name of an attempt, unlike that of any other VM's."""
-    return f"{tools.config.vm_id}.{tools.incarnation}.{placement.attempt_id}"
+    return (
+        f"{context.config.vm_id}.{context.incarnation}.{placement.attempt_id}"
+    )
 
 
 async def follow(
     request: requests.Request,
     placement: scheduler_messages.Placement,
     wanted: generations.Generation,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
     """Runs a generation to its end; frees the engine on any other exit."""
     ended = False
     failed = False
     started = False
     try:
-        with tools.tracer.span("attempt", request.traceparent):
-            async for event in _read(request, placement, wanted, tools):
+        with context.tracer.span("attempt", request.traceparent):
+            async for event in _read(request, placement, wanted, context):
                 if isinstance(event, parts.Tokens) and not started:
                     started = True
-                    _note_first_token(request, placement, tools)
+                    _note_first_token(request, placement, context)
                 if isinstance(event, outcomes.NotServed):
                     failed = event.reason is not outcomes.Reason.TIME_LIMIT
                     ended = event.ran is outcomes.Ran.NOT_RUN
@@ -102,29 +106,33 @@
                     ended = True
                 yield event
     finally:
-        tools.scheduler.post(scheduler_messages.AttemptEnded(placement, failed))
+        context.scheduler.post(
+            scheduler_messages.AttemptEnded(placement, failed)
+        )
         if not ended:
-            cancel_later(request, placement, wanted.stream_id, tools)
+            cancel_later(request, placement, wanted.stream_id, context)
 
 
 def cancel_later(
     request: requests.Request,
     placement: scheduler_messages.Placement,
     item_id: str,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> None:
     """Has the canceller free something on an engine."""
     until_ms = request.deadline_ms + _CANCEL_BEYOND_MS
-    tools.canceller.post(canceller.Cancel(placement.target, item_id, until_ms))
+    context.canceller.post(
+        canceller.Cancel(placement.target, item_id, until_ms)
+    )
 
 
 def _note_first_token(
     request: requests.Request,
     placement: scheduler_messages.Placement,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> None:
     prefix = request.prefix
-    tools.scheduler.post(
+    context.scheduler.post(
         scheduler_messages.FirstToken(
             placement,
             prefix.name if prefix else "",
@@ -137,14 +145,14 @@
     request: requests.Request,
     placement: scheduler_messages.Placement,
     wanted: generations.Generation,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
     stream = await streams.generate(
-        tools.outside,
+        context.outside,
         placement.target,
         wanted,
-        tools.config.patience,
-        request.remaining_ms(tools.outside.now_ms()),
+        context.config.patience,
+        request.remaining_ms(context.outside.now_ms()),
     )
     may_resume = True
     while True:
@@ -152,10 +160,12 @@
             yield stream
             return
         if stream.report is not None:
-            tools.scheduler.post(scheduler_messages.LoadReported(stream.report))
+            context.scheduler.post(
+                scheduler_messages.LoadReported(stream.report)
+            )
         broken: outcomes.NotServed | None = None
         try:
-            async for event in _drain(request, stream, tools):
+            async for event in _drain(request, stream, context):
                 if isinstance(event, outcomes.NotServed):
                     broken = event
                 else:
@@ -169,7 +179,7 @@
             return
         may_resume = False
         stream = await _resume(
-            request, placement, wanted, stream, broken, tools
+            request, placement, wanted, stream, broken, context
         )
 
 
@@ -183,19 +193,19 @@
     wanted: generations.Generation,
     stream: streams.Stream,
     broken: outcomes.NotServed,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> streams.Stream | outcomes.NotServed:
     """Takes the stream up where it broke, or returns why it broke."""
-    left_ms = request.remaining_ms(tools.outside.now_ms())
+    left_ms = request.remaining_ms(context.outside.now_ms())
     wait_ms = min(left_ms, _RESUME_TIMEOUT_MS)
     try:
         async with asyncio.timeout(wait_ms / 1000.0):
             resumed = await streams.resume(
-                tools.outside,
+                context.outside,
                 placement.target,
                 wanted.stream_id,
                 stream.position,
-                tools.config.patience,
+                context.config.patience,
                 wait_ms,
             )
     except TimeoutError:
@@ -208,10 +218,10 @@
 async def _drain(
     request: requests.Request,
     stream: streams.Stream,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
     def left_ms() -> float:
-        return request.remaining_ms(tools.outside.now_ms())
+        return request.remaining_ms(context.outside.now_ms())
 
     while True:
         found = await stream.next_part(left_ms)
--- a/src/ruddergate/entry/attempt_log.py
+++ b/src/ruddergate/entry/attempt_log.py
@@ -2,10 +2,10 @@
 
 from ruddergate import outcomes
 from ruddergate import request as requests
-from ruddergate.entry import scheduler_messages
+from ruddergate.entry import context as contexts
 from ruddergate.entry import relay_progress
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import suspects
-from ruddergate.entry import tools as tool_types
 from ruddergate.telemetry import logs
 
 
@@ -13,12 +13,14 @@
     request: requests.Request,
     placements: tuple[scheduler_messages.Placement, ...],
     progress: relay_progress.Progress,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> None:
     """Tells where an attempt begins, and what that choice went by."""
-    now_ms = tools.outside.now_ms()
+    now_ms = context.outside.now_ms()
     placement = placements[0]
-    tools.metrics.note_wait(request.prompt_tokens, now_ms - request.arrived_ms)
+    context.metrics.note_wait(
+        request.prompt_tokens, now_ms - request.arrived_ms
+    )
     logs.make_logger("attempt").info(
         "Attempt begins at {}.",
         placement.target.target_id,
@@ -34,7 +36,7 @@
         waited_ms=round(now_ms - request.arrived_ms),
         left_ms=round(request.remaining_ms(now_ms)),
         revision=request.workload.revision,
-        view_age_ms=round(tools.view.age_ms(now_ms)),
+        view_age_ms=round(context.view.age_ms(now_ms)),
     )
 
 
@@ -43,7 +45,7 @@
     placement: scheduler_messages.Placement,
     ended: outcomes.NotServed,
     progress: relay_progress.Progress,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> None:
     """Tells how an attempt failed, and of which content it was."""
     logs.make_logger("attempt").info(
@@ -58,5 +60,5 @@
         sent=progress.sent,
         blamed=progress.blamed,
         last_event=progress.last_id,
-        waited_ms=round(tools.outside.now_ms() - request.arrived_ms),
+        waited_ms=round(context.outside.now_ms() - request.arrived_ms),
     )
--- a/src/ruddergate/entry/tools.py
+++ b/src/ruddergate/entry/context.py
@@ -19,31 +19,31 @@
 from ruddergate.telemetry import traces
 
 
-def _note_nothing(lost: lost_call.LostCall) -> None:
+def _ignore_lost_call(lost: lost_call.LostCall) -> None:
     """Stands where it is not asked what became of targets."""
 
 
-def _refuse_nothing(
-    asked: Iterable[targets.Target],
+def _admit_targets(
+    candidates: Iterable[targets.Target],
 ) -> outcomes.NotServed | None:
     """Stands where targets do not say in answers what they take."""
     return None
 
 
-def _admit_all(
+def _grant_rate_token(
     target: targets.Target, attempt_id: str
 ) -> outcomes.NotServed | None:
     """Stands where targets name no rate limits."""
     return None
 
 
-async def _lend_nothing(is_great: bool) -> bool:
+async def _refuse_retry(is_large: bool) -> bool:
     """Stands where there are no peers that lend retries."""
     return False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tools:
+class EntryContext:
     """Handles of one entry's tasks.
 
     Attributes:
@@ -57,7 +57,7 @@
         budget: Retries that may be made.
         metrics: Metrics of the process.
         tracer: Starts spans.
-        suspects: Contents under which targets have ended.
+        quarantine: Contents under which targets have ended.
         secure_retry: Sees to it that a retry can be made, by borrowing one
             where that is possible; told whether it is for a prompt worth many
             short ones. Returns whether one can be made.
@@ -72,23 +72,23 @@
     outside: environment.Environment
     config: configs.EntryConfig
     incarnation: str
-    began_ms: float
+    started_ms: float
     view: views.View
     scheduler: scheduler.Scheduler
     canceller: canceller.Canceller
     budget: retries.Budget
     metrics: metrics.EntryMetrics
     tracer: traces.Tracer
-    suspects: suspect_tables.Suspects
-    secure_retry: Callable[[bool], Awaitable[bool]] = _lend_nothing
-    note_lost: Callable[[lost_call.LostCall], None] = _note_nothing
-    refuse_send: Callable[
+    quarantine: suspect_tables.Suspects
+    ensure_retry: Callable[[bool], Awaitable[bool]] = _refuse_retry
+    report_lost_call: Callable[[lost_call.LostCall], None] = _ignore_lost_call
+    check_admission: Callable[
         [Iterable[targets.Target]], outcomes.NotServed | None
-    ] = _refuse_nothing
-    admit: Callable[[targets.Target, str], outcomes.NotServed | None] = (
-        _admit_all
-    )
-    give_back: Callable[[targets.Target], None] = lambda target: None
+    ] = _admit_targets
+    take_rate_token: Callable[
+        [targets.Target, str], outcomes.NotServed | None
+    ] = _grant_rate_token
+    return_rate_token: Callable[[targets.Target], None] = lambda target: None
 
     @property
     def owner(self) -> str:
--- a/src/ruddergate/entry/first_event.py
+++ b/src/ruddergate/entry/first_event.py
@@ -9,9 +9,9 @@
 from ruddergate.relay import answer as answers
 
 
-async def await_first(
+async def wait_for_first(
     events: AsyncIterator[answers.Event],
-    hopeless: Sequence[Awaitable[outcomes.NotServed]],
+    failure_watches: Sequence[Awaitable[outcomes.NotServed]],
 ) -> answers.Event:
     """Returns the first event, or how the attempt ends without one.
 
@@ -20,7 +20,7 @@
         hopeless: Each returns an end once there is no hope of an event.
     """
     reading = asyncio.ensure_future(anext(events))
-    watching = [asyncio.ensure_future(each) for each in hopeless]
+    watching = [asyncio.ensure_future(each) for each in failure_watches]
     try:
         await asyncio.wait(
             {reading, *watching}, return_when=asyncio.FIRST_COMPLETED
--- a/src/ruddergate/entry/gang_attempt.py
+++ b/src/ruddergate/entry/gang_attempt.py
@@ -15,8 +15,8 @@
 from ruddergate.adapters.engines import part as parts
 from ruddergate.decisions import gangs
 from ruddergate.entry import attempt
+from ruddergate.entry import context as contexts
 from ruddergate.entry import scheduler_messages
-from ruddergate.entry import tools as tool_types
 
 _RESERVE_TIMEOUT_MS = 2_000.0
 
@@ -27,7 +27,7 @@
     request: requests.Request,
     grant: scheduler_messages.PlacementGrant,
     delivered: tuple[str, ...],
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
     """Yields the gang's tokens behind those delivered, then the outcome."""
     pool = request.workload.pool
@@ -39,40 +39,42 @@
     )
     failed: set[str] = set()
     try:
-        fault = await _reserve_all(request, grant, segments, tools)
+        fault = await _reserve_all(request, grant, segments, context)
         if fault is None:
-            fault = await _prefill_all(request, grant, segments, tools, failed)
+            fault = await _prefill_all(
+                request, grant, segments, context, failed
+            )
         if fault is not None:
             yield fault
             return
         first_token = segments[-1].first_token
         async for event in _generate(
-            request, grant, delivered, first_token, tools
+            request, grant, delivered, first_token, context
         ):
             yield event
     finally:
         for placement in grant.placements:
             lost = placement.target.target_id in failed
-            tools.scheduler.post(
+            context.scheduler.post(
                 scheduler_messages.AttemptEnded(placement, lost)
             )
-            reservation = _make_reservation(placement, tools)
-            attempt.cancel_later(request, placement, reservation, tools)
+            reservation = _make_reservation(placement, context)
+            attempt.cancel_later(request, placement, reservation, context)
 
 
 async def _reserve_all(
     request: requests.Request,
     grant: scheduler_messages.PlacementGrant,
     segments: tuple[gangs.Segment, ...],
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> outcomes.NotServed | None:
     for placement, segment in zip(grant.placements, segments, strict=True):
-        left_ms = request.remaining_ms(tools.outside.now_ms())
+        left_ms = request.remaining_ms(context.outside.now_ms())
         answer = await control.reserve(
-            tools.outside,
+            context.outside,
             placement.target,
-            _make_reservation(placement, tools),
-            tools.owner,
+            _make_reservation(placement, context),
+            context.owner,
             segment.held_tokens,
             left_ms,
             min(left_ms, _RESERVE_TIMEOUT_MS),
@@ -91,26 +93,26 @@
     request: requests.Request,
     grant: scheduler_messages.PlacementGrant,
     segments: tuple[gangs.Segment, ...],
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
     failed: set[str],
 ) -> outcomes.NotServed | None:
     """Prefills all parts but the last, which generation begins with."""
     for index, segment in enumerate(segments[:-1]):
         placement = grant.placements[index]
         answer = await control.prefill(
-            tools.outside,
+            context.outside,
             placement.target,
-            _make_reservation(placement, tools),
+            _make_reservation(placement, context),
             segment,
-            _make_kv_parts(grant.placements[:index], tools),
-            request.remaining_ms(tools.outside.now_ms()),
+            _make_kv_parts(grant.placements[:index], context),
+            request.remaining_ms(context.outside.now_ms()),
         )
         if isinstance(answer, control.Done):
-            tools.scheduler.post(
+            context.scheduler.post(
                 scheduler_messages.FirstToken(placement, "", 0)
             )
             continue
-        if request.remaining_ms(tools.outside.now_ms()) <= 0.0:
+        if request.remaining_ms(context.outside.now_ms()) <= 0.0:
             reason = outcomes.Reason.TIME_LIMIT
         else:
             reason = outcomes.Reason.TARGET_LOST
@@ -127,36 +129,36 @@
     grant: scheduler_messages.PlacementGrant,
     delivered: tuple[str, ...],
     first_token: int,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
     last = grant.placements[-1]
     wanted = attempt.make_generation(
         request,
         last,
         delivered,
-        tools,
-        _make_kv_parts(grant.placements[:-1], tools),
-        _make_reservation(last, tools),
+        context,
+        _make_kv_parts(grant.placements[:-1], context),
+        _make_reservation(last, context),
         first_token,
     )
-    async for event in attempt.follow(request, last, wanted, tools):
+    async for event in attempt.follow(request, last, wanted, context):
         yield event
 
 
 def _make_kv_parts(
     placements: tuple[scheduler_messages.Placement, ...],
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> tuple[generations.KvPart, ...]:
     return tuple(
         generations.KvPart(
-            str(placement.target.address), _make_reservation(placement, tools)
+            str(placement.target.address), _make_reservation(placement, context)
         )
         for placement in placements
     )
 
 
 def _make_reservation(
-    placement: scheduler_messages.Placement, tools: tool_types.Tools
+    placement: scheduler_messages.Placement, context: contexts.EntryContext
 ) -> str:
     """Returns the name of a seat's reservation, unlike that of its stream."""
-    return f"{attempt.make_stream_id(placement, tools)}.part"
+    return f"{attempt.make_stream_id(placement, context)}.part"
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -17,25 +17,25 @@
 from ruddergate.decisions import withdrawals
 from ruddergate.entry import canceller as cancellers
 from ruddergate.entry import config as configs
+from ruddergate.entry import context as contexts
 from ruddergate.entry import leaving_check
 from ruddergate.entry import life_watch
 from ruddergate.entry import open_calls
 from ruddergate.entry import peer_exchange
 from ruddergate.entry import peer_questions
-from ruddergate.entry import scheduler_messages
 from ruddergate.entry import rate_limiter
 from ruddergate.entry import relay_admit
 from ruddergate.entry import relay_handler
 from ruddergate.entry import reservation_keeper
 from ruddergate.entry import retry_loans
 from ruddergate.entry import scheduler as schedulers
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import source_pace
 from ruddergate.entry import source_peers
 from ruddergate.entry import source_sync
 from ruddergate.entry import status
 from ruddergate.entry import suspect_exchange
 from ruddergate.entry import target_notices
-from ruddergate.entry import tools as tool_types
 from ruddergate.entry import view as views
 from ruddergate.fleet import store_position
 from ruddergate.fleet import target as targets
@@ -134,8 +134,8 @@
             outside,
             str(gateway_config.peers.listen),
             lambda now_ms: self._peers.loads.list_members(now_ms),
-            lambda target_id: self.tools.scheduler.find_target(target_id),
-            lambda pool: self.tools.scheduler.find_halls(pool),
+            lambda target_id: self.context.scheduler.find_target(target_id),
+            lambda pool: self.context.scheduler.find_halls(pool),
             lambda: self._peers.note_change(),
             metrics,
         )
@@ -159,23 +159,23 @@
         self._notices = target_notices.TargetNotices(
             outside, withdrawn, metrics, self._note_leaving
         )
-        self.tools = tool_types.Tools(
+        self.context = contexts.EntryContext(
             outside=outside,
             config=config,
             incarnation=environment.make_token(outside.random),
-            began_ms=outside.now_ms(),
+            started_ms=outside.now_ms(),
             view=view,
             scheduler=scheduler,
             canceller=cancellers.Canceller(outside, view),
             budget=retries.Budget(gateway_config.retry_share, 0.0, 0.0),
             metrics=metrics,
             tracer=tracer,
-            suspects=self._suspects.table,
-            secure_retry=lambda is_great: self._loans.secure(is_great),
-            note_lost=lambda lost: self._lives.post(lost),
-            refuse_send=self._refuse_send,
-            admit=self._rate_limiter.admit,
-            give_back=self._rate_limiter.give_back,
+            quarantine=self._suspects.table,
+            ensure_retry=lambda is_great: self._loans.secure(is_great),
+            report_lost_call=lambda lost: self._lives.post(lost),
+            check_admission=self._refuse_send,
+            take_rate_token=self._rate_limiter.admit,
+            return_rate_token=self._rate_limiter.give_back,
         )
         self._orders = platform.make_orders(self._observe)
         self._keeper = reservation_keeper.ReservationKeeper(
@@ -201,10 +201,10 @@
             lambda target: scheduler.post(
                 scheduler_messages.IncarnationEnded(target)
             ),
-            self.tools.metrics,
+            self.context.metrics,
         )
         self._handler = relay_handler.RelayHandler(
-            self.tools,
+            self.context,
             platform.door,
             platform.make_send(self._observe),
             self._keeper,
@@ -217,7 +217,7 @@
             outside,
             gateway_config.peers,
             config.hall,
-            self.tools.incarnation,
+            self.context.incarnation,
             scheduler.summarize,
             self._divide_retries,
             self.answer_peer,
@@ -233,7 +233,7 @@
         )
         self._loans = retry_loans.RetryLoans(
             outside,
-            self.tools.budget,
+            self.context.budget,
             self._peers.questions,
             self._peers.find_hall_peers,
         )
@@ -287,7 +287,7 @@
                     question.question, position, question.part
                 )
             case retry_loan.RetriesWanted():
-                lent = self.tools.budget.lend(
+                lent = self.context.budget.lend(
                     question.retries, question.is_great
                 )
                 return retry_loan.RetriesLent(question.question, lent)
@@ -312,12 +312,12 @@
         self._vms_most = max(self._vms_most, peers + 1)
         slack = self._gateway_config.retry_slack
         most = retries.find_saved_most(slack, self._vms_most)
-        self.tools.budget.resize(most)
+        self.context.budget.resize(most)
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serves until `stop` is set, then ends as planned."""
         tasks = [
-            asyncio.ensure_future(self.tools.scheduler.run()),
+            asyncio.ensure_future(self.context.scheduler.run()),
             asyncio.ensure_future(self._sync.run()),
             asyncio.ensure_future(self._peers.run()),
             asyncio.ensure_future(self._suspects.run()),
@@ -351,7 +351,7 @@
                 server.close()
             for task in tasks:
                 task.cancel()
-            self.tools.tracer.close()
+            self.context.tracer.close()
 
     async def _serve(
         self, handle: open_calls.Handle, address: environment.Address
@@ -373,7 +373,7 @@
 
     def _find_limits(self) -> http_server.Limits:
         own = self._config.limits
-        given = self.tools.view.catalog.limits
+        given = self.context.view.catalog.limits
         return dataclasses.replace(
             own,
             header_bytes_max=given.header_bytes_max or own.header_bytes_max,
@@ -386,7 +386,7 @@
         return self._is_stopping or not self._is_fresh()
 
     def _is_fresh(self) -> bool:
-        view = self.tools.view
+        view = self.context.view
         if view.catalog.revision == 0:
             return False
         age_ms = view.settings_age_ms(self._outside.now_ms())
@@ -408,11 +408,11 @@
         self, incoming: message.IncomingRequest
     ) -> message.Response:
         if incoming.path == "/status":
-            return status.make_status(self.tools, False, self._is_stopping)
-        status.set_gauges(self.tools)
-        metrics = self.tools.metrics
+            return status.make_status(self.context, False, self._is_stopping)
+        status.set_gauges(self.context)
+        metrics = self.context.metrics
         metrics.reservations.set({}, len(self._keeper))
-        quarantined = self.tools.suspects.list_quarantined()
+        quarantined = self.context.quarantine.list_quarantined()
         metrics.quarantined.set({}, len(quarantined))
         metrics.entries_refused.set({}, self._sync.count_refused())
         self._rate_limiter.set_gauges()
--- a/src/ruddergate/entry/handler.py
+++ b/src/ruddergate/entry/handler.py
@@ -14,13 +14,13 @@
 from ruddergate.adapters.services import call as service_calls
 from ruddergate.decisions import ledger as ledgers
 from ruddergate.entry import admit
+from ruddergate.entry import context as contexts
 from ruddergate.entry import forwarding
 from ruddergate.entry import keyed as keyed_runs
 from ruddergate.entry import limits as limit_types
 from ruddergate.entry import recording
 from ruddergate.entry import serve
 from ruddergate.entry import tickets
-from ruddergate.entry import tools as tool_types
 from ruddergate.http import message
 from ruddergate.telemetry import logs
 
@@ -39,11 +39,11 @@
 
     def __init__(
         self,
-        tools: tool_types.Tools,
+        context: contexts.EntryContext,
         limits: limit_types.Limits,
         keyed: keyed_runs.KeyedRuns,
     ) -> None:
-        self._tools = tools
+        self._context = context
         self._limits = limits
         self._keyed = keyed
         self._log = logs.make_logger("entry")
@@ -70,9 +70,9 @@
         call = parse.parse_call(incoming)
         if isinstance(call, outcomes.NotServed):
             return render.make_failure(call)
-        request = admit.admit(call, self._tools.view, self._tools.outside)
+        request = admit.admit(call, self._context.view, self._context.outside)
         if isinstance(request, outcomes.NotServed):
-            self._tools.metrics.note_outcome(request.reason, request.ran)
+            self._context.metrics.note_outcome(request.reason, request.ran)
             return render.make_failure(request)
         if request.ticket:
             return await self._handle_ticket(
@@ -80,7 +80,7 @@
             )
         if request.idempotency_key:
             return await self._handle_key(incoming, call, request, is_forwarded)
-        events = serve.serve(request, self._limits, self._tools)
+        events = serve.serve(request, self._limits, self._context)
         return await self._respond(call, request, events)
 
     async def _handle_key(
@@ -90,8 +90,8 @@
         request: requests.Request,
         is_forwarded: bool,
     ) -> message.Response:
-        own_id = self._tools.config.vm_id
-        listing = self._tools.view.listing
+        own_id = self._context.config.vm_id
+        listing = self._context.view.listing
         home = ledgers.find_home(keyed_runs.scope_key(request), listing)
         if home == own_id or is_forwarded:
             events = self._keyed.serve_key(request)
@@ -113,20 +113,20 @@
     ) -> message.Response:
         ticket = tickets.parse(
             request.ticket,
-            self._tools.config.peer_key,
+            self._context.config.peer_key,
             request.workload.workspace,
         )
         if ticket is None:
             return render.make_failure(
                 outcomes.refuse(outcomes.Reason.BAD_REQUEST, "unknown ticket")
             )
-        if ticket.incarnation == self._tools.incarnation:
-            age_ms = self._tools.outside.now_ms() - ticket.issued_ms
+        if ticket.incarnation == self._context.incarnation:
+            age_ms = self._context.outside.now_ms() - ticket.issued_ms
             if age_ms > TICKET_VALID_MS:
                 return render.make_failure(_ticket_gone("it is too old"))
             events = self._keyed.serve_ticket(request)
             return await self._respond(call, request, events)
-        if is_forwarded or ticket.vm_id == self._tools.config.vm_id:
+        if is_forwarded or ticket.vm_id == self._context.config.vm_id:
             return render.make_failure(_ticket_gone("its issuer has ended"))
         return await self._pass_on(
             incoming,
@@ -140,18 +140,18 @@
         self, incoming: message.IncomingRequest
     ) -> message.Response:
         key = parse.read_key(incoming.headers) or ""
-        workspace = self._tools.view.index.find_workspace(key)
+        workspace = self._context.view.index.find_workspace(key)
         if workspace is None:
             return render.make_failure(
                 outcomes.refuse(outcomes.Reason.UNKNOWN_KEY, "unknown key")
             )
         ticket = tickets.issue(
-            self._tools.config.peer_key,
-            self._tools.config.vm_id,
-            self._tools.incarnation,
+            self._context.config.peer_key,
+            self._context.config.vm_id,
+            self._context.incarnation,
             workspace,
-            self._tools.outside.now_ms(),
-            self._tools.outside.random,
+            self._context.outside.now_ms(),
+            self._context.outside.random,
         )
         document = {"ticket": ticket, "valid_ms": TICKET_VALID_MS}
         return message.make_json_response(200, document)
@@ -167,16 +167,16 @@
         lost = outcomes.NotServed(
             reason, outcomes.Ran.UNKNOWN, detail, _UNKNOWN_RETRY_MS
         )
-        listed = self._tools.view.listing.vms
+        listed = self._context.view.listing.vms
         found = [vm for vm in listed if vm.vm_id == vm_id]
         if not found:
             return render.make_failure(lost, request.request_id)
         return await forwarding.pass_on(
-            self._tools.outside,
+            self._context.outside,
             found[0].entry_peer,
-            self._tools.config.peer_key,
+            self._context.config.peer_key,
             incoming,
-            request.remaining_ms(self._tools.outside.now_ms()),
+            request.remaining_ms(self._context.outside.now_ms()),
             lambda: render.make_failure(lost, request.request_id),
             lambda: render.render_failure(lost),
         )
@@ -189,7 +189,7 @@
             model=request.workload.name,
             is_chat=call.is_chat,
             prompt_tokens=request.prompt_tokens,
-            created_s=int(self._tools.outside.wall_ms() / 1000.0),
+            created_s=int(self._context.outside.wall_ms() / 1000.0),
         )
         if call.stream:
             return await self._stream(style, events)
@@ -265,7 +265,7 @@
 
 def with_span(
     handle: Callable[[message.IncomingRequest], Awaitable[message.Response]],
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> Callable[[message.IncomingRequest], Awaitable[message.Response]]:
     """Returns the handler with a span around it, passed on to later hops."""
 
@@ -273,7 +273,7 @@
         incoming: message.IncomingRequest,
     ) -> message.Response:
         before = incoming.headers.get("traceparent", "")
-        with tools.tracer.span("request", before) as traceparent:
+        with context.tracer.span("request", before) as traceparent:
             if traceparent == before:
                 return await handle(incoming)
             headers = {**incoming.headers, "traceparent": traceparent}
--- a/src/ruddergate/entry/keyed.py
+++ b/src/ruddergate/entry/keyed.py
@@ -6,10 +6,10 @@
 from ruddergate import outcomes
 from ruddergate import request as requests
 from ruddergate.decisions import ledger as ledgers
+from ruddergate.entry import context as contexts
 from ruddergate.entry import limits as limit_types
 from ruddergate.entry import recording
 from ruddergate.entry import serve
-from ruddergate.entry import tools as tool_types
 
 _UNSETTLED_RETRY_MS = 3_000.0
 
@@ -22,9 +22,9 @@
     """
 
     def __init__(
-        self, tools: tool_types.Tools, limits: limit_types.Limits
+        self, context: contexts.EntryContext, limits: limit_types.Limits
     ) -> None:
-        self._tools = tools
+        self._context = context
         self._limits = limits
         self._ledger: ledgers.Ledger[recording.Recording] = ledgers.Ledger()
         self._running: set[asyncio.Task] = set()
@@ -55,17 +55,17 @@
     def _judge(
         self, key: str, request: requests.Request
     ) -> outcomes.NotServed | None:
-        now_ms = self._tools.outside.now_ms()
-        view = self._tools.view
-        whole_ms = max(self._tools.began_ms, self._ledger.whole_since_ms)
+        now_ms = self._context.outside.now_ms()
+        view = self._context.view
+        whole_ms = max(self._context.started_ms, self._ledger.whole_since_ms)
         standing = ledgers.judge(
             key,
             request.key_age_ms,
-            self._tools.config.vm_id,
+            self._context.config.vm_id,
             view.listing,
             view.age_ms(now_ms),
             view.settled_ms(now_ms, whole_ms),
-            self._tools.config.bounds,
+            self._context.config.bounds,
         )
         if standing is ledgers.Standing.MAY_RUN:
             return None
@@ -90,14 +90,14 @@
             )
             return
         async for event in entry.recording.follow(
-            lambda: request.remaining_ms(self._tools.outside.now_ms())
+            lambda: request.remaining_ms(self._context.outside.now_ms())
         ):
             yield event
 
     def _start(
         self, key: str, request: requests.Request
     ) -> ledgers.Entry[recording.Recording]:
-        now_ms = self._tools.outside.now_ms()
+        now_ms = self._context.outside.now_ms()
         entry = self._ledger.open(key, recording.Recording(), now_ms)
         task = asyncio.ensure_future(self._run(key, request, entry.recording))
         self._running.add(task)
@@ -110,7 +110,7 @@
         request: requests.Request,
         record: recording.Recording,
     ) -> None:
-        async for event in serve.serve(request, self._limits, self._tools):
+        async for event in serve.serve(request, self._limits, self._context):
             if _never_ran(event):
                 # Before it is told, so that a resend starts afresh.
                 self._ledger.forget(key)
--- a/src/ruddergate/entry/life_watch.py
+++ b/src/ruddergate/entry/life_watch.py
@@ -79,10 +79,10 @@
                 "Target {} has ended under a call.",
                 target.target_id,
                 request_id=each.request_id,
-                content=each.content,
+                content=each.fingerprint,
                 born_ms=target.born_ms,
                 streams=streams,
-                there_ms=round(each.there_ms),
+                there_ms=round(each.since_sent_ms),
                 hall=target.hall,
             )
             self._note_ended(each)
--- a/src/ruddergate/entry/lost_call.py
+++ b/src/ruddergate/entry/lost_call.py
@@ -19,8 +19,8 @@
     """
 
     request_id: str
-    content: str
+    fingerprint: str
     target: targets.Target
-    there_ms: float
-    reading_ms: float
+    since_sent_ms: float
+    prefill_ms: float
     streams: float
--- a/src/ruddergate/entry/model_run.py
+++ b/src/ruddergate/entry/model_run.py
@@ -14,9 +14,9 @@
 from ruddergate.decisions import retries
 from ruddergate.decisions.routing import job as jobs
 from ruddergate.entry import attempt
+from ruddergate.entry import context as contexts
 from ruddergate.entry import gang_attempt
 from ruddergate.entry import scheduler_messages
-from ruddergate.entry import tools as tool_types
 
 _OUTRUN_PAUSE_MS = (500.0, 2_000.0)
 
@@ -34,13 +34,13 @@
 
 
 async def run(
-    request: requests.Request, tools: tool_types.Tools
+    request: requests.Request, context: contexts.EntryContext
 ) -> AsyncIterator[Event]:
     """Yields tokens in order, each once, and at last the outcome."""
     progress = _Progress([], outcomes.Ran.NOT_RUN, 0, frozenset())
-    tools.budget.note_first_attempt()
+    context.budget.note_first_attempt()
     while True:
-        grant = await _place(request, progress, tools)
+        grant = await _place(request, progress, context)
         if isinstance(grant, outcomes.NotServed):
             yield _with_history(grant, progress)
             return
@@ -50,7 +50,7 @@
         )
         ended: outcomes.Finished | outcomes.NotServed | None = None
         async for event in run_once(
-            request, grant, tuple(progress.delivered), tools
+            request, grant, tuple(progress.delivered), context
         ):
             if isinstance(event, parts.Tokens):
                 progress.delivered.extend(event.texts)
@@ -60,7 +60,7 @@
         if isinstance(ended, outcomes.Finished):
             yield ended
             return
-        final = await _decide(request, grant, ended, progress, tools)
+        final = await _decide(request, grant, ended, progress, context)
         if final is not None:
             yield final
             return
@@ -71,20 +71,20 @@
     grant: scheduler_messages.PlacementGrant,
     ended: outcomes.NotServed,
     progress: _Progress,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> outcomes.NotServed | None:
     """Returns the final outcome, or None after the pause for a retry."""
-    tools.metrics.attempts.inc({"result": ended.reason.value})
+    context.metrics.attempts.inc({"result": ended.reason.value})
     if _is_outrun(grant, ended):
         # Another gang took the memory first: no work was lost, and waiting
         # in the queue again costs the engines nothing.
-        pause_ms = tools.outside.random.uniform(*_OUTRUN_PAUSE_MS)
+        pause_ms = context.outside.random.uniform(*_OUTRUN_PAUSE_MS)
         await asyncio.sleep(pause_ms / 1000.0)
         return None
     progress.ran = worse(progress.ran, ended.ran)
     failed = {placement.target.target_id for placement in grant.placements}
     progress.excluded = progress.excluded | failed
-    now_ms = tools.outside.now_ms()
+    now_ms = context.outside.now_ms()
     needed = _predict(request, progress)
     decided = retries.decide(
         ended,
@@ -92,8 +92,8 @@
         progress.attempts,
         request.remaining_ms(now_ms),
         needed.alone_ms,
-        tools.budget,
-        tools.outside.random,
+        context.budget,
+        context.outside.random,
     )
     if isinstance(decided, outcomes.NotServed):
         return _with_history(decided, progress)
@@ -104,9 +104,9 @@
 async def _place(
     request: requests.Request,
     progress: _Progress,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> scheduler_messages.PlacementGrant | outcomes.NotServed:
-    now_ms = tools.outside.now_ms()
+    now_ms = context.outside.now_ms()
     pool = request.workload.pool
     segments: tuple[gangs.Segment, ...] = ()
     output_tokens = request.output_tokens_max
@@ -144,19 +144,19 @@
         excluded=progress.excluded,
         reply=asyncio.get_running_loop().create_future(),
     )
-    return await place_in_time(request, placement_request, tools)
+    return await place_in_time(request, placement_request, context)
 
 
 async def place_in_time(
     request: requests.Request,
     placement_request: scheduler_messages.PlacementRequest,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> scheduler_messages.PlacementGrant | outcomes.NotServed:
     """Waits for a place until the time limit."""
-    left_ms = request.remaining_ms(tools.outside.now_ms())
+    left_ms = request.remaining_ms(context.outside.now_ms())
     try:
         async with asyncio.timeout(left_ms / 1000.0):
-            return await tools.scheduler.place(placement_request)
+            return await context.scheduler.place(placement_request)
     except TimeoutError:
         return outcomes.refuse(
             outcomes.Reason.TIME_LIMIT, "time was up while it waited"
--- a/src/ruddergate/entry/program.py
+++ b/src/ruddergate/entry/program.py
@@ -8,6 +8,7 @@
 from ruddergate.decisions import retries
 from ruddergate.entry import canceller as cancellers
 from ruddergate.entry import config as configs
+from ruddergate.entry import context as contexts
 from ruddergate.entry import feed as feeds
 from ruddergate.entry import forwarding
 from ruddergate.entry import handler as handlers
@@ -17,7 +18,6 @@
 from ruddergate.entry import scheduler as schedulers
 from ruddergate.entry import status
 from ruddergate.entry import suspects
-from ruddergate.entry import tools as tool_types
 from ruddergate.entry import view as views
 from ruddergate.http import server as http_server
 from ruddergate.telemetry import logs
@@ -43,30 +43,30 @@
         self._is_closing = False
         view = views.View()
         scheduler = schedulers.Scheduler(outside, config, view)
-        self.tools = tool_types.Tools(
+        self.context = contexts.EntryContext(
             outside=outside,
             config=config,
             incarnation=environment.make_token(outside.random),
-            began_ms=outside.now_ms(),
+            started_ms=outside.now_ms(),
             view=view,
             scheduler=scheduler,
             canceller=cancellers.Canceller(outside, view),
             budget=retries.Budget(),
             metrics=metric_types.EntryMetrics(),
             tracer=tracer,
-            suspects=suspects.Suspects(outside),
+            quarantine=suspects.Suspects(outside),
         )
         limits = limit_types.Limits(outside, view)
-        self._keyed = keyed_runs.KeyedRuns(self.tools, limits)
-        self._handler = handlers.Handler(self.tools, limits, self._keyed)
+        self._keyed = keyed_runs.KeyedRuns(self.context, limits)
+        self._handler = handlers.Handler(self.context, limits, self._keyed)
         self._feed = feeds.Feed(
-            outside, config, self.tools.incarnation, view, scheduler, limits
+            outside, config, self.context.incarnation, view, scheduler, limits
         )
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serves until `stop` is set, then ends as planned."""
         tasks = [
-            asyncio.ensure_future(self.tools.scheduler.run()),
+            asyncio.ensure_future(self.context.scheduler.run()),
             asyncio.ensure_future(self._feed.run()),
         ]
         callers = await self._serve_callers()
@@ -80,11 +80,13 @@
             callers.close()
             for task in tasks:
                 task.cancel()
-            self.tools.tracer.close()
+            self.context.tracer.close()
 
     async def _serve_callers(self) -> asyncio.Server:
-        handle_call = handlers.with_span(self._handler.handle, self.tools)
-        handle = status.make_status_handler(handle_call, self._feed, self.tools)
+        handle_call = handlers.with_span(self._handler.handle, self.context)
+        handle = status.make_status_handler(
+            handle_call, self._feed, self.context
+        )
         handler = http_server.make_stream_handler(
             self._open.guard(handle),
             self._config.limits,
@@ -107,6 +109,8 @@
         await asyncio.sleep(self._config.stop_lag_ms / 1000.0)
         self._is_closing = True
         callers.close()
-        while len(self._open) or len(self._keyed) or len(self.tools.canceller):
+        while (
+            len(self._open) or len(self._keyed) or len(self.context.canceller)
+        ):
             await asyncio.sleep(_POLL_MS / 1000.0)
         self._log.info("Planned stop ends, nothing is in flight.")
--- a/src/ruddergate/entry/relay_admit.py
+++ b/src/ruddergate/entry/relay_admit.py
@@ -6,7 +6,7 @@
 from ruddergate import outcomes
 from ruddergate import payload as payloads
 from ruddergate import request as requests
-from ruddergate.entry import tools as tool_types
+from ruddergate.entry import context as contexts
 from ruddergate.http import message
 from ruddergate.relay import door as doors
 from ruddergate.settings import catalog as catalogs
@@ -42,7 +42,7 @@
     incoming: message.IncomingRequest,
     inquiry: doors.Inquiry,
     arrived_ms: float,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
     trust: Trust,
 ) -> requests.Request | outcomes.NotServed:
     """Returns the request with its effective settings, or why not.
@@ -54,7 +54,7 @@
         tools: What the stages share.
         trust: How old settings may be.
     """
-    catalog = tools.view.catalog
+    catalog = context.view.catalog
     if catalog.revision == 0:
         return outcomes.refuse(
             outcomes.Reason.NO_SETTINGS,
@@ -66,20 +66,20 @@
         return _refuse_unknown(
             outcomes.Reason.UNKNOWN_WORKLOAD,
             "no route covers this call",
-            tools,
+            context,
             trust,
         )
     workspace = catalogs.Workspace("", 0)
     if catalog.workspaces and not route.is_open:
-        if _settings_age_ms(tools) > trust.key_age_max_ms:
+        if _settings_age_ms(context) > trust.key_age_max_ms:
             return _refuse_stale("whether the key is still good")
         found = catalog.workspaces.get(inquiry.key)
         if found is None:
             return _refuse_unknown(
-                outcomes.Reason.UNKNOWN_KEY, "unknown key", tools, trust
+                outcomes.Reason.UNKNOWN_KEY, "unknown key", context, trust
             )
         workspace = found
-    pool = _choose_pool(catalog, route, tools.outside.random)
+    pool = _choose_pool(catalog, route, context.outside.random)
     if pool is None:
         return outcomes.refuse(
             outcomes.Reason.NO_TARGET,
@@ -91,18 +91,18 @@
     )
 
 
-def _settings_age_ms(tools: tool_types.Tools) -> float:
-    return tools.view.settings_age_ms(tools.outside.now_ms())
+def _settings_age_ms(context: contexts.EntryContext) -> float:
+    return context.view.settings_age_ms(context.outside.now_ms())
 
 
 def _refuse_unknown(
     reason: outcomes.Reason,
     detail: str,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
     trust: Trust,
 ) -> outcomes.NotServed:
     """Says for good that something is unknown, or that it may be new."""
-    if _settings_age_ms(tools) > trust.certain_age_max_ms:
+    if _settings_age_ms(context) > trust.certain_age_max_ms:
         return _refuse_stale(f"more than this: {detail}")
     return outcomes.refuse(reason, detail)
 
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -9,13 +9,13 @@
 from ruddergate.decisions import cost as costs
 from ruddergate.decisions import length_band
 from ruddergate.entry import attempt_log
+from ruddergate.entry import context as contexts
 from ruddergate.entry import first_event
 from ruddergate.entry import lost_call
-from ruddergate.entry import scheduler_messages
 from ruddergate.entry import relay_progress
 from ruddergate.entry import reservation_keeper
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import suspects
-from ruddergate.entry import tools as tool_types
 from ruddergate.relay import answer as answers
 from ruddergate.relay import errand as errands
 from ruddergate.relay import orders
@@ -73,20 +73,20 @@
         progress: relay_progress.Progress,
         send: errands.Send,
         keeper: reservation_keeper.ReservationKeeper,
-        tools: tool_types.Tools,
+        context: contexts.EntryContext,
     ) -> None:
         self._request = request
         self._seats = grant.placements
         self._progress = progress
         self._send = send
         self._keeper = keeper
-        self._tools = tools
+        self._context = context
         self._at_fault: set[str] = set()
         # Targets from which nothing came back; their hall may be cut off.
         self._out_of_reach: set[str] = set()
         # Targets in whose place nobody or another one answered.
         self._gone: set[str] = set()
-        self._sent_ms = tools.outside.now_ms()
+        self._sent_ms = context.outside.now_ms()
         # Whether a token of the target's rate limit was taken.
         self._has_token = False
         self._has_first = False
@@ -97,7 +97,7 @@
         reservations = self._make_reservations()
         self._progress.blamed = ()
         attempt_log.log_start(
-            self._request, self._seats, self._progress, self._tools
+            self._request, self._seats, self._progress, self._context
         )
         try:
             signs = await self._ask_signs()
@@ -114,10 +114,10 @@
             if missing:
                 yield self._give_up_memory(missing)
                 return
-            self._sent_ms = self._tools.outside.now_ms()
+            self._sent_ms = self._context.outside.now_ms()
             errand = self._make_errand(reservations)
             traceparent = self._request.traceparent
-            with self._tools.tracer.span("attempt", traceparent):
+            with self._context.tracer.span("attempt", traceparent):
                 async with contextlib.aclosing(
                     self._read(errand, bool(reservations))
                 ) as events:
@@ -130,18 +130,20 @@
 
     def _refuse_send(self) -> outcomes.NotServed | None:
         """Returns why the call may not be sent in this moment, if so."""
-        refusal = self._tools.suspects.refuse(self._request)
+        refusal = self._context.quarantine.refuse(self._request)
         refusal = refusal or self._refuse_withdrawn()
         if refusal is not None:
             return refusal
         placement = self._seats[0]
-        refusal = self._tools.admit(placement.target, placement.attempt_id)
+        refusal = self._context.take_rate_token(
+            placement.target, placement.attempt_id
+        )
         self._has_token = refusal is None
         return refusal
 
     def _refuse_withdrawn(self) -> outcomes.NotServed | None:
         """Returns a refusal if the target or a helper takes no calls now."""
-        return self._tools.refuse_send(
+        return self._context.check_admission(
             [placement.target for placement in self._seats]
         )
 
@@ -191,13 +193,15 @@
         are its helpers, without which there won't be any.
         """
         async with contextlib.aclosing(self._send(errand)) as events:
-            hopeless = []
+            failure_watches = []
             if errand.helpers:
-                hopeless.append(self._wait_for_helpers_end())
+                failure_watches.append(self._wait_for_helpers_end())
             if is_watched:
-                hopeless.append(self._wait_for_silence())
-            if hopeless:
-                first = await first_event.await_first(events, hopeless)
+                failure_watches.append(self._wait_for_silence())
+            if failure_watches:
+                first = await first_event.wait_for_first(
+                    events, failure_watches
+                )
                 yield first
                 if isinstance(first, outcomes.NotServed):
                     return
@@ -221,17 +225,17 @@
         may not be sent again, this waits for as long as the target does.
         """
         helpers = [placement.target.life for placement in self._seats[1:]]
-        life = await self._tools.scheduler.ends.wait_for_any(helpers)
+        life = await self._context.scheduler.ends.wait_for_any(helpers)
         request = self._request
-        is_great = length_band.is_long(request.prompt_tokens)
+        is_large = length_band.is_long(request.prompt_tokens)
         may_again = request.payload.route.repeatable
-        if not may_again or not await self._tools.secure_retry(is_great):
+        if not may_again or not await self._context.ensure_retry(is_large):
             await asyncio.Event().wait()
         self._note(answers.FaultTold(life.target_id))
         self._gone.add(life.target_id)
         # A content that ends several engines at once must not be cleared by
         # that: the one that was to answer may have ended, too.
-        self._tools.note_lost(self._describe_lost())
+        self._context.report_lost_call(self._describe_lost())
         return outcomes.NotServed(
             outcomes.Reason.HELPER_ENDED,
             outcomes.Ran.UNKNOWN,
@@ -262,7 +266,7 @@
         """Takes an event in; returns whether it is to be handed on."""
         match event:
             case answers.LoadTold():
-                self._tools.scheduler.post(
+                self._context.scheduler.post(
                     scheduler_messages.LoadReported(event.report)
                 )
                 return False
@@ -287,13 +291,13 @@
 
     def _note_failure(self, ended: outcomes.NotServed) -> None:
         if self._has_token and ended.reason in _NOT_SENT_REASONS:
-            self._tools.give_back(self._seats[0].target)
+            self._context.return_rate_token(self._seats[0].target)
         if ended.reason in _NOT_THE_TARGETS_FAULT or self._at_fault:
             return
         writer = self._seats[0].target.target_id
         self._at_fault.add(writer)
         if ended.reason is outcomes.Reason.TARGET_LOST:
-            self._tools.note_lost(self._describe_lost())
+            self._context.report_lost_call(self._describe_lost())
         if ended.reason is outcomes.Reason.TARGET_UNREACHABLE:
             self._out_of_reach.add(writer)
         if ended.reason in _GONE_REASONS:
@@ -305,11 +309,11 @@
             self._request.request_id,
             suspects.name_content(self._request),
             target,
-            self._tools.outside.now_ms() - self._sent_ms,
+            self._context.outside.now_ms() - self._sent_ms,
             costs.predict_prefill_ms(
                 self._request.workload.pool, self._request.prompt_tokens
             ),
-            self._tools.scheduler.count_streams(target.target_id),
+            self._context.scheduler.count_streams(target.target_id),
         )
 
     def _note_first(self) -> None:
@@ -317,10 +321,10 @@
             return
         self._has_first = True
         request = self._request
-        took_ms = self._tools.outside.now_ms() - request.arrived_ms
-        self._tools.metrics.note_first_token(request.prompt_tokens, took_ms)
+        took_ms = self._context.outside.now_ms() - request.arrived_ms
+        self._context.metrics.note_first_token(request.prompt_tokens, took_ms)
         for placement in self._seats:
-            self._tools.scheduler.post(
+            self._context.scheduler.post(
                 scheduler_messages.FirstToken(placement, "", 0)
             )
 
@@ -331,7 +335,7 @@
             # A helper that a target blames may well be out of its reach.
             is_blamed = name in self._progress.blamed
             is_away = placement.target.hall != writers_hall
-            self._tools.scheduler.post(
+            self._context.scheduler.post(
                 scheduler_messages.AttemptEnded(
                     placement,
                     name in self._at_fault,
@@ -343,7 +347,7 @@
 
     def _make_reservations(self) -> dict[str, orders.Reservation]:
         """Returns the memory to set aside on helpers, by target."""
-        owner = f"{self._tools.config.vm_id}.{self._tools.incarnation}"
+        owner = f"{self._context.config.vm_id}.{self._context.incarnation}"
         return {
             placement.target.target_id: orders.Reservation(
                 placement.target,
@@ -377,7 +381,7 @@
         """Returns how long silence is borne; to the end for what runs once."""
         request = self._request
         route = request.payload.route
-        left_ms = request.remaining_ms(self._tools.outside.now_ms())
+        left_ms = request.remaining_ms(self._context.outside.now_ms())
         if not route.repeatable:
             return errands.Patience(CONNECT_TIMEOUT_MS, left_ms, left_ms)
         return errands.Patience(
@@ -398,8 +402,8 @@
         most = request.payload.route.targets_max
         if self._progress.count_sent(being_sent) >= most:
             return False
-        is_great = length_band.is_long(request.prompt_tokens)
-        return await self._tools.secure_retry(is_great)
+        is_large = length_band.is_long(request.prompt_tokens)
+        return await self._context.ensure_retry(is_large)
 
 
 def _make_helper(
--- a/src/ruddergate/entry/relay_handler.py
+++ b/src/ruddergate/entry/relay_handler.py
@@ -6,10 +6,10 @@
 
 from ruddergate import outcomes
 from ruddergate import request as requests
+from ruddergate.entry import context as contexts
 from ruddergate.entry import relay_admit
 from ruddergate.entry import relay_run
 from ruddergate.entry import reservation_keeper
-from ruddergate.entry import tools as tool_types
 from ruddergate.http import message
 from ruddergate.relay import answer as answers
 from ruddergate.relay import door as doors
@@ -39,13 +39,13 @@
 
     def __init__(
         self,
-        tools: tool_types.Tools,
+        context: contexts.EntryContext,
         door: doors.Door,
         send: errands.Send,
         keeper: reservation_keeper.ReservationKeeper,
         trust: relay_admit.Trust,
     ) -> None:
-        self._tools = tools
+        self._context = context
         self._door = door
         self._send = send
         self._keeper = keeper
@@ -60,14 +60,14 @@
         if isinstance(inquiry, outcomes.NotServed):
             return self._refuse(inquiry, "")
         # A wait for the first settings is part of the caller's time.
-        arrived_ms = self._tools.outside.now_ms()
+        arrived_ms = self._context.outside.now_ms()
         await self._wait_for_catalog()
         request = relay_admit.admit(
-            incoming, inquiry, arrived_ms, self._tools, self._trust
+            incoming, inquiry, arrived_ms, self._context, self._trust
         )
         if isinstance(request, outcomes.NotServed):
             return self._refuse(request, inquiry.request_id)
-        events = relay_run.run(request, self._send, self._keeper, self._tools)
+        events = relay_run.run(request, self._send, self._keeper, self._context)
         try:
             first = await anext(events)
         except BaseException:
@@ -86,14 +86,16 @@
 
     async def _wait_for_catalog(self) -> None:
         """Lets a call that comes right after the start wait for settings."""
-        tools = self._tools
-        starts_for_ms = tools.began_ms + STARTING_MS - tools.outside.now_ms()
+        context = self._context
+        starts_for_ms = (
+            context.started_ms + STARTING_MS - context.outside.now_ms()
+        )
         wait_ms = min(FIRST_SETTINGS_WAIT_MS, starts_for_ms)
-        if tools.view.catalog_came.is_set() or wait_ms <= 0.0:
+        if context.view.catalog_came.is_set() or wait_ms <= 0.0:
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_ms / 1000.0):
-                await tools.view.catalog_came.wait()
+                await context.view.catalog_came.wait()
 
     async def _hand_on(
         self,
@@ -105,7 +107,7 @@
             async with contextlib.aclosing(events):
                 async for event in events:
                     if isinstance(event, answers.StreamEvents):
-                        pauses.note_event(self._tools.outside.now_ms())
+                        pauses.note_event(self._context.outside.now_ms())
                         yield event.data
                     elif isinstance(event, outcomes.NotServed):
                         self._note_end(
@@ -137,13 +139,13 @@
     def _refuse(
         self, refusal: outcomes.NotServed, request_id: str
     ) -> message.Response:
-        self._tools.metrics.note_outcome(refusal.reason, refusal.ran)
+        self._context.metrics.note_outcome(refusal.reason, refusal.ran)
         self._log.info(
             "Request refused: {}. {}",
             refusal.reason.value,
             refusal.detail,
             request_id=request_id,
-            revision=self._tools.view.catalog.revision,
+            revision=self._context.view.catalog.revision,
         )
         return self._door.write_failure(refusal)
 
@@ -155,12 +157,12 @@
         detail: str,
         pauses: "_Pauses | None" = None,
     ) -> None:
-        self._tools.metrics.note_outcome(reason, ran.value)
+        self._context.metrics.note_outcome(reason, ran.value)
         if pauses is not None:
-            self._tools.metrics.note_pause(
+            self._context.metrics.note_pause(
                 request.prompt_tokens, pauses.longest_ms
             )
-        took_ms = self._tools.outside.now_ms() - request.arrived_ms
+        took_ms = self._context.outside.now_ms() - request.arrived_ms
         self._log.info(
             "Request ended: {} ({}). {}",
             reason,
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -14,12 +14,12 @@
 from ruddergate.decisions import retries
 from ruddergate.decisions.routing import job as jobs
 from ruddergate.entry import attempt_log
+from ruddergate.entry import context as contexts
 from ruddergate.entry import model_run
-from ruddergate.entry import scheduler_messages
 from ruddergate.entry import relay_attempt
 from ruddergate.entry import relay_progress
 from ruddergate.entry import reservation_keeper
-from ruddergate.entry import tools as tool_types
+from ruddergate.entry import scheduler_messages
 from ruddergate.relay import answer as answers
 from ruddergate.relay import errand as errands
 
@@ -70,23 +70,23 @@
     request: requests.Request,
     send: errands.Send,
     keeper: reservation_keeper.ReservationKeeper,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> AsyncIterator[answers.Event]:
     """Yields the answer in order, each event once; the last tells the end."""
     progress = relay_progress.Progress(request.payload.last_event)
-    refusal = tools.suspects.refuse(request)
+    refusal = context.quarantine.refuse(request)
     if refusal is not None:
         yield refusal
         return
-    tools.budget.note_first_attempt()
+    context.budget.note_first_attempt()
     while True:
-        grant = await _place(request, progress, tools)
+        grant = await _place(request, progress, context)
         if isinstance(grant, outcomes.NotServed):
             yield _conclude(grant, progress)
             return
         ended: answers.Event | None = None
         attempt = relay_attempt.RelayAttempt(
-            request, grant, progress, send, keeper, tools
+            request, grant, progress, send, keeper, context
         )
         async with contextlib.aclosing(attempt.run()) as events:
             async for event in events:
@@ -95,11 +95,11 @@
                 else:
                     ended = event
         if isinstance(ended, answers.StreamEnd | answers.WholeAnswer):
-            tools.suspects.note_finished(request)
+            context.quarantine.note_finished(request)
         if isinstance(ended, answers.StreamEnd):
             yield ended
             return
-        final = await _decide(request, grant, ended, progress, tools)
+        final = await _decide(request, grant, ended, progress, context)
         if final is not None:
             yield final
             return
@@ -110,7 +110,7 @@
     grant: scheduler_messages.PlacementGrant,
     ended: answers.Event | None,
     progress: relay_progress.Progress,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> answers.Event | None:
     """Returns the final event, or None after the pause for a retry."""
     if isinstance(ended, answers.WholeAnswer):
@@ -126,8 +126,8 @@
         raise AssertionError("an attempt ended without an outcome")
     route = request.payload.route
     placement = grant.placements[0]
-    attempt_log.log_failure(request, placement, ended, progress, tools)
-    tools.metrics.attempts.inc({"result": ended.reason.value})
+    attempt_log.log_failure(request, placement, ended, progress, context)
+    context.metrics.attempts.inc({"result": ended.reason.value})
     progress.ran = model_run.worse(progress.ran, ended.ran)
     if ended.reason not in _NOTHING_SENT:
         progress.sent_to |= {placement.target.target_id}
@@ -136,7 +136,7 @@
         # the same target, and so no further one that was sent the call.
         progress.pinned = placement.target.target_id
         progress.helpers_failed += 1
-        return await _try_again(request, ended, progress, tools)
+        return await _try_again(request, ended, progress, context)
     if ended.reason not in _KEEP_PINNED:
         progress.pinned = ""
     if ended.reason not in _NOT_THE_WRITERS:
@@ -147,7 +147,7 @@
     may_go_on = route.is_resumable or not progress.is_begun
     if not may_go_on or progress.count_sent() >= route.targets_max:
         return _conclude(ended, progress)
-    return await _try_again(request, ended, progress, tools)
+    return await _try_again(request, ended, progress, context)
 
 
 def _conclude_unsent(
@@ -178,19 +178,19 @@
     request: requests.Request,
     ended: outcomes.NotServed,
     progress: relay_progress.Progress,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> answers.Event | None:
     """Returns None after a pause, or the outcome if no try is left."""
     if retries.may_run_again(ended, request.repeatable):
-        await tools.secure_retry(length_band.is_long(request.prompt_tokens))
+        await context.ensure_retry(length_band.is_long(request.prompt_tokens))
     decided = retries.decide(
         ended,
         request.repeatable,
         max(1, progress.sent),
-        request.remaining_ms(tools.outside.now_ms()),
+        request.remaining_ms(context.outside.now_ms()),
         0.0,
-        tools.budget,
-        tools.outside.random,
+        context.budget,
+        context.outside.random,
     )
     if isinstance(decided, outcomes.NotServed):
         return _conclude(decided, progress)
@@ -211,20 +211,20 @@
 async def _place(
     request: requests.Request,
     progress: relay_progress.Progress,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> scheduler_messages.PlacementGrant | outcomes.NotServed:
     """Waits for a place: ahead of late calls first, and then among them."""
-    for is_late, wait_ms in _find_waits(request, progress, tools):
-        left_ms = request.remaining_ms(tools.outside.now_ms())
+    for is_late, wait_ms in _find_waits(request, progress, context):
+        left_ms = request.remaining_ms(context.outside.now_ms())
         wait_ms = min(wait_ms, left_ms)
         if wait_ms <= 0.0:
             continue
         placement_request = _make_place(
-            request, progress, tools, is_late, wait_ms
+            request, progress, context, is_late, wait_ms
         )
         try:
             async with asyncio.timeout(wait_ms / 1000.0):
-                grant = await tools.scheduler.place(placement_request)
+                grant = await context.scheduler.place(placement_request)
         except TimeoutError:
             continue
         if is_late or not _is_too_long_a_wait(grant):
@@ -232,7 +232,7 @@
     return outcomes.refuse(
         outcomes.Reason.NO_TARGET,
         f"no target of pool {request.workload.pool.name} can be used now",
-        tools.outside.random.uniform(*_NO_TARGET_RETRY_MS),
+        context.outside.random.uniform(*_NO_TARGET_RETRY_MS),
     )
 
 
@@ -248,24 +248,24 @@
 def _find_waits(
     request: requests.Request,
     progress: relay_progress.Progress,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> tuple[tuple[bool, float], ...]:
     """Returns how long to wait as a call in time, and then as a late one."""
     aim_ms = request.payload.route.aim_ms
     on_time_ms = ON_TIME_WAIT_AIMS * aim_ms
     if not progress.is_begun:
-        on_time_ms -= tools.outside.now_ms() - request.arrived_ms
+        on_time_ms -= context.outside.now_ms() - request.arrived_ms
     return (False, on_time_ms), (True, max(LATE_WAIT_LEAST_MS, aim_ms))
 
 
 def _make_place(
     request: requests.Request,
     progress: relay_progress.Progress,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
     is_late: bool,
     wait_ms: float,
 ) -> scheduler_messages.PlacementRequest:
-    now_ms = tools.outside.now_ms()
+    now_ms = context.outside.now_ms()
     pool = request.workload.pool
     route = request.payload.route
     priority = request.workload.priority
@@ -297,10 +297,10 @@
             waited_ms=request.arrived_ms,
             aim_ms=route.aim_ms,
             pause_aim_ms=route.gap_aim_ms if route.is_stream else math.inf,
-            home_hall=tools.config.hall,
+            home_hall=context.config.hall,
             pinned_target=progress.pinned,
-            is_suspect=tools.suspects.is_suspect(request),
-            salt=tools.outside.random.getrandbits(32),
+            is_suspect=context.quarantine.is_suspect(request),
+            salt=context.outside.random.getrandbits(32),
         ),
         pool=pool,
         segments=(),
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -18,8 +18,8 @@
 from ruddergate.decisions import withdrawals
 from ruddergate.decisions.routing import by_name
 from ruddergate.entry import config as configs
-from ruddergate.entry import scheduler_messages
 from ruddergate.entry import placing as placings
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import target_losses
 from ruddergate.entry import target_table
 from ruddergate.entry import view as views
--- a/src/ruddergate/entry/serve.py
+++ b/src/ruddergate/entry/serve.py
@@ -5,57 +5,57 @@
 from ruddergate import outcomes
 from ruddergate import request as requests
 from ruddergate.adapters.engines import part as parts
+from ruddergate.entry import context as contexts
 from ruddergate.entry import limits as limit_types
 from ruddergate.entry import model_run
 from ruddergate.entry import recording
 from ruddergate.entry import service_run
-from ruddergate.entry import tools as tool_types
 
 
 async def serve(
     request: requests.Request,
     limits: limit_types.Limits,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> AsyncIterator[recording.Event]:
     """Yields the answer's events; the last tells how it ended."""
     refusal = limits.start(request)
     if refusal is not None:
-        _note(request, refusal, tools)
+        _note(request, refusal, context)
         yield refusal
         return
     try:
-        async for event in _run(request, tools):
-            _note(request, event, tools)
+        async for event in _run(request, context):
+            _note(request, event, context)
             yield event
     finally:
         limits.end(request)
 
 
 async def _run(
-    request: requests.Request, tools: tool_types.Tools
+    request: requests.Request, context: contexts.EntryContext
 ) -> AsyncIterator[recording.Event]:
     if request.service_path:
-        yield await service_run.run(request, tools)
+        yield await service_run.run(request, context)
         return
     is_first = True
-    async for event in model_run.run(request, tools):
+    async for event in model_run.run(request, context):
         if is_first and isinstance(event, parts.Tokens):
             is_first = False
-            took_ms = tools.outside.now_ms() - request.arrived_ms
-            tools.metrics.note_first_token(request.prompt_tokens, took_ms)
+            took_ms = context.outside.now_ms() - request.arrived_ms
+            context.metrics.note_first_token(request.prompt_tokens, took_ms)
         yield event
 
 
 def _note(
     request: requests.Request,
     event: recording.Event,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> None:
     if isinstance(event, parts.Tokens):
         return
     if isinstance(event, outcomes.NotServed):
-        tools.metrics.note_outcome(event.reason.value, event.ran.value)
+        context.metrics.note_outcome(event.reason.value, event.ran.value)
         return
     if isinstance(event, outcomes.Finished):
-        tools.metrics.tokens.add({}, event.output_tokens)
-    tools.metrics.note_outcome("finished", outcomes.Ran.RAN.value)
+        context.metrics.tokens.add({}, event.output_tokens)
+    context.metrics.note_outcome("finished", outcomes.Ran.RAN.value)
--- a/src/ruddergate/entry/service_run.py
+++ b/src/ruddergate/entry/service_run.py
@@ -8,29 +8,29 @@
 from ruddergate.decisions import queueing
 from ruddergate.decisions import retries
 from ruddergate.decisions.routing import job as jobs
+from ruddergate.entry import context as contexts
 from ruddergate.entry import model_run
 from ruddergate.entry import scheduler_messages
-from ruddergate.entry import tools as tool_types
 
 # What a call is taken to cost in the queue, in milliseconds.
 _CALL_COST_MS = 20.0
 
 
 async def run(
-    request: requests.Request, tools: tool_types.Tools
+    request: requests.Request, context: contexts.EntryContext
 ) -> service_calls.ServiceAnswer | outcomes.NotServed:
     """Returns the service's whole answer, or the outcome."""
     ran = outcomes.Ran.NOT_RUN
     excluded: frozenset[str] = frozenset()
     attempts = 0
-    tools.budget.note_first_attempt()
+    context.budget.note_first_attempt()
     while True:
-        grant = await _place(request, attempts, excluded, tools)
+        grant = await _place(request, attempts, excluded, context)
         if isinstance(grant, outcomes.NotServed):
             return _with_ran(grant, ran)
         attempts += 1
         placement = grant.placements[0]
-        answer = await _call(request, placement, tools)
+        answer = await _call(request, placement, context)
         if isinstance(answer, service_calls.ServiceAnswer):
             return answer
         ran = model_run.worse(ran, answer.ran)
@@ -39,10 +39,10 @@
             answer,
             request.repeatable,
             attempts,
-            request.remaining_ms(tools.outside.now_ms()),
+            request.remaining_ms(context.outside.now_ms()),
             _CALL_COST_MS,
-            tools.budget,
-            tools.outside.random,
+            context.budget,
+            context.outside.random,
         )
         if isinstance(decided, outcomes.NotServed):
             return _with_ran(decided, ran)
@@ -52,30 +52,32 @@
 async def _call(
     request: requests.Request,
     placement: scheduler_messages.Placement,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> service_calls.ServiceAnswer | outcomes.NotServed:
     failed = True
     try:
-        with tools.tracer.span("attempt", request.traceparent):
+        with context.tracer.span("attempt", request.traceparent):
             answer = await service_calls.call(
-                tools.outside,
+                context.outside,
                 placement.target,
                 request,
-                request.remaining_ms(tools.outside.now_ms()),
+                request.remaining_ms(context.outside.now_ms()),
             )
         failed = isinstance(answer, outcomes.NotServed)
         return answer
     finally:
-        tools.scheduler.post(scheduler_messages.AttemptEnded(placement, failed))
+        context.scheduler.post(
+            scheduler_messages.AttemptEnded(placement, failed)
+        )
 
 
 async def _place(
     request: requests.Request,
     attempts: int,
     excluded: frozenset[str],
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> scheduler_messages.PlacementGrant | outcomes.NotServed:
-    now_ms = tools.outside.now_ms()
+    now_ms = context.outside.now_ms()
     pool = request.workload.pool
     placement_request = scheduler_messages.PlacementRequest(
         job=queueing.Job(
@@ -94,7 +96,7 @@
         excluded=excluded,
         reply=asyncio.get_running_loop().create_future(),
     )
-    return await model_run.place_in_time(request, placement_request, tools)
+    return await model_run.place_in_time(request, placement_request, context)
 
 
 def _with_ran(
--- a/src/ruddergate/entry/status.py
+++ b/src/ruddergate/entry/status.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 import math
 
+from ruddergate.entry import context as contexts
 from ruddergate.entry import feed as feeds
-from ruddergate.entry import tools as tool_types
 from ruddergate.http import message
 from ruddergate.telemetry import metrics
 
@@ -18,7 +18,7 @@
 def make_status_handler(
     handle_call: Handle,
     feed: feeds.Feed,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> Handle:
     """Returns a handler of all paths: own pages first, then calls."""
 
@@ -27,92 +27,96 @@
             case "/healthz":
                 return message.make_json_response(200, {"ok": True})
             case "/readyz":
-                return _make_ready(feed, tools)
+                return _make_ready(feed, context)
             case "/metrics":
-                set_gauges(tools)
-                return metrics.render(tools.metrics.registry)
+                set_gauges(context)
+                return metrics.render(context.metrics.registry)
             case "/status":
-                return _make_status(feed, tools)
+                return _make_status(feed, context)
         return await handle_call(incoming)
 
     return handle
 
 
-def _make_ready(feed: feeds.Feed, tools: tool_types.Tools) -> message.Response:
-    has_settings = tools.view.in_force.manifest.revision > 0
+def _make_ready(
+    feed: feeds.Feed, context: contexts.EntryContext
+) -> message.Response:
+    has_settings = context.view.in_force.manifest.revision > 0
     ready = has_settings and not feed.is_stopping
     return message.make_json_response(200 if ready else 503, {"ready": ready})
 
 
-def set_gauges(tools: tool_types.Tools) -> None:
+def set_gauges(context: contexts.EntryContext) -> None:
     """Brings the gauges up to date before they are read."""
-    now_ms = tools.outside.now_ms()
-    age_ms = tools.view.age_ms(now_ms)
-    tools.metrics.view_age_ms.set({}, min(age_ms, 1e12))
-    view = tools.view
+    now_ms = context.outside.now_ms()
+    age_ms = context.view.age_ms(now_ms)
+    context.metrics.view_age_ms.set({}, min(age_ms, 1e12))
+    view = context.view
     revision = max(view.in_force.manifest.revision, view.catalog.revision)
-    tools.metrics.revision.set({}, revision)
-    tools.metrics.store_epoch.set({}, view.store_position.epoch)
+    context.metrics.revision.set({}, revision)
+    context.metrics.store_epoch.set({}, view.store_position.epoch)
     settings_age_ms = view.settings_age_ms(now_ms)
-    tools.metrics.settings_age_ms.set({}, min(settings_age_ms, 1e12))
-    tools.metrics.retries_left.set({}, tools.budget.tokens)
-    for name, cost_ms in tools.scheduler.waiting_by_class().items():
-        tools.metrics.waiting_cost_ms.set({"class": name}, cost_ms)
+    context.metrics.settings_age_ms.set({}, min(settings_age_ms, 1e12))
+    context.metrics.retries_left.set({}, context.budget.tokens)
+    for name, cost_ms in context.scheduler.waiting_by_class().items():
+        context.metrics.waiting_cost_ms.set({"class": name}, cost_ms)
 
 
-def _make_status(feed: feeds.Feed, tools: tool_types.Tools) -> message.Response:
-    return make_status(tools, feed.is_connected, feed.is_stopping)
+def _make_status(
+    feed: feeds.Feed, context: contexts.EntryContext
+) -> message.Response:
+    return make_status(context, feed.is_connected, feed.is_stopping)
 
 
 def make_status(
-    tools: tool_types.Tools, agent_connected: bool, stopping: bool
+    context: contexts.EntryContext, agent_connected: bool, stopping: bool
 ) -> message.Response:
     """Returns what this VM goes by and how old that is."""
-    now_ms = tools.outside.now_ms()
-    view = tools.view
+    now_ms = context.outside.now_ms()
+    view = context.view
     age_ms = view.age_ms(now_ms)
     targets = [
         {
             "id": each.target.target_id,
             "pool": each.pool.name,
             "hall": each.target.hall,
-            "usable": tools.scheduler.is_usable(each),
+            "usable": context.scheduler.is_usable(each),
             "waiting_tokens": round(each.waiting_tokens(now_ms)),
             "held_tokens": each.held_tokens(now_ms),
             "streams": each.streams(now_ms),
-            **_show_rate_limit(tools, each.target.target_id, now_ms),
+            **_show_rate_limit(context, each.target.target_id, now_ms),
         }
-        for each in tools.scheduler.believed_loads()
+        for each in context.scheduler.believed_loads()
     ]
     document = {
-        "vm": tools.config.vm_id,
-        "hall": tools.config.hall,
-        "incarnation": tools.incarnation,
-        "policy": tools.config.policy,
+        "vm": context.config.vm_id,
+        "hall": context.config.hall,
+        "incarnation": context.incarnation,
+        "policy": context.config.policy,
         "agent_connected": agent_connected,
         "stopping": stopping,
         "revision": max(view.in_force.manifest.revision, view.catalog.revision),
         "store_epoch": view.store_position.epoch,
         "store_revision": view.store_position.revision,
         "settings_age_ms": _round_age(view.settings_age_ms(now_ms)),
-        "retries_left": round(tools.budget.tokens, 2),
-        "quarantined": tools.suspects.list_quarantined(),
+        "retries_left": round(context.budget.tokens, 2),
+        "quarantined": context.quarantine.list_quarantined(),
         "refused_revision": view.in_force.refused_revision,
         "problems": [str(each) for each in view.in_force.problems],
         "listing_version": view.listing.version,
         "view_age_ms": _round_age(age_ms),
         "peers": list(view.listed_vms()),
-        "waiting_cost_ms": tools.scheduler.waiting_by_class(),
+        "waiting_cost_ms": context.scheduler.waiting_by_class(),
         "targets": targets,
     }
     return message.make_json_response(200, document)
 
 
 def _show_rate_limit(
-    tools: tool_types.Tools, target_id: str, now_ms: float
+    context: contexts.EntryContext, target_id: str, now_ms: float
 ) -> dict[str, float | None]:
     """Returns a target's rate limit and this VM's part, None for no limit."""
-    limit, own = tools.scheduler.find_rate_limit(target_id, now_ms)
+    limit, own = context.scheduler.find_rate_limit(target_id, now_ms)
     if math.isinf(limit):
         return {"rate_limit_per_s": None, "rate_limit_share_per_s": None}
     return {"rate_limit_per_s": limit, "rate_limit_share_per_s": round(own, 3)}
--- a/src/ruddergate/entry/suspects.py
+++ b/src/ruddergate/entry/suspects.py
@@ -43,9 +43,9 @@
         """Notes that a target ended under a call."""
         now_ms = self._outside.now_ms()
         life = lost.target.life
-        weight = suspicion.find_weight(lost.there_ms, lost.reading_ms)
-        if self._suspicion.note_ended(lost.content, life, weight, now_ms):
-            self._note_news(lost.content, lost.request_id)
+        weight = suspicion.find_weight(lost.since_sent_ms, lost.prefill_ms)
+        if self._suspicion.note_ended(lost.fingerprint, life, weight, now_ms):
+            self._note_news(lost.fingerprint, lost.request_id)
 
     def note_finished(self, request: requests.Request) -> None:
         """Notes that a call ran to its end.
--- a/standins/restore_checks.py
+++ b/standins/restore_checks.py
@@ -106,7 +106,7 @@
             await asyncio.sleep(_SAMPLE_S)
 
     def _look(self, node: gateway_cluster.Node) -> None:
-        view = node.gateway.tools.view
+        view = node.gateway.context.view
         run = (node.name, node.starts)
         before = self._revisions.get(run, 0)
         if view.catalog.revision < before:
@@ -206,7 +206,7 @@
             continue
         live = {
             each.life
-            for each in vm.gateway.tools.view.listing.targets
+            for each in vm.gateway.context.view.listing.targets
             if each.condition is condition.Condition.LIVE
         }
         broken += [
--- a/standins/withdrawal_ways.py
+++ b/standins/withdrawal_ways.py
@@ -29,7 +29,7 @@
     """Returns how often each way was taken, by what gateways have counted."""
     ways: collections.Counter[str] = collections.Counter()
     for gateway in found:
-        metrics = gateway.tools.metrics
+        metrics = gateway.context.metrics
         for labels, count in metrics.leavings_heard.get_all():
             ways[f"heard by {labels['from']}"] += int(count)
         for _, count in metrics.leavings_denied.get_all():
@@ -56,7 +56,7 @@
         f"{vm.name} holds {target.target_id} to leave, which never said so"
         for vm in cluster.vms.values()
         if not (vm.process.is_dead or vm.task.done())
-        for target in vm.gateway.tools.view.listing.targets
+        for target in vm.gateway.context.view.listing.targets
         if target.condition is condition.Condition.LEAVING
         and sound.get(target.target_id) == target.born_ms
     ]
--- a/tests/gateway_scene.py
+++ b/tests/gateway_scene.py
@@ -69,7 +69,7 @@
         self, vm: str, node: gateway_cluster.Node
     ) -> condition.Condition | None:
         """Returns what a VM believes of a target; None if it is not listed."""
-        listed = self.cluster.vms[vm].gateway.tools.view.listing.targets
+        listed = self.cluster.vms[vm].gateway.context.view.listing.targets
         return next(
             (
                 each.condition
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -176,7 +176,7 @@
             knowing = [
                 node.name
                 for node in cluster.vms.values()
-                if node.gateway.tools.suspects.list_quarantined()
+                if node.gateway.context.quarantine.list_quarantined()
             ]
             self.assertEqual(len(knowing), len(cluster.vms))
 
@@ -228,7 +228,7 @@
             got = await asyncio.gather(*calls)
             self.assertEqual({each.status for each in got}, {200})
             for node in scene.cluster.vms.values():
-                self.assertGreater(len(node.gateway.tools.suspects), 0)
+                self.assertGreater(len(node.gateway.context.quarantine), 0)
 
         gateway_scene.play(scene)
 
--- a/tests/test_gateway_store.py
+++ b/tests/test_gateway_store.py
@@ -160,7 +160,7 @@
                 cluster.publish(routes=routes)
             cluster.network.cuts.remove(cut)
             await asyncio.sleep(2.9)
-            view = cluster.vms["vm-0"].gateway.tools.view
+            view = cluster.vms["vm-0"].gateway.context.view
             self.assertEqual(view.catalog.revision, cluster.revision)
 
         gateway_scene.play(scene)
@@ -176,8 +176,8 @@
             store.trouble = ""
             await asyncio.sleep(0.6)
             for node in scene.cluster.vms.values():
-                view = node.gateway.tools.view
-                now_ms = node.gateway.tools.outside.now_ms()
+                view = node.gateway.context.view
+                now_ms = node.gateway.context.outside.now_ms()
                 self.assertLess(view.settings_age_ms(now_ms), 600.0)
 
         gateway_scene.play(scene)
@@ -189,7 +189,7 @@
             old = gateway_cluster.make_configuration(scene.cluster.keys, 2)
             scene.cluster.store.put("op/config", {**old, "config-version": 1})
             await asyncio.sleep(1.0)
-            view = scene.cluster.vms["vm-0"].gateway.tools.view
+            view = scene.cluster.vms["vm-0"].gateway.context.view
             self.assertEqual(view.catalog.revision, 2)
 
         gateway_scene.play(scene)
@@ -256,9 +256,9 @@
             store.trouble = "reset"
             await asyncio.sleep(4.0)
             store.trouble = ""
-            tools = scene.cluster.vms["vm-0"].gateway.tools
-            now_ms = tools.outside.now_ms
-            while tools.view.settings_age_ms(now_ms()) > 1_000.0:
+            context = scene.cluster.vms["vm-0"].gateway.context
+            now_ms = context.outside.now_ms
+            while context.view.settings_age_ms(now_ms()) > 1_000.0:
                 await asyncio.sleep(0.01)
             regained_ms = now_ms()
             # It goes off the list within the grace after the outage.
@@ -268,7 +268,7 @@
             grace_ms = 1_500.0
             while now_ms() < regained_ms + grace_ms + 20.0:
                 await asyncio.sleep(0.01)
-            listed = {each.target_id for each in tools.view.listing.targets}
+            listed = {each.target_id for each in context.view.listing.targets}
             self.assertNotIn(node.replica.name, listed)
 
         gateway_scene.play(scene)
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -93,7 +93,7 @@
                 node = scene.cluster.targets[name]
                 node.replica.wrong.helps_nobody = True
                 scene.cluster.kill(node)
-            budget = scene.cluster.vms["vm-0"].gateway.tools.budget
+            budget = scene.cluster.vms["vm-0"].gateway.context.budget
             budget.resize(1.0)
             budget.tokens = 1.0
             got = await scene.call(
@@ -115,7 +115,7 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             got = await self._lose_helper(scene, is_writer_lost=False)
             self.assertLess(got.first_ms, 3_000.0)
-            suspects = scene.cluster.vms["vm-0"].gateway.tools.suspects
+            suspects = scene.cluster.vms["vm-0"].gateway.context.quarantine
             self.assertEqual(len(suspects), 0)
 
         gateway_scene.play(scene, vms=2, halls=1, engines=16)
@@ -126,7 +126,7 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             asyncio.ensure_future(self._lose_helper(scene, is_writer_lost=True))
             await asyncio.sleep(1.0)
-            suspects = scene.cluster.vms["vm-0"].gateway.tools.suspects
+            suspects = scene.cluster.vms["vm-0"].gateway.context.quarantine
             self.assertEqual(len(suspects), 1)
 
         gateway_scene.play(scene, vms=2, halls=1, engines=16)
@@ -150,7 +150,7 @@
         gateway = cluster.vms["vm-0"].gateway
         seats = [
             each.target
-            for each in gateway.tools.scheduler.believed_loads()
+            for each in gateway.context.scheduler.believed_loads()
             if each.own_streams()
         ]
         writer = _find_writer(scene)
@@ -164,7 +164,7 @@
         cluster.crash_target(
             cluster.targets[helper.target_id.partition(".")[0]]
         )
-        other = cluster.vms["vm-1"].gateway.tools.scheduler
+        other = cluster.vms["vm-1"].gateway.context.scheduler
         other.post(scheduler_messages.IncarnationEnded(helper))
         got = await calling
         self.assertEqual((got.status, got.is_whole), (200, True))
@@ -192,8 +192,8 @@
             )
             self.assertEqual((got.status, got.is_whole), (200, True))
             # One try for each of two engines shows that it is the hall.
-            tools = scene.cluster.vms["vm-0"].gateway.tools
-            self.assertGreaterEqual(tools.budget.tokens, 4.0 - 2.0)
+            context = scene.cluster.vms["vm-0"].gateway.context
+            self.assertGreaterEqual(context.budget.tokens, 4.0 - 2.0)
 
         gateway_scene.play(scene, engines=15)
 
@@ -251,7 +251,7 @@
     def test_silence_is_borne_without_a_second_send_left(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             scene.spoil("engine", silent_s=2.5)
-            scene.cluster.vms["vm-0"].gateway.tools.budget.tokens = 0.0
+            scene.cluster.vms["vm-0"].gateway.context.budget.tokens = 0.0
             got = await scene.call("short", output_tokens=2_000)
             self.assertEqual((got.status, got.is_whole), (200, True))
             self.assertEqual(len(scene.runs(got)), 1)
--- a/tests/test_leaving_delay.py
+++ b/tests/test_leaving_delay.py
@@ -74,7 +74,7 @@
 
 
 def _knows(node: gateway_cluster.Node, target_id: str) -> bool:
-    listed = node.gateway.tools.view.listing.targets
+    listed = node.gateway.context.view.listing.targets
     return any(
         each.target_id == target_id
         and each.condition is condition.Condition.LEAVING
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -14,9 +14,9 @@
 from ruddergate import environment
 from ruddergate.decisions import withdrawals
 from ruddergate.entry import config as configs
-from ruddergate.entry import scheduler_messages
 from ruddergate.entry import reservation_keeper
 from ruddergate.entry import scheduler as schedulers
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import target_list
 from ruddergate.entry import view as views
 from ruddergate.fleet import bad_news
--- a/tests/test_losses_found.py
+++ b/tests/test_losses_found.py
@@ -104,8 +104,8 @@
             for _ in range(6):
                 await scene.call("long", "vm-0", prompt_tokens=300_000)
             gateway = scene.cluster.vms["vm-2"].gateway
-            scheduler = gateway.tools.scheduler
-            now_ms = gateway.tools.outside.now_ms()
+            scheduler = gateway.context.scheduler
+            now_ms = gateway.context.outside.now_ms()
             self.assertFalse(scheduler._losses.is_suspect("hall-1", now_ms))
 
         loguru.logger.remove()
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -130,8 +130,8 @@
 
 
 def _find_age_ms(node: gateway_cluster.Node) -> float:
-    tools = node.gateway.tools
-    return tools.view.settings_age_ms(tools.outside.now_ms())
+    context = node.gateway.context
+    return context.view.settings_age_ms(context.outside.now_ms())
 
 
 def _cut_off(scene: gateway_scene.Scene, name: str) -> None:
@@ -187,7 +187,7 @@
             for name, vm in scene.cluster.vms.items():
                 got = await scene.call("unsafe", name, key="new")
                 self.assertEqual(got.status, 200)
-                view = vm.gateway.tools.view
+                view = vm.gateway.context.view
                 (found,) = [
                     each
                     for each in view.listing.targets
@@ -230,7 +230,7 @@
             for _ in range(3):
                 await asyncio.sleep(seconds / 3.0)
                 for vm in cluster.vms.values():
-                    view = vm.gateway.tools.view
+                    view = vm.gateway.context.view
                     self.assertEqual(view.catalog.revision, cluster.revision)
                 cluster.publish(routes=routes)
             # Each VM for itself would read each of the changes besides.
@@ -288,7 +288,7 @@
             for _ in range(12):
                 await asyncio.sleep(0.1)
                 for vm in scene.cluster.vms.values():
-                    listed = vm.gateway.tools.view.listing.targets
+                    listed = vm.gateway.context.view.listing.targets
                     self.assertEqual(len(listed), len(scene.cluster.targets))
 
         self.play(scene)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -185,8 +185,8 @@
             self.assertEqual(
                 rate_limit_check.find_excess(scene.cluster, got), []
             )
-            limits = node.gateway.tools.scheduler
-            now_ms = node.gateway.tools.outside.now_ms()
+            limits = node.gateway.context.scheduler
+            now_ms = node.gateway.context.outside.now_ms()
             limit, _ = limits.find_rate_limit(replica.name, now_ms)
             self.assertEqual(limit, 1.0)
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -113,16 +113,16 @@
             cluster.start_vm(node)
             while await scene.caller.ask_ready("vm-5") != 200:
                 await asyncio.sleep(0.01)
-            tools = node.gateway.tools
-            self.assertEqual(tools.view.catalog.revision, cluster.revision)
+            context = node.gateway.context
+            self.assertEqual(context.view.catalog.revision, cluster.revision)
             # It is ready before it knows its peers: after the loss of all VMs
             # callers would wait for the next check otherwise.
             await asyncio.sleep(_HEARD_S)
             peers = node.gateway._peers.loads.names()
             self.assertEqual(len(peers), 5)
             await scene.call("short", "vm-5")
-            loads = tools.scheduler.believed_loads()
-            now_ms = tools.outside.now_ms()
+            loads = context.scheduler.believed_loads()
+            now_ms = context.outside.now_ms()
             known = sum(each.streams(now_ms) for each in loads)
             self.assertGreaterEqual(known, 10)
             await asyncio.gather(*busy)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -45,7 +45,7 @@
             await asyncio.sleep(1.1)
             for node in scene.cluster.vms.values():
                 self.assertAlmostEqual(
-                    node.gateway.tools.budget.most,
+                    node.gateway.context.budget.most,
                     gateway_cluster.RETRY_SLACK * retries.SLACK_PART / 9,
                 )
             # One that starts again alone takes little until it knows more.
@@ -55,7 +55,7 @@
             scene.cluster.network.cuts.append(cut)
             scene.cluster.start_vm(node)
             await asyncio.sleep(1.0)
-            self.assertLess(node.gateway.tools.budget.most, 1.0)
+            self.assertLess(node.gateway.context.budget.most, 1.0)
 
         loguru.logger.remove()
         gateway_scene.play(scene, vms=9)
@@ -127,7 +127,7 @@
                 return False
 
             loguru.logger.add(lambda _: None, filter=end_trouble)
-            budget = scene.cluster.vms["vm-0"].gateway.tools.budget
+            budget = scene.cluster.vms["vm-0"].gateway.context.budget
             for _ in range(4):
                 # Whichever engine is asked first refuses.
                 scene.spoil("engine", refuse=1.0)
@@ -143,12 +143,12 @@
     def test_vm_that_is_cut_off_does_not_wait_for_lenders(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             gateway = scene.cluster.vms["vm-0"].gateway
-            gateway.tools.budget.tokens = 0.0
+            gateway.context.budget.tokens = 0.0
             cut = gateway_cluster.virtual_network.Cut("vm-0", "")
             scene.cluster.network.cuts.append(cut)
-            began_ms = gateway.tools.outside.now_ms()
-            self.assertFalse(await gateway.tools.secure_retry(True))
-            took_ms = gateway.tools.outside.now_ms() - began_ms
+            began_ms = gateway.context.outside.now_ms()
+            self.assertFalse(await gateway.context.ensure_retry(True))
+            took_ms = gateway.context.outside.now_ms() - began_ms
             self.assertLess(took_ms, 150.0)
 
         loguru.logger.remove()
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -11,8 +11,8 @@
 from ruddergate.decisions.routing import job as jobs
 from ruddergate.decisions.routing import policy as policies
 from ruddergate.entry import config as configs
-from ruddergate.entry import scheduler_messages
 from ruddergate.entry import scheduler as schedulers
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import view as views
 from ruddergate.fleet import condition
 from ruddergate.fleet import dispatched
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -148,7 +148,7 @@
             await self._restore(scene)
             await asyncio.sleep(_APPLY_S)
             for node in scene.cluster.vms.values():
-                view = node.gateway.tools.view
+                view = node.gateway.context.view
                 self.assertEqual(view.store_position.epoch, 2)
 
         gateway_scene.play(scene, vms=3, halls=1)
@@ -198,7 +198,7 @@
             # Changes, three pages of everything, and a call a second.
             self.assertLessEqual(store.calls - before, 1 + 3 + 3)
             for node in scene.cluster.vms.values():
-                view = node.gateway.tools.view
+                view = node.gateway.context.view
                 self.assertEqual(view.store_position.epoch, 2)
 
         gateway_scene.play(scene, vms=9, halls=1, engines=10)
@@ -210,7 +210,7 @@
             reader = peers.rank_hall()[0].partition(":")[0]
             _make_liar(cluster.vms[reader])
             await asyncio.sleep(_APPLY_S)
-            views = [node.gateway.tools.view for node in cluster.vms.values()]
+            views = [node.gateway.context.view for node in cluster.vms.values()]
             self.assertGreater(
                 max(each.store_position.epoch for each in views), 1
             )
@@ -252,7 +252,7 @@
 
         async def scene(scene: gateway_scene.Scene) -> None:
             gateway = scene.cluster.vms["vm-0"].gateway
-            position = gateway.tools.view.store_position
+            position = gateway.context.view.store_position
             question = news.NewsWanted(
                 "vm-1:83", "q", position.revision + ahead, epoch
             )
@@ -274,7 +274,7 @@
             gateway = scene.cluster.vms["vm-0"].gateway
             gateway.answer_peer(news.NewsWanted("vm-1:83", "q", 5, 10**9))
             await asyncio.sleep(_APPLY_S)
-            self.assertEqual(gateway.tools.view.store_position.epoch, 1)
+            self.assertEqual(gateway.context.view.store_position.epoch, 1)
             before = scene.cluster.store.calls
             await asyncio.sleep(10.0)
             self.assertLess(scene.cluster.store.calls - before, 10)
