--- a/src/ruddergate/cli/gateway.py
+++ b/src/ruddergate/cli/gateway.py
@@ -120,7 +120,7 @@
         listen=environment.parse_address(listen),
         policy="by_region",
         service_policy="least_recent",
-        tries_all=True,
+        panic_routing=True,
         limits=server.Limits(
             body_bytes_max=body_bytes_max, connections_max=connections_max
         ),
--- a/src/ruddergate/entry/attempt.py
+++ b/src/ruddergate/entry/attempt.py
@@ -14,7 +14,7 @@
 from ruddergate.entry import scheduler_messages
 
 # After the time limit the agents' sweep takes over from the canceller.
-_CANCEL_BEYOND_MS = 30_000.0
+_CANCEL_AFTER_DEADLINE_MS = 30_000.0
 _RESUME_TIMEOUT_MS = 1_000.0
 
 Event = parts.Tokens | outcomes.Finished | outcomes.NotServed
@@ -28,8 +28,8 @@
 ) -> AsyncIterator[Event]:
     """Yields the engine's tokens behind those delivered, then the outcome."""
     placement = grant.placements[0]
-    wanted = make_generation(request, placement, delivered, context)
-    async for event in follow(request, placement, wanted, context):
+    generation = make_generation(request, placement, delivered, context)
+    async for event in run_generation(request, placement, generation, context):
         yield event
 
 
@@ -83,44 +83,48 @@
     )
 
 
-async def follow(
+async def run_generation(
     request: requests.Request,
     placement: scheduler_messages.Placement,
-    wanted: generations.Generation,
+    generation: generations.Generation,
     context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
     """Runs a generation to its end; frees the engine on any other exit."""
-    ended = False
+    has_ended = False
     failed = False
-    started = False
+    has_started = False
     try:
         with context.tracer.span("attempt", request.traceparent):
-            async for event in _read(request, placement, wanted, context):
-                if isinstance(event, parts.Tokens) and not started:
-                    started = True
+            async for event in _read_events(
+                request, placement, generation, context
+            ):
+                if isinstance(event, parts.Tokens) and not has_started:
+                    has_started = True
                     _note_first_token(request, placement, context)
                 if isinstance(event, outcomes.NotServed):
                     failed = event.reason is not outcomes.Reason.TIME_LIMIT
-                    ended = event.ran is outcomes.Ran.NOT_RUN
+                    has_ended = event.ran is outcomes.Ran.NOT_RUN
                 elif isinstance(event, outcomes.Finished):
-                    ended = True
+                    has_ended = True
                 yield event
     finally:
         context.scheduler.post(
             scheduler_messages.AttemptEnded(placement, failed)
         )
-        if not ended:
-            cancel_later(request, placement, wanted.stream_id, context)
+        if not has_ended:
+            cancel_in_background(
+                request, placement, generation.stream_id, context
+            )
 
 
-def cancel_later(
+def cancel_in_background(
     request: requests.Request,
     placement: scheduler_messages.Placement,
     item_id: str,
     context: contexts.EntryContext,
 ) -> None:
     """Has the canceller free something on an engine."""
-    until_ms = request.deadline_ms + _CANCEL_BEYOND_MS
+    until_ms = request.deadline_ms + _CANCEL_AFTER_DEADLINE_MS
     context.canceller.post(
         canceller.Cancel(placement.target, item_id, until_ms)
     )
@@ -141,20 +145,20 @@
     )
 
 
-async def _read(
+async def _read_events(
     request: requests.Request,
     placement: scheduler_messages.Placement,
-    wanted: generations.Generation,
+    generation: generations.Generation,
     context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
     stream = await streams.generate(
         context.outside,
         placement.target,
-        wanted,
-        context.config.patience,
+        generation,
+        context.config.engine_timeouts,
         request.remaining_ms(context.outside.now_ms()),
     )
-    may_resume = True
+    can_resume = True
     while True:
         if isinstance(stream, outcomes.NotServed):
             yield stream
@@ -163,36 +167,36 @@
             context.scheduler.post(
                 scheduler_messages.LoadReported(stream.report)
             )
-        broken: outcomes.NotServed | None = None
+        failure: outcomes.NotServed | None = None
         try:
-            async for event in _drain(request, stream, context):
+            async for event in _read_parts(request, stream, context):
                 if isinstance(event, outcomes.NotServed):
-                    broken = event
+                    failure = event
                 else:
                     yield event
         finally:
             stream.close()
-        if broken is None:
+        if failure is None:
             return
-        if not may_resume or not _is_resumable(broken):
-            yield broken
+        if not can_resume or not _is_resumable(failure):
+            yield failure
             return
-        may_resume = False
+        can_resume = False
         stream = await _resume(
-            request, placement, wanted, stream, broken, context
+            request, placement, generation, stream, failure, context
         )
 
 
-def _is_resumable(broken: outcomes.NotServed) -> bool:
-    return broken.reason is outcomes.Reason.TARGET_LOST
+def _is_resumable(failure: outcomes.NotServed) -> bool:
+    return failure.reason is outcomes.Reason.TARGET_LOST
 
 
 async def _resume(
     request: requests.Request,
     placement: scheduler_messages.Placement,
-    wanted: generations.Generation,
+    generation: generations.Generation,
     stream: streams.Stream,
-    broken: outcomes.NotServed,
+    failure: outcomes.NotServed,
     context: contexts.EntryContext,
 ) -> streams.Stream | outcomes.NotServed:
     """Takes the stream up where it broke, or returns why it broke."""
@@ -203,19 +207,19 @@
             resumed = await streams.resume(
                 context.outside,
                 placement.target,
-                wanted.stream_id,
+                generation.stream_id,
                 stream.position,
-                context.config.patience,
+                context.config.engine_timeouts,
                 wait_ms,
             )
     except TimeoutError:
-        return broken
+        return failure
     if isinstance(resumed, outcomes.NotServed):
-        return broken
+        return failure
     return resumed
 
 
-async def _drain(
+async def _read_parts(
     request: requests.Request,
     stream: streams.Stream,
     context: contexts.EntryContext,
@@ -224,10 +228,10 @@
         return request.remaining_ms(context.outside.now_ms())
 
     while True:
-        found = await stream.next_part(left_ms)
-        if isinstance(found, parts.End):
-            yield outcomes.Finished(found.count, found.finish_reason)
+        part = await stream.next_part(left_ms)
+        if isinstance(part, parts.End):
+            yield outcomes.Finished(part.count, part.finish_reason)
             return
-        yield found
-        if isinstance(found, outcomes.NotServed):
+        yield part
+        if isinstance(part, outcomes.NotServed):
             return
--- a/src/ruddergate/entry/canceller.py
+++ b/src/ruddergate/entry/canceller.py
@@ -13,8 +13,8 @@
 from ruddergate.fleet import target as targets
 
 _TIMEOUT_MS = 2_000.0
-_BACKOFF_FIRST_MS = 100.0
-_BACKOFF_MOST_MS = 5_000.0
+_INITIAL_BACKOFF_MS = 100.0
+_MAX_BACKOFF_MS = 5_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -40,19 +40,19 @@
     ) -> None:
         self._outside = outside
         self._view = view
-        self._open: set[asyncio.Task] = set()
+        self._pending: set[asyncio.Task] = set()
 
     def __len__(self) -> int:
-        return len(self._open)
+        return len(self._pending)
 
     def post(self, cancel: Cancel) -> None:
         """Takes over a cancel."""
-        task = asyncio.ensure_future(self._carry_out(cancel))
-        self._open.add(task)
-        task.add_done_callback(self._open.discard)
+        task = asyncio.ensure_future(self._cancel_until_confirmed(cancel))
+        self._pending.add(task)
+        task.add_done_callback(self._pending.discard)
 
-    async def _carry_out(self, cancel: Cancel) -> None:
-        backoff_ms = _BACKOFF_FIRST_MS
+    async def _cancel_until_confirmed(self, cancel: Cancel) -> None:
+        backoff_ms = _INITIAL_BACKOFF_MS
         while True:
             answer = await control.cancel(
                 self._outside, cancel.target, [cancel.item_id], _TIMEOUT_MS
@@ -65,7 +65,7 @@
                 return
             jitter = self._outside.random.uniform(0.5, 1.0)
             await asyncio.sleep(backoff_ms * jitter / 1000.0)
-            backoff_ms = min(_BACKOFF_MOST_MS, backoff_ms * 2.0)
+            backoff_ms = min(_MAX_BACKOFF_MS, backoff_ms * 2.0)
 
     def _is_listed(self, target: targets.Target) -> bool:
         return any(
--- a/src/ruddergate/entry/config.py
+++ b/src/ruddergate/entry/config.py
@@ -39,10 +39,10 @@
     peer_key: bytes = b""
     policy: str = by_name.DEFAULT
     service_policy: str = "least_requests"
-    tries_all: bool = False
+    panic_routing: bool = False
     stop_lag_ms: float = 5_000.0
-    wake_gap_ms: float = 2_000.0
-    wake_refresh_ms: float = 3_000.0
-    patience: stream.Patience = stream.Patience()
+    suspend_gap_ms: float = 2_000.0
+    suspend_refresh_max_ms: float = 3_000.0
+    engine_timeouts: stream.Patience = stream.Patience()
     limits: server.Limits = server.Limits()
     bounds: ledger.Bounds = ledger.Bounds()
--- a/src/ruddergate/entry/feed.py
+++ b/src/ruddergate/entry/feed.py
@@ -112,7 +112,7 @@
             await stream.send(tree_parts.TreeParts(in_force.manifest, shards))
         while True:
             report = entry_load.EntryLoad(
-                self._scheduler.summarize(),
+                self._scheduler.list_own_loads(),
                 self._limits.demand(),
                 self.is_stopping,
             )
--- a/src/ruddergate/entry/forwarding.py
+++ b/src/ruddergate/entry/forwarding.py
@@ -14,21 +14,21 @@
 from ruddergate.wire import frames
 
 _CONNECT_TIMEOUT_MS = 1_000.0
-_WAY_BACK_MS = 20.0
+_RETURN_TRIP_MS = 20.0
 
 LocalHandler: TypeAlias = Callable[
     [message.IncomingRequest], Awaitable[message.Response]
 ]
 
 
-async def pass_on(
+async def forward_request(
     outside: environment.Environment,
     address: environment.Address,
     peer_key: bytes,
     incoming: message.IncomingRequest,
     time_limit_ms: float,
-    when_lost: Callable[[], message.Response],
-    when_broken: Callable[[], bytes],
+    make_lost_response: Callable[[], message.Response],
+    make_broken_tail: Callable[[], bytes],
 ) -> message.Response:
     """Returns the answer of the entry at `address`.
 
@@ -41,20 +41,20 @@
         when_lost: Makes the answer if the other entry does not answer.
         when_broken: Makes the last bytes if its answer breaks off.
     """
-    until_ms = outside.now_ms() + time_limit_ms
+    deadline_ms = outside.now_ms() + time_limit_ms
     stream, head = await _exchange(
         outside, address, peer_key, incoming, time_limit_ms
     )
     if not isinstance(head, forward.ForwardHead):
         if stream is not None:
             stream.close()
-        return when_lost()
+        return make_lost_response()
     if head.headers.get("content-type") == message.EVENT_STREAM_TYPE:
-        body = _relay(stream, outside, until_ms, when_broken)
+        body = _relay(stream, outside, deadline_ms, make_broken_tail)
         return message.Response(head.status, head.headers, body)
-    whole = await _read_whole(stream, outside, until_ms)
+    whole = await _read_whole(stream, outside, deadline_ms)
     if whole is None:
-        return when_lost()
+        return make_lost_response()
     return message.Response(head.status, head.headers, whole)
 
 
@@ -69,7 +69,7 @@
     stream: frames.FrameStream | None = None
     connect_ms = min(time_limit_ms, _CONNECT_TIMEOUT_MS)
     # The home ends a little earlier, so that its own word still arrives.
-    home_limit_ms = max(1.0, time_limit_ms - _WAY_BACK_MS)
+    home_limit_ms = max(1.0, time_limit_ms - _RETURN_TRIP_MS)
     try:
         async with asyncio.timeout(time_limit_ms / 1000.0):
             async with asyncio.timeout(connect_ms / 1000.0):
@@ -97,19 +97,19 @@
 async def _relay(
     stream: frames.FrameStream,
     outside: environment.Environment,
-    until_ms: float,
-    when_broken: Callable[[], bytes],
+    deadline_ms: float,
+    make_broken_tail: Callable[[], bytes],
 ) -> AsyncIterator[bytes]:
     try:
         while True:
-            left_ms = max(1.0, until_ms - outside.now_ms())
+            left_ms = max(1.0, deadline_ms - outside.now_ms())
             try:
                 async with asyncio.timeout(left_ms / 1000.0):
                     part = await stream.receive()
             except TimeoutError:
                 part = None
             if not isinstance(part, forward.ForwardPart):
-                yield when_broken()
+                yield make_broken_tail()
                 return
             if part.data:
                 yield part.data
@@ -122,10 +122,10 @@
 async def _read_whole(
     stream: frames.FrameStream,
     outside: environment.Environment,
-    until_ms: float,
+    deadline_ms: float,
 ) -> bytes | None:
     whole = bytearray()
-    left_ms = max(1.0, until_ms - outside.now_ms())
+    left_ms = max(1.0, deadline_ms - outside.now_ms())
     try:
         async with asyncio.timeout(left_ms / 1000.0):
             while True:
--- a/src/ruddergate/entry/gang_attempt.py
+++ b/src/ruddergate/entry/gang_attempt.py
@@ -59,7 +59,9 @@
                 scheduler_messages.AttemptEnded(placement, lost)
             )
             reservation = _make_reservation(placement, context)
-            attempt.cancel_later(request, placement, reservation, context)
+            attempt.cancel_in_background(
+                request, placement, reservation, context
+            )
 
 
 async def _reserve_all(
@@ -132,7 +134,7 @@
     context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
     last = grant.placements[-1]
-    wanted = attempt.make_generation(
+    generation = attempt.make_generation(
         request,
         last,
         delivered,
@@ -141,7 +143,9 @@
         _make_reservation(last, context),
         first_token,
     )
-    async for event in attempt.follow(request, last, wanted, context):
+    async for event in attempt.run_generation(
+        request, last, generation, context
+    ):
         yield event
 
 
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -18,9 +18,9 @@
 from ruddergate.entry import canceller as cancellers
 from ruddergate.entry import config as configs
 from ruddergate.entry import context as contexts
+from ruddergate.entry import in_flight
 from ruddergate.entry import leaving_check
 from ruddergate.entry import life_watch
-from ruddergate.entry import open_calls
 from ruddergate.entry import peer_exchange
 from ruddergate.entry import peer_questions
 from ruddergate.entry import rate_limiter
@@ -126,7 +126,7 @@
         self._log = logs.make_logger("entry")
         self._is_stopping = False
         self._connections = http_server.Connections()
-        self._open = open_calls.OpenCalls(platform.door.write_failure)
+        self._in_flight = in_flight.InFlightCalls(platform.door.write_failure)
         view = views.View()
         withdrawn = withdrawals.Withdrawals()
         metrics = metric_types.EntryMetrics()
@@ -147,7 +147,7 @@
             lambda: self._peers.collect_sums(),
             lambda: self._peers.is_blind(),
             lambda: self._peers.loads.collect_lost(),
-            withdrawn=withdrawn,
+            drain_state=withdrawn,
             limits=self._rate_limiter.limits,
         )
         self._suspects = suspect_exchange.SuspectExchange(
@@ -208,7 +208,7 @@
             platform.door,
             platform.make_send(self._observe),
             self._keeper,
-            relay_admit.Trust(
+            relay_admit.SettingsAgeLimits(
                 gateway_config.settings_age_max_ms,
                 gateway_config.certain_age_max_ms,
             ),
@@ -218,10 +218,10 @@
             gateway_config.peers,
             config.hall,
             self.context.incarnation,
-            scheduler.summarize,
+            scheduler.list_own_loads,
             self._divide_retries,
             self.answer_peer,
-            scheduler.summarize_lost,
+            scheduler.make_loss_report,
             self._suspects.take,
             self._greet,
             summarize_leaving=self._notices.summarize,
@@ -354,7 +354,7 @@
             self.context.tracer.close()
 
     async def _serve(
-        self, handle: open_calls.Handle, address: environment.Address
+        self, handle: in_flight.Handle, address: environment.Address
     ) -> asyncio.Server:
         handler = http_server.make_stream_handler(handle, self._config.limits)
         return await self._outside.serve(handler, address)
@@ -364,7 +364,7 @@
     ) -> None:
         """Serves one connection, by the limits in force when it comes up."""
         handler = http_server.make_stream_handler(
-            self._open.guard(self._handler.handle),
+            self._in_flight.track(self._handler.handle),
             self._find_limits(),
             self._must_close,
             self._connections,
@@ -422,7 +422,7 @@
 
     async def _stop(self, callers: asyncio.Server) -> None:
         config = self._gateway_config
-        self._log.info("Planned stop begins.", open=len(self._open))
+        self._log.info("Planned stop begins.", open=len(self._in_flight))
         began_ms = self._outside.now_ms()
         self._is_stopping = True
         # Callers come for as long as the balancer has not noticed.
@@ -433,4 +433,4 @@
         while len(self._connections) and self._outside.now_ms() < until_ms:
             await asyncio.sleep(_POLL_MS / 1000.0)
             self._connections.close_idle()
-        self._log.info("Planned stop ends.", open=len(self._open))
+        self._log.info("Planned stop ends.", open=len(self._in_flight))
--- a/src/ruddergate/entry/handler.py
+++ b/src/ruddergate/entry/handler.py
@@ -96,7 +96,7 @@
         if home == own_id or is_forwarded:
             events = self._keyed.serve_key(request)
             return await self._respond(call, request, events)
-        return await self._pass_on(
+        return await self._forward(
             incoming,
             request,
             home or "",
@@ -123,12 +123,12 @@
         if ticket.incarnation == self._context.incarnation:
             age_ms = self._context.outside.now_ms() - ticket.issued_ms
             if age_ms > TICKET_VALID_MS:
-                return render.make_failure(_ticket_gone("it is too old"))
+                return render.make_failure(_refuse_ticket("it is too old"))
             events = self._keyed.serve_ticket(request)
             return await self._respond(call, request, events)
         if is_forwarded or ticket.vm_id == self._context.config.vm_id:
-            return render.make_failure(_ticket_gone("its issuer has ended"))
-        return await self._pass_on(
+            return render.make_failure(_refuse_ticket("its issuer has ended"))
+        return await self._forward(
             incoming,
             request,
             ticket.vm_id,
@@ -156,7 +156,7 @@
         document = {"ticket": ticket, "valid_ms": TICKET_VALID_MS}
         return message.make_json_response(200, document)
 
-    async def _pass_on(
+    async def _forward(
         self,
         incoming: message.IncomingRequest,
         request: requests.Request,
@@ -164,21 +164,21 @@
         reason: outcomes.Reason,
         detail: str,
     ) -> message.Response:
-        lost = outcomes.NotServed(
+        failure = outcomes.NotServed(
             reason, outcomes.Ran.UNKNOWN, detail, _UNKNOWN_RETRY_MS
         )
         listed = self._context.view.listing.vms
         found = [vm for vm in listed if vm.vm_id == vm_id]
         if not found:
-            return render.make_failure(lost, request.request_id)
-        return await forwarding.pass_on(
+            return render.make_failure(failure, request.request_id)
+        return await forwarding.forward_request(
             self._context.outside,
             found[0].entry_peer,
             self._context.config.peer_key,
             incoming,
             request.remaining_ms(self._context.outside.now_ms()),
-            lambda: render.make_failure(lost, request.request_id),
-            lambda: render.render_failure(lost),
+            lambda: render.make_failure(failure, request.request_id),
+            lambda: render.render_failure(failure),
         )
 
     async def _respond(
@@ -303,7 +303,7 @@
     )
 
 
-def _ticket_gone(why: str) -> outcomes.NotServed:
+def _refuse_ticket(why: str) -> outcomes.NotServed:
     return outcomes.NotServed(
         outcomes.Reason.TICKET_HOME_GONE,
         outcomes.Ran.UNKNOWN,
--- a/src/ruddergate/entry/open_calls.py
+++ b/src/ruddergate/entry/in_flight.py
@@ -18,7 +18,7 @@
 )
 
 
-class OpenCalls:
+class InFlightCalls:
     """The calls that one process is answering.
 
     Args:
@@ -36,7 +36,7 @@
     def __len__(self) -> int:
         return self._count
 
-    def guard(self, handle: Handle) -> Handle:
+    def track(self, handle: Handle) -> Handle:
         """Returns the handler, counted; a fault of ours harms its call only."""
 
         async def handle_counted(
--- a/src/ruddergate/entry/keyed.py
+++ b/src/ruddergate/entry/keyed.py
@@ -38,33 +38,37 @@
         """Yields the events of the key's only run."""
         key = scope_key(request)
         if self._ledger.find(key) is None:
-            refusal = self._judge(key, request)
+            refusal = self._check_may_run(key, request)
             if refusal is not None:
                 yield refusal
                 return
-        async for event in self._join(key, request):
+        async for event in self._follow_run(key, request):
             yield event
 
     async def serve_ticket(
         self, request: requests.Request
     ) -> AsyncIterator[recording.Event]:
         """Yields the events of the only run of a ticket issued here."""
-        async for event in self._join(f"ticket {request.ticket}", request):
+        async for event in self._follow_run(
+            f"ticket {request.ticket}", request
+        ):
             yield event
 
-    def _judge(
+    def _check_may_run(
         self, key: str, request: requests.Request
     ) -> outcomes.NotServed | None:
         now_ms = self._context.outside.now_ms()
         view = self._context.view
-        whole_ms = max(self._context.started_ms, self._ledger.whole_since_ms)
+        complete_since_ms = max(
+            self._context.started_ms, self._ledger.whole_since_ms
+        )
         standing = ledgers.judge(
             key,
             request.key_age_ms,
             self._context.config.vm_id,
             view.listing,
             view.age_ms(now_ms),
-            view.settled_ms(now_ms, whole_ms),
+            view.settled_ms(now_ms, complete_since_ms),
             self._context.config.bounds,
         )
         if standing is ledgers.Standing.MAY_RUN:
@@ -76,12 +80,12 @@
             _UNSETTLED_RETRY_MS,
         )
 
-    async def _join(
+    async def _follow_run(
         self, key: str, request: requests.Request
     ) -> AsyncIterator[recording.Event]:
         entry = self._ledger.find(key)
         if entry is None:
-            entry = self._start(key, request)
+            entry = self._start_run(key, request)
         if entry.recording is None:
             yield outcomes.NotServed(
                 outcomes.Reason.KEY_ALREADY_USED,
@@ -94,7 +98,7 @@
         ):
             yield event
 
-    def _start(
+    def _start_run(
         self, key: str, request: requests.Request
     ) -> ledgers.Entry[recording.Recording]:
         now_ms = self._context.outside.now_ms()
--- a/src/ruddergate/entry/limits.py
+++ b/src/ruddergate/entry/limits.py
@@ -8,9 +8,9 @@
 from ruddergate.messages import entry_load
 from ruddergate.settings import effective
 
-_LEAST_FRACTION = 1e-4
+_MIN_REPORTED_FRACTION = 1e-4
 # A workspace that was lately refused would run about this much more.
-_WANTED_WHEN_REFUSED = 1.5
+_REFUSED_DEMAND_FACTOR = 1.5
 
 
 class Limits:
@@ -55,7 +55,7 @@
         found = []
         for workspace, demand in sorted(self._demand.items()):
             fraction = self._predict_fraction(workspace, demand, now_ms)
-            if fraction > _LEAST_FRACTION:
+            if fraction > _MIN_REPORTED_FRACTION:
                 found.append(entry_load.Demand(workspace, fraction))
         return tuple(found)
 
@@ -68,7 +68,7 @@
             meter = self._find_meter(limit.scope, now_ms)
             running = meter.running / limit.concurrency_max
             if now_ms - meter.refused_ms < meters.DEMAND_HORIZON_MS:
-                running *= _WANTED_WHEN_REFUSED
+                running *= _REFUSED_DEMAND_FACTOR
             highest = max(highest, rate, running)
         return highest
 
--- a/src/ruddergate/entry/model_run.py
+++ b/src/ruddergate/entry/model_run.py
@@ -18,7 +18,7 @@
 from ruddergate.entry import gang_attempt
 from ruddergate.entry import scheduler_messages
 
-_OUTRUN_PAUSE_MS = (500.0, 2_000.0)
+_MEMORY_RACE_PAUSE_MS = (500.0, 2_000.0)
 
 Event = parts.Tokens | outcomes.Finished | outcomes.NotServed
 
@@ -42,13 +42,13 @@
     while True:
         grant = await _place(request, progress, context)
         if isinstance(grant, outcomes.NotServed):
-            yield _with_history(grant, progress)
+            yield _with_combined_ran(grant, progress)
             return
         progress.attempts += 1
         run_once = (
             gang_attempt.run if len(grant.placements) > 1 else attempt.run
         )
-        ended: outcomes.Finished | outcomes.NotServed | None = None
+        outcome: outcomes.Finished | outcomes.NotServed | None = None
         async for event in run_once(
             request, grant, tuple(progress.delivered), context
         ):
@@ -56,47 +56,49 @@
                 progress.delivered.extend(event.texts)
                 yield event
             else:
-                ended = event
-        if isinstance(ended, outcomes.Finished):
-            yield ended
+                outcome = event
+        if isinstance(outcome, outcomes.Finished):
+            yield outcome
             return
-        final = await _decide(request, grant, ended, progress, context)
+        final = await _conclude_or_retry(
+            request, grant, outcome, progress, context
+        )
         if final is not None:
             yield final
             return
 
 
-async def _decide(
+async def _conclude_or_retry(
     request: requests.Request,
     grant: scheduler_messages.PlacementGrant,
-    ended: outcomes.NotServed,
+    outcome: outcomes.NotServed,
     progress: _Progress,
     context: contexts.EntryContext,
 ) -> outcomes.NotServed | None:
     """Returns the final outcome, or None after the pause for a retry."""
-    context.metrics.attempts.inc({"result": ended.reason.value})
-    if _is_outrun(grant, ended):
+    context.metrics.attempts.inc({"result": outcome.reason.value})
+    if _lost_memory_race(grant, outcome):
         # Another gang took the memory first: no work was lost, and waiting
         # in the queue again costs the engines nothing.
-        pause_ms = context.outside.random.uniform(*_OUTRUN_PAUSE_MS)
+        pause_ms = context.outside.random.uniform(*_MEMORY_RACE_PAUSE_MS)
         await asyncio.sleep(pause_ms / 1000.0)
         return None
-    progress.ran = worse(progress.ran, ended.ran)
+    progress.ran = combine_ran(progress.ran, outcome.ran)
     failed = {placement.target.target_id for placement in grant.placements}
     progress.excluded = progress.excluded | failed
     now_ms = context.outside.now_ms()
-    needed = _predict(request, progress)
+    predicted = _predict(request, progress)
     decided = retries.decide(
-        ended,
+        outcome,
         request.repeatable,
         progress.attempts,
         request.remaining_ms(now_ms),
-        needed.alone_ms,
+        predicted.alone_ms,
         context.budget,
         context.outside.random,
     )
     if isinstance(decided, outcomes.NotServed):
-        return _with_history(decided, progress)
+        return _with_combined_ran(decided, progress)
     await asyncio.sleep(decided.delay_ms / 1000.0)
     return None
 
@@ -144,10 +146,10 @@
         excluded=progress.excluded,
         reply=asyncio.get_running_loop().create_future(),
     )
-    return await place_in_time(request, placement_request, context)
+    return await place_before_deadline(request, placement_request, context)
 
 
-async def place_in_time(
+async def place_before_deadline(
     request: requests.Request,
     placement_request: scheduler_messages.PlacementRequest,
     context: contexts.EntryContext,
@@ -191,25 +193,25 @@
     )
 
 
-def _with_history(
-    ended: outcomes.NotServed, progress: _Progress
+def _with_combined_ran(
+    outcome: outcomes.NotServed, progress: _Progress
 ) -> outcomes.NotServed:
     """Lets the outcome tell of all attempts, not of the last alone."""
-    ran = worse(progress.ran, ended.ran)
-    return dataclasses.replace(ended, ran=ran)
+    ran = combine_ran(progress.ran, outcome.ran)
+    return dataclasses.replace(outcome, ran=ran)
 
 
-def _is_outrun(
-    grant: scheduler_messages.PlacementGrant, ended: outcomes.NotServed
+def _lost_memory_race(
+    grant: scheduler_messages.PlacementGrant, outcome: outcomes.NotServed
 ) -> bool:
     return (
         len(grant.placements) > 1
-        and ended.ran is outcomes.Ran.NOT_RUN
-        and ended.reason is outcomes.Reason.TARGET_REFUSED
+        and outcome.ran is outcomes.Ran.NOT_RUN
+        and outcome.reason is outcomes.Reason.TARGET_REFUSED
     )
 
 
-def worse(first: outcomes.Ran, second: outcomes.Ran) -> outcomes.Ran:
+def combine_ran(first: outcomes.Ran, second: outcomes.Ran) -> outcomes.Ran:
     """Returns what two attempts together say about having run."""
     for ran in (outcomes.Ran.RAN, outcomes.Ran.UNKNOWN):
         if ran in (first, second):
--- a/src/ruddergate/entry/placing.py
+++ b/src/ruddergate/entry/placing.py
@@ -30,17 +30,17 @@
 
     def __init__(
         self,
-        chance: random.Random,
+        rng: random.Random,
         policy: policies.Policy,
         service_policy: policies.Policy,
-        note_change: Callable[[], None],
+        on_own_load_change: Callable[[], None],
         is_limited: Callable[[str], bool] = lambda target_id: False,
     ) -> None:
         self._is_limited = is_limited
-        self._chance = chance
+        self._rng = rng
         self._policy = policy
         self._service_policy = service_policy
-        self._note_change = note_change
+        self._on_own_load_change = on_own_load_change
 
     @property
     def shorter_first(self) -> bool:
@@ -82,7 +82,7 @@
         route = dataclasses.replace(
             request.route, waited_ms=waited_ms, is_blind=is_blind
         )
-        chosen = self._policy.choose(route, candidates, now_ms, self._chance)
+        chosen = self._policy.choose(route, candidates, now_ms, self._rng)
         if chosen is None:
             return ()
         cached = min(route.prefix_tokens, chosen.cached_tokens(route.prefix))
@@ -93,7 +93,7 @@
         helpers = ()
         if not self._is_limited(chosen.target.target_id):
             helpers = self._policy.choose_helpers(
-                route, chosen, candidates, now_ms, self._chance
+                route, chosen, candidates, now_ms, self._rng
             )
         parts = 1 + len(helpers)
         if self._policy.splits_memory and len(shares) > parts:
@@ -125,7 +125,7 @@
         if not free:
             return ()
         chosen = self._service_policy.choose(
-            request.route, free, now_ms, self._chance
+            request.route, free, now_ms, self._rng
         )
         return (self._start_attempt(request, chosen, 0, 0, 0, now_ms),)
 
@@ -166,7 +166,7 @@
         parts: int = 1,
         is_writing: bool = True,
     ) -> scheduler_messages.Placement:
-        attempt_id = environment.make_token(self._chance)
+        attempt_id = environment.make_token(self._rng)
         band = length_band.find_band(request.route.prompt_tokens)
         is_long = costs.is_long(chosen.pool, fresh_tokens * parts)
         prefill_ms = costs.predict_prefill_ms(chosen.pool, fresh_tokens * parts)
@@ -182,7 +182,7 @@
         )
         estimated_load = chosen.describe(now_ms)
         chosen.begin(attempt_id, work)
-        self._note_change()
+        self._on_own_load_change()
         return scheduler_messages.Placement(
             chosen.target,
             attempt_id,
--- a/src/ruddergate/entry/program.py
+++ b/src/ruddergate/entry/program.py
@@ -12,9 +12,9 @@
 from ruddergate.entry import feed as feeds
 from ruddergate.entry import forwarding
 from ruddergate.entry import handler as handlers
+from ruddergate.entry import in_flight
 from ruddergate.entry import keyed as keyed_runs
 from ruddergate.entry import limits as limit_types
-from ruddergate.entry import open_calls
 from ruddergate.entry import scheduler as schedulers
 from ruddergate.entry import status
 from ruddergate.entry import suspects
@@ -39,7 +39,7 @@
         self._outside = outside
         self._config = config
         self._log = logs.make_logger("entry")
-        self._open = open_calls.OpenCalls(render.make_failure)
+        self._in_flight = in_flight.InFlightCalls(render.make_failure)
         self._is_closing = False
         view = views.View()
         scheduler = schedulers.Scheduler(outside, config, view)
@@ -88,7 +88,7 @@
             handle_call, self._feed, self.context
         )
         handler = http_server.make_stream_handler(
-            self._open.guard(handle),
+            self._in_flight.track(handle),
             self._config.limits,
             lambda: self._is_closing,
         )
@@ -97,7 +97,7 @@
     async def _serve_peers(self) -> asyncio.Server:
         handler = forwarding.make_stream_handler(
             self._config.peer_key,
-            self._open.guard(self._handler.handle_forwarded),
+            self._in_flight.track(self._handler.handle_forwarded),
             self._config.limits.read_timeout_ms,
         )
         return await self._outside.serve(handler, self._config.peer_listen)
@@ -110,7 +110,9 @@
         self._is_closing = True
         callers.close()
         while (
-            len(self._open) or len(self._keyed) or len(self.context.canceller)
+            len(self._in_flight)
+            or len(self._keyed)
+            or len(self.context.canceller)
         ):
             await asyncio.sleep(_POLL_MS / 1000.0)
         self._log.info("Planned stop ends, nothing is in flight.")
--- a/src/ruddergate/entry/recording.py
+++ b/src/ruddergate/entry/recording.py
@@ -21,13 +21,13 @@
 
     def __init__(self) -> None:
         self._events: list[Event] = []
-        self._is_whole = False
+        self._is_complete = False
         self._changed = asyncio.Event()
 
     def add(self, event: Event) -> None:
         """Adds an event; an outcome or a service's answer is the last."""
         self._events.append(event)
-        self._is_whole = not isinstance(event, parts.Tokens)
+        self._is_complete = not isinstance(event, parts.Tokens)
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -61,7 +61,7 @@
             while position < len(self._events):
                 yield self._events[position]
                 position += 1
-            if self._is_whole:
+            if self._is_complete:
                 return
             try:
                 async with asyncio.timeout(left_ms() / 1000.0):
--- a/src/ruddergate/entry/relay_admit.py
+++ b/src/ruddergate/entry/relay_admit.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Trust:
+class SettingsAgeLimits:
     """How old settings may be, in milliseconds.
 
     Attributes:
@@ -35,15 +35,15 @@
     """
 
     key_age_max_ms: float
-    certain_age_max_ms: float
+    not_found_age_max_ms: float
 
 
 def admit(
     incoming: message.IncomingRequest,
-    inquiry: doors.Inquiry,
+    caller_request: doors.Inquiry,
     arrived_ms: float,
     context: contexts.EntryContext,
-    trust: Trust,
+    age_limits: SettingsAgeLimits,
 ) -> requests.Request | outcomes.NotServed:
     """Returns the request with its effective settings, or why not.
 
@@ -61,22 +61,22 @@
             "this VM has no settings yet",
             _NO_SETTINGS_RETRY_MS,
         )
-    route = catalog.find_route(inquiry.host, incoming.path)
+    route = catalog.find_route(caller_request.host, incoming.path)
     if route is None:
         return _refuse_unknown(
             outcomes.Reason.UNKNOWN_WORKLOAD,
             "no route covers this call",
             context,
-            trust,
+            age_limits,
         )
     workspace = catalogs.Workspace("", 0)
     if catalog.workspaces and not route.is_open:
-        if _settings_age_ms(context) > trust.key_age_max_ms:
+        if _settings_age_ms(context) > age_limits.key_age_max_ms:
             return _refuse_stale("whether the key is still good")
-        found = catalog.workspaces.get(inquiry.key)
+        found = catalog.workspaces.get(caller_request.key)
         if found is None:
             return _refuse_unknown(
-                outcomes.Reason.UNKNOWN_KEY, "unknown key", context, trust
+                outcomes.Reason.UNKNOWN_KEY, "unknown key", context, age_limits
             )
         workspace = found
     pool = _choose_pool(catalog, route, context.outside.random)
@@ -87,7 +87,13 @@
             _NO_SETTINGS_RETRY_MS,
         )
     return _make_request(
-        incoming, inquiry, arrived_ms, route, workspace, pool, catalog.revision
+        incoming,
+        caller_request,
+        arrived_ms,
+        route,
+        workspace,
+        pool,
+        catalog.revision,
     )
 
 
@@ -99,10 +105,10 @@
     reason: outcomes.Reason,
     detail: str,
     context: contexts.EntryContext,
-    trust: Trust,
+    age_limits: SettingsAgeLimits,
 ) -> outcomes.NotServed:
     """Says for good that something is unknown, or that it may be new."""
-    if _settings_age_ms(context) > trust.certain_age_max_ms:
+    if _settings_age_ms(context) > age_limits.not_found_age_max_ms:
         return _refuse_stale(f"more than this: {detail}")
     return outcomes.refuse(reason, detail)
 
@@ -116,16 +122,16 @@
 
 
 def _choose_pool(
-    catalog: catalogs.Catalog, route: routes.Route, chance: random.Random
+    catalog: catalogs.Catalog, route: routes.Route, rng: random.Random
 ) -> effective.Pool | None:
     weights = [share.weight for share in route.shares]
-    chosen = chance.choices(route.shares, weights)[0]
+    chosen = rng.choices(route.shares, weights)[0]
     return catalog.find_pool(chosen.pool)
 
 
 def _make_request(
     incoming: message.IncomingRequest,
-    inquiry: doors.Inquiry,
+    caller_request: doors.Inquiry,
     arrived_ms: float,
     route: routes.Route,
     workspace: catalogs.Workspace,
@@ -133,8 +139,8 @@
     revision: int,
 ) -> requests.Request:
     time_limit_ms = route.time_limit_ms
-    if inquiry.time_limit_ms is not None:
-        time_limit_ms = min(time_limit_ms, inquiry.time_limit_ms)
+    if caller_request.time_limit_ms is not None:
+        time_limit_ms = min(time_limit_ms, caller_request.time_limit_ms)
     rank = workspace.rank * _RANK_STEP + route.rank
     workload = effective.Workload(
         name=route.name,
@@ -146,8 +152,8 @@
         pool=pool,
         time_limit_ms=route.time_limit_ms,
         repeatable=route.repeatable,
-        prompt_tokens_max=inquiry.prompt_tokens,
-        output_tokens_max=inquiry.output_tokens_max,
+        prompt_tokens_max=caller_request.prompt_tokens,
+        output_tokens_max=caller_request.output_tokens_max,
         output_tokens_typical=_OUTPUT_TOKENS_TYPICAL,
         weight=1.0,
         limits=(),
@@ -155,19 +161,19 @@
     payload = payloads.Payload(
         route=route,
         method=incoming.method,
-        host=inquiry.host,
+        host=caller_request.host,
         target=incoming.target,
-        fields=inquiry.fields,
+        fields=caller_request.fields,
         body=incoming.body,
-        last_event=inquiry.last_event,
+        last_event=caller_request.last_event,
     )
     return requests.Request(
-        request_id=inquiry.request_id,
+        request_id=caller_request.request_id,
         workload=workload,
         prompt="",
-        prompt_tokens=inquiry.prompt_tokens,
-        output_tokens_max=inquiry.output_tokens_max,
-        output_tokens_expected=inquiry.output_tokens_max,
+        prompt_tokens=caller_request.prompt_tokens,
+        output_tokens_max=caller_request.output_tokens_max,
+        output_tokens_expected=caller_request.output_tokens_max,
         prefix=None,
         repeatable=route.repeatable,
         idempotency_key="",
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -26,24 +26,24 @@
 CONNECT_TIMEOUT_MS = 150.0
 # Silence that a target is allowed before another one takes over, where the
 # route lets another one take over: times the aim, and at least so long.
-SILENCE_AIMS = 3.0
-SILENCE_LEAST_MS = 900.0
+SILENCE_TIMEOUT_AIMS = 3.0
+MIN_SILENCE_TIMEOUT_MS = 900.0
 # Where memory was refused, some may be free again after this time.
 _NO_MEMORY_RETRY_MS = 500.0
 # Where engines gave no sign of life, others may serve after this time.
-_SIGN_RETRY_MS = 500.0
+_PROBE_RETRY_MS = 500.0
 # Urgency of the shortest prompts; plain calls and others follow behind.
-_URGENCY_FIRST = 3
-_GONE_REASONS = (
+_SHORTEST_PROMPT_URGENCY = 3
+_EXITED_REASONS = (
     outcomes.Reason.TARGET_GONE,
     outcomes.Reason.TARGET_REPLACED,
 )
 # Connections that failed before the call was sent; its token is unused.
-_NOT_SENT_REASONS = (
+_CONNECT_FAILED_REASONS = (
     outcomes.Reason.TARGET_GONE,
     outcomes.Reason.TARGET_UNREACHABLE,
 )
-_NOT_THE_TARGETS_FAULT = (
+_NOT_TARGET_FAULT_REASONS = (
     outcomes.Reason.TIME_LIMIT,
     outcomes.Reason.QUARANTINED,
     outcomes.Reason.TARGET_LEAVING,
@@ -76,35 +76,35 @@
         context: contexts.EntryContext,
     ) -> None:
         self._request = request
-        self._seats = grant.placements
+        self._placements = grant.placements
         self._progress = progress
         self._send = send
         self._keeper = keeper
         self._context = context
-        self._at_fault: set[str] = set()
+        self._faulted: set[str] = set()
         # Targets from which nothing came back; their hall may be cut off.
-        self._out_of_reach: set[str] = set()
+        self._unreachable: set[str] = set()
         # Targets in whose place nobody or another one answered.
-        self._gone: set[str] = set()
+        self._exited: set[str] = set()
         self._sent_ms = context.outside.now_ms()
         # Whether a token of the target's rate limit was taken.
-        self._has_token = False
-        self._has_first = False
+        self._has_rate_token = False
+        self._has_first_event = False
         self._has_answered = False
 
     async def run(self) -> AsyncIterator[answers.Event]:
         """Yields what the caller is to get, and at last how it ended."""
         reservations = self._make_reservations()
-        self._progress.blamed = ()
+        self._progress.faulted_helpers = ()
         attempt_log.log_start(
-            self._request, self._seats, self._progress, self._context
+            self._request, self._placements, self._progress, self._context
         )
         try:
-            signs = await self._ask_signs()
-            if any(sign is not orders.Sign.ALIVE for sign in signs):
-                yield self._give_up_unsent(signs)
+            probes = await self._probe_targets()
+            if any(probe is not orders.Sign.ALIVE for probe in probes):
+                yield self._fail_probes(probes)
                 return
-            refusal = self._refuse_withdrawn()
+            refusal = self._check_admission()
             if refusal is not None:
                 yield refusal
                 return
@@ -112,90 +112,92 @@
                 tuple(reservations.values()), self._request.request_id
             )
             if missing:
-                yield self._give_up_memory(missing)
+                yield self._fail_reservations(missing)
                 return
             self._sent_ms = self._context.outside.now_ms()
-            errand = self._make_errand(reservations)
+            upstream_request = self._make_upstream_request(reservations)
             traceparent = self._request.traceparent
             with self._context.tracer.span("attempt", traceparent):
                 async with contextlib.aclosing(
-                    self._read(errand, bool(reservations))
+                    self._read_answer(upstream_request, bool(reservations))
                 ) as events:
                     async for event in events:
-                        if self._note(event):
+                        if self._process_event(event):
                             yield event
         finally:
             self._keeper.give_back(tuple(reservations.values()))
-            self._post_ends()
+            self._post_attempt_ends()
 
-    def _refuse_send(self) -> outcomes.NotServed | None:
+    def _check_before_send(self) -> outcomes.NotServed | None:
         """Returns why the call may not be sent in this moment, if so."""
         refusal = self._context.quarantine.refuse(self._request)
-        refusal = refusal or self._refuse_withdrawn()
+        refusal = refusal or self._check_admission()
         if refusal is not None:
             return refusal
-        placement = self._seats[0]
+        placement = self._placements[0]
         refusal = self._context.take_rate_token(
             placement.target, placement.attempt_id
         )
-        self._has_token = refusal is None
+        self._has_rate_token = refusal is None
         return refusal
 
-    def _refuse_withdrawn(self) -> outcomes.NotServed | None:
+    def _check_admission(self) -> outcomes.NotServed | None:
         """Returns a refusal if the target or a helper takes no calls now."""
         return self._context.check_admission(
-            [placement.target for placement in self._seats]
+            [placement.target for placement in self._placements]
         )
 
-    async def _ask_signs(self) -> tuple[orders.Sign, ...]:
+    async def _probe_targets(self) -> tuple[orders.Sign, ...]:
         """Returns signs of life of this attempt's targets, once one has failed.
 
         Engines die together, and each refusal names one of them only: a prompt
         read by nine engines, four of them dead, was sent five times within
         250 ms and refused.
         """
-        if not self._progress.helpers_failed:
+        if not self._progress.helper_failures:
             return ()
         return await self._keeper.ask_signs(
-            [placement.target for placement in self._seats]
+            [placement.target for placement in self._placements]
         )
 
-    def _give_up_unsent(
-        self, signs: tuple[orders.Sign, ...]
+    def _fail_probes(
+        self, probes: tuple[orders.Sign, ...]
     ) -> outcomes.NotServed:
         """Returns the outcome; nothing was sent."""
         missing = tuple(
             placement.target.target_id
-            for placement, sign in zip(self._seats, signs, strict=True)
-            if sign is not orders.Sign.ALIVE
+            for placement, probe in zip(self._placements, probes, strict=True)
+            if probe is not orders.Sign.ALIVE
         )
-        self._out_of_reach |= {
+        self._unreachable |= {
             placement.target.target_id
-            for placement, sign in zip(self._seats, signs, strict=True)
-            if sign is orders.Sign.SILENT
+            for placement, probe in zip(self._placements, probes, strict=True)
+            if probe is orders.Sign.SILENT
         }
-        self._gone |= set(missing) - self._out_of_reach
+        self._exited |= set(missing) - self._unreachable
         self._progress.excluded |= set(missing)
-        self._at_fault |= set(missing)
+        self._faulted |= set(missing)
         reason = outcomes.Reason.HELPER_UNREACHABLE
-        if signs[0] is not orders.Sign.ALIVE:
+        if probes[0] is not orders.Sign.ALIVE:
             reason = outcomes.Reason.TARGET_UNREACHABLE
         return outcomes.refuse(
-            reason, f"no sign of life from {', '.join(missing)}", _SIGN_RETRY_MS
+            reason,
+            f"no sign of life from {', '.join(missing)}",
+            _PROBE_RETRY_MS,
         )
 
-    async def _read(
-        self, errand: errands.Errand, is_watched: bool
+    async def _read_answer(
+        self, upstream_request: errands.Errand, is_watched: bool
     ) -> AsyncIterator[answers.Event]:
         """Yields the answer; a watched target must show that it lives.
 
         It is watched until its first events; from then on their gaps tell. So
         are its helpers, without which there won't be any.
         """
-        async with contextlib.aclosing(self._send(errand)) as events:
+        async with contextlib.aclosing(self._send(upstream_request)) as events:
             failure_watches = []
-            if errand.helpers:
-                failure_watches.append(self._wait_for_helpers_end())
+            if upstream_request.helpers:
+                failure_watches.append(self._wait_for_helper_end())
             if is_watched:
                 failure_watches.append(self._wait_for_silence())
             if failure_watches:
@@ -210,59 +212,61 @@
 
     async def _wait_for_silence(self) -> outcomes.NotServed:
         """Returns how the attempt ends when the target is silent."""
-        await self._keeper.wait_for_silence(self._seats[0].target)
+        await self._keeper.wait_for_silence(self._placements[0].target)
         return outcomes.NotServed(
             outcomes.Reason.TARGET_LOST,
             outcomes.Ran.UNKNOWN,
             "the target gave no sign of life",
         )
 
-    async def _wait_for_helpers_end(self) -> outcomes.NotServed:
+    async def _wait_for_helper_end(self) -> outcomes.NotServed:
         """Returns how the attempt ends when a helper has ended.
 
         The target would stand still for a second and a half and then refuse;
         meanwhile the prompt may be read again with another helper. Where it
         may not be sent again, this waits for as long as the target does.
         """
-        helpers = [placement.target.life for placement in self._seats[1:]]
-        life = await self._context.scheduler.ends.wait_for_any(helpers)
+        helpers = [placement.target.life for placement in self._placements[1:]]
+        life = await self._context.scheduler.incarnation_ends.wait_for_any(
+            helpers
+        )
         request = self._request
         is_large = length_band.is_long(request.prompt_tokens)
-        may_again = request.payload.route.repeatable
-        if not may_again or not await self._context.ensure_retry(is_large):
+        is_repeatable = request.payload.route.repeatable
+        if not is_repeatable or not await self._context.ensure_retry(is_large):
             await asyncio.Event().wait()
-        self._note(answers.FaultTold(life.target_id))
-        self._gone.add(life.target_id)
+        self._process_event(answers.FaultTold(life.target_id))
+        self._exited.add(life.target_id)
         # A content that ends several engines at once must not be cleared by
         # that: the one that was to answer may have ended, too.
-        self._context.report_lost_call(self._describe_lost())
+        self._context.report_lost_call(self._make_lost_call())
         return outcomes.NotServed(
             outcomes.Reason.HELPER_ENDED,
             outcomes.Ran.UNKNOWN,
             f"helper {life.target_id} has ended",
         )
 
-    def _give_up_memory(
+    def _fail_reservations(
         self, missing: tuple[reservation_keeper.Missing, ...]
     ) -> outcomes.NotServed:
         """Returns the outcome; a reservation runs nothing, whatever happens."""
         names = [each.reservation.target.target_id for each in missing]
         self._progress.excluded |= set(names)
-        lost = (orders.Answer.GONE, orders.Answer.UNREACHABLE)
+        lost_answers = (orders.Answer.GONE, orders.Answer.UNREACHABLE)
         for name, each in zip(names, missing, strict=True):
-            if each.answer in lost:
-                self._at_fault.add(name)
+            if each.answer in lost_answers:
+                self._faulted.add(name)
             if each.answer is orders.Answer.UNREACHABLE:
-                self._out_of_reach.add(name)
+                self._unreachable.add(name)
             if each.answer is orders.Answer.GONE:
-                self._gone.add(name)
+                self._exited.add(name)
         return outcomes.refuse(
             outcomes.Reason.NO_MEMORY,
             f"no memory could be set aside at {', '.join(names)}",
             _NO_MEMORY_RETRY_MS,
         )
 
-    def _note(self, event: answers.Event) -> bool:
+    def _process_event(self, event: answers.Event) -> bool:
         """Takes an event in; returns whether it is to be handed on."""
         match event:
             case answers.LoadTold():
@@ -271,40 +275,40 @@
                 )
                 return False
             case answers.FaultTold():
-                self._at_fault.add(event.target_id)
+                self._faulted.add(event.target_id)
                 self._progress.excluded |= {event.target_id}
-                self._progress.blamed += (event.target_id,)
+                self._progress.faulted_helpers += (event.target_id,)
                 return False
             case answers.StreamHead():
-                is_new = not self._progress.is_begun
-                self._progress.is_begun = True
+                is_new = not self._progress.has_head
+                self._progress.has_head = True
                 return is_new
             case answers.WholeAnswer():
                 self._has_answered = True
             case answers.StreamEvents():
                 self._has_answered = True
-                self._note_first()
-                self._progress.last_id = event.last_id
+                self._record_first_event()
+                self._progress.last_event_id = event.last_id
             case outcomes.NotServed():
-                self._note_failure(event)
+                self._record_failure(event)
         return True
 
-    def _note_failure(self, ended: outcomes.NotServed) -> None:
-        if self._has_token and ended.reason in _NOT_SENT_REASONS:
-            self._context.return_rate_token(self._seats[0].target)
-        if ended.reason in _NOT_THE_TARGETS_FAULT or self._at_fault:
+    def _record_failure(self, failure: outcomes.NotServed) -> None:
+        if self._has_rate_token and failure.reason in _CONNECT_FAILED_REASONS:
+            self._context.return_rate_token(self._placements[0].target)
+        if failure.reason in _NOT_TARGET_FAULT_REASONS or self._faulted:
             return
-        writer = self._seats[0].target.target_id
-        self._at_fault.add(writer)
-        if ended.reason is outcomes.Reason.TARGET_LOST:
-            self._context.report_lost_call(self._describe_lost())
-        if ended.reason is outcomes.Reason.TARGET_UNREACHABLE:
-            self._out_of_reach.add(writer)
-        if ended.reason in _GONE_REASONS:
-            self._gone.add(writer)
-
-    def _describe_lost(self) -> lost_call.LostCall:
-        target = self._seats[0].target
+        writer_id = self._placements[0].target.target_id
+        self._faulted.add(writer_id)
+        if failure.reason is outcomes.Reason.TARGET_LOST:
+            self._context.report_lost_call(self._make_lost_call())
+        if failure.reason is outcomes.Reason.TARGET_UNREACHABLE:
+            self._unreachable.add(writer_id)
+        if failure.reason in _EXITED_REASONS:
+            self._exited.add(writer_id)
+
+    def _make_lost_call(self) -> lost_call.LostCall:
+        target = self._placements[0].target
         return lost_call.LostCall(
             self._request.request_id,
             suspects.name_content(self._request),
@@ -316,32 +320,33 @@
             self._context.scheduler.count_streams(target.target_id),
         )
 
-    def _note_first(self) -> None:
-        if self._has_first:
+    def _record_first_event(self) -> None:
+        if self._has_first_event:
             return
-        self._has_first = True
+        self._has_first_event = True
         request = self._request
         took_ms = self._context.outside.now_ms() - request.arrived_ms
         self._context.metrics.note_first_token(request.prompt_tokens, took_ms)
-        for placement in self._seats:
+        for placement in self._placements:
             self._context.scheduler.post(
                 scheduler_messages.FirstToken(placement, "", 0)
             )
 
-    def _post_ends(self) -> None:
-        writers_hall = self._seats[0].target.hall
-        for placement in self._seats:
-            name = placement.target.target_id
+    def _post_attempt_ends(self) -> None:
+        writers_hall = self._placements[0].target.hall
+        for placement in self._placements:
+            target_id = placement.target.target_id
             # A helper that a target blames may well be out of its reach.
-            is_blamed = name in self._progress.blamed
-            is_away = placement.target.hall != writers_hall
+            is_reported = target_id in self._progress.faulted_helpers
+            is_in_other_hall = placement.target.hall != writers_hall
             self._context.scheduler.post(
                 scheduler_messages.AttemptEnded(
                     placement,
-                    name in self._at_fault,
-                    name in self._out_of_reach or (is_blamed and is_away),
+                    target_id in self._faulted,
+                    target_id in self._unreachable
+                    or (is_reported and is_in_other_hall),
                     self._has_answered,
-                    name in self._gone,
+                    target_id in self._exited,
                 )
             )
 
@@ -354,27 +359,27 @@
                 f"{owner}.{placement.attempt_id}",
                 placement.held_tokens,
             )
-            for placement in self._seats[1:]
+            for placement in self._placements[1:]
             if placement.held_tokens
         }
 
-    def _make_errand(
+    def _make_upstream_request(
         self, reservations: dict[str, orders.Reservation]
     ) -> errands.Errand:
         request = self._request
         return errands.Errand(
             payload=request.payload,
-            target=self._seats[0].target,
+            target=self._placements[0].target,
             workspace=request.workload.workspace,
             deadline_ms=request.deadline_ms,
             urgency=_find_urgency(request),
-            resume_after=self._progress.last_id,
+            resume_after=self._progress.last_event_id,
             helpers=tuple(
                 _make_helper(placement, reservations)
-                for placement in self._seats[1:]
+                for placement in self._placements[1:]
             ),
             patience=self._find_patience(),
-            refuse=self._refuse_send,
+            refuse=self._check_before_send,
         )
 
     def _find_patience(self) -> errands.Patience:
@@ -386,21 +391,23 @@
             return errands.Patience(CONNECT_TIMEOUT_MS, left_ms, left_ms)
         return errands.Patience(
             CONNECT_TIMEOUT_MS,
-            max(SILENCE_LEAST_MS, SILENCE_AIMS * route.aim_ms),
-            max(SILENCE_LEAST_MS, SILENCE_AIMS * route.gap_aim_ms),
-            self._may_another_take_over,
+            max(MIN_SILENCE_TIMEOUT_MS, SILENCE_TIMEOUT_AIMS * route.aim_ms),
+            max(
+                MIN_SILENCE_TIMEOUT_MS, SILENCE_TIMEOUT_AIMS * route.gap_aim_ms
+            ),
+            self._can_fail_over,
         )
 
-    async def _may_another_take_over(self) -> bool:
+    async def _can_fail_over(self) -> bool:
         """Returns whether giving the target up could help the caller.
 
         Silence alone is no failure: an engine that reads a long prompt says
         nothing for seconds, and goes on.
         """
         request = self._request
-        being_sent = frozenset({self._seats[0].target.target_id})
-        most = request.payload.route.targets_max
-        if self._progress.count_sent(being_sent) >= most:
+        sending_to = frozenset({self._placements[0].target.target_id})
+        targets_max = request.payload.route.targets_max
+        if self._progress.count_targets_used(sending_to) >= targets_max:
             return False
         is_large = length_band.is_long(request.prompt_tokens)
         return await self._context.ensure_retry(is_large)
@@ -420,4 +427,6 @@
 
 def _find_urgency(request: requests.Request) -> int:
     """Lets shorter prompts in before longer ones."""
-    return _URGENCY_FIRST + length_band.find_band(request.prompt_tokens)
+    return _SHORTEST_PROMPT_URGENCY + length_band.find_band(
+        request.prompt_tokens
+    )
--- a/src/ruddergate/entry/relay_handler.py
+++ b/src/ruddergate/entry/relay_handler.py
@@ -23,7 +23,7 @@
 # VMs callers that were refused meanwhile had no try left.
 FIRST_SETTINGS_WAIT_MS = 800.0
 # For so long a VM counts as just started; later, the store is out of reach.
-STARTING_MS = 3_000.0
+STARTUP_PERIOD_MS = 3_000.0
 
 
 class RelayHandler:
@@ -31,7 +31,7 @@
 
     Args:
         tools: What the stages share.
-        door: How callers are understood and answered.
+        protocol: How callers are understood and answered.
         send: Sends a call to a target.
         keeper: Holds memory for requests.
         trust: How old settings may be.
@@ -40,69 +40,73 @@
     def __init__(
         self,
         context: contexts.EntryContext,
-        door: doors.Door,
+        protocol: doors.Door,
         send: errands.Send,
         keeper: reservation_keeper.ReservationKeeper,
-        trust: relay_admit.Trust,
+        age_limits: relay_admit.SettingsAgeLimits,
     ) -> None:
         self._context = context
-        self._door = door
+        self._protocol = protocol
         self._send = send
         self._keeper = keeper
-        self._trust = trust
+        self._age_limits = age_limits
         self._log = logs.make_logger("entry")
 
     async def handle(
         self, incoming: message.IncomingRequest
     ) -> message.Response:
         """Answers a caller."""
-        inquiry = self._door.read(incoming)
-        if isinstance(inquiry, outcomes.NotServed):
-            return self._refuse(inquiry, "")
+        caller_request = self._protocol.read(incoming)
+        if isinstance(caller_request, outcomes.NotServed):
+            return self._refuse(caller_request, "")
         # A wait for the first settings is part of the caller's time.
         arrived_ms = self._context.outside.now_ms()
         await self._wait_for_catalog()
         request = relay_admit.admit(
-            incoming, inquiry, arrived_ms, self._context, self._trust
+            incoming,
+            caller_request,
+            arrived_ms,
+            self._context,
+            self._age_limits,
         )
         if isinstance(request, outcomes.NotServed):
-            return self._refuse(request, inquiry.request_id)
+            return self._refuse(request, caller_request.request_id)
         events = relay_run.run(request, self._send, self._keeper, self._context)
         try:
             first = await anext(events)
         except BaseException:
             await events.aclose()
-            self._note_left(request, None)
+            self._log_caller_left(request, None)
             raise
         if isinstance(first, answers.StreamHead):
-            body = self._hand_on(request, events)
+            body = self._stream_body(request, events)
             return message.Response(first.status, {}, body, first.fields)
         await events.aclose()
         if isinstance(first, answers.WholeAnswer):
-            self._note_end(request, "finished", outcomes.Ran.RAN, "")
+            self._log_end(request, "finished", outcomes.Ran.RAN, "")
             return message.Response(first.status, {}, first.body, first.fields)
-        self._note_end(request, first.reason.value, first.ran, first.detail)
-        return self._door.write_failure(first)
+        self._log_end(request, first.reason.value, first.ran, first.detail)
+        return self._protocol.write_failure(first)
 
     async def _wait_for_catalog(self) -> None:
         """Lets a call that comes right after the start wait for settings."""
         context = self._context
-        starts_for_ms = (
-            context.started_ms + STARTING_MS - context.outside.now_ms()
+        startup_left_ms = (
+            context.started_ms + STARTUP_PERIOD_MS - context.outside.now_ms()
         )
-        wait_ms = min(FIRST_SETTINGS_WAIT_MS, starts_for_ms)
+        wait_ms = min(FIRST_SETTINGS_WAIT_MS, startup_left_ms)
         if context.view.catalog_came.is_set() or wait_ms <= 0.0:
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_ms / 1000.0):
                 await context.view.catalog_came.wait()
 
-    async def _hand_on(
+    async def _stream_body(
         self,
         request: requests.Request,
         events: AsyncIterator[answers.Event],
     ) -> AsyncIterator[bytes]:
-        pauses = _Pauses(request.arrived_ms)
+        pauses = _EventPauses(request.arrived_ms)
         try:
             async with contextlib.aclosing(events):
                 async for event in events:
@@ -110,7 +114,7 @@
                         pauses.note_event(self._context.outside.now_ms())
                         yield event.data
                     elif isinstance(event, outcomes.NotServed):
-                        self._note_end(
+                        self._log_end(
                             request,
                             event.reason.value,
                             event.ran,
@@ -120,15 +124,15 @@
                         # A proper end would make a broken answer look whole.
                         raise ConnectionAbortedError(event.detail)
         except (GeneratorExit, asyncio.CancelledError):
-            self._note_left(request, pauses)
+            self._log_caller_left(request, pauses)
             raise
-        self._note_end(request, "finished", outcomes.Ran.RAN, "", pauses)
+        self._log_end(request, "finished", outcomes.Ran.RAN, "", pauses)
 
-    def _note_left(
-        self, request: requests.Request, pauses: "_Pauses | None"
+    def _log_caller_left(
+        self, request: requests.Request, pauses: "_EventPauses | None"
     ) -> None:
         """Notes that the caller left, or that this process ends."""
-        self._note_end(
+        self._log_end(
             request,
             CALLER_LEFT,
             outcomes.Ran.UNKNOWN,
@@ -147,15 +151,15 @@
             request_id=request_id,
             revision=self._context.view.catalog.revision,
         )
-        return self._door.write_failure(refusal)
+        return self._protocol.write_failure(refusal)
 
-    def _note_end(
+    def _log_end(
         self,
         request: requests.Request,
         reason: str,
         ran: outcomes.Ran,
         detail: str,
-        pauses: "_Pauses | None" = None,
+        pauses: "_EventPauses | None" = None,
     ) -> None:
         self._context.metrics.note_outcome(reason, ran.value)
         if pauses is not None:
@@ -181,7 +185,7 @@
         )
 
 
-class _Pauses:
+class _EventPauses:
     """Times between the events of one stream, as they are handed on.
 
     Attributes:
@@ -196,9 +200,9 @@
 
     def note_event(self, now_ms: float) -> None:
         """Notes that events are handed on now."""
-        passed_ms = now_ms - self._last_ms
+        elapsed_ms = now_ms - self._last_ms
         self._last_ms = now_ms
         if self.first_ms < 0.0:
-            self.first_ms = passed_ms
+            self.first_ms = elapsed_ms
         else:
-            self.longest_ms = max(self.longest_ms, passed_ms)
+            self.longest_ms = max(self.longest_ms, elapsed_ms)
--- a/src/ruddergate/entry/relay_progress.py
+++ b/src/ruddergate/entry/relay_progress.py
@@ -18,28 +18,33 @@
         unreachable: Tries that ended before anything was sent.
         is_begun: Whether the caller has the answer's head.
         excluded: Targets that are not to be tried again.
-        answer: A target's own failure, handed on if nothing better comes.
+        failed_answer: A target's own failure, handed on if nothing better comes.
         blamed: Helpers that the last target blamed, in order.
         helpers_failed: How often a call went to a target again for that.
         pinned: The target that it goes to again, or empty.
     """
 
-    last_id: str
+    last_event_id: str
     ran: outcomes.Ran = outcomes.Ran.NOT_RUN
-    sent: int = 0
-    sent_to: frozenset[str] = frozenset()
-    unreachable: int = 0
-    is_begun: bool = False
+    counted_attempts: int = 0
+    sent_targets: frozenset[str] = frozenset()
+    unsent_attempts: int = 0
+    has_head: bool = False
     excluded: frozenset[str] = frozenset()
-    answer: answers.WholeAnswer | None = None
-    blamed: tuple[str, ...] = ()
-    helpers_failed: int = 0
-    pinned: str = ""
-
-    def count_sent(self, also: frozenset[str] = frozenset()) -> int:
+    failed_answer: answers.WholeAnswer | None = None
+    faulted_helpers: tuple[str, ...] = ()
+    helper_failures: int = 0
+    pinned_target: str = ""
+
+    def count_targets_used(
+        self, sending_to: frozenset[str] = frozenset()
+    ) -> int:
         """Returns how many of the targets allowed are used up.
 
         Args:
             also: Targets that are being sent the call.
         """
-        return max(self.sent + len(also), len(self.sent_to | also))
+        return max(
+            self.counted_attempts + len(sending_to),
+            len(self.sent_targets | sending_to),
+        )
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -24,44 +24,44 @@
 from ruddergate.relay import errand as errands
 
 # Targets tried for a connection, besides those that were sent the call.
-UNREACHABLE_MAX = 8
+MAX_UNSENT_ATTEMPTS = 8
 # Times that a call goes to the same target again because of one of its helpers.
-HELPERS_FAILED_MAX = 3
+MAX_HELPER_FAILURES = 3
 # Any of a call's targets may take no calls now. Which of them is known where
 # the next ones are chosen, so none has to be excluded.
-_WITHDRAWN = (
+_UNAVAILABLE_REASONS = (
     outcomes.Reason.TARGET_LEAVING,
     outcomes.Reason.TARGET_QUIET,
     outcomes.Reason.TARGET_RATE_LIMITED,
 )
-_NOTHING_SENT = (
+_UNSENT_REASONS = (
     outcomes.Reason.TARGET_GONE,
     outcomes.Reason.TARGET_UNREACHABLE,
     outcomes.Reason.NO_MEMORY,
     outcomes.Reason.HELPER_UNREACHABLE,
     outcomes.Reason.QUARANTINED,
-    *_WITHDRAWN,
+    *_UNAVAILABLE_REASONS,
 )
 # Failures of other engines than the one that was to write the answer.
-_NOT_THE_WRITERS = (
+_NOT_WRITER_REASONS = (
     outcomes.Reason.NO_MEMORY,
     outcomes.Reason.HELPER_UNREACHABLE,
-    *_WITHDRAWN,
+    *_UNAVAILABLE_REASONS,
 )
 # After these the engine that refused for a helper is asked again.
-_KEEP_PINNED = (outcomes.Reason.HELPER_UNREACHABLE, *_WITHDRAWN)
+_KEEP_PIN_REASONS = (outcomes.Reason.HELPER_UNREACHABLE, *_UNAVAILABLE_REASONS)
 # What a target that fails with its own 5xx says is the answer; from here on a
 # repeatable call is worth another try.
-_SERVER_ERROR = 500
+_MIN_SERVER_ERROR_STATUS = 500
 # How long a call waits for a place ahead of others, in aims: after that it is
 # late anyway, and those that can still be in time go first. A policy that holds
 # long prompts back lets them go earlier (routing/long_prompts.py).
 ON_TIME_WAIT_AIMS = 0.5
 # It then waits behind those for an aim, and for so long at least: callers give
 # a stream up that has not begun after four aims, two seconds at least.
-LATE_WAIT_LEAST_MS = 1_200.0
+MIN_LATE_WAIT_MS = 1_200.0
 # Ranks of late calls lie below those of all others.
-_LATE_RANKS = 1_000_000
+_LATE_RANK_OFFSET = 1_000_000
 # When a place may have become free; callers are not to come back together.
 _NO_TARGET_RETRY_MS = (400.0, 1_200.0)
 
@@ -84,7 +84,7 @@
         if isinstance(grant, outcomes.NotServed):
             yield _conclude(grant, progress)
             return
-        ended: answers.Event | None = None
+        outcome: answers.Event | None = None
         attempt = relay_attempt.RelayAttempt(
             request, grant, progress, send, keeper, context
         )
@@ -93,100 +93,102 @@
                 if isinstance(event, answers.StreamHead | answers.StreamEvents):
                     yield event
                 else:
-                    ended = event
-        if isinstance(ended, answers.StreamEnd | answers.WholeAnswer):
+                    outcome = event
+        if isinstance(outcome, answers.StreamEnd | answers.WholeAnswer):
             context.quarantine.note_finished(request)
-        if isinstance(ended, answers.StreamEnd):
-            yield ended
+        if isinstance(outcome, answers.StreamEnd):
+            yield outcome
             return
-        final = await _decide(request, grant, ended, progress, context)
+        final = await _conclude_or_retry(
+            request, grant, outcome, progress, context
+        )
         if final is not None:
             yield final
             return
 
 
-async def _decide(
+async def _conclude_or_retry(
     request: requests.Request,
     grant: scheduler_messages.PlacementGrant,
-    ended: answers.Event | None,
+    outcome: answers.Event | None,
     progress: relay_progress.Progress,
     context: contexts.EntryContext,
 ) -> answers.Event | None:
     """Returns the final event, or None after the pause for a retry."""
-    if isinstance(ended, answers.WholeAnswer):
-        if ended.status < _SERVER_ERROR:
-            return ended
-        progress.answer = ended
-        ended = outcomes.NotServed(
+    if isinstance(outcome, answers.WholeAnswer):
+        if outcome.status < _MIN_SERVER_ERROR_STATUS:
+            return outcome
+        progress.failed_answer = outcome
+        outcome = outcomes.NotServed(
             outcomes.Reason.TARGET_REFUSED,
             outcomes.Ran.RAN,
-            f"the target answered {ended.status}",
+            f"the target answered {outcome.status}",
         )
-    if ended is None:
+    if outcome is None:
         raise AssertionError("an attempt ended without an outcome")
     route = request.payload.route
     placement = grant.placements[0]
-    attempt_log.log_failure(request, placement, ended, progress, context)
-    context.metrics.attempts.inc({"result": ended.reason.value})
-    progress.ran = model_run.worse(progress.ran, ended.ran)
-    if ended.reason not in _NOTHING_SENT:
-        progress.sent_to |= {placement.target.target_id}
-    if _is_helpers_fault(ended, progress):
+    attempt_log.log_failure(request, placement, outcome, progress, context)
+    context.metrics.attempts.inc({"result": outcome.reason.value})
+    progress.ran = model_run.combine_ran(progress.ran, outcome.ran)
+    if outcome.reason not in _UNSENT_REASONS:
+        progress.sent_targets |= {placement.target.target_id}
+    if _is_helper_failure(outcome, progress):
         # The target itself may well take the call, with other helpers; it is
         # the same target, and so no further one that was sent the call.
-        progress.pinned = placement.target.target_id
-        progress.helpers_failed += 1
-        return await _try_again(request, ended, progress, context)
-    if ended.reason not in _KEEP_PINNED:
-        progress.pinned = ""
-    if ended.reason not in _NOT_THE_WRITERS:
+        progress.pinned_target = placement.target.target_id
+        progress.helper_failures += 1
+        return await _pause_for_retry(request, outcome, progress, context)
+    if outcome.reason not in _KEEP_PIN_REASONS:
+        progress.pinned_target = ""
+    if outcome.reason not in _NOT_WRITER_REASONS:
         progress.excluded |= {placement.target.target_id}
-    if ended.reason in _NOTHING_SENT:
-        return _conclude_unsent(ended, progress)
-    progress.sent += 1
-    may_go_on = route.is_resumable or not progress.is_begun
-    if not may_go_on or progress.count_sent() >= route.targets_max:
-        return _conclude(ended, progress)
-    return await _try_again(request, ended, progress, context)
+    if outcome.reason in _UNSENT_REASONS:
+        return _conclude_unsent(outcome, progress)
+    progress.counted_attempts += 1
+    can_continue = route.is_resumable or not progress.has_head
+    if not can_continue or progress.count_targets_used() >= route.targets_max:
+        return _conclude(outcome, progress)
+    return await _pause_for_retry(request, outcome, progress, context)
 
 
 def _conclude_unsent(
-    ended: outcomes.NotServed, progress: relay_progress.Progress
+    outcome: outcomes.NotServed, progress: relay_progress.Progress
 ) -> answers.Event | None:
     """Returns None for another try, which counts against no limit of sends."""
-    progress.unreachable += 1
-    is_quarantined = ended.reason is outcomes.Reason.QUARANTINED
-    if is_quarantined or progress.unreachable > UNREACHABLE_MAX:
-        return _conclude(ended, progress)
+    progress.unsent_attempts += 1
+    is_quarantined = outcome.reason is outcomes.Reason.QUARANTINED
+    if is_quarantined or progress.unsent_attempts > MAX_UNSENT_ATTEMPTS:
+        return _conclude(outcome, progress)
     return None
 
 
-def _is_helpers_fault(
-    ended: outcomes.NotServed, progress: relay_progress.Progress
+def _is_helper_failure(
+    outcome: outcomes.NotServed, progress: relay_progress.Progress
 ) -> bool:
     """Returns whether a target refused because of one that was to help it."""
-    is_refusal = ended.ran is outcomes.Ran.NOT_RUN
-    is_given_up = ended.reason is outcomes.Reason.HELPER_ENDED
+    is_refusal = outcome.ran is outcomes.Ran.NOT_RUN
+    has_helper_ended = outcome.reason is outcomes.Reason.HELPER_ENDED
     return (
-        bool(progress.blamed)
-        and (is_refusal or is_given_up)
-        and progress.helpers_failed < HELPERS_FAILED_MAX
+        bool(progress.faulted_helpers)
+        and (is_refusal or has_helper_ended)
+        and progress.helper_failures < MAX_HELPER_FAILURES
     )
 
 
-async def _try_again(
+async def _pause_for_retry(
     request: requests.Request,
-    ended: outcomes.NotServed,
+    outcome: outcomes.NotServed,
     progress: relay_progress.Progress,
     context: contexts.EntryContext,
 ) -> answers.Event | None:
     """Returns None after a pause, or the outcome if no try is left."""
-    if retries.may_run_again(ended, request.repeatable):
+    if retries.may_run_again(outcome, request.repeatable):
         await context.ensure_retry(length_band.is_long(request.prompt_tokens))
     decided = retries.decide(
-        ended,
+        outcome,
         request.repeatable,
-        max(1, progress.sent),
+        max(1, progress.counted_attempts),
         request.remaining_ms(context.outside.now_ms()),
         0.0,
         context.budget,
@@ -199,13 +201,13 @@
 
 
 def _conclude(
-    ended: outcomes.NotServed, progress: relay_progress.Progress
+    outcome: outcomes.NotServed, progress: relay_progress.Progress
 ) -> answers.WholeAnswer | outcomes.NotServed:
     """Tells of all attempts, or hands on what a target itself answered."""
-    if progress.answer is not None and not progress.is_begun:
-        return progress.answer
-    ran = model_run.worse(progress.ran, ended.ran)
-    return dataclasses.replace(ended, ran=ran)
+    if progress.failed_answer is not None and not progress.has_head:
+        return progress.failed_answer
+    ran = model_run.combine_ran(progress.ran, outcome.ran)
+    return dataclasses.replace(outcome, ran=ran)
 
 
 async def _place(
@@ -227,7 +229,7 @@
                 grant = await context.scheduler.place(placement_request)
         except TimeoutError:
             continue
-        if is_late or not _is_too_long_a_wait(grant):
+        if is_late or not _is_wait_refused(grant):
             return grant
     return outcomes.refuse(
         outcomes.Reason.NO_TARGET,
@@ -236,7 +238,7 @@
     )
 
 
-def _is_too_long_a_wait(
+def _is_wait_refused(
     grant: scheduler_messages.PlacementGrant | outcomes.NotServed,
 ) -> bool:
     return (
@@ -253,9 +255,9 @@
     """Returns how long to wait as a call in time, and then as a late one."""
     aim_ms = request.payload.route.aim_ms
     on_time_ms = ON_TIME_WAIT_AIMS * aim_ms
-    if not progress.is_begun:
+    if not progress.has_head:
         on_time_ms -= context.outside.now_ms() - request.arrived_ms
-    return (False, on_time_ms), (True, max(LATE_WAIT_LEAST_MS, aim_ms))
+    return (False, on_time_ms), (True, max(MIN_LATE_WAIT_MS, aim_ms))
 
 
 def _make_place(
@@ -270,7 +272,7 @@
     route = request.payload.route
     priority = request.workload.priority
     if is_late:
-        rank = priority.rank - _LATE_RANKS
+        rank = priority.rank - _LATE_RANK_OFFSET
         priority = dataclasses.replace(priority, name=str(rank), rank=rank)
     cost = costs.predict(
         pool, request.prompt_tokens, 0, request.output_tokens_expected
@@ -278,8 +280,8 @@
     band = length_band.find_band(request.prompt_tokens)
     return scheduler_messages.PlacementRequest(
         job=queueing.Job(
-            job_id=f"{request.request_id}.{progress.sent}."
-            f"{progress.unreachable}.{now_ms}",
+            job_id=f"{request.request_id}.{progress.counted_attempts}."
+            f"{progress.unsent_attempts}.{now_ms}",
             priority=priority,
             workspace=request.workload.workspace,
             weight=request.workload.weight,
@@ -298,7 +300,7 @@
             aim_ms=route.aim_ms,
             pause_aim_ms=route.gap_aim_ms if route.is_stream else math.inf,
             home_hall=context.config.hall,
-            pinned_target=progress.pinned,
+            pinned_target=progress.pinned_target,
             is_suspect=context.quarantine.is_suspect(request),
             salt=context.outside.random.getrandbits(32),
         ),
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -31,12 +31,12 @@
 from ruddergate.telemetry import logs
 
 # With requests waiting, targets are looked at this often.
-_TICK_MS = 20.0
+_QUEUED_TICK_MS = 20.0
 _IDLE_TICK_MS = 500.0
 # A lane that no target can take rests for a time drawn from this range: VMs
 # that wait for the same targets must not all go when one has become free.
-_LANE_REST_MS = (5.0, 60.0)
-_GONE_RETRY_MS = 1_000.0
+_LANE_PAUSE_MS = (5.0, 60.0)
+_NO_TARGET_RETRY_MS = 1_000.0
 # Callers refused until a target takes calls are told to come back within this
 # time after it: told the same moment they would all come in it, and the target
 # had too much to do before. Half of what its own time is drawn out by at most.
@@ -64,7 +64,7 @@
     """Queues, estimates and the routing policy of one entry.
 
     Attributes:
-        ends: Tells of lives of targets that have ended.
+        incarnation_ends: Tells of lives of targets that have ended.
     """
 
     def __init__(
@@ -72,13 +72,15 @@
         outside: environment.Environment,
         config: configs.EntryConfig,
         view: views.View,
-        note_change: Callable[[], None] = lambda: None,
-        collect_peers: Callable[
+        on_own_load_change: Callable[[], None] = lambda: None,
+        collect_peer_loads: Callable[
             [], Sequence[dispatched.Dispatched]
         ] = lambda: (),
-        is_blind: Callable[[], bool] = lambda: False,
-        collect_lost: Callable[[], bad_news.BadNews] = lambda: bad_news.NOTHING,
-        withdrawn: withdrawals.Withdrawals | None = None,
+        has_unknown_peers: Callable[[], bool] = lambda: False,
+        collect_loss_report: Callable[[], bad_news.BadNews] = lambda: (
+            bad_news.NOTHING
+        ),
+        drain_state: withdrawals.Withdrawals | None = None,
         limits: rate_limits.RateLimits | None = None,
     ) -> None:
         """Makes an idle scheduler.
@@ -96,16 +98,16 @@
             withdrawn: Which lives of targets take no calls.
             limits: Rate limits that targets name.
         """
-        self._withdrawn = withdrawn or withdrawals.Withdrawals()
+        self._drain_state = drain_state or withdrawals.Withdrawals()
         if limits is None:
             limits = rate_limits.RateLimits(outside.random, lambda *_: 0)
         self._limits = limits
-        self._note_change = note_change
-        self._collect_peers = collect_peers
-        self._is_blind = is_blind
-        self._collect_lost = collect_lost
+        self._on_own_load_change = on_own_load_change
+        self._collect_peer_loads = collect_peer_loads
+        self._has_unknown_peers = has_unknown_peers
+        self._collect_loss_report = collect_loss_report
         self._losses = target_losses.TargetLosses(outside.random)
-        self.ends = self._losses.ends
+        self.incarnation_ends = self._losses.ends
         self._outside = outside
         self._config = config
         self._view = view
@@ -113,19 +115,19 @@
             outside.random,
             by_name.make_policy(config.policy),
             by_name.make_policy(config.service_policy),
-            note_change,
+            on_own_load_change,
             self._limits.is_limited,
         )
         self._inbox: asyncio.Queue[Message] = asyncio.Queue()
         self._queues: dict[str, queueing.Queue] = {}
         self._pending: dict[str, scheduler_messages.PlacementRequest] = {}
         self._table = target_table.TargetTable(
-            view, self._withdrawn, self._limits
+            view, self._drain_state, self._limits
         )
-        self._ticked_ms = outside.now_ms()
-        self._held_until_ms = 0.0
+        self._last_turn_ms = outside.now_ms()
+        self._hold_until_ms = 0.0
         self._log = logs.make_logger("scheduler")
-        self._lane_rests_until_ms: dict[queueing.Lane, float] = {}
+        self._lane_paused_until_ms: dict[queueing.Lane, float] = {}
 
     def post(self, message: Message) -> None:
         """Sends the scheduler a message."""
@@ -146,7 +148,7 @@
             self.post(scheduler_messages.CancelPlacement(request))
             raise
 
-    def summarize(self) -> tuple[dispatched.Dispatched, ...]:
+    def list_own_loads(self) -> tuple[dispatched.Dispatched, ...]:
         """Returns this VM's own work on targets, for peers."""
         now_ms = self._outside.now_ms()
         return tuple(
@@ -155,7 +157,7 @@
             if estimate.own_streams()
         )
 
-    def summarize_lost(self) -> bad_news.BadNews:
+    def make_loss_report(self) -> bad_news.BadNews:
         """Returns what this VM has just found out of reach, for peers."""
         return self._losses.summarize(self._outside.now_ms())
 
@@ -189,7 +191,7 @@
         """Returns the halls with targets of a pool, whatever their state."""
         return self._table.find_halls(pool)
 
-    def believed_loads(self) -> list[estimates.Estimate]:
+    def list_estimates(self) -> list[estimates.Estimate]:
         """Returns the believed load of each target, for the status page."""
         return self._table.list_all()
 
@@ -200,71 +202,71 @@
     async def run(self) -> None:
         """Serves the inbox until cancelled."""
         while True:
-            await self._wait()
-            self._note_time()
+            await self._wait_for_message()
+            self._detect_clock_gap()
             while not self._inbox.empty():
-                self._take(self._inbox.get_nowait())
-            self._take_peers(self._collect_peers())
-            self._take_lost(self._collect_lost())
-            self._give_places()
+                self._handle(self._inbox.get_nowait())
+            self._merge_peer_loads(self._collect_peer_loads())
+            self._merge_loss_report(self._collect_loss_report())
+            self._dispatch_all()
 
-    async def _wait(self) -> None:
+    async def _wait_for_message(self) -> None:
         """Returns when there is a message or a tick has passed."""
         waiting = any(len(queue) for queue in self._queues.values())
-        tick_ms = _TICK_MS if waiting else _IDLE_TICK_MS
+        tick_ms = _QUEUED_TICK_MS if waiting else _IDLE_TICK_MS
         try:
             async with asyncio.timeout(tick_ms / 1000.0):
-                self._take(await self._inbox.get())
+                self._handle(await self._inbox.get())
         except TimeoutError:
             pass
 
-    def _note_time(self) -> None:
+    def _detect_clock_gap(self) -> None:
         """After a gap in time, holds work until the view is fresh again."""
         now_ms = self._outside.now_ms()
-        if now_ms - self._ticked_ms > self._config.wake_gap_ms:
-            self._held_until_ms = now_ms + self._config.wake_refresh_ms
-        self._ticked_ms = now_ms
+        if now_ms - self._last_turn_ms > self._config.suspend_gap_ms:
+            self._hold_until_ms = now_ms + self._config.suspend_refresh_max_ms
+        self._last_turn_ms = now_ms
 
-    def _take(self, message: Message) -> None:
+    def _handle(self, message: Message) -> None:
         now_ms = self._outside.now_ms()
         match message:
             case scheduler_messages.PlacementRequest():
-                self._take_place(message, now_ms)
+                self._on_placement_request(message, now_ms)
             case scheduler_messages.CancelPlacement():
-                self._take_withdraw(message.request)
+                self._on_cancel_placement(message.request)
             case scheduler_messages.FirstToken():
-                self._take_first_token(message, now_ms)
+                self._on_first_token(message, now_ms)
             case scheduler_messages.AttemptEnded():
-                self._take_ended(message, now_ms)
+                self._on_attempt_ended(message, now_ms)
             case scheduler_messages.IncarnationEnded():
-                self._take_life_ended(message.target, now_ms)
+                self._on_incarnation_ended(message.target, now_ms)
             case scheduler_messages.LoadReported():
-                self._take_report(message.report, now_ms)
+                self._on_load_report(message.report, now_ms)
             case load_messages.Loads():
-                self._take_loads(message, now_ms)
+                self._on_loads(message, now_ms)
             case ViewChanged():
-                self._take_view(now_ms)
+                self._on_view_changed(now_ms)
 
-    def _take_place(
+    def _on_placement_request(
         self, request: scheduler_messages.PlacementRequest, now_ms: float
     ) -> None:
         if request.reply.cancelled():
             return
         queue = self._find_queue(request.pool.name)
         if not self._table.has_pool(request.pool.name):
-            _answer(request, _refuse_no_target(request.pool.name))
+            _reply(request, _refuse_no_target(request.pool.name))
             return
-        first_ms = self._find_turn_ms(request.pool.name, len(queue), now_ms)
-        if first_ms > request.job.deadline_ms:
-            _answer(request, self._refuse_until(request.pool.name, first_ms))
+        start_ms = self._predict_start_ms(request.pool.name, len(queue), now_ms)
+        if start_ms > request.job.deadline_ms:
+            _reply(request, self._refuse_until(request.pool.name, start_ms))
             return
         refusal = queue.offer(request.job, now_ms)
         if refusal is not None:
-            _answer(request, refusal)
+            _reply(request, refusal)
             return
         self._pending[request.job.job_id] = request
 
-    def _find_turn_ms(self, pool: str, ahead: int, now_ms: float) -> float:
+    def _predict_start_ms(self, pool: str, ahead: int, now_ms: float) -> float:
         """Returns when a pool takes a call, as far as targets turn calls away.
 
         Args:
@@ -272,15 +274,15 @@
             ahead: Calls that wait for it already.
             now_ms: Time.
         """
-        first_ms = self._table.find_first_ms(pool, now_ms)
+        start_ms = self._table.find_first_ms(pool, now_ms)
         if not ahead or not len(self._limits):
-            return first_ms
+            return start_ms
         capacity_per_s = self._table.find_capacity_per_s(pool, now_ms)
         if capacity_per_s <= 0.0:
-            return first_ms
-        return first_ms + ahead / capacity_per_s * 1_000.0
+            return start_ms
+        return start_ms + ahead / capacity_per_s * 1_000.0
 
-    def _take_withdraw(
+    def _on_cancel_placement(
         self, request: scheduler_messages.PlacementRequest
     ) -> None:
         self._pending.pop(request.job.job_id, None)
@@ -300,19 +302,19 @@
             if estimate is not None:
                 estimate.end(placement.attempt_id)
 
-    def _take_first_token(
+    def _on_first_token(
         self, message: scheduler_messages.FirstToken, now_ms: float
     ) -> None:
         estimate = self._table.find(message.placement.target)
         if estimate is None:
             return
-        self._withdrawn.note_served(estimate.target.life, now_ms)
+        self._drain_state.note_served(estimate.target.life, now_ms)
         if estimate.first_token(message.placement.attempt_id, now_ms):
-            self._note_change()
+            self._on_own_load_change()
         if message.prefix:
             estimate.note_prefix(message.prefix, message.prefix_tokens)
 
-    def _take_ended(
+    def _on_attempt_ended(
         self, message: scheduler_messages.AttemptEnded, now_ms: float
     ) -> None:
         target = message.placement.target
@@ -330,24 +332,26 @@
         if message.is_target_fault:
             estimate.note_fault(now_ms)
         elif message.has_answered:
-            self._withdrawn.note_served(target.life, now_ms)
+            self._drain_state.note_served(target.life, now_ms)
             self._losses.note_answered(target, now_ms)
             estimate.answered_ms = now_ms
-        self._note_change()
+        self._on_own_load_change()
 
-    def _take_life_ended(self, target: targets.Target, now_ms: float) -> None:
+    def _on_incarnation_ended(
+        self, target: targets.Target, now_ms: float
+    ) -> None:
         estimate = self._table.find(target)
         if estimate is not None:
             estimate.note_fault(now_ms)
             self._losses.note_gone(target, now_ms)
-            self._note_change()
+            self._on_own_load_change()
 
-    def _take_lost(self, told: bad_news.BadNews) -> None:
-        if told is not bad_news.NOTHING:
+    def _merge_loss_report(self, report: bad_news.BadNews) -> None:
+        if report is not bad_news.NOTHING:
             now_ms = self._outside.now_ms()
-            self._losses.take_told(told, self._table.find_told, now_ms)
+            self._losses.take_told(report, self._table.find_told, now_ms)
 
-    def _take_report(
+    def _on_load_report(
         self, report: load_report.LoadReport, now_ms: float
     ) -> None:
         estimate = self._table.find_named(report.target_id)
@@ -355,25 +359,25 @@
             return
         estimate.take_report(report, now_ms)
 
-    def _take_loads(self, loads: load_messages.Loads, now_ms: float) -> None:
+    def _on_loads(self, loads: load_messages.Loads, now_ms: float) -> None:
         for report in loads.reports:
-            self._take_report(report, now_ms)
-        self._take_peers(loads.peers)
+            self._on_load_report(report, now_ms)
+        self._merge_peer_loads(loads.peers)
         for event in loads.events:
             estimate = self._table.find_named(event.target_id)
             if estimate is not None:
                 estimate.take_event(event)
 
-    def _take_peers(self, rows: Sequence[dispatched.Dispatched]) -> None:
+    def _merge_peer_loads(self, rows: Sequence[dispatched.Dispatched]) -> None:
         now_ms = self._outside.now_ms()
         for row in rows:
             estimate = self._table.find_named(row.target_id)
             if estimate is not None:
                 estimate.take_peers(row, now_ms)
 
-    def _take_view(self, now_ms: float) -> None:
-        if self._view.age_ms(now_ms) < self._config.wake_gap_ms:
-            self._held_until_ms = 0.0
+    def _on_view_changed(self, now_ms: float) -> None:
+        if self._view.age_ms(now_ms) < self._config.suspend_gap_ms:
+            self._hold_until_ms = 0.0
         self._table.take_view(now_ms)
 
     def _find_queue(self, pool: str) -> queueing.Queue:
@@ -391,53 +395,55 @@
 
         return drain_rate
 
-    def _give_places(self) -> None:
+    def _dispatch_all(self) -> None:
         now_ms = self._outside.now_ms()
-        if now_ms < self._held_until_ms:
+        if now_ms < self._hold_until_ms:
             return
         for pool, queue in self._queues.items():
             if len(queue):
-                self._expire(queue, now_ms)
-                self._give_places_of(pool, queue, now_ms)
+                self._refuse_expired(queue, now_ms)
+                self._dispatch_pool(pool, queue, now_ms)
 
-    def _expire(self, queue: queueing.Queue, now_ms: float) -> None:
+    def _refuse_expired(self, queue: queueing.Queue, now_ms: float) -> None:
         for job in queue.expire(now_ms):
             request = self._pending.pop(job.job_id)
             refusal = outcomes.refuse(
                 outcomes.Reason.CANNOT_FINISH_IN_TIME,
                 "it could no longer have finished in time",
-                _GONE_RETRY_MS,
+                _NO_TARGET_RETRY_MS,
             )
-            _answer(request, refusal)
+            _reply(request, refusal)
 
-    def _give_places_of(
+    def _dispatch_pool(
         self, pool: str, queue: queueing.Queue, now_ms: float
     ) -> None:
-        closed = {
+        paused = {
             lane
-            for lane, until_ms in self._lane_rests_until_ms.items()
+            for lane, until_ms in self._lane_paused_until_ms.items()
             if now_ms < until_ms
         }
         usable = self._find_usable(pool, now_ms)
         if not usable:
-            self._refuse_hopeless(pool, queue, now_ms)
-        while usable and (job := queue.take(now_ms, closed)) is not None:
+            self._refuse_unservable(pool, queue, now_ms)
+        while usable and (job := queue.take(now_ms, paused)) is not None:
             request = self._pending[job.job_id]
             placements = self._placer.place(
-                request, usable, now_ms, self._is_blind()
+                request, usable, now_ms, self._has_unknown_peers()
             )
             if not placements:
                 queue.put_back(job, now_ms)
-                closed.add(job.lane)
-                rest_ms = self._outside.random.uniform(*_LANE_REST_MS)
-                self._lane_rests_until_ms[job.lane] = now_ms + rest_ms
+                paused.add(job.lane)
+                pause_ms = self._outside.random.uniform(*_LANE_PAUSE_MS)
+                self._lane_paused_until_ms[job.lane] = now_ms + pause_ms
                 continue
             del self._pending[job.job_id]
             first = placements[0]
             self._limits.note_placed(
                 first.target.target_id, first.attempt_id, now_ms
             )
-            if any(self._takes_few(each.target) for each in placements):
+            if any(
+                self._has_restricted_intake(each.target) for each in placements
+            ):
                 usable = self._find_usable(pool, now_ms)
             grant = scheduler_messages.PlacementGrant(placements)
             if request.reply.done():
@@ -446,42 +452,42 @@
             else:
                 request.reply.set_result(grant)
 
-    def _takes_few(self, target: targets.Target) -> bool:
+    def _has_restricted_intake(self, target: targets.Target) -> bool:
         """Returns whether a call given to a target may have been its last."""
-        return self._withdrawn.is_on_trial(
+        return self._drain_state.is_on_trial(
             target.life
         ) or self._limits.is_limited(target.target_id)
 
-    def _refuse_hopeless(
+    def _refuse_unservable(
         self, pool: str, queue: queueing.Queue, now_ms: float
     ) -> None:
         """Refuses at once what can't have a target before its time is up."""
-        first_ms = self._table.find_first_ms(pool, now_ms)
-        hopeless = [job for job in queue.jobs() if first_ms > job.deadline_ms]
-        for job in hopeless:
+        start_ms = self._table.find_first_ms(pool, now_ms)
+        unservable = [job for job in queue.jobs() if start_ms > job.deadline_ms]
+        for job in unservable:
             queue.withdraw(job)
             request = self._pending.pop(job.job_id)
-            _answer(request, self._refuse_until(pool, first_ms))
+            _reply(request, self._refuse_until(pool, start_ms))
 
-    def _refuse_until(self, pool: str, first_ms: float) -> outcomes.NotServed:
+    def _refuse_until(self, pool: str, start_ms: float) -> outcomes.NotServed:
         """Returns the refusal of what no target takes before that time."""
-        if math.isinf(first_ms):
+        if math.isinf(start_ms):
             return outcomes.refuse(
                 outcomes.Reason.NO_TARGET,
                 f"no target of pool {pool} takes calls of this VM",
-                _GONE_RETRY_MS,
+                _NO_TARGET_RETRY_MS,
             )
         now_ms = self._outside.now_ms()
-        most_ms = _RETURN_SPREAD_MS
+        spread_max_ms = _RETURN_SPREAD_MS
         capacity_per_s = self._table.find_capacity_per_s(pool, now_ms)
         if capacity_per_s > 0.0:
             # Under rate limits one caller can be served in such a time.
-            most_ms = max(most_ms, 1_000.0 / capacity_per_s)
-        spread_ms = self._outside.random.uniform(0.0, most_ms)
+            spread_max_ms = max(spread_max_ms, 1_000.0 / capacity_per_s)
+        spread_ms = self._outside.random.uniform(0.0, spread_max_ms)
         return outcomes.refuse(
             outcomes.Reason.CANNOT_FINISH_IN_TIME,
             f"no target of pool {pool} wants calls now",
-            first_ms - now_ms + spread_ms,
+            start_ms - now_ms + spread_ms,
         )
 
     def _find_usable(
@@ -492,27 +498,29 @@
         When all look bad, this VM is more likely at fault than all of them, and
         any that may take work is better than none.
         """
-        taking = self._table.list_taking(pool, now_ms)
+        accepting = self._table.list_taking(pool, now_ms)
         good = [
             each
-            for each in taking
+            for each in accepting
             if each.is_usable(now_ms)
             and not self._losses.is_suspect(each.target.hall, now_ms)
         ]
-        if good or not self._config.tries_all:
+        if good or not self._config.panic_routing:
             return good
-        return taking
+        return accepting
 
 
-def _answer(
+def _reply(
     request: scheduler_messages.PlacementRequest,
-    answer: scheduler_messages.PlacementGrant | outcomes.NotServed,
+    result: scheduler_messages.PlacementGrant | outcomes.NotServed,
 ) -> None:
     if not request.reply.done():
-        request.reply.set_result(answer)
+        request.reply.set_result(result)
 
 
 def _refuse_no_target(pool: str) -> outcomes.NotServed:
     return outcomes.refuse(
-        outcomes.Reason.NO_TARGET, f"pool {pool} has no target", _GONE_RETRY_MS
+        outcomes.Reason.NO_TARGET,
+        f"pool {pool} has no target",
+        _NO_TARGET_RETRY_MS,
     )
--- a/src/ruddergate/entry/service_run.py
+++ b/src/ruddergate/entry/service_run.py
@@ -33,7 +33,7 @@
         answer = await _call(request, placement, context)
         if isinstance(answer, service_calls.ServiceAnswer):
             return answer
-        ran = model_run.worse(ran, answer.ran)
+        ran = model_run.combine_ran(ran, answer.ran)
         excluded = excluded | {placement.target.target_id}
         decided = retries.decide(
             answer,
@@ -96,15 +96,17 @@
         excluded=excluded,
         reply=asyncio.get_running_loop().create_future(),
     )
-    return await model_run.place_in_time(request, placement_request, context)
+    return await model_run.place_before_deadline(
+        request, placement_request, context
+    )
 
 
 def _with_ran(
-    ended: outcomes.NotServed, ran: outcomes.Ran
+    outcome: outcomes.NotServed, ran: outcomes.Ran
 ) -> outcomes.NotServed:
     return outcomes.NotServed(
-        ended.reason,
-        model_run.worse(ran, ended.ran),
-        ended.detail,
-        ended.retry_after_ms,
+        outcome.reason,
+        model_run.combine_ran(ran, outcome.ran),
+        outcome.detail,
+        outcome.retry_after_ms,
     )
--- a/src/ruddergate/entry/status.py
+++ b/src/ruddergate/entry/status.py
@@ -10,7 +10,7 @@
 from ruddergate.telemetry import metrics
 
 # Ages beyond this mean that nothing was ever learned.
-_NEVER_MS = 1e12
+_MAX_KNOWN_AGE_MS = 1e12
 
 Handle = Callable[[message.IncomingRequest], Awaitable[message.Response]]
 
@@ -84,9 +84,9 @@
             "waiting_tokens": round(each.waiting_tokens(now_ms)),
             "held_tokens": each.held_tokens(now_ms),
             "streams": each.streams(now_ms),
-            **_show_rate_limit(context, each.target.target_id, now_ms),
+            **_describe_rate_limit(context, each.target.target_id, now_ms),
         }
-        for each in context.scheduler.believed_loads()
+        for each in context.scheduler.list_estimates()
     ]
     document = {
         "vm": context.config.vm_id,
@@ -112,16 +112,19 @@
     return message.make_json_response(200, document)
 
 
-def _show_rate_limit(
+def _describe_rate_limit(
     context: contexts.EntryContext, target_id: str, now_ms: float
 ) -> dict[str, float | None]:
     """Returns a target's rate limit and this VM's part, None for no limit."""
-    limit, own = context.scheduler.find_rate_limit(target_id, now_ms)
+    limit, share = context.scheduler.find_rate_limit(target_id, now_ms)
     if math.isinf(limit):
         return {"rate_limit_per_s": None, "rate_limit_share_per_s": None}
-    return {"rate_limit_per_s": limit, "rate_limit_share_per_s": round(own, 3)}
+    return {
+        "rate_limit_per_s": limit,
+        "rate_limit_share_per_s": round(share, 3),
+    }
 
 
 def _round_age(age_ms: float) -> int | None:
     """Returns an age in whole milliseconds, or None for what never was."""
-    return round(age_ms) if age_ms < _NEVER_MS else None
+    return round(age_ms) if age_ms < _MAX_KNOWN_AGE_MS else None
--- a/src/ruddergate/entry/tickets.py
+++ b/src/ruddergate/entry/tickets.py
@@ -40,10 +40,10 @@
     incarnation: str,
     workspace: str,
     now_ms: float,
-    chance: random.Random,
+    rng: random.Random,
 ) -> str:
     """Returns a fresh ticket as text; no other workspace can use it."""
-    name = environment.make_token(chance, 16)
+    name = environment.make_token(rng, 16)
     body = f"{vm_id}~{incarnation}~{int(now_ms)}~{name}"
     return f"{body}~{_sign(key, workspace, body)}"
 
--- a/standins/gateway_cluster.py
+++ b/standins/gateway_cluster.py
@@ -201,7 +201,7 @@
             listen=environment.Address(node.name, FRONT_PORT),
             policy="by_region",
             service_policy="least_recent",
-            tries_all=True,
+            panic_routing=True,
             limits=server.Limits(connections_max=self.layout.connections_max),
         )
         gateway = gateways.Gateway(
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -150,7 +150,7 @@
         gateway = cluster.vms["vm-0"].gateway
         seats = [
             each.target
-            for each in gateway.context.scheduler.believed_loads()
+            for each in gateway.context.scheduler.list_estimates()
             if each.own_streams()
         ]
         writer = _find_writer(scene)
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -122,7 +122,9 @@
                 outside,
                 configs.EntryConfig("vm", "h", environment.Address("vm", 1)),
                 view,
-                collect_lost=lambda: told.pop() if told else bad_news.NOTHING,
+                collect_loss_report=lambda: (
+                    told.pop() if told else bad_news.NOTHING
+                ),
             )
             process.start(scheduler.run)
             for born_ms in (5, 6):
@@ -134,7 +136,7 @@
                 scheduler.post(message)
             await asyncio.sleep(0.55)
             now_ms = outside.now_ms()
-            return scheduler.believed_loads()[0].is_usable(now_ms)
+            return scheduler.list_estimates()[0].is_usable(now_ms)
 
         return virtual_process.run(run)
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -121,7 +121,7 @@
             peers = node.gateway._peers.loads.names()
             self.assertEqual(len(peers), 5)
             await scene.call("short", "vm-5")
-            loads = context.scheduler.believed_loads()
+            loads = context.scheduler.list_estimates()
             now_ms = context.outside.now_ms()
             known = sum(each.streams(now_ms) for each in loads)
             self.assertGreaterEqual(known, 10)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -88,7 +88,7 @@
                 network.make_environment(process, 1),
                 configs.EntryConfig("vm", "h", _WHERE),
                 view,
-                collect_peers=lambda: told,
+                collect_peer_loads=lambda: told,
             )
             process.start(scheduler.run)
             scheduler.post(schedulers.ViewChanged())
@@ -122,7 +122,7 @@
             scheduler.post(_report("b", draining=False))
             await asyncio.sleep(0.2)
             running.cancel()
-            return scheduler.summarize()
+            return scheduler.list_own_loads()
 
         return virtual_process.run(run)
 
