--- a/src/ruddergate/entry/model_run.py
+++ b/src/ruddergate/entry/model_run.py
@@ -133,7 +133,7 @@
             alone_ms=cost.alone_ms,
             deadline_ms=request.deadline_ms,
         ),
-        route=jobs.Job(
+        routing_job=jobs.Job(
             prompt_tokens=request.prompt_tokens,
             held_tokens=cost.held_tokens,
             prefix=prefix.name if prefix else "",
--- a/src/ruddergate/entry/placing.py
+++ b/src/ruddergate/entry/placing.py
@@ -1,4 +1,4 @@
-"""Gives requests their places on targets, by the policies of the process."""
+"""Chooses targets for requests by the configured routing policies."""
 
 from collections.abc import Callable
 import dataclasses
@@ -16,16 +16,16 @@
 
 
 class Placer:
-    """Chooses targets and notes on them what they are given.
+    """Chooses targets and adds the new work to their load estimates.
 
     Owned by the scheduler task, like the estimates that it changes.
 
     Args:
-        chance: For policies and for names of attempts.
-        policy: Where prompts run.
-        service_policy: Where calls of plain services run.
-        note_change: Called when a target was given work.
-        is_limited: Returns whether a target names a rate limit.
+        rng: For policies and attempt ids.
+        policy: Chooses targets for prompts.
+        service_policy: Chooses targets for calls of plain services.
+        on_own_load_change: Called when a target was given work.
+        is_limited: Returns whether a target advertises a rate limit.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
 
     @property
     def shorter_first(self) -> bool:
-        """Whether engines are to prefill shorter prompts first."""
+        """Whether engines should prefill shorter prompts first."""
         return self._policy.shorter_first
 
     def place(
@@ -52,15 +52,16 @@
         request: scheduler_messages.PlacementRequest,
         usable: list[estimates.Estimate],
         now_ms: float,
-        is_blind: bool = False,
+        has_unknown_peers: bool = False,
     ) -> tuple[scheduler_messages.Placement, ...]:
-        """Returns the seats of a request, or none if it is better kept waiting.
+        """Returns the placements of a request, or none to keep it queued.
 
         Args:
-            asked: The request; targets that failed it come last.
+            request: The request; targets that failed it are used only if there
+                are no others.
             usable: Targets to choose from; never empty.
             now_ms: Monotonic time.
-            is_blind: Whether nothing is known of peers yet.
+            has_unknown_peers: Whether the load of some peers is unknown.
         """
         candidates = [
             each
@@ -71,35 +72,38 @@
             return self._place_on_service(request, candidates, now_ms)
         if request.segments:
             return self._place_gang(request, candidates, now_ms)
-        if costs.is_long(request.pool, request.route.prompt_tokens):
-            # What helpers of a prompt are asked takes many requests.
+        if costs.is_long(request.pool, request.routing_job.prompt_tokens):
+            # Reading a prompt with helpers takes many requests to them, which
+            # would use up their rate limits.
             candidates = [
                 each
                 for each in candidates
                 if not self._is_limited(each.target.target_id)
             ] or candidates
-        waited_ms = now_ms - request.route.waited_ms
-        route = dataclasses.replace(
-            request.route, waited_ms=waited_ms, is_blind=is_blind
+        waited_ms = now_ms - request.routing_job.waited_ms
+        routing_job = dataclasses.replace(
+            request.routing_job, waited_ms=waited_ms, is_blind=has_unknown_peers
         )
-        chosen = self._policy.choose(route, candidates, now_ms, self._rng)
+        chosen = self._policy.choose(routing_job, candidates, now_ms, self._rng)
         if chosen is None:
             return ()
-        cached = min(route.prefix_tokens, chosen.cached_tokens(route.prefix))
-        fresh = route.prompt_tokens - cached
+        cached = min(
+            routing_job.prefix_tokens, chosen.cached_tokens(routing_job.prefix)
+        )
+        fresh = routing_job.prompt_tokens - cached
         shares = gangs.split_memory(
-            route.held_tokens, request.pool.memory_tokens
+            routing_job.held_tokens, request.pool.memory_tokens
         )
         helpers = ()
         if not self._is_limited(chosen.target.target_id):
             helpers = self._policy.choose_helpers(
-                route, chosen, candidates, now_ms, self._rng
+                routing_job, chosen, candidates, now_ms, self._rng
             )
         parts = 1 + len(helpers)
         if self._policy.splits_memory and len(shares) > parts:
             return ()
         if not self._policy.splits_memory:
-            shares = (route.held_tokens,)
+            shares = (routing_job.held_tokens,)
         return tuple(
             self._start_attempt(
                 request,
@@ -120,12 +124,14 @@
         candidates: list[estimates.Estimate],
         now_ms: float,
     ) -> tuple[scheduler_messages.Placement, ...]:
-        most = request.pool.service_concurrency
-        free = [each for each in candidates if each.streams(now_ms) < most]
+        streams_max = request.pool.service_concurrency
+        free = [
+            each for each in candidates if each.streams(now_ms) < streams_max
+        ]
         if not free:
             return ()
         chosen = self._service_policy.choose(
-            request.route, free, now_ms, self._rng
+            request.routing_job, free, now_ms, self._rng
         )
         return (self._start_attempt(request, chosen, 0, 0, 0, now_ms),)
 
@@ -136,17 +142,17 @@
         now_ms: float,
     ) -> tuple[scheduler_messages.Placement, ...]:
         needed = max(segment.held_tokens for segment in request.segments)
-        room = [
+        with_room = [
             each
             for each in candidates
             if each.pool.memory_tokens - each.held_tokens(now_ms) >= needed
             and not each.long_tokens(now_ms)
         ]
-        if len(room) < len(request.segments):
+        if len(with_room) < len(request.segments):
             return ()
-        room.sort(key=lambda each: each.waiting_tokens(now_ms))
-        chosen = room[: len(request.segments)]
-        # One global order, so that two gangs never wait for each other.
+        with_room.sort(key=lambda each: each.waiting_tokens(now_ms))
+        chosen = with_room[: len(request.segments)]
+        # A global lock order, so that two gangs never deadlock.
         chosen.sort(key=lambda each: each.target.target_id)
         return tuple(
             self._start_attempt(
@@ -167,7 +173,7 @@
         is_writing: bool = True,
     ) -> scheduler_messages.Placement:
         attempt_id = environment.make_token(self._rng)
-        band = length_band.find_band(request.route.prompt_tokens)
+        band = length_band.find_band(request.routing_job.prompt_tokens)
         is_long = costs.is_long(chosen.pool, fresh_tokens * parts)
         prefill_ms = costs.predict_prefill_ms(chosen.pool, fresh_tokens * parts)
         work = own_work.OwnWork(
@@ -177,7 +183,7 @@
             band,
             prefill_ms / parts,
             is_long,
-            pause_class.find_class(request.route.pause_aim_ms),
+            pause_class.find_class(request.routing_job.pause_aim_ms),
             is_writing,
         )
         estimated_load = chosen.describe(now_ms)
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -290,7 +290,7 @@
             alone_ms=0.0,
             deadline_ms=now_ms + wait_ms,
         ),
-        route=jobs.Job(
+        routing_job=jobs.Job(
             prompt_tokens=request.prompt_tokens,
             held_tokens=cost.held_tokens,
             prefix="",
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -1,7 +1,7 @@
-"""The task that owns the queues and the believed load of targets.
+"""The task that owns the request queues and the estimated load of targets.
 
-Everything else sends it messages. After each message it gives out places for
-as long as the next request has a target.
+Other tasks send it messages. After each batch of messages it dispatches queued
+requests until no target is left for the next one.
 """
 
 import asyncio
@@ -30,22 +30,24 @@
 from ruddergate.messages import loads as load_messages
 from ruddergate.telemetry import logs
 
-# With requests waiting, targets are looked at this often.
+# Interval of dispatch attempts while requests are queued.
 _QUEUED_TICK_MS = 20.0
 _IDLE_TICK_MS = 500.0
-# A lane that no target can take rests for a time drawn from this range: VMs
-# that wait for the same targets must not all go when one has become free.
+# A lane that no target can take is paused for a random time from this range, so
+# that VMs waiting for the same targets don't all dispatch at once when one of
+# them becomes free.
 _LANE_PAUSE_MS = (5.0, 60.0)
 _NO_TARGET_RETRY_MS = 1_000.0
-# Callers refused until a target takes calls are told to come back within this
-# time after it: told the same moment they would all come in it, and the target
-# had too much to do before. Half of what its own time is drawn out by at most.
+# Jitter added to the retry-after of callers that are refused until a target
+# accepts requests again: without it they would all return at the same moment,
+# to a target that was overloaded before. Half of the largest jitter that is
+# added to the backoff of the target itself.
 _RETURN_SPREAD_MS = 250.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ViewChanged:
-    """The view has a new list or new settings."""
+    """The view has a new target list or new settings."""
 
 
 Message = (
@@ -61,10 +63,10 @@
 
 
 class Scheduler:
-    """Queues, estimates and the routing policy of one entry.
+    """Queues requests and dispatches them to targets, for one entry.
 
     Attributes:
-        incarnation_ends: Tells of lives of targets that have ended.
+        incarnation_ends: Notifies waiters of target incarnations that ended.
     """
 
     def __init__(
@@ -83,20 +85,22 @@
         drain_state: withdrawals.Withdrawals | None = None,
         limits: rate_limits.RateLimits | None = None,
     ) -> None:
-        """Makes an idle scheduler.
+        """Creates an idle scheduler.
 
         Args:
-            outside: Clock and chance.
+            outside: Clock and random numbers.
             config: Settings of the process.
-            view: What it goes by.
-            note_change: Called when this VM's work on a target changes, which
-                peers had better hear of.
-            collect_peers: Returns what peers have on targets, as far as it is
-                news; asked before places are given out.
-            is_blind: Returns whether there are peers of which nothing is known.
-            collect_lost: Returns what peers have newly found out of reach.
-            withdrawn: Which lives of targets take no calls.
-            limits: Rate limits that targets name.
+            view: Current target list and settings.
+            on_own_load_change: Called when the load that this VM puts on a
+                target changes, so that peers can be told.
+            collect_peer_loads: Returns the load that peers put on targets, as
+                far as it has changed; called before requests are dispatched.
+            has_unknown_peers: Returns whether the load of some peers is
+                unknown.
+            collect_loss_report: Returns what peers have newly found to be
+                unreachable.
+            drain_state: Which target incarnations accept no requests.
+            limits: Rate limits that targets advertise.
         """
         self._drain_state = drain_state or withdrawals.Withdrawals()
         if limits is None:
@@ -134,13 +138,13 @@
         self._inbox.put_nowait(message)
 
     def shorter_first(self) -> bool:
-        """Returns whether engines are to prefill shorter prompts first."""
+        """Returns whether engines should prefill shorter prompts first."""
         return self._placer.shorter_first
 
     async def place(
         self, request: scheduler_messages.PlacementRequest
     ) -> scheduler_messages.PlacementGrant | outcomes.NotServed:
-        """Asks for a place and waits for the answer."""
+        """Queues a request and waits until it is dispatched or refused."""
         self.post(request)
         try:
             return await request.reply
@@ -149,7 +153,7 @@
             raise
 
     def list_own_loads(self) -> tuple[dispatched.Dispatched, ...]:
-        """Returns this VM's own work on targets, for peers."""
+        """Returns the load that this VM puts on targets, for peers."""
         now_ms = self._outside.now_ms()
         return tuple(
             estimate.summarize(now_ms)
@@ -158,11 +162,11 @@
         )
 
     def make_loss_report(self) -> bad_news.BadNews:
-        """Returns what this VM has just found out of reach, for peers."""
+        """Returns what this VM has just found to be unreachable, for peers."""
         return self._losses.summarize(self._outside.now_ms())
 
     def waiting_by_class(self) -> dict[str, float]:
-        """Returns the cost waiting in each class, in milliseconds."""
+        """Returns the queued cost of each priority class in milliseconds."""
         total: dict[str, float] = {}
         for queue in self._queues.values():
             for name, cost_ms in queue.waiting_by_class().items():
@@ -170,7 +174,7 @@
         return total
 
     def count_streams(self, target_id: str) -> float:
-        """Returns how many answers a target is believed to be writing."""
+        """Returns the estimated number of answers a target is generating."""
         estimate = self._table.find_named(target_id)
         if estimate is None:
             return 0.0
@@ -184,23 +188,23 @@
     def find_rate_limit(
         self, target_id: str, now_ms: float
     ) -> tuple[float, float]:
-        """Returns a target's rate limit and this VM's part of it, a second."""
+        """Returns a target's rate limit and this VM's share, per second."""
         return self._limits.find_share(target_id, now_ms)
 
     def find_halls(self, pool: str) -> set[str]:
-        """Returns the halls with targets of a pool, whatever their state."""
+        """Returns the halls with targets of a pool, in any state."""
         return self._table.find_halls(pool)
 
     def list_estimates(self) -> list[estimates.Estimate]:
-        """Returns the believed load of each target, for the status page."""
+        """Returns the estimated load of each target, for the status page."""
         return self._table.list_all()
 
     def is_usable(self, estimate: estimates.Estimate) -> bool:
-        """Returns whether a target may be sent work now and had better be."""
+        """Returns whether a target accepts requests now and looks healthy."""
         return self._table.is_usable(estimate, self._outside.now_ms())
 
     async def run(self) -> None:
-        """Serves the inbox until cancelled."""
+        """Processes messages until cancelled."""
         while True:
             await self._wait_for_message()
             self._detect_clock_gap()
@@ -211,7 +215,7 @@
             self._dispatch_all()
 
     async def _wait_for_message(self) -> None:
-        """Returns when there is a message or a tick has passed."""
+        """Processes the next message, or returns after one tick."""
         waiting = any(len(queue) for queue in self._queues.values())
         tick_ms = _QUEUED_TICK_MS if waiting else _IDLE_TICK_MS
         try:
@@ -221,7 +225,10 @@
             pass
 
     def _detect_clock_gap(self) -> None:
-        """After a gap in time, holds work until the view is fresh again."""
+        """Holds dispatch after a suspension until the view is fresh again.
+
+        A long time between two turns counts as a suspension of the process.
+        """
         now_ms = self._outside.now_ms()
         if now_ms - self._last_turn_ms > self._config.suspend_gap_ms:
             self._hold_until_ms = now_ms + self._config.suspend_refresh_max_ms
@@ -267,12 +274,14 @@
         self._pending[request.job.job_id] = request
 
     def _predict_start_ms(self, pool: str, ahead: int, now_ms: float) -> float:
-        """Returns when a pool takes a call, as far as targets turn calls away.
+        """Returns when a pool accepts a further request.
+
+        Only backoff times and rate limits of its targets count, not their load.
 
         Args:
             pool: Name of the pool.
-            ahead: Calls that wait for it already.
-            now_ms: Time.
+            ahead: Number of requests that are queued for it already.
+            now_ms: Monotonic time.
         """
         start_ms = self._table.find_first_ms(pool, now_ms)
         if not ahead or not len(self._limits):
@@ -409,7 +418,7 @@
             request = self._pending.pop(job.job_id)
             refusal = outcomes.refuse(
                 outcomes.Reason.CANNOT_FINISH_IN_TIME,
-                "it could no longer have finished in time",
+                "the request could no longer finish before its deadline",
                 _NO_TARGET_RETRY_MS,
             )
             _reply(request, refusal)
@@ -447,13 +456,13 @@
                 usable = self._find_usable(pool, now_ms)
             grant = scheduler_messages.PlacementGrant(placements)
             if request.reply.done():
-                # Given up in this moment; its withdrawal is still under way.
+                # Given up just now; its CancelPlacement is still in the inbox.
                 self._release(grant)
             else:
                 request.reply.set_result(grant)
 
     def _has_restricted_intake(self, target: targets.Target) -> bool:
-        """Returns whether a call given to a target may have been its last."""
+        """Returns whether a target may accept no further request after one."""
         return self._drain_state.is_on_trial(
             target.life
         ) or self._limits.is_limited(target.target_id)
@@ -461,7 +470,7 @@
     def _refuse_unservable(
         self, pool: str, queue: queueing.Queue, now_ms: float
     ) -> None:
-        """Refuses at once what can't have a target before its time is up."""
+        """Refuses requests that get no target before their deadline."""
         start_ms = self._table.find_first_ms(pool, now_ms)
         unservable = [job for job in queue.jobs() if start_ms > job.deadline_ms]
         for job in unservable:
@@ -470,23 +479,29 @@
             _reply(request, self._refuse_until(pool, start_ms))
 
     def _refuse_until(self, pool: str, start_ms: float) -> outcomes.NotServed:
-        """Returns the refusal of what no target takes before that time."""
+        """Returns the refusal of a request that no target accepts in time.
+
+        Args:
+            pool: Name of the pool.
+            start_ms: Time at which the first target accepts requests; infinite
+                if none will.
+        """
         if math.isinf(start_ms):
             return outcomes.refuse(
                 outcomes.Reason.NO_TARGET,
-                f"no target of pool {pool} takes calls of this VM",
+                f"no target of pool {pool} accepts requests from this VM",
                 _NO_TARGET_RETRY_MS,
             )
         now_ms = self._outside.now_ms()
         spread_max_ms = _RETURN_SPREAD_MS
         capacity_per_s = self._table.find_capacity_per_s(pool, now_ms)
         if capacity_per_s > 0.0:
-            # Under rate limits one caller can be served in such a time.
+            # With rate limits, one request can be served per such interval.
             spread_max_ms = max(spread_max_ms, 1_000.0 / capacity_per_s)
         spread_ms = self._outside.random.uniform(0.0, spread_max_ms)
         return outcomes.refuse(
             outcomes.Reason.CANNOT_FINISH_IN_TIME,
-            f"no target of pool {pool} wants calls now",
+            f"no target of pool {pool} accepts requests now",
             start_ms - now_ms + spread_ms,
         )
 
@@ -495,8 +510,9 @@
     ) -> list[estimates.Estimate]:
         """Returns the targets to choose from.
 
-        When all look bad, this VM is more likely at fault than all of them, and
-        any that may take work is better than none.
+        If all look unhealthy, the fault is more likely at this VM than at all
+        of them. With panic routing, any target that accepts requests is then
+        better than none.
         """
         accepting = self._table.list_taking(pool, now_ms)
         good = [
--- a/src/ruddergate/entry/scheduler_messages.py
+++ b/src/ruddergate/entry/scheduler_messages.py
@@ -1,4 +1,4 @@
-"""Messages to the scheduler and its answers."""
+"""Messages to the scheduler, and its replies."""
 
 import asyncio
 import dataclasses
@@ -14,14 +14,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Placement:
-    """One target given to an attempt.
+    """A target that was chosen for an attempt.
 
     Attributes:
-        target: Where to run.
-        attempt_id: Name of the attempt there.
-        cached_tokens: Prompt tokens believed cached there.
-        believed: What the choice went by, for logs.
-        held_tokens: Memory of the target that the attempt is to take up.
+        target: The target.
+        attempt_id: Id of the attempt at this target.
+        cached_tokens: Prompt tokens that are probably cached there.
+        estimated_load: The load estimate behind the choice, for logs.
+        held_tokens: Memory that the attempt will occupy, in tokens.
     """
 
     target: targets.Target
@@ -33,26 +33,33 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlacementGrant:
-    """A request may go now; one seat, or one for each part of a gang."""
+    """Allows a request to be sent now.
+
+    Attributes:
+        placements: The target that answers and those that help it, or one for
+            each segment of a gang.
+    """
 
     placements: tuple[Placement, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """Asks for a place; the answer is set on `reply`.
+    """Asks for a target; the result is set on `reply`.
 
     Attributes:
         job: The request as the queue sees it.
-        route: The request as a routing policy sees it.
-        pool: Its pool.
+        routing_job: The request as a routing policy sees it. Until a target is
+            chosen, its `waited_ms` is the monotonic time at which the wait
+            began; the policy gets the duration.
+        pool: The pool to choose from.
         segments: Parts of a prompt that spans a gang; else empty.
-        excluded: Targets that have failed this request.
-        reply: Gets a PlacementGrant or a NotServed.
+        excluded: Ids of targets that have failed this request.
+        reply: Receives a PlacementGrant or a NotServed.
     """
 
     job: queueing.Job
-    route: jobs.Job
+    routing_job: jobs.Job
     pool: effective.Pool
     segments: tuple[gangs.Segment, ...]
     excluded: frozenset[str]
@@ -61,14 +68,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CancelPlacement:
-    """Takes back a request for a place, or a place just given."""
+    """Cancels a placement request, or returns the placements just granted."""
 
     request: PlacementRequest
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FirstToken:
-    """An attempt's prefill has ended."""
+    """The prefill of an attempt has ended.
+
+    Attributes:
+        placement: The attempt and its target.
+        prefix: Name of the shared prefix that is now cached there, or empty.
+        prefix_tokens: Length of that prefix.
+    """
 
     placement: Placement
     prefix: str
@@ -80,11 +93,12 @@
     """An attempt has ended.
 
     Attributes:
-        seat: Its place.
-        failed: Whether the target is to blame.
-        unreachable: Whether nothing came back from it.
-        answered: Whether the target did its part, and so is in reach.
-        gone: Whether nobody or another target answered in its place.
+        placement: The attempt and its target.
+        is_target_fault: Whether the target is at fault.
+        is_unreachable: Whether nothing came back from the target.
+        has_answered: Whether the target answered, and so is reachable.
+        has_exited: Whether nothing listened at the target's address any more,
+            or another incarnation answered there.
     """
 
     placement: Placement
@@ -96,13 +110,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class IncarnationEnded:
-    """A target was found to have ended, whatever was running there."""
+    """A target incarnation has ended, with whatever was running there."""
 
     target: targets.Target
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReported:
-    """A target told its load with an answer."""
+    """A target reported its load along with an answer."""
 
     report: load_report.LoadReport
--- a/src/ruddergate/entry/service_run.py
+++ b/src/ruddergate/entry/service_run.py
@@ -90,7 +90,7 @@
             alone_ms=0.0,
             deadline_ms=request.deadline_ms,
         ),
-        route=jobs.Job(0, 0, "", 0, False, now_ms),
+        routing_job=jobs.Job(0, 0, "", 0, False, now_ms),
         pool=pool,
         segments=(),
         excluded=excluded,
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -59,7 +59,7 @@
             50.0,
             float("inf"),
         ),
-        route=jobs.Job(1_000, 1_100, "", 0, False, 0.0),
+        routing_job=jobs.Job(1_000, 1_100, "", 0, False, 0.0),
         pool=view.index.find_pool("engines"),
         segments=(),
         excluded=frozenset(),
@@ -163,8 +163,10 @@
             running = asyncio.ensure_future(scheduler.run())
             scheduler.post(schedulers.ViewChanged())
             asked = _ask(view)
-            route = dataclasses.replace(asked.route, waited_ms=outside.now_ms())
-            asked = dataclasses.replace(asked, route=route)
+            route = dataclasses.replace(
+                asked.routing_job, waited_ms=outside.now_ms()
+            )
+            asked = dataclasses.replace(asked, routing_job=route)
             await scheduler.place(asked)
             running.cancel()
 
