--- a/src/ruddergate/entry/__init__.py
+++ b/src/ruddergate/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry: serves callers, admits, queues, routes, retries and streams."""
+"""The entry process: admits, queues, routes, retries and streams requests."""
--- a/src/ruddergate/entry/admit.py
+++ b/src/ruddergate/entry/admit.py
@@ -1,4 +1,4 @@
-"""From a well-formed call to a request: key, workload, limits of length."""
+"""Admits parsed calls as requests: API key, workload, length limits."""
 
 from ruddergate import environment
 from ruddergate import outcomes
@@ -15,7 +15,7 @@
     view: views.View,
     outside: environment.Environment,
 ) -> requests.Request | outcomes.NotServed:
-    """Returns the request with its effective settings, or why not."""
+    """Returns the request with its effective settings, or a refusal."""
     if view.in_force.manifest.revision == 0:
         return outcomes.refuse(
             outcomes.Reason.NO_SETTINGS,
@@ -51,7 +51,8 @@
     time_limit_ms = workload.time_limit_ms
     if call.time_limit_ms is not None:
         time_limit_ms = min(time_limit_ms, call.time_limit_ms)
-    # A caller can forbid a second run, but can't allow what the tree forbids.
+    # A caller can forbid a second run, but not allow one that the settings
+    # forbid.
     repeatable = workload.repeatable and call.repeatable is not False
     output_max = workload.output_tokens_max
     expected = min(output_max, workload.output_tokens_typical)
@@ -79,7 +80,7 @@
 def _scope_prefix(
     call: calls.Call, workload: effective.Workload
 ) -> requests.Prefix | None:
-    """Keeps prefixes of one workspace apart from those of any other."""
+    """Returns the shared prefix, with its name scoped to the workspace."""
     if not call.prefix_name or call.prefix_tokens <= 0:
         return None
     name = f"{workload.workspace}:{call.prefix_name}"
--- a/src/ruddergate/entry/attempt.py
+++ b/src/ruddergate/entry/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a request answered by one engine."""
+"""One attempt to have a prompt answered by one engine."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -13,7 +13,8 @@
 from ruddergate.entry import context as contexts
 from ruddergate.entry import scheduler_messages
 
-# After the time limit the agents' sweep takes over from the canceller.
+# How long after the deadline the canceller goes on; then the agents' sweep
+# frees what is left.
 _CANCEL_AFTER_DEADLINE_MS = 30_000.0
 _RESUME_TIMEOUT_MS = 1_000.0
 
@@ -26,7 +27,7 @@
     delivered: tuple[str, ...],
     context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
-    """Yields the engine's tokens behind those delivered, then the outcome."""
+    """Yields the engine's tokens after those delivered, then the outcome."""
     placement = grant.placements[0]
     generation = make_generation(request, placement, delivered, context)
     async for event in run_generation(request, placement, generation, context):
@@ -42,7 +43,7 @@
     reservation: str = "",
     first_token: int = 0,
 ) -> generations.Generation:
-    """Returns what an engine is asked for in this attempt."""
+    """Returns the generation request of this attempt."""
     key = request.idempotency_key if request.workload.pool.checks_key else ""
     return generations.Generation(
         stream_id=make_stream_id(placement, context),
@@ -66,7 +67,7 @@
 def _make_priority(
     request: requests.Request, context: contexts.EntryContext
 ) -> int:
-    """Puts the class first and, inside it, the shorter prompt."""
+    """Returns a priority by class and, within a class, by prompt length."""
     rank = request.workload.priority.rank
     if not context.scheduler.shorter_first():
         return rank * length_band.BANDS
@@ -77,7 +78,7 @@
 def make_stream_id(
     placement: scheduler_messages.Placement, context: contexts.EntryContext
 ) -> str:
-    """Returns the name of an attempt, unlike that of any other VM's."""
+    """Returns a stream id for an attempt that is unique across VMs."""
     return (
         f"{context.config.vm_id}.{context.incarnation}.{placement.attempt_id}"
     )
@@ -89,9 +90,9 @@
     generation: generations.Generation,
     context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
-    """Runs a generation to its end; frees the engine on any other exit."""
+    """Runs a generation to its end; cancels it on any other exit."""
     has_ended = False
-    failed = False
+    is_target_fault = False
     has_started = False
     try:
         with context.tracer.span("attempt", request.traceparent):
@@ -102,14 +103,16 @@
                     has_started = True
                     _note_first_token(request, placement, context)
                 if isinstance(event, outcomes.NotServed):
-                    failed = event.reason is not outcomes.Reason.TIME_LIMIT
+                    is_target_fault = (
+                        event.reason is not outcomes.Reason.TIME_LIMIT
+                    )
                     has_ended = event.ran is outcomes.Ran.NOT_RUN
                 elif isinstance(event, outcomes.Finished):
                     has_ended = True
                 yield event
     finally:
         context.scheduler.post(
-            scheduler_messages.AttemptEnded(placement, failed)
+            scheduler_messages.AttemptEnded(placement, is_target_fault)
         )
         if not has_ended:
             cancel_in_background(
@@ -123,7 +126,7 @@
     item_id: str,
     context: contexts.EntryContext,
 ) -> None:
-    """Has the canceller free something on an engine."""
+    """Has the canceller free a stream or reservation on an engine."""
     until_ms = request.deadline_ms + _CANCEL_AFTER_DEADLINE_MS
     context.canceller.post(
         canceller.Cancel(placement.target, item_id, until_ms)
@@ -199,7 +202,7 @@
     failure: outcomes.NotServed,
     context: contexts.EntryContext,
 ) -> streams.Stream | outcomes.NotServed:
-    """Takes the stream up where it broke, or returns why it broke."""
+    """Resumes the stream where it broke off, or returns the failure."""
     left_ms = request.remaining_ms(context.outside.now_ms())
     wait_ms = min(left_ms, _RESUME_TIMEOUT_MS)
     try:
--- a/src/ruddergate/entry/attempt_log.py
+++ b/src/ruddergate/entry/attempt_log.py
@@ -1,4 +1,4 @@
-"""The log lines of one attempt: where it begins, and how it failed."""
+"""Log lines of one attempt: where it starts, and how it failed."""
 
 from ruddergate import outcomes
 from ruddergate import request as requests
@@ -15,7 +15,7 @@
     progress: relay_progress.Progress,
     context: contexts.EntryContext,
 ) -> None:
-    """Tells where an attempt begins, and what that choice went by."""
+    """Logs where an attempt starts, and the load estimate behind the choice."""
     now_ms = context.outside.now_ms()
     placement = placements[0]
     context.metrics.note_wait(
@@ -47,7 +47,7 @@
     progress: relay_progress.Progress,
     context: contexts.EntryContext,
 ) -> None:
-    """Tells how an attempt failed, and of which content it was."""
+    """Logs how an attempt failed, with the fingerprint of its request."""
     logs.make_logger("attempt").info(
         "Attempt failed: {} ({}). {}",
         ended.reason.value,
--- a/src/ruddergate/entry/canceller.py
+++ b/src/ruddergate/entry/canceller.py
@@ -1,7 +1,7 @@
-"""The task that frees what given-up attempts may still hold on engines.
+"""Frees what abandoned attempts may still hold on engines.
 
-A cancel is repeated until the engine confirms it, is off the list or is
-certain to have been swept.
+A cancel is repeated until the engine confirms it, is no longer listed or has
+certainly been swept by the agents.
 """
 
 import asyncio
@@ -19,11 +19,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cancel:
-    """Something to be freed.
+    """A stream or reservation to free.
 
     Attributes:
         target: The engine.
-        item_id: The stream or reservation.
+        item_id: Id of the stream or reservation.
         until_ms: Monotonic time after which the agents sweep it.
     """
 
@@ -33,7 +33,7 @@
 
 
 class Canceller:
-    """Owns the cancels that are not yet confirmed."""
+    """Owns the unconfirmed cancels; `len` returns their number."""
 
     def __init__(
         self, outside: environment.Environment, view: views.View
@@ -46,7 +46,7 @@
         return len(self._pending)
 
     def post(self, cancel: Cancel) -> None:
-        """Takes over a cancel."""
+        """Starts a cancel in the background."""
         task = asyncio.ensure_future(self._cancel_until_confirmed(cancel))
         self._pending.add(task)
         task.add_done_callback(self._pending.discard)
--- a/src/ruddergate/entry/config.py
+++ b/src/ruddergate/entry/config.py
@@ -14,21 +14,22 @@
     """Settings of an entry.
 
     Attributes:
-        vm_id: Name of this VM in the published list.
+        vm_id: Id of this VM in the published list.
         hall: Data hall of this VM.
         listen: Where callers are served.
         peer_listen: Where other entries are served; None without peers.
-        agent: Where this VM's agent feeds its entry; None without an agent.
+        agent: Address of this VM's agent; None without an agent.
         peer_key: Key shared by the system's own processes; empty without any.
         policy: Name of the routing policy.
         service_policy: Name of the routing policy for plain services.
-        tries_all: Whether targets that look bad are used when all do.
-        stop_lag_ms: Time for the balancer to see that the entry stops.
-        wake_gap_ms: A gap in time that counts as having been paused.
-        wake_refresh_ms: Longest wait for a fresh view after a pause.
-        patience: How long to wait for engines.
-        limits: What one caller may take up.
-        bounds: Times that the promise of keys rests on.
+        panic_routing: Whether unhealthy targets are used when all are.
+        stop_lag_ms: Time for the load balancer to notice that the entry stops.
+        suspend_gap_ms: Time between two scheduler turns from which the process
+            counts as having been suspended.
+        suspend_refresh_max_ms: Longest wait for a fresh view after that.
+        engine_timeouts: How long to wait for engines.
+        limits: Limits of caller connections and requests.
+        bounds: Times that the at-most-once guarantee of keys rests on.
     """
 
     vm_id: str
--- a/src/ruddergate/entry/context.py
+++ b/src/ruddergate/entry/context.py
@@ -1,4 +1,4 @@
-"""What the stages of a request's way share in one entry."""
+"""Objects that all stages of request handling in one entry share."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -20,53 +20,57 @@
 
 
 def _ignore_lost_call(lost: lost_call.LostCall) -> None:
-    """Stands where it is not asked what became of targets."""
+    """Default of an entry that does not track crashed targets."""
 
 
 def _admit_targets(
     candidates: Iterable[targets.Target],
 ) -> outcomes.NotServed | None:
-    """Stands where targets do not say in answers what they take."""
+    """Default of an entry whose targets send no response hints."""
     return None
 
 
 def _grant_rate_token(
     target: targets.Target, attempt_id: str
 ) -> outcomes.NotServed | None:
-    """Stands where targets name no rate limits."""
+    """Default of an entry whose targets advertise no rate limits."""
     return None
 
 
 async def _refuse_retry(is_large: bool) -> bool:
-    """Stands where there are no peers that lend retries."""
+    """Default of an entry without peers that transfer retry budget."""
     return False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryContext:
-    """Handles of one entry's tasks.
+    """Shared objects of one entry.
 
     Attributes:
-        outside: Clock, chance and streams.
+        outside: Clock, random numbers and network streams.
         config: Settings of the process.
         incarnation: Name of this run of the entry.
-        began_ms: Monotonic time at which it began.
-        view: Settings, fleet and shares.
-        scheduler: Gives out places.
-        canceller: Frees what was given up.
-        budget: Retries that may be made.
+        started_ms: Monotonic time at which the run started.
+        view: Settings, fleet and shares of limits.
+        scheduler: Chooses targets for requests.
+        canceller: Frees what abandoned attempts hold on engines.
+        budget: Retry budget.
         metrics: Metrics of the process.
         tracer: Starts spans.
-        quarantine: Contents under which targets have ended.
-        secure_retry: Sees to it that a retry can be made, by borrowing one
-            where that is possible; told whether it is for a prompt worth many
-            short ones. Returns whether one can be made.
-        note_lost: Has it found out whether the target that lost a call ended.
-        refuse_send: Returns a refusal if one of some targets takes no calls at
-            this moment; asked in the step that sends.
-        admit: Counts a call against its target's rate limit, or returns a
-            refusal; told the target and the attempt, in the step that sends.
-        give_back: Takes back a call counted so that was not sent after all.
+        quarantine: Requests under which targets have crashed.
+        ensure_retry: Makes sure that a retry is in the budget, transferring one
+            from a peer if needed and possible. Takes whether it is for a large
+            prompt, which is worth many short ones. Returns whether a retry is
+            available.
+        report_lost_call: Starts finding out whether the target of a lost
+            request has ended.
+        check_admission: Returns a refusal if any of some targets accepts no
+            requests at this moment; called in the step that sends.
+        take_rate_token: Counts a request against its target's rate limit, or
+            returns a refusal. Takes the target and the attempt id; called in
+            the step that sends.
+        return_rate_token: Undoes `take_rate_token` for a request that was not
+            sent after all.
     """
 
     outside: environment.Environment
@@ -92,5 +96,5 @@
 
     @property
     def owner(self) -> str:
-        """Name under which engines hold memory for this entry."""
+        """Owner name of what this entry holds on engines."""
         return f"{self.config.vm_id}/{self.incarnation}"
--- a/src/ruddergate/entry/first_event.py
+++ b/src/ruddergate/entry/first_event.py
@@ -1,4 +1,4 @@
-"""Waits for the first event of an answer beside what may make it hopeless."""
+"""Waits for the first event of an answer, or for a failure seen elsewhere."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -13,11 +13,11 @@
     events: AsyncIterator[answers.Event],
     failure_watches: Sequence[Awaitable[outcomes.NotServed]],
 ) -> answers.Event:
-    """Returns the first event, or how the attempt ends without one.
+    """Returns the first event, or the failure that came before it.
 
     Args:
         events: The answer.
-        hopeless: Each returns an end once there is no hope of an event.
+        failure_watches: Each returns a failure once no event can be expected.
     """
     reading = asyncio.ensure_future(anext(events))
     watching = [asyncio.ensure_future(each) for each in failure_watches]
@@ -34,7 +34,7 @@
 
 
 async def _end(task: asyncio.Future) -> None:
-    """Cancels a task unless it has ended, and waits for its end."""
+    """Cancels a task unless it is done, and waits until it is."""
     if not task.done():
         task.cancel()
         await asyncio.wait({task})
--- a/src/ruddergate/entry/forwarding.py
+++ b/src/ruddergate/entry/forwarding.py
@@ -1,4 +1,4 @@
-"""Passes a caller's request to the VM that must decide it, and back."""
+"""Forwards requests to the VM that must run them, and relays the answers."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -33,13 +33,13 @@
     """Returns the answer of the entry at `address`.
 
     Args:
-        outside: Clock and streams.
+        outside: Clock and network streams.
         address: The other entry.
         peer_key: Key shared by the system's own processes.
         incoming: The caller's request.
-        time_limit_ms: What is left of its time limit.
-        when_lost: Makes the answer if the other entry does not answer.
-        when_broken: Makes the last bytes if its answer breaks off.
+        time_limit_ms: Time left of its time limit.
+        make_lost_response: Makes the answer if the other entry does not answer.
+        make_broken_tail: Makes the last bytes if its answer breaks off.
     """
     deadline_ms = outside.now_ms() + time_limit_ms
     stream, head = await _exchange(
@@ -50,12 +50,12 @@
             stream.close()
         return make_lost_response()
     if head.headers.get("content-type") == message.EVENT_STREAM_TYPE:
-        body = _relay(stream, outside, deadline_ms, make_broken_tail)
+        body = _relay_stream(stream, outside, deadline_ms, make_broken_tail)
         return message.Response(head.status, head.headers, body)
-    whole = await _read_whole(stream, outside, deadline_ms)
-    if whole is None:
+    body = await _read_body(stream, outside, deadline_ms)
+    if body is None:
         return make_lost_response()
-    return message.Response(head.status, head.headers, whole)
+    return message.Response(head.status, head.headers, body)
 
 
 async def _exchange(
@@ -65,10 +65,11 @@
     incoming: message.IncomingRequest,
     time_limit_ms: float,
 ) -> tuple[frames.FrameStream | None, codec.Message | frames.Closed | None]:
-    """Sends the request on; returns the stream and the first answer."""
+    """Sends the request; returns the stream and the first reply."""
     stream: frames.FrameStream | None = None
     connect_ms = min(time_limit_ms, _CONNECT_TIMEOUT_MS)
-    # The home ends a little earlier, so that its own word still arrives.
+    # The other entry gets a slightly shorter limit, so that its own answer
+    # still arrives in time.
     home_limit_ms = max(1.0, time_limit_ms - _RETURN_TRIP_MS)
     try:
         async with asyncio.timeout(time_limit_ms / 1000.0):
@@ -94,7 +95,7 @@
     return forward.Forward(path, headers, incoming.body, time_limit_ms)
 
 
-async def _relay(
+async def _relay_stream(
     stream: frames.FrameStream,
     outside: environment.Environment,
     deadline_ms: float,
@@ -119,12 +120,12 @@
         stream.close()
 
 
-async def _read_whole(
+async def _read_body(
     stream: frames.FrameStream,
     outside: environment.Environment,
     deadline_ms: float,
 ) -> bytes | None:
-    whole = bytearray()
+    body = bytearray()
     left_ms = max(1.0, deadline_ms - outside.now_ms())
     try:
         async with asyncio.timeout(left_ms / 1000.0):
@@ -132,9 +133,9 @@
                 part = await stream.receive()
                 if not isinstance(part, forward.ForwardPart):
                     return None
-                whole += part.data
+                body += part.data
                 if part.last:
-                    return bytes(whole)
+                    return bytes(body)
     except TimeoutError:
         return None
     finally:
@@ -156,16 +157,16 @@
                     return
                 forwarded = await stream.receive()
             if isinstance(forwarded, forward.Forward):
-                await _answer(stream, forwarded, handle)
+                await _answer_forwarded(stream, forwarded, handle)
         except (OSError, TimeoutError):
-            pass  # The other entry is gone; its caller is told there.
+            pass  # The connection is closed; the other entry tells its caller.
         finally:
             stream.close()
 
     return serve
 
 
-async def _answer(
+async def _answer_forwarded(
     stream: frames.FrameStream, forwarded: forward.Forward, handle: LocalHandler
 ) -> None:
     path, _, query = forwarded.path.partition("?")
--- a/src/ruddergate/entry/gang_attempt.py
+++ b/src/ruddergate/entry/gang_attempt.py
@@ -1,9 +1,9 @@
 """One attempt at a prompt larger than one engine's memory.
 
 Memory is reserved on every engine of the gang, all or nothing and in one
-global order; each reservation lapses by itself. Each engine then prefills its
-part, importing the KV cache of those before it, and the last one generates.
-Every part is freed on any exit.
+global order; each reservation expires by itself. Each engine then prefills its
+segment, importing the KV cache of those before it, and the last one generates.
+All reservations are released on any exit.
 """
 
 from collections.abc import AsyncIterator
@@ -29,7 +29,7 @@
     delivered: tuple[str, ...],
     context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
-    """Yields the gang's tokens behind those delivered, then the outcome."""
+    """Yields the gang's tokens after those delivered, then the outcome."""
     pool = request.workload.pool
     segments = gangs.plan_segments(
         request.prompt_tokens,
@@ -37,15 +37,15 @@
         pool.memory_tokens,
         pool.gang_engines_max,
     )
-    failed: set[str] = set()
+    faulted: set[str] = set()
     try:
-        fault = await _reserve_all(request, grant, segments, context)
-        if fault is None:
-            fault = await _prefill_all(
-                request, grant, segments, context, failed
+        failure = await _reserve_segments(request, grant, segments, context)
+        if failure is None:
+            failure = await _prefill_segments(
+                request, grant, segments, context, faulted
             )
-        if fault is not None:
-            yield fault
+        if failure is not None:
+            yield failure
             return
         first_token = segments[-1].first_token
         async for event in _generate(
@@ -54,17 +54,17 @@
             yield event
     finally:
         for placement in grant.placements:
-            lost = placement.target.target_id in failed
+            is_target_fault = placement.target.target_id in faulted
             context.scheduler.post(
-                scheduler_messages.AttemptEnded(placement, lost)
+                scheduler_messages.AttemptEnded(placement, is_target_fault)
             )
-            reservation = _make_reservation(placement, context)
+            reservation = _make_reservation_id(placement, context)
             attempt.cancel_in_background(
                 request, placement, reservation, context
             )
 
 
-async def _reserve_all(
+async def _reserve_segments(
     request: requests.Request,
     grant: scheduler_messages.PlacementGrant,
     segments: tuple[gangs.Segment, ...],
@@ -75,36 +75,36 @@
         answer = await control.reserve(
             context.outside,
             placement.target,
-            _make_reservation(placement, context),
+            _make_reservation_id(placement, context),
             context.owner,
             segment.held_tokens,
             left_ms,
             min(left_ms, _RESERVE_TIMEOUT_MS),
         )
         if not isinstance(answer, control.Done):
-            # A reservation runs nothing, whatever became of it.
+            # A reservation runs nothing, whether or not it took effect.
             return outcomes.refuse(
                 outcomes.Reason.TARGET_REFUSED,
-                f"{placement.target.target_id} has no memory to reserve",
+                f"memory could not be reserved at {placement.target.target_id}",
                 1_000.0,
             )
     return None
 
 
-async def _prefill_all(
+async def _prefill_segments(
     request: requests.Request,
     grant: scheduler_messages.PlacementGrant,
     segments: tuple[gangs.Segment, ...],
     context: contexts.EntryContext,
-    failed: set[str],
+    faulted: set[str],
 ) -> outcomes.NotServed | None:
-    """Prefills all parts but the last, which generation begins with."""
+    """Prefills all segments but the last, which is part of the generation."""
     for index, segment in enumerate(segments[:-1]):
         placement = grant.placements[index]
         answer = await control.prefill(
             context.outside,
             placement.target,
-            _make_reservation(placement, context),
+            _make_reservation_id(placement, context),
             segment,
             _make_kv_parts(grant.placements[:index], context),
             request.remaining_ms(context.outside.now_ms()),
@@ -118,10 +118,10 @@
             reason = outcomes.Reason.TIME_LIMIT
         else:
             reason = outcomes.Reason.TARGET_LOST
-            failed.add(placement.target.target_id)
-        # Prefill yields no answer, but it is work of a target.
+            faulted.add(placement.target.target_id)
+        # Prefill yields no answer, but the target may have done the work.
         return outcomes.NotServed(
-            reason, outcomes.Ran.UNKNOWN, "a part could not be prefilled"
+            reason, outcomes.Ran.UNKNOWN, "a segment could not be prefilled"
         )
     return None
 
@@ -140,7 +140,7 @@
         delivered,
         context,
         _make_kv_parts(grant.placements[:-1], context),
-        _make_reservation(last, context),
+        _make_reservation_id(last, context),
         first_token,
     )
     async for event in attempt.run_generation(
@@ -155,14 +155,15 @@
 ) -> tuple[generations.KvPart, ...]:
     return tuple(
         generations.KvPart(
-            str(placement.target.address), _make_reservation(placement, context)
+            str(placement.target.address),
+            _make_reservation_id(placement, context),
         )
         for placement in placements
     )
 
 
-def _make_reservation(
+def _make_reservation_id(
     placement: scheduler_messages.Placement, context: contexts.EntryContext
 ) -> str:
-    """Returns the name of a seat's reservation, unlike that of its stream."""
+    """Returns the reservation id, which differs from the stream id."""
     return f"{attempt.make_stream_id(placement, context)}.part"
--- a/src/ruddergate/entry/handler.py
+++ b/src/ruddergate/entry/handler.py
@@ -1,4 +1,4 @@
-"""Answers callers: from HTTP to a request, to events, to HTTP."""
+"""HTTP handler for callers: parses, admits, runs and renders requests."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Awaitable
@@ -25,7 +25,7 @@
 from ruddergate.telemetry import logs
 
 TICKETS = "/v1/tickets"
-# A ticket's ledger entry may be dropped after this time.
+# After this time the ledger may have dropped the entry of a ticket.
 TICKET_VALID_MS = 3_600_000.0
 _UNKNOWN_RETRY_MS = 2_000.0
 _NOT_FOUND = 404
@@ -35,7 +35,7 @@
 
 
 class Handler:
-    """Decides for each call who runs it and renders the answer."""
+    """Decides which VM runs each request, and renders the answer."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
     async def handle_forwarded(
         self, incoming: message.IncomingRequest
     ) -> message.Response:
-        """Answers another entry, which took this VM for the home."""
+        """Answers a request that another entry forwarded to its home VM."""
         return await self._handle_call(incoming, is_forwarded=True)
 
     async def _handle_call(
@@ -101,7 +101,7 @@
             request,
             home or "",
             outcomes.Reason.KEY_HOME_UNREACHABLE,
-            "the VM that decides about this key can't be reached",
+            "the home VM of this idempotency key is unreachable",
         )
 
     async def _handle_ticket(
@@ -123,17 +123,19 @@
         if ticket.incarnation == self._context.incarnation:
             age_ms = self._context.outside.now_ms() - ticket.issued_ms
             if age_ms > TICKET_VALID_MS:
-                return render.make_failure(_refuse_ticket("it is too old"))
+                return render.make_failure(_refuse_ticket("it has expired"))
             events = self._keyed.serve_ticket(request)
             return await self._respond(call, request, events)
         if is_forwarded or ticket.vm_id == self._context.config.vm_id:
-            return render.make_failure(_refuse_ticket("its issuer has ended"))
+            return render.make_failure(
+                _refuse_ticket("the process that issued it has ended")
+            )
         return await self._forward(
             incoming,
             request,
             ticket.vm_id,
             outcomes.Reason.TICKET_HOME_GONE,
-            "the VM that issued this ticket can't be reached",
+            "the VM that issued this ticket is unreachable",
         )
 
     def _issue_ticket(
@@ -219,7 +221,7 @@
     async def _stream(
         self, style: render.Style, events: Events
     ) -> message.Response:
-        """Waits for the first event, so that early failures have a status."""
+        """Waits for the first event, so that early failures get a status."""
         try:
             first = await anext(events)
         except BaseException:
@@ -267,7 +269,7 @@
     handle: Callable[[message.IncomingRequest], Awaitable[message.Response]],
     context: contexts.EntryContext,
 ) -> Callable[[message.IncomingRequest], Awaitable[message.Response]]:
-    """Returns the handler with a span around it, passed on to later hops."""
+    """Wraps a handler in a trace span, which later hops continue."""
 
     async def handle_in_span(
         incoming: message.IncomingRequest,
@@ -307,5 +309,5 @@
     return outcomes.NotServed(
         outcomes.Reason.TICKET_HOME_GONE,
         outcomes.Ran.UNKNOWN,
-        f"the ticket can't be used any more: {why}",
+        f"the ticket is no longer valid: {why}",
     )
--- a/src/ruddergate/entry/in_flight.py
+++ b/src/ruddergate/entry/in_flight.py
@@ -1,4 +1,4 @@
-"""Counts calls in flight, so that a planned stop can wait for them."""
+"""Counts requests in flight, so that a planned stop can wait for them."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Awaitable
@@ -14,15 +14,16 @@
 _INTERNAL = outcomes.NotServed(
     outcomes.Reason.INTERNAL,
     outcomes.Ran.UNKNOWN,
-    "a fault in the entry; it is in its log",
+    "internal error in the entry; see its log",
 )
 
 
 class InFlightCalls:
-    """The calls that one process is answering.
+    """The requests that one process is answering; `len` returns their number.
 
     Args:
-        write_failure: Makes the answer for a call that met a fault of ours.
+        write_failure: Renders the answer to a request that ended by an internal
+            error.
     """
 
     def __init__(
@@ -37,7 +38,7 @@
         return self._count
 
     def track(self, handle: Handle) -> Handle:
-        """Returns the handler, counted; a fault of ours harms its call only."""
+        """Wraps a handler: counts its requests and answers its exceptions."""
 
         async def handle_counted(
             incoming: message.IncomingRequest,
--- a/src/ruddergate/entry/keyed.py
+++ b/src/ruddergate/entry/keyed.py
@@ -1,4 +1,4 @@
-"""Runs requests that carry a key or a ticket at most once, at their home."""
+"""Runs requests with an idempotency key or ticket at most once."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -15,10 +15,10 @@
 
 
 class KeyedRuns:
-    """The ledger of one entry and the runs under way for it.
+    """The ledger of one entry and its runs in progress; `len` counts them.
 
-    A run belongs to the ledger, not to the caller that asked first: a caller
-    that goes away can resend and get the answer.
+    A run belongs to the ledger, not to the caller that submitted it first: a
+    caller that disconnects can resend the request and get the answer.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         return outcomes.NotServed(
             outcomes.Reason.KEY_HOME_UNSETTLED,
             outcomes.Ran.UNKNOWN,
-            f"it can't be ruled out that the key was used: {standing.value}",
+            f"the key may have been used before: {standing.value}",
             _UNSETTLED_RETRY_MS,
         )
 
@@ -116,7 +116,8 @@
     ) -> None:
         async for event in serve.serve(request, self._limits, self._context):
             if _never_ran(event):
-                # Before it is told, so that a resend starts afresh.
+                # Before the event is published, so that a resend starts a new
+                # run.
                 self._ledger.forget(key)
             record.add(event)
         if not _never_ran(record.last):
@@ -131,5 +132,5 @@
 
 
 def scope_key(request: requests.Request) -> str:
-    """Returns the key, unlike the same key of any other workspace."""
+    """Returns the idempotency key, scoped to the workspace."""
     return f"{request.workload.workspace} {request.idempotency_key}"
--- a/src/ruddergate/entry/limits.py
+++ b/src/ruddergate/entry/limits.py
@@ -1,4 +1,4 @@
-"""This VM's use of the fleet-wide limits."""
+"""Applies this VM's shares of the fleet-wide limits of workspaces."""
 
 from ruddergate import environment
 from ruddergate import outcomes
@@ -9,12 +9,12 @@
 from ruddergate.settings import effective
 
 _MIN_REPORTED_FRACTION = 1e-4
-# A workspace that was lately refused would run about this much more.
+# A workspace that was refused recently would run about this many times more.
 _REFUSED_DEMAND_FACTOR = 1.5
 
 
 class Limits:
-    """Meters of one entry; counts each request in and out once."""
+    """Meters of one entry; each request is counted at its start and end."""
 
     def __init__(
         self, outside: environment.Environment, view: views.View
@@ -26,7 +26,7 @@
         self._limits: dict[str, tuple[effective.Limit, ...]] = {}
 
     def start(self, request: requests.Request) -> outcomes.NotServed | None:
-        """Counts a request in, or returns why a limit forbids it."""
+        """Counts a request as started, or returns the refusal of a limit."""
         workload = request.workload
         if not workload.limits:
             return None
@@ -45,12 +45,12 @@
         return None
 
     def end(self, request: requests.Request) -> None:
-        """Counts a request out."""
+        """Counts a request as ended."""
         for limit in request.workload.limits:
             self._meters[limit.scope].end()
 
     def demand(self) -> tuple[entry_load.Demand, ...]:
-        """Returns the demand of each workspace as part of its limits."""
+        """Returns each workspace's demand as a fraction of its limits."""
         now_ms = self._outside.now_ms()
         found = []
         for workspace, demand in sorted(self._demand.items()):
--- a/src/ruddergate/entry/lost_call.py
+++ b/src/ruddergate/entry/lost_call.py
@@ -1,4 +1,4 @@
-"""A call that its target lost midway."""
+"""A request whose connection to its target broke off."""
 
 import dataclasses
 
@@ -7,15 +7,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LostCall:
-    """What is known of it as it breaks off.
+    """What is known of the request at that moment.
 
     Attributes:
-        request_id: The call.
-        content: Name of what it asked for.
+        request_id: Id of the request.
+        fingerprint: Fingerprint of the request, which all its retries share.
         target: The target that was to answer.
-        there_ms: How long before it had been sent there.
-        reading_ms: How long one engine would read its prompt.
-        streams: Answers that the target was writing, this one included.
+        since_sent_ms: Time since the request was sent to it.
+        prefill_ms: Time that one engine would take to read the prompt.
+        streams: Number of answers that the target was generating, including
+            this one.
     """
 
     request_id: str
--- a/src/ruddergate/entry/model_run.py
+++ b/src/ruddergate/entry/model_run.py
@@ -1,4 +1,4 @@
-"""Runs one request on engines, with retries, until it has an outcome."""
+"""Runs one prompt on engines, with retries, until it has an outcome."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -25,7 +25,14 @@
 
 @dataclasses.dataclass(slots=True)
 class _Progress:
-    """How far a request has come, over all its attempts."""
+    """Progress of a request over all its attempts.
+
+    Attributes:
+        delivered: Tokens that the caller has, as texts.
+        ran: Whether any attempt ran the request, as far as known.
+        attempts: Number of attempts.
+        excluded: Ids of targets that have failed the request.
+    """
 
     delivered: list[str]
     ran: outcomes.Ran
@@ -36,7 +43,7 @@
 async def run(
     request: requests.Request, context: contexts.EntryContext
 ) -> AsyncIterator[Event]:
-    """Yields tokens in order, each once, and at last the outcome."""
+    """Yields tokens in order, each once, and last the outcome."""
     progress = _Progress([], outcomes.Ran.NOT_RUN, 0, frozenset())
     context.budget.note_first_attempt()
     while True:
@@ -75,11 +82,11 @@
     progress: _Progress,
     context: contexts.EntryContext,
 ) -> outcomes.NotServed | None:
-    """Returns the final outcome, or None after the pause for a retry."""
+    """Returns the final outcome, or None after the delay before a retry."""
     context.metrics.attempts.inc({"result": outcome.reason.value})
     if _lost_memory_race(grant, outcome):
-        # Another gang took the memory first: no work was lost, and waiting
-        # in the queue again costs the engines nothing.
+        # Another gang reserved the memory first. No work was lost, and queueing
+        # again costs the engines nothing.
         pause_ms = context.outside.random.uniform(*_MEMORY_RACE_PAUSE_MS)
         await asyncio.sleep(pause_ms / 1000.0)
         return None
@@ -154,14 +161,14 @@
     placement_request: scheduler_messages.PlacementRequest,
     context: contexts.EntryContext,
 ) -> scheduler_messages.PlacementGrant | outcomes.NotServed:
-    """Waits for a place until the time limit."""
+    """Waits for a target until the request's deadline."""
     left_ms = request.remaining_ms(context.outside.now_ms())
     try:
         async with asyncio.timeout(left_ms / 1000.0):
             return await context.scheduler.place(placement_request)
     except TimeoutError:
         return outcomes.refuse(
-            outcomes.Reason.TIME_LIMIT, "time was up while it waited"
+            outcomes.Reason.TIME_LIMIT, "the time limit passed in the queue"
         )
 
 
@@ -178,7 +185,7 @@
     if planned is None or not pool.exports_kv:
         return outcomes.refuse(
             outcomes.Reason.PROMPT_TOO_LONG,
-            f"pool {pool.name} can't hold so long a prompt",
+            f"pool {pool.name} has no memory for a prompt of this length",
         )
     return planned
 
@@ -196,7 +203,7 @@
 def _with_combined_ran(
     outcome: outcomes.NotServed, progress: _Progress
 ) -> outcomes.NotServed:
-    """Lets the outcome tell of all attempts, not of the last alone."""
+    """Returns the outcome with `ran` combined over all attempts."""
     ran = combine_ran(progress.ran, outcome.ran)
     return dataclasses.replace(outcome, ran=ran)
 
@@ -212,7 +219,7 @@
 
 
 def combine_ran(first: outcomes.Ran, second: outcomes.Ran) -> outcomes.Ran:
-    """Returns what two attempts together say about having run."""
+    """Returns whether either of two attempts ran, as far as known."""
     for ran in (outcomes.Ran.RAN, outcomes.Ran.UNKNOWN):
         if ran in (first, second):
             return ran
--- a/src/ruddergate/entry/program.py
+++ b/src/ruddergate/entry/program.py
@@ -1,4 +1,4 @@
-"""Wires one entry together and runs it until its planned stop."""
+"""Assembles one entry and runs it until its planned stop."""
 
 import asyncio
 
@@ -105,7 +105,7 @@
     async def _stop(self, callers: asyncio.Server) -> None:
         self._log.info("Planned stop begins.")
         self._feed.is_stopping = True
-        # Callers come for as long as the balancer has not noticed.
+        # New callers come until the load balancer has noticed.
         await asyncio.sleep(self._config.stop_lag_ms / 1000.0)
         self._is_closing = True
         callers.close()
--- a/src/ruddergate/entry/recording.py
+++ b/src/ruddergate/entry/recording.py
@@ -1,4 +1,4 @@
-"""A run that several submissions of one key can follow from its start."""
+"""Recorded events of a run, for all requests with the same idempotency key."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -17,7 +17,7 @@
 
 
 class Recording:
-    """Events of one run, kept in order until nobody can ask for them."""
+    """Events of one run in order; followers get all of them from the first."""
 
     def __init__(self) -> None:
         self._events: list[Event] = []
@@ -37,7 +37,7 @@
         return self._events[-1] if self._events else None
 
     def size_bytes(self) -> int:
-        """Returns about how much memory the events take up."""
+        """Returns the approximate size of the events in memory."""
         total = 0
         for event in self._events:
             if isinstance(event, parts.Tokens):
@@ -52,8 +52,8 @@
         """Yields all events from the first, waiting for those to come.
 
         Args:
-            left_ms: What is left of the follower's own time limit, which may
-                be shorter than that of the run.
+            left_ms: Returns the time left of the follower's own time limit,
+                which may be shorter than that of the run.
         """
         position = 0
         while True:
@@ -70,6 +70,6 @@
                 yield outcomes.NotServed(
                     outcomes.Reason.TIME_LIMIT,
                     outcomes.Ran.UNKNOWN,
-                    "time was up while the key's run went on",
+                    "the time limit passed while the key's run went on",
                 )
                 return
--- a/src/ruddergate/entry/relay_admit.py
+++ b/src/ruddergate/entry/relay_admit.py
@@ -1,4 +1,4 @@
-"""From an inquiry to a request: route, key, freshness, limits of time."""
+"""Admits relayed requests: route, API key, settings freshness, time limit."""
 
 import dataclasses
 import random
@@ -14,24 +14,26 @@
 from ruddergate.settings import route as routes
 
 _NO_SETTINGS_RETRY_MS = 500.0
-# Another VM may know more; a fresh store answer comes within a second or two.
+# Another VM may have newer settings; this one gets an answer from the store
+# within a second or two.
 _STALE_RETRY_MS = 300.0
-# Ranks of routes lie within one step of rank of workspaces.
+# One rank of a workspace spans this many ranks of routes, so that routes only
+# order requests whose workspaces have the same rank.
 _RANK_STEP = 16
-# Calls of relayed routes are sent on at once; this bounds only what waits
-# while no target can be used.
+# Relayed requests are sent at once; this only bounds the queue while no target
+# is available.
 _QUEUE_COST_MS_MAX = 600_000.0
 _OUTPUT_TOKENS_TYPICAL = 512
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettingsAgeLimits:
-    """How old settings may be, in milliseconds.
+    """Largest age of the settings for a decision, in milliseconds.
 
     Attributes:
-        key_age_max_ms: For a key to be used.
-        certain_age_max_ms: For an unknown route or key to be unknown for
-            certain; by older ones it may be new.
+        key_age_max_ms: To accept a key.
+        not_found_age_max_ms: To refuse an unknown route or key for good; it may
+            be newer than older settings.
     """
 
     key_age_max_ms: float
@@ -45,14 +47,14 @@
     context: contexts.EntryContext,
     age_limits: SettingsAgeLimits,
 ) -> requests.Request | outcomes.NotServed:
-    """Returns the request with its effective settings, or why not.
+    """Returns the request with its effective settings, or a refusal.
 
     Args:
-        incoming: The call as received.
-        inquiry: The call as understood.
-        arrived_ms: When it came; its time runs from then.
-        tools: What the stages share.
-        trust: How old settings may be.
+        incoming: The HTTP request as received.
+        caller_request: The HTTP request as parsed.
+        arrived_ms: When it arrived; its time limit starts then.
+        context: Shared objects of the entry.
+        age_limits: How old settings may be.
     """
     catalog = context.view.catalog
     if catalog.revision == 0:
@@ -65,14 +67,14 @@
     if route is None:
         return _refuse_unknown(
             outcomes.Reason.UNKNOWN_WORKLOAD,
-            "no route covers this call",
+            "no route matches this request",
             context,
             age_limits,
         )
     workspace = catalogs.Workspace("", 0)
     if catalog.workspaces and not route.is_open:
         if _settings_age_ms(context) > age_limits.key_age_max_ms:
-            return _refuse_stale("whether the key is still good")
+            return _refuse_stale("whether the key is still valid")
         found = catalog.workspaces.get(caller_request.key)
         if found is None:
             return _refuse_unknown(
@@ -107,16 +109,16 @@
     context: contexts.EntryContext,
     age_limits: SettingsAgeLimits,
 ) -> outcomes.NotServed:
-    """Says for good that something is unknown, or that it may be new."""
+    """Refuses for good, or with a retry if newer settings may know more."""
     if _settings_age_ms(context) > age_limits.not_found_age_max_ms:
-        return _refuse_stale(f"more than this: {detail}")
+        return _refuse_stale(f"whether this still holds: {detail}")
     return outcomes.refuse(reason, detail)
 
 
 def _refuse_stale(what: str) -> outcomes.NotServed:
     return outcomes.refuse(
         outcomes.Reason.SETTINGS_TOO_OLD,
-        f"this VM has not heard of the settings for long and can't tell {what}",
+        f"the settings of this VM are too old to tell {what}",
         _STALE_RETRY_MS,
     )
 
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a call that is passed on answered by one target."""
+"""One attempt to have a relayed request answered by one target."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -20,25 +20,29 @@
 from ruddergate.relay import errand as errands
 from ruddergate.relay import orders
 
-# A connection to a target in reach is up in a few milliseconds; packets lost
-# on the way are sent again after a second, which is too late to wait for. A
-# short prompt, due in 300 ms, can then still be in time elsewhere.
+# A reachable target accepts a connection within a few milliseconds. A lost
+# packet is retransmitted only after a second, which is too long to wait. With
+# this time-out, a short prompt due in 300 ms can still be in time elsewhere.
 CONNECT_TIMEOUT_MS = 150.0
-# Silence that a target is allowed before another one takes over, where the
-# route lets another one take over: times the aim, and at least so long.
+# How long a target may be silent before the request fails over to another one,
+# where the route allows that: a multiple of the route's `aim_ms` for the first
+# event, and of its `gap_aim_ms` for later ones, with a minimum.
 SILENCE_TIMEOUT_AIMS = 3.0
 MIN_SILENCE_TIMEOUT_MS = 900.0
-# Where memory was refused, some may be free again after this time.
+# Retry-after when helpers refused memory; some may be free again by then.
 _NO_MEMORY_RETRY_MS = 500.0
-# Where engines gave no sign of life, others may serve after this time.
+# Retry-after when targets did not answer a probe; others may serve by then.
 _PROBE_RETRY_MS = 500.0
-# Urgency of the shortest prompts; plain calls and others follow behind.
+# Urgency of the shortest prompts and of plain calls. Longer prompts get higher
+# numbers, which targets let in later.
 _SHORTEST_PROMPT_URGENCY = 3
+# Nothing listens at the address any more, or another incarnation does.
 _EXITED_REASONS = (
     outcomes.Reason.TARGET_GONE,
     outcomes.Reason.TARGET_REPLACED,
 )
-# Connections that failed before the call was sent; its token is unused.
+# The connection failed before the request was sent: its token of the target's
+# rate limit is unused.
 _CONNECT_FAILED_REASONS = (
     outcomes.Reason.TARGET_GONE,
     outcomes.Reason.TARGET_UNREACHABLE,
@@ -55,15 +59,15 @@
 
 
 class RelayAttempt:
-    """One attempt; `run` yields its answer once.
+    """One attempt; `run` is called once and yields the answer.
 
     Args:
-        request: The call.
-        placed: The target, and those that help it.
-        progress: Is brought up to date as the answer comes.
-        send: Sends the call.
+        request: The relayed request.
+        grant: The target, and its helpers.
+        progress: Updated as the answer comes in.
+        send: Sends the request to the target.
         keeper: Holds memory on the helpers.
-        tools: What the stages share.
+        context: Shared objects of the entry.
     """
 
     def __init__(
@@ -82,9 +86,9 @@
         self._keeper = keeper
         self._context = context
         self._faulted: set[str] = set()
-        # Targets from which nothing came back; their hall may be cut off.
+        # Targets from which nothing came back; their hall may be partitioned.
         self._unreachable: set[str] = set()
-        # Targets in whose place nobody or another one answered.
+        # Targets at whose address nothing listens, or another incarnation does.
         self._exited: set[str] = set()
         self._sent_ms = context.outside.now_ms()
         # Whether a token of the target's rate limit was taken.
@@ -93,7 +97,7 @@
         self._has_answered = False
 
     async def run(self) -> AsyncIterator[answers.Event]:
-        """Yields what the caller is to get, and at last how it ended."""
+        """Yields what the caller is to get, and last the outcome."""
         reservations = self._make_reservations()
         self._progress.faulted_helpers = ()
         attempt_log.log_start(
@@ -129,7 +133,7 @@
             self._post_attempt_ends()
 
     def _check_before_send(self) -> outcomes.NotServed | None:
-        """Returns why the call may not be sent in this moment, if so."""
+        """Returns a refusal if the request must not be sent at this moment."""
         refusal = self._context.quarantine.refuse(self._request)
         refusal = refusal or self._check_admission()
         if refusal is not None:
@@ -142,17 +146,20 @@
         return refusal
 
     def _check_admission(self) -> outcomes.NotServed | None:
-        """Returns a refusal if the target or a helper takes no calls now."""
+        """Returns a refusal if the target or a helper accepts no requests."""
         return self._context.check_admission(
             [placement.target for placement in self._placements]
         )
 
     async def _probe_targets(self) -> tuple[orders.Sign, ...]:
-        """Returns signs of life of this attempt's targets, once one has failed.
+        """Probes the target and its helpers if a helper has failed before.
 
-        Engines die together, and each refusal names one of them only: a prompt
-        read by nine engines, four of them dead, was sent five times within
-        250 ms and refused.
+        Engines die together, but each refusal names only one of them. Without
+        this, a prompt for nine engines, four of them dead, was sent five times
+        within 250 ms and then refused.
+
+        Returns:
+            The probe results in order; empty if no helper has failed.
         """
         if not self._progress.helper_failures:
             return ()
@@ -163,7 +170,7 @@
     def _fail_probes(
         self, probes: tuple[orders.Sign, ...]
     ) -> outcomes.NotServed:
-        """Returns the outcome; nothing was sent."""
+        """Records failed probes; returns the outcome, with nothing sent."""
         missing = tuple(
             placement.target.target_id
             for placement, probe in zip(self._placements, probes, strict=True)
@@ -182,17 +189,25 @@
             reason = outcomes.Reason.TARGET_UNREACHABLE
         return outcomes.refuse(
             reason,
-            f"no sign of life from {', '.join(missing)}",
+            f"no answer to a health probe from {', '.join(missing)}",
             _PROBE_RETRY_MS,
         )
 
     async def _read_answer(
         self, upstream_request: errands.Errand, is_watched: bool
     ) -> AsyncIterator[answers.Event]:
-        """Yields the answer; a watched target must show that it lives.
+        """Yields the answer, or a failure that is found before its first event.
+
+        A watched target is probed until its first event; after that, gaps
+        between events show its failure. Helpers are watched for just as long,
+        since without them there will be no events.
+
+        Args:
+            upstream_request: What to send.
+            is_watched: Whether the target is probed.
 
-        It is watched until its first events; from then on their gaps tell. So
-        are its helpers, without which there won't be any.
+        Yields:
+            The events of the answer.
         """
         async with contextlib.aclosing(self._send(upstream_request)) as events:
             failure_watches = []
@@ -211,20 +226,21 @@
                 yield event
 
     async def _wait_for_silence(self) -> outcomes.NotServed:
-        """Returns how the attempt ends when the target is silent."""
+        """Returns the failure once the target no longer answers probes."""
         await self._keeper.wait_for_silence(self._placements[0].target)
         return outcomes.NotServed(
             outcomes.Reason.TARGET_LOST,
             outcomes.Ran.UNKNOWN,
-            "the target gave no sign of life",
+            "the target answered no health probe",
         )
 
     async def _wait_for_helper_end(self) -> outcomes.NotServed:
-        """Returns how the attempt ends when a helper has ended.
+        """Returns the failure once a helper has ended.
 
-        The target would stand still for a second and a half and then refuse;
-        meanwhile the prompt may be read again with another helper. Where it
-        may not be sent again, this waits for as long as the target does.
+        The target would stall for a second and a half and then refuse, while
+        the prompt could be read with another helper meanwhile. If the request
+        may not be sent again, this never returns and the attempt waits as long
+        as the target does.
         """
         helpers = [placement.target.life for placement in self._placements[1:]]
         life = await self._context.scheduler.incarnation_ends.wait_for_any(
@@ -237,8 +253,9 @@
             await asyncio.Event().wait()
         self._process_event(answers.FaultTold(life.target_id))
         self._exited.add(life.target_id)
-        # A content that ends several engines at once must not be cleared by
-        # that: the one that was to answer may have ended, too.
+        # A poison request can end several engines at once. Report the target as
+        # well, since it may have ended too; otherwise the request would count
+        # as harmless.
         self._context.report_lost_call(self._make_lost_call())
         return outcomes.NotServed(
             outcomes.Reason.HELPER_ENDED,
@@ -249,7 +266,10 @@
     def _fail_reservations(
         self, missing: tuple[reservation_keeper.Missing, ...]
     ) -> outcomes.NotServed:
-        """Returns the outcome; a reservation runs nothing, whatever happens."""
+        """Records failed reservations; returns the outcome.
+
+        A reservation runs nothing, whatever became of it.
+        """
         names = [each.reservation.target.target_id for each in missing]
         self._progress.excluded |= set(names)
         lost_answers = (orders.Answer.GONE, orders.Answer.UNREACHABLE)
@@ -262,12 +282,12 @@
                 self._exited.add(name)
         return outcomes.refuse(
             outcomes.Reason.NO_MEMORY,
-            f"no memory could be set aside at {', '.join(names)}",
+            f"no memory could be reserved at {', '.join(names)}",
             _NO_MEMORY_RETRY_MS,
         )
 
     def _process_event(self, event: answers.Event) -> bool:
-        """Takes an event in; returns whether it is to be handed on."""
+        """Processes an event; returns whether the caller is to get it."""
         match event:
             case answers.LoadTold():
                 self._context.scheduler.post(
@@ -298,14 +318,14 @@
             self._context.return_rate_token(self._placements[0].target)
         if failure.reason in _NOT_TARGET_FAULT_REASONS or self._faulted:
             return
-        writer_id = self._placements[0].target.target_id
-        self._faulted.add(writer_id)
+        target_id = self._placements[0].target.target_id
+        self._faulted.add(target_id)
         if failure.reason is outcomes.Reason.TARGET_LOST:
             self._context.report_lost_call(self._make_lost_call())
         if failure.reason is outcomes.Reason.TARGET_UNREACHABLE:
-            self._unreachable.add(writer_id)
+            self._unreachable.add(target_id)
         if failure.reason in _EXITED_REASONS:
-            self._exited.add(writer_id)
+            self._exited.add(target_id)
 
     def _make_lost_call(self) -> lost_call.LostCall:
         target = self._placements[0].target
@@ -333,12 +353,13 @@
             )
 
     def _post_attempt_ends(self) -> None:
-        writers_hall = self._placements[0].target.hall
+        answering_hall = self._placements[0].target.hall
         for placement in self._placements:
             target_id = placement.target.target_id
-            # A helper that a target blames may well be out of its reach.
+            # A helper in another hall that the target reports as failed may
+            # just be unreachable from there.
             is_reported = target_id in self._progress.faulted_helpers
-            is_in_other_hall = placement.target.hall != writers_hall
+            is_in_other_hall = placement.target.hall != answering_hall
             self._context.scheduler.post(
                 scheduler_messages.AttemptEnded(
                     placement,
@@ -351,7 +372,7 @@
             )
 
     def _make_reservations(self) -> dict[str, orders.Reservation]:
-        """Returns the memory to set aside on helpers, by target."""
+        """Returns the memory to reserve on helpers, by target id."""
         owner = f"{self._context.config.vm_id}.{self._context.incarnation}"
         return {
             placement.target.target_id: orders.Reservation(
@@ -378,12 +399,12 @@
                 _make_helper(placement, reservations)
                 for placement in self._placements[1:]
             ),
-            patience=self._find_patience(),
+            patience=self._find_timeouts(),
             refuse=self._check_before_send,
         )
 
-    def _find_patience(self) -> errands.Patience:
-        """Returns how long silence is borne; to the end for what runs once."""
+    def _find_timeouts(self) -> errands.Patience:
+        """Returns the time-outs; for what must not run twice, the deadline."""
         request = self._request
         route = request.payload.route
         left_ms = request.remaining_ms(self._context.outside.now_ms())
@@ -399,10 +420,10 @@
         )
 
     async def _can_fail_over(self) -> bool:
-        """Returns whether giving the target up could help the caller.
+        """Returns whether another target may be tried instead of this one.
 
-        Silence alone is no failure: an engine that reads a long prompt says
-        nothing for seconds, and goes on.
+        Silence alone is no failure: an engine that reads a long prompt is
+        silent for seconds and then goes on.
         """
         request = self._request
         sending_to = frozenset({self._placements[0].target.target_id})
@@ -426,7 +447,7 @@
 
 
 def _find_urgency(request: requests.Request) -> int:
-    """Lets shorter prompts in before longer ones."""
+    """Returns the urgency, which lets shorter prompts in before longer ones."""
     return _SHORTEST_PROMPT_URGENCY + length_band.find_band(
         request.prompt_tokens
     )
--- a/src/ruddergate/entry/relay_handler.py
+++ b/src/ruddergate/entry/relay_handler.py
@@ -1,4 +1,4 @@
-"""Answers callers whose calls are passed on unchanged."""
+"""Answers callers whose requests are relayed unchanged."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -16,25 +16,26 @@
 from ruddergate.relay import errand as errands
 from ruddergate.telemetry import logs
 
-# How a call ends in logs and metrics whose caller did not wait for the answer.
+# Outcome in logs and metrics when the caller did not wait for the answer.
 CALLER_LEFT = "caller_left"
-# A VM that has just started has its settings within a few milliseconds, on a
-# thin link and beside many others within half a second; after the loss of all
-# VMs callers that were refused meanwhile had no try left.
+# A VM that has just started gets its settings within a few milliseconds, or
+# within half a second on a slow link while many others start. Without the wait,
+# after the loss of all VMs, callers used up their retries on refusals.
 FIRST_SETTINGS_WAIT_MS = 800.0
-# For so long a VM counts as just started; later, the store is out of reach.
+# Time after its start in which a VM waits for settings. If it has none later,
+# the store is unreachable.
 STARTUP_PERIOD_MS = 3_000.0
 
 
 class RelayHandler:
-    """Admits a call, runs it and hands its answer back.
+    """Admits a request, runs it and returns its answer.
 
     Args:
-        tools: What the stages share.
-        protocol: How callers are understood and answered.
-        send: Sends a call to a target.
-        keeper: Holds memory for requests.
-        trust: How old settings may be.
+        context: Shared objects of the entry.
+        protocol: Reads requests of callers and writes refusals.
+        send: Sends a request to a target.
+        keeper: Holds memory on targets for requests.
+        age_limits: How old settings may be.
     """
 
     def __init__(
@@ -59,7 +60,7 @@
         caller_request = self._protocol.read(incoming)
         if isinstance(caller_request, outcomes.NotServed):
             return self._refuse(caller_request, "")
-        # A wait for the first settings is part of the caller's time.
+        # The wait for the first settings counts against the time limit.
         arrived_ms = self._context.outside.now_ms()
         await self._wait_for_catalog()
         request = relay_admit.admit(
@@ -89,7 +90,7 @@
         return self._protocol.write_failure(first)
 
     async def _wait_for_catalog(self) -> None:
-        """Lets a call that comes right after the start wait for settings."""
+        """Waits for the first settings if the process has just started."""
         context = self._context
         startup_left_ms = (
             context.started_ms + STARTUP_PERIOD_MS - context.outside.now_ms()
@@ -121,7 +122,8 @@
                             event.detail,
                             pauses,
                         )
-                        # A proper end would make a broken answer look whole.
+                        # A proper end of the response would make a broken
+                        # answer look complete.
                         raise ConnectionAbortedError(event.detail)
         except (GeneratorExit, asyncio.CancelledError):
             self._log_caller_left(request, pauses)
@@ -131,12 +133,12 @@
     def _log_caller_left(
         self, request: requests.Request, pauses: "_EventPauses | None"
     ) -> None:
-        """Notes that the caller left, or that this process ends."""
+        """Logs that the caller disconnected, or that this process stops."""
         self._log_end(
             request,
             CALLER_LEFT,
             outcomes.Ran.UNKNOWN,
-            "the caller's connection ended before the answer",
+            "the caller's connection was closed before the end of the answer",
             pauses,
         )
 
@@ -186,11 +188,12 @@
 
 
 class _EventPauses:
-    """Times between the events of one stream, as they are handed on.
+    """Pauses between the events of one stream, as sent to the caller.
 
     Attributes:
-        first_ms: From the call's arrival to the first event.
-        longest_ms: Longest time between two events so far.
+        first_ms: Time from the request's arrival to the first event; negative
+            before it.
+        longest_ms: Longest pause between two events so far.
     """
 
     def __init__(self, arrived_ms: float) -> None:
@@ -199,7 +202,7 @@
         self._last_ms = arrived_ms
 
     def note_event(self, now_ms: float) -> None:
-        """Notes that events are handed on now."""
+        """Records that events are sent now."""
         elapsed_ms = now_ms - self._last_ms
         self._last_ms = now_ms
         if self.first_ms < 0.0:
--- a/src/ruddergate/entry/relay_progress.py
+++ b/src/ruddergate/entry/relay_progress.py
@@ -1,4 +1,4 @@
-"""How far a call that is passed on has come, over all its attempts."""
+"""Progress of a relayed request over all its attempts."""
 
 import dataclasses
 
@@ -8,20 +8,23 @@
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """What the attempts of one call leave behind.
+    """State of one request that its attempts share.
 
     Attributes:
-        last_id: Id of the last event that the caller has, or empty.
-        ran: What all attempts together say about having run.
-        sent: Tries that counted: all but those that a helper spoilt.
-        sent_to: Targets that were sent the call in any of them.
-        unreachable: Tries that ended before anything was sent.
-        is_begun: Whether the caller has the answer's head.
-        excluded: Targets that are not to be tried again.
-        failed_answer: A target's own failure, handed on if nothing better comes.
-        blamed: Helpers that the last target blamed, in order.
-        helpers_failed: How often a call went to a target again for that.
-        pinned: The target that it goes to again, or empty.
+        last_event_id: Id of the last event that the caller has, or empty.
+        ran: Whether any attempt ran the request, as far as known.
+        counted_attempts: Number of attempts that sent the request, without
+            those that failed because of a helper.
+        sent_targets: Targets that were sent the request in any attempt.
+        unsent_attempts: Number of attempts that ended before it was sent.
+        has_head: Whether the caller has the head of the answer.
+        excluded: Targets that must not be tried again.
+        failed_answer: A target's own error answer, which the caller gets if all
+            retries fail.
+        faulted_helpers: Helpers that the last target reported as failed, in
+            order.
+        helper_failures: How often the request was sent again because of that.
+        pinned_target: The target that it is sent to again, or empty.
     """
 
     last_event_id: str
@@ -39,10 +42,10 @@
     def count_targets_used(
         self, sending_to: frozenset[str] = frozenset()
     ) -> int:
-        """Returns how many of the targets allowed are used up.
+        """Returns how many targets count against the limit of the route.
 
         Args:
-            also: Targets that are being sent the call.
+            sending_to: Targets that the request is being sent to now.
         """
         return max(
             self.counted_attempts + len(sending_to),
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -1,4 +1,4 @@
-"""Runs one call that is passed on unchanged, with retries, to its outcome."""
+"""Runs one relayed request, with retries, to its outcome."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -23,17 +23,20 @@
 from ruddergate.relay import answer as answers
 from ruddergate.relay import errand as errands
 
-# Targets tried for a connection, besides those that were sent the call.
+# Largest number of attempts that end before the request is sent; those after
+# which it was sent are limited by the route.
 MAX_UNSENT_ATTEMPTS = 8
-# Times that a call goes to the same target again because of one of its helpers.
+# How often a request goes to the same target again after a helper has failed.
 MAX_HELPER_FAILURES = 3
-# Any of a call's targets may take no calls now. Which of them is known where
-# the next ones are chosen, so none has to be excluded.
+# One of the targets, or a helper, accepts no requests at the moment. No target
+# has to be excluded for this: the scheduler knows which one it is when it
+# chooses the next ones.
 _UNAVAILABLE_REASONS = (
     outcomes.Reason.TARGET_LEAVING,
     outcomes.Reason.TARGET_QUIET,
     outcomes.Reason.TARGET_RATE_LIMITED,
 )
+# The attempt ended before the request was sent.
 _UNSENT_REASONS = (
     outcomes.Reason.TARGET_GONE,
     outcomes.Reason.TARGET_UNREACHABLE,
@@ -42,27 +45,31 @@
     outcomes.Reason.QUARANTINED,
     *_UNAVAILABLE_REASONS,
 )
-# Failures of other engines than the one that was to write the answer.
-_NOT_WRITER_REASONS = (
+# The failure need not be that of the target that was to answer, which is not
+# excluded then.
+_KEEP_TARGET_REASONS = (
     outcomes.Reason.NO_MEMORY,
     outcomes.Reason.HELPER_UNREACHABLE,
     *_UNAVAILABLE_REASONS,
 )
-# After these the engine that refused for a helper is asked again.
+# After these, a target that refused because of a helper stays pinned.
 _KEEP_PIN_REASONS = (outcomes.Reason.HELPER_UNREACHABLE, *_UNAVAILABLE_REASONS)
-# What a target that fails with its own 5xx says is the answer; from here on a
-# repeatable call is worth another try.
+# Answers below this status are final. From here on a repeatable request is
+# retried; if all retries fail, the caller gets the last such answer.
 _MIN_SERVER_ERROR_STATUS = 500
-# How long a call waits for a place ahead of others, in aims: after that it is
-# late anyway, and those that can still be in time go first. A policy that holds
-# long prompts back lets them go earlier (routing/long_prompts.py).
+# How long a request waits for a target ahead of late ones, as a multiple of its
+# route's `aim_ms`, the latency below which an answer is in time. After that it
+# is late anyway, and requests that can still be in time go first. A policy that
+# holds long prompts back releases them earlier (routing/long_prompts.py).
 ON_TIME_WAIT_AIMS = 0.5
-# It then waits behind those for an aim, and for so long at least: callers give
-# a stream up that has not begun after four aims, two seconds at least.
+# It then waits behind those for `aim_ms`, but at least this long. Callers give
+# up a stream that has not begun after four times `aim_ms`, but not before two
+# seconds.
 MIN_LATE_WAIT_MS = 1_200.0
-# Ranks of late calls lie below those of all others.
+# Puts the ranks of late requests below those of all others.
 _LATE_RANK_OFFSET = 1_000_000
-# When a place may have become free; callers are not to come back together.
+# Range of the retry-after when no target is free; random, so that callers don't
+# come back all at once.
 _NO_TARGET_RETRY_MS = (400.0, 1_200.0)
 
 
@@ -72,7 +79,7 @@
     keeper: reservation_keeper.ReservationKeeper,
     context: contexts.EntryContext,
 ) -> AsyncIterator[answers.Event]:
-    """Yields the answer in order, each event once; the last tells the end."""
+    """Yields the answer's events in order, each once, and last the outcome."""
     progress = relay_progress.Progress(request.payload.last_event)
     refusal = context.quarantine.refuse(request)
     if refusal is not None:
@@ -80,7 +87,7 @@
         return
     context.budget.note_first_attempt()
     while True:
-        grant = await _place(request, progress, context)
+        grant = await _wait_for_placement(request, progress, context)
         if isinstance(grant, outcomes.NotServed):
             yield _conclude(grant, progress)
             return
@@ -114,7 +121,7 @@
     progress: relay_progress.Progress,
     context: contexts.EntryContext,
 ) -> answers.Event | None:
-    """Returns the final event, or None after the pause for a retry."""
+    """Returns the final event, or None after the delay before a retry."""
     if isinstance(outcome, answers.WholeAnswer):
         if outcome.status < _MIN_SERVER_ERROR_STATUS:
             return outcome
@@ -134,14 +141,14 @@
     if outcome.reason not in _UNSENT_REASONS:
         progress.sent_targets |= {placement.target.target_id}
     if _is_helper_failure(outcome, progress):
-        # The target itself may well take the call, with other helpers; it is
-        # the same target, and so no further one that was sent the call.
+        # The target itself may accept the request with other helpers. It is
+        # the same target, so this doesn't count as sending to a further one.
         progress.pinned_target = placement.target.target_id
         progress.helper_failures += 1
         return await _pause_for_retry(request, outcome, progress, context)
     if outcome.reason not in _KEEP_PIN_REASONS:
         progress.pinned_target = ""
-    if outcome.reason not in _NOT_WRITER_REASONS:
+    if outcome.reason not in _KEEP_TARGET_REASONS:
         progress.excluded |= {placement.target.target_id}
     if outcome.reason in _UNSENT_REASONS:
         return _conclude_unsent(outcome, progress)
@@ -155,7 +162,11 @@
 def _conclude_unsent(
     outcome: outcomes.NotServed, progress: relay_progress.Progress
 ) -> answers.Event | None:
-    """Returns None for another try, which counts against no limit of sends."""
+    """Returns the outcome, or None to try again.
+
+    Nothing was sent, so the attempt counts neither against the number of
+    targets of the route nor against the retry budget.
+    """
     progress.unsent_attempts += 1
     is_quarantined = outcome.reason is outcomes.Reason.QUARANTINED
     if is_quarantined or progress.unsent_attempts > MAX_UNSENT_ATTEMPTS:
@@ -166,7 +177,10 @@
 def _is_helper_failure(
     outcome: outcomes.NotServed, progress: relay_progress.Progress
 ) -> bool:
-    """Returns whether a target refused because of one that was to help it."""
+    """Returns whether a target refused or was given up because of a helper.
+
+    After MAX_HELPER_FAILURES such failures they count as those of the target.
+    """
     is_refusal = outcome.ran is outcomes.Ran.NOT_RUN
     has_helper_ended = outcome.reason is outcomes.Reason.HELPER_ENDED
     return (
@@ -182,7 +196,7 @@
     progress: relay_progress.Progress,
     context: contexts.EntryContext,
 ) -> answers.Event | None:
-    """Returns None after a pause, or the outcome if no try is left."""
+    """Returns None after the delay, or the outcome if no retry is allowed."""
     if retries.may_run_again(outcome, request.repeatable):
         await context.ensure_retry(length_band.is_long(request.prompt_tokens))
     decided = retries.decide(
@@ -203,25 +217,29 @@
 def _conclude(
     outcome: outcomes.NotServed, progress: relay_progress.Progress
 ) -> answers.WholeAnswer | outcomes.NotServed:
-    """Tells of all attempts, or hands on what a target itself answered."""
+    """Returns the outcome of all attempts.
+
+    That is a target's own error answer, if there was one and the caller has no
+    response head yet.
+    """
     if progress.failed_answer is not None and not progress.has_head:
         return progress.failed_answer
     ran = model_run.combine_ran(progress.ran, outcome.ran)
     return dataclasses.replace(outcome, ran=ran)
 
 
-async def _place(
+async def _wait_for_placement(
     request: requests.Request,
     progress: relay_progress.Progress,
     context: contexts.EntryContext,
 ) -> scheduler_messages.PlacementGrant | outcomes.NotServed:
-    """Waits for a place: ahead of late calls first, and then among them."""
-    for is_late, wait_ms in _find_waits(request, progress, context):
+    """Waits for a target: ahead of late requests first, then among them."""
+    for is_late, wait_ms in _find_wait_times(request, progress, context):
         left_ms = request.remaining_ms(context.outside.now_ms())
         wait_ms = min(wait_ms, left_ms)
         if wait_ms <= 0.0:
             continue
-        placement_request = _make_place(
+        placement_request = _make_placement_request(
             request, progress, context, is_late, wait_ms
         )
         try:
@@ -233,7 +251,7 @@
             return grant
     return outcomes.refuse(
         outcomes.Reason.NO_TARGET,
-        f"no target of pool {request.workload.pool.name} can be used now",
+        f"no target of pool {request.workload.pool.name} is available now",
         context.outside.random.uniform(*_NO_TARGET_RETRY_MS),
     )
 
@@ -247,12 +265,16 @@
     )
 
 
-def _find_waits(
+def _find_wait_times(
     request: requests.Request,
     progress: relay_progress.Progress,
     context: contexts.EntryContext,
 ) -> tuple[tuple[bool, float], ...]:
-    """Returns how long to wait as a call in time, and then as a late one."""
+    """Returns how long to wait as a request in time, then as a late one.
+
+    Returns:
+        Whether the request is late, and the wait in milliseconds, for each.
+    """
     aim_ms = request.payload.route.aim_ms
     on_time_ms = ON_TIME_WAIT_AIMS * aim_ms
     if not progress.has_head:
@@ -260,7 +282,7 @@
     return (False, on_time_ms), (True, max(MIN_LATE_WAIT_MS, aim_ms))
 
 
-def _make_place(
+def _make_placement_request(
     request: requests.Request,
     progress: relay_progress.Progress,
     context: contexts.EntryContext,
--- a/src/ruddergate/entry/serve.py
+++ b/src/ruddergate/entry/serve.py
@@ -1,4 +1,4 @@
-"""Serves a request that this VM is to decide, as a series of events."""
+"""Runs a request on this VM within its limits, as a stream of events."""
 
 from collections.abc import AsyncIterator
 
@@ -17,7 +17,7 @@
     limits: limit_types.Limits,
     context: contexts.EntryContext,
 ) -> AsyncIterator[recording.Event]:
-    """Yields the answer's events; the last tells how it ended."""
+    """Yields the answer's events; the last one is the outcome."""
     refusal = limits.start(request)
     if refusal is not None:
         _note(request, refusal, context)
--- a/src/ruddergate/entry/service_run.py
+++ b/src/ruddergate/entry/service_run.py
@@ -12,7 +12,7 @@
 from ruddergate.entry import model_run
 from ruddergate.entry import scheduler_messages
 
-# What a call is taken to cost in the queue, in milliseconds.
+# Assumed cost of a service call, in milliseconds.
 _CALL_COST_MS = 20.0
 
 
@@ -54,7 +54,7 @@
     placement: scheduler_messages.Placement,
     context: contexts.EntryContext,
 ) -> service_calls.ServiceAnswer | outcomes.NotServed:
-    failed = True
+    is_target_fault = True
     try:
         with context.tracer.span("attempt", request.traceparent):
             answer = await service_calls.call(
@@ -63,11 +63,11 @@
                 request,
                 request.remaining_ms(context.outside.now_ms()),
             )
-        failed = isinstance(answer, outcomes.NotServed)
+        is_target_fault = isinstance(answer, outcomes.NotServed)
         return answer
     finally:
         context.scheduler.post(
-            scheduler_messages.AttemptEnded(placement, failed)
+            scheduler_messages.AttemptEnded(placement, is_target_fault)
         )
 
 
--- a/src/ruddergate/entry/status.py
+++ b/src/ruddergate/entry/status.py
@@ -1,4 +1,4 @@
-"""The pages for operators and for the balancer."""
+"""Status, metrics and health pages for operators and the load balancer."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 from ruddergate.http import message
 from ruddergate.telemetry import metrics
 
-# Ages beyond this mean that nothing was ever learned.
+# Larger ages mean that nothing was ever received.
 _MAX_KNOWN_AGE_MS = 1e12
 
 Handle = Callable[[message.IncomingRequest], Awaitable[message.Response]]
@@ -20,7 +20,7 @@
     feed: feeds.Feed,
     context: contexts.EntryContext,
 ) -> Handle:
-    """Returns a handler of all paths: own pages first, then calls."""
+    """Returns a handler that serves the pages and passes on all other paths."""
 
     async def handle(incoming: message.IncomingRequest) -> message.Response:
         match incoming.path:
@@ -47,7 +47,7 @@
 
 
 def set_gauges(context: contexts.EntryContext) -> None:
-    """Brings the gauges up to date before they are read."""
+    """Updates the gauges before they are read."""
     now_ms = context.outside.now_ms()
     age_ms = context.view.age_ms(now_ms)
     context.metrics.view_age_ms.set({}, min(age_ms, 1e12))
@@ -71,7 +71,7 @@
 def make_status(
     context: contexts.EntryContext, agent_connected: bool, stopping: bool
 ) -> message.Response:
-    """Returns what this VM goes by and how old that is."""
+    """Returns the state that this VM uses, and how old it is."""
     now_ms = context.outside.now_ms()
     view = context.view
     age_ms = view.age_ms(now_ms)
@@ -115,7 +115,7 @@
 def _describe_rate_limit(
     context: contexts.EntryContext, target_id: str, now_ms: float
 ) -> dict[str, float | None]:
-    """Returns a target's rate limit and this VM's part, None for no limit."""
+    """Returns a target's rate limit and this VM's share; None for no limit."""
     limit, share = context.scheduler.find_rate_limit(target_id, now_ms)
     if math.isinf(limit):
         return {"rate_limit_per_s": None, "rate_limit_share_per_s": None}
@@ -126,5 +126,5 @@
 
 
 def _round_age(age_ms: float) -> int | None:
-    """Returns an age in whole milliseconds, or None for what never was."""
+    """Returns an age in whole milliseconds, or None if nothing was received."""
     return round(age_ms) if age_ms < _MAX_KNOWN_AGE_MS else None
--- a/src/ruddergate/entry/tickets.py
+++ b/src/ruddergate/entry/tickets.py
@@ -1,7 +1,7 @@
-"""Tickets: a promise to run a request at most once that outlives any cut.
+"""Tickets, which guarantee at most one run even across network partitions.
 
 A ticket names the incarnation that issued it, and only that process can run
-the request. If it is gone, nobody runs it.
+the request. If it has ended, nobody runs it.
 """
 
 import dataclasses
@@ -21,10 +21,10 @@
 
     Attributes:
         vm_id: VM that issued it.
-        incarnation: Run of the entry that issued it.
+        incarnation: Incarnation of the entry that issued it.
         issued_ms: Monotonic time of issue on that VM.
         name: Random name.
-        mac: Proof that it was issued.
+        mac: Message authentication code, which shows that it was issued.
     """
 
     vm_id: str
@@ -42,14 +42,14 @@
     now_ms: float,
     rng: random.Random,
 ) -> str:
-    """Returns a fresh ticket as text; no other workspace can use it."""
+    """Returns a new ticket as text; no other workspace can use it."""
     name = environment.make_token(rng, 16)
     body = f"{vm_id}~{incarnation}~{int(now_ms)}~{name}"
     return f"{body}~{_sign(key, workspace, body)}"
 
 
 def parse(text: str, key: bytes, workspace: str) -> Ticket | None:
-    """Returns the fields of a ticket that carries a right MAC, or None."""
+    """Returns the fields of a ticket, or None if its MAC is not valid."""
     fields = text.split("~")
     if len(fields) != _FIELDS or not fields[2].isdigit():
         return None
