--- a/src/ruddergate/entry/forwarding.py
+++ b/src/ruddergate/entry/forwarding.py
@@ -52,10 +52,10 @@
     if head.headers.get("content-type") == message.EVENT_STREAM_TYPE:
         body = _relay_stream(stream, outside, deadline_ms, make_broken_tail)
         return message.Response(head.status, head.headers, body)
-    body = await _read_body(stream, outside, deadline_ms)
-    if body is None:
+    whole = await _read_body(stream, outside, deadline_ms)
+    if whole is None:
         return make_lost_response()
-    return message.Response(head.status, head.headers, body)
+    return message.Response(head.status, head.headers, whole)
 
 
 async def _exchange(
--- a/src/ruddergate/entry/gang_attempt.py
+++ b/src/ruddergate/entry/gang_attempt.py
@@ -85,7 +85,7 @@
             # A reservation runs nothing, whether or not it took effect.
             return outcomes.refuse(
                 outcomes.Reason.TARGET_REFUSED,
-                f"memory could not be reserved at {placement.target.target_id}",
+                f"{placement.target.target_id} could not reserve memory",
                 1_000.0,
             )
     return None
