--- a/src/ruddergate/entry/config.py
+++ b/src/ruddergate/entry/config.py
@@ -18,7 +18,8 @@
         hall: Data hall of this VM.
         listen: Where callers are served.
         peer_listen: Where other entries are served; None without peers.
-        agent: Address of this VM's agent; None without an agent.
+        agent: Where this VM's agent serves the feed of its entry; None without
+            an agent.
         peer_key: Key shared by the system's own processes; empty without any.
         policy: Name of the routing policy.
         service_policy: Name of the routing policy for plain services.
--- a/src/ruddergate/entry/in_flight.py
+++ b/src/ruddergate/entry/in_flight.py
@@ -22,8 +22,8 @@
     """The requests that one process is answering; `len` returns their number.
 
     Args:
-        write_failure: Renders the answer to a request that ended by an internal
-            error.
+        write_failure: Renders the response to a request whose handler raised an
+            exception.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
             try:
                 response = await handle(incoming)
             except Exception:
-                self._log.exception("Request ended by a fault.")
+                self._log.exception("Request failed with an internal error.")
                 response = self._write_failure(_INTERNAL)
             except BaseException:
                 self._count -= 1
--- a/src/ruddergate/entry/placing.py
+++ b/src/ruddergate/entry/placing.py
@@ -90,8 +90,8 @@
         cached = min(
             routing_job.prefix_tokens, chosen.cached_tokens(routing_job.prefix)
         )
-        fresh = routing_job.prompt_tokens - cached
-        shares = gangs.split_memory(
+        uncached = routing_job.prompt_tokens - cached
+        memory_shares = gangs.split_memory(
             routing_job.held_tokens, request.pool.memory_tokens
         )
         helpers = ()
@@ -99,20 +99,20 @@
             helpers = self._policy.choose_helpers(
                 routing_job, chosen, candidates, now_ms, self._rng
             )
-        parts = 1 + len(helpers)
-        if self._policy.splits_memory and len(shares) > parts:
+        engine_count = 1 + len(helpers)
+        if self._policy.splits_memory and len(memory_shares) > engine_count:
             return ()
         if not self._policy.splits_memory:
-            shares = (routing_job.held_tokens,)
+            memory_shares = (routing_job.held_tokens,)
         return tuple(
             self._start_attempt(
                 request,
                 each,
-                fresh // parts,
-                shares[index] if index < len(shares) else 0,
+                uncached // engine_count,
+                memory_shares[index] if index < len(memory_shares) else 0,
                 cached if index == 0 else 0,
                 now_ms,
-                parts,
+                engine_count,
                 is_writing=index == 0,
             )
             for index, each in enumerate((chosen, *helpers))
@@ -165,23 +165,25 @@
         self,
         request: scheduler_messages.PlacementRequest,
         chosen: estimates.Estimate,
-        fresh_tokens: int,
+        prefill_tokens: int,
         held_tokens: int,
         cached_tokens: int,
         now_ms: float,
-        parts: int = 1,
+        engine_count: int = 1,
         is_writing: bool = True,
     ) -> scheduler_messages.Placement:
         attempt_id = environment.make_token(self._rng)
         band = length_band.find_band(request.routing_job.prompt_tokens)
-        is_long = costs.is_long(chosen.pool, fresh_tokens * parts)
-        prefill_ms = costs.predict_prefill_ms(chosen.pool, fresh_tokens * parts)
+        is_long = costs.is_long(chosen.pool, prefill_tokens * engine_count)
+        prefill_ms = costs.predict_prefill_ms(
+            chosen.pool, prefill_tokens * engine_count
+        )
         work = own_work.OwnWork(
-            fresh_tokens,
+            prefill_tokens,
             held_tokens,
             now_ms,
             band,
-            prefill_ms / parts,
+            prefill_ms / engine_count,
             is_long,
             pause_class.find_class(request.routing_job.pause_aim_ms),
             is_writing,
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -270,19 +270,19 @@
 
         A reservation runs nothing, whatever became of it.
         """
-        names = [each.reservation.target.target_id for each in missing]
-        self._progress.excluded |= set(names)
+        target_ids = [each.reservation.target.target_id for each in missing]
+        self._progress.excluded |= set(target_ids)
         lost_answers = (orders.Answer.GONE, orders.Answer.UNREACHABLE)
-        for name, each in zip(names, missing, strict=True):
+        for target_id, each in zip(target_ids, missing, strict=True):
             if each.answer in lost_answers:
-                self._faulted.add(name)
+                self._faulted.add(target_id)
             if each.answer is orders.Answer.UNREACHABLE:
-                self._unreachable.add(name)
+                self._unreachable.add(target_id)
             if each.answer is orders.Answer.GONE:
-                self._exited.add(name)
+                self._exited.add(target_id)
         return outcomes.refuse(
             outcomes.Reason.NO_MEMORY,
-            f"no memory could be reserved at {', '.join(names)}",
+            f"no memory could be reserved at {', '.join(target_ids)}",
             _NO_MEMORY_RETRY_MS,
         )
 
@@ -438,11 +438,11 @@
     placement: scheduler_messages.Placement,
     reservations: dict[str, orders.Reservation],
 ) -> errands.Helper:
-    held = reservations.get(placement.target.target_id)
+    reservation = reservations.get(placement.target.target_id)
     return errands.Helper(
         placement.target.target_id,
         placement.target.address,
-        held.name if held else "",
+        reservation.name if reservation else "",
     )
 
 
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -515,14 +515,14 @@
         better than none.
         """
         accepting = self._table.list_taking(pool, now_ms)
-        good = [
+        healthy = [
             each
             for each in accepting
             if each.is_usable(now_ms)
             and not self._losses.is_suspect(each.target.hall, now_ms)
         ]
-        if good or not self._config.panic_routing:
-            return good
+        if healthy or not self._config.panic_routing:
+            return healthy
         return accepting
 
 
