--- a/src/ruddergate/entry/placing.py
+++ b/src/ruddergate/entry/placing.py
@@ -52,7 +52,7 @@
         request: scheduler_messages.PlacementRequest,
         usable: list[estimates.Estimate],
         now_ms: float,
-        has_unknown_peers: bool = False,
+        lacks_peer_loads: bool = False,
     ) -> tuple[scheduler_messages.Placement, ...]:
         """Returns the placements of a request, or none to keep it queued.
 
@@ -61,7 +61,8 @@
                 are no others.
             usable: Targets to choose from; never empty.
             now_ms: Monotonic time.
-            has_unknown_peers: Whether the load of some peers is unknown.
+            lacks_peer_loads: Whether there are peers, but no load of any of
+                them is known yet.
         """
         candidates = [
             each
@@ -82,7 +83,7 @@
             ] or candidates
         waited_ms = now_ms - request.routing_job.waited_ms
         routing_job = dataclasses.replace(
-            request.routing_job, waited_ms=waited_ms, is_blind=has_unknown_peers
+            request.routing_job, waited_ms=waited_ms, is_blind=lacks_peer_loads
         )
         chosen = self._policy.choose(routing_job, candidates, now_ms, self._rng)
         if chosen is None:
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -22,7 +22,7 @@
 
 # A reachable target accepts a connection within a few milliseconds. A lost
 # packet is retransmitted only after a second, which is too long to wait. With
-# this time-out, a short prompt due in 300 ms can still be in time elsewhere.
+# this timeout, a short prompt due in 300 ms can still be in time elsewhere.
 CONNECT_TIMEOUT_MS = 150.0
 # How long a target may be silent before the request fails over to another one,
 # where the route allows that: a multiple of the route's `aim_ms` for the first
@@ -404,7 +404,7 @@
         )
 
     def _find_timeouts(self) -> errands.Patience:
-        """Returns the time-outs; for what must not run twice, the deadline."""
+        """Returns the timeouts; for what must not run twice, the deadline."""
         request = self._request
         route = request.payload.route
         left_ms = request.remaining_ms(self._context.outside.now_ms())
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -78,7 +78,7 @@
         collect_peer_loads: Callable[
             [], Sequence[dispatched.Dispatched]
         ] = lambda: (),
-        has_unknown_peers: Callable[[], bool] = lambda: False,
+        lacks_peer_loads: Callable[[], bool] = lambda: False,
         collect_loss_report: Callable[[], bad_news.BadNews] = lambda: (
             bad_news.NOTHING
         ),
@@ -95,8 +95,8 @@
                 target changes, so that peers can be told.
             collect_peer_loads: Returns the load that peers put on targets, as
                 far as it has changed; called before requests are dispatched.
-            has_unknown_peers: Returns whether the load of some peers is
-                unknown.
+            lacks_peer_loads: Returns whether there are peers, but no load of
+                any of them is known yet.
             collect_loss_report: Returns what peers have newly found to be
                 unreachable.
             drain_state: Which target incarnations accept no requests.
@@ -108,7 +108,7 @@
         self._limits = limits
         self._on_own_load_change = on_own_load_change
         self._collect_peer_loads = collect_peer_loads
-        self._has_unknown_peers = has_unknown_peers
+        self._lacks_peer_loads = lacks_peer_loads
         self._collect_loss_report = collect_loss_report
         self._losses = target_losses.TargetLosses(outside.random)
         self.incarnation_ends = self._losses.ends
@@ -437,7 +437,7 @@
         while usable and (job := queue.take(now_ms, paused)) is not None:
             request = self._pending[job.job_id]
             placements = self._placer.place(
-                request, usable, now_ms, self._has_unknown_peers()
+                request, usable, now_ms, self._lacks_peer_loads()
             )
             if not placements:
                 queue.put_back(job, now_ms)
