--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -231,7 +231,7 @@
         return outcomes.NotServed(
             outcomes.Reason.TARGET_LOST,
             outcomes.Ran.UNKNOWN,
-            "the target answered no health probe",
+            "the target stopped answering health probes",
         )
 
     async def _wait_for_helper_end(self) -> outcomes.NotServed:
