--- a/src/ruddergate/entry/attempt.py
+++ b/src/ruddergate/entry/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a request answered by one engine."""
+"""One attempt to have a prompt answered by one engine."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -10,11 +10,12 @@
 from ruddergate.adapters.engines import stream as streams
 from ruddergate.decisions import length_band
 from ruddergate.entry import canceller
-from ruddergate.entry import placement
-from ruddergate.entry import tools as tool_types
+from ruddergate.entry import context as contexts
+from ruddergate.entry import scheduler_messages
 
-# After the time limit the agents' sweep takes over from the canceller.
-_CANCEL_BEYOND_MS = 30_000.0
+# How long after the deadline the canceller goes on; then the agents' sweep
+# frees what is left.
+_CANCEL_AFTER_DEADLINE_MS = 30_000.0
 _RESUME_TIMEOUT_MS = 1_000.0
 
 Event = parts.Tokens | outcomes.Finished | outcomes.NotServed
@@ -22,40 +23,40 @@
 
 async def run(
     request: requests.Request,
-    placed: placement.Placed,
+    grant: scheduler_messages.PlacementGrant,
     delivered: tuple[str, ...],
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
-    """Yields the engine's tokens behind those delivered, then the outcome."""
-    seat = placed.seats[0]
-    wanted = make_generation(request, seat, delivered, tools)
-    async for event in follow(request, seat, wanted, tools):
+    """Yields the engine's tokens after those delivered, then the outcome."""
+    placement = grant.placements[0]
+    generation = make_generation(request, placement, delivered, context)
+    async for event in run_generation(request, placement, generation, context):
         yield event
 
 
 def make_generation(
     request: requests.Request,
-    seat: placement.Seat,
+    placement: scheduler_messages.Placement,
     delivered: tuple[str, ...],
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
     kv_parts: tuple[generations.KvPart, ...] = (),
     reservation: str = "",
     first_token: int = 0,
 ) -> generations.Generation:
-    """Returns what an engine is asked for in this attempt."""
+    """Returns the generation request of this attempt."""
     key = request.idempotency_key if request.workload.pool.checks_key else ""
     return generations.Generation(
-        stream_id=make_stream_id(seat, tools),
-        owner=tools.owner,
+        stream_id=make_stream_id(placement, context),
+        owner=context.owner,
         request_id=request.request_id,
         prompt=request.prompt,
         prompt_tokens=request.prompt_tokens,
         first_token=first_token,
         output_tokens_max=request.output_tokens_max,
         delivered=delivered,
-        priority=_make_priority(request, tools),
+        priority=_make_priority(request, context),
         prefix=request.prefix,
-        lapse_ms=request.remaining_ms(tools.env.now_ms()),
+        lapse_ms=request.remaining_ms(context.env.now_ms()),
         key=key,
         reservation=reservation,
         kv_parts=kv_parts,
@@ -63,157 +64,177 @@
     )
 
 
-def _make_priority(request: requests.Request, tools: tool_types.Tools) -> int:
-    """Puts the class first and, inside it, the shorter prompt."""
+def _make_priority(
+    request: requests.Request, context: contexts.EntryContext
+) -> int:
+    """Returns a priority by class and, within a class, by prompt length."""
     rank = request.workload.priority.rank
-    if not tools.scheduler.shorter_first():
+    if not context.scheduler.shorter_first():
         return rank * length_band.BANDS
     band = length_band.find_band(request.prompt_tokens)
     return rank * length_band.BANDS + length_band.BANDS - 1 - band
 
 
-def make_stream_id(seat: placement.Seat, tools: tool_types.Tools) -> str:
-    """Returns the name of an attempt, unlike that of any other VM's."""
-    return f"{tools.config.vm_id}.{tools.incarnation}.{seat.attempt_id}"
+def make_stream_id(
+    placement: scheduler_messages.Placement, context: contexts.EntryContext
+) -> str:
+    """Returns a stream id for an attempt that is unique across VMs."""
+    return (
+        f"{context.config.vm_id}.{context.incarnation}.{placement.attempt_id}"
+    )
 
 
-async def follow(
+async def run_generation(
     request: requests.Request,
-    seat: placement.Seat,
-    wanted: generations.Generation,
-    tools: tool_types.Tools,
+    placement: scheduler_messages.Placement,
+    generation: generations.Generation,
+    context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
-    """Runs a generation to its end; frees the engine on any other exit."""
-    ended = False
-    failed = False
-    started = False
+    """Runs a generation to its end; cancels it on any other exit."""
+    has_ended = False
+    is_target_fault = False
+    has_started = False
     try:
-        with tools.tracer.span("attempt", request.traceparent):
-            async for event in _read(request, seat, wanted, tools):
-                if isinstance(event, parts.Tokens) and not started:
-                    started = True
-                    _note_first_token(request, seat, tools)
+        with context.tracer.span("attempt", request.traceparent):
+            async for event in _read_events(
+                request, placement, generation, context
+            ):
+                if isinstance(event, parts.Tokens) and not has_started:
+                    has_started = True
+                    _note_first_token(request, placement, context)
                 if isinstance(event, outcomes.NotServed):
-                    failed = event.reason is not outcomes.Reason.TIME_LIMIT
-                    ended = event.ran is outcomes.Ran.NOT_RUN
+                    is_target_fault = (
+                        event.reason is not outcomes.Reason.TIME_LIMIT
+                    )
+                    has_ended = event.ran is outcomes.Ran.NOT_RUN
                 elif isinstance(event, outcomes.Finished):
-                    ended = True
+                    has_ended = True
                 yield event
     finally:
-        tools.scheduler.post(placement.Ended(seat, failed))
-        if not ended:
-            cancel_later(request, seat, wanted.stream_id, tools)
+        context.scheduler.post(
+            scheduler_messages.AttemptEnded(placement, is_target_fault)
+        )
+        if not has_ended:
+            cancel_in_background(
+                request, placement, generation.stream_id, context
+            )
 
 
-def cancel_later(
+def cancel_in_background(
     request: requests.Request,
-    seat: placement.Seat,
+    placement: scheduler_messages.Placement,
     item_id: str,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> None:
-    """Has the canceller free something on an engine."""
-    until_ms = request.deadline_ms + _CANCEL_BEYOND_MS
-    tools.canceller.post(canceller.Cancel(seat.target, item_id, until_ms))
+    """Has the canceller free a stream or reservation on an engine."""
+    until_ms = request.deadline_ms + _CANCEL_AFTER_DEADLINE_MS
+    context.canceller.post(
+        canceller.Cancel(placement.target, item_id, until_ms)
+    )
 
 
 def _note_first_token(
     request: requests.Request,
-    seat: placement.Seat,
-    tools: tool_types.Tools,
+    placement: scheduler_messages.Placement,
+    context: contexts.EntryContext,
 ) -> None:
     prefix = request.prefix
-    tools.scheduler.post(
-        placement.FirstToken(
-            seat,
+    context.scheduler.post(
+        scheduler_messages.FirstToken(
+            placement,
             prefix.name if prefix else "",
             prefix.tokens if prefix else 0,
         )
     )
 
 
-async def _read(
+async def _read_events(
     request: requests.Request,
-    seat: placement.Seat,
-    wanted: generations.Generation,
-    tools: tool_types.Tools,
+    placement: scheduler_messages.Placement,
+    generation: generations.Generation,
+    context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
     stream = await streams.generate(
-        tools.env,
-        seat.target,
-        wanted,
-        tools.config.patience,
-        request.remaining_ms(tools.env.now_ms()),
+        context.env,
+        placement.target,
+        generation,
+        context.config.engine_timeouts,
+        request.remaining_ms(context.env.now_ms()),
     )
-    may_resume = True
+    can_resume = True
     while True:
         if isinstance(stream, outcomes.NotServed):
             yield stream
             return
         if stream.report is not None:
-            tools.scheduler.post(placement.Reported(stream.report))
-        broken: outcomes.NotServed | None = None
+            context.scheduler.post(
+                scheduler_messages.LoadReported(stream.report)
+            )
+        failure: outcomes.NotServed | None = None
         try:
-            async for event in _drain(request, stream, tools):
+            async for event in _read_parts(request, stream, context):
                 if isinstance(event, outcomes.NotServed):
-                    broken = event
+                    failure = event
                 else:
                     yield event
         finally:
             stream.close()
-        if broken is None:
+        if failure is None:
             return
-        if not may_resume or not _is_resumable(broken):
-            yield broken
+        if not can_resume or not _is_resumable(failure):
+            yield failure
             return
-        may_resume = False
-        stream = await _resume(request, seat, wanted, stream, broken, tools)
+        can_resume = False
+        stream = await _resume(
+            request, placement, generation, stream, failure, context
+        )
 
 
-def _is_resumable(broken: outcomes.NotServed) -> bool:
-    return broken.reason is outcomes.Reason.TARGET_LOST
+def _is_resumable(failure: outcomes.NotServed) -> bool:
+    return failure.reason is outcomes.Reason.TARGET_LOST
 
 
 async def _resume(
     request: requests.Request,
-    seat: placement.Seat,
-    wanted: generations.Generation,
+    placement: scheduler_messages.Placement,
+    generation: generations.Generation,
     stream: streams.Stream,
-    broken: outcomes.NotServed,
-    tools: tool_types.Tools,
+    failure: outcomes.NotServed,
+    context: contexts.EntryContext,
 ) -> streams.Stream | outcomes.NotServed:
-    """Takes the stream up where it broke, or returns why it broke."""
-    left_ms = request.remaining_ms(tools.env.now_ms())
+    """Resumes the stream where it broke off, or returns the failure."""
+    left_ms = request.remaining_ms(context.env.now_ms())
     wait_ms = min(left_ms, _RESUME_TIMEOUT_MS)
     try:
         async with asyncio.timeout(wait_ms / 1000.0):
             resumed = await streams.resume(
-                tools.env,
-                seat.target,
-                wanted.stream_id,
+                context.env,
+                placement.target,
+                generation.stream_id,
                 stream.position,
-                tools.config.patience,
+                context.config.engine_timeouts,
                 wait_ms,
             )
     except TimeoutError:
-        return broken
+        return failure
     if isinstance(resumed, outcomes.NotServed):
-        return broken
+        return failure
     return resumed
 
 
-async def _drain(
+async def _read_parts(
     request: requests.Request,
     stream: streams.Stream,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
     def left_ms() -> float:
-        return request.remaining_ms(tools.env.now_ms())
+        return request.remaining_ms(context.env.now_ms())
 
     while True:
-        found = await stream.next_part(left_ms)
-        if isinstance(found, parts.End):
-            yield outcomes.Finished(found.count, found.finish_reason)
+        part = await stream.next_part(left_ms)
+        if isinstance(part, parts.End):
+            yield outcomes.Finished(part.count, part.finish_reason)
             return
-        yield found
-        if isinstance(found, outcomes.NotServed):
+        yield part
+        if isinstance(part, outcomes.NotServed):
             return
--- a/src/ruddergate/entry/attempt_log.py
+++ b/src/ruddergate/entry/attempt_log.py
@@ -1,62 +1,64 @@
-"""The log lines of one attempt: where it begins, and how it failed."""
+"""Log lines of one attempt: where it starts, and how it failed."""
 
 from ruddergate import outcomes
 from ruddergate import request as requests
-from ruddergate.entry import placement
+from ruddergate.entry import context as contexts
 from ruddergate.entry import quarantine
 from ruddergate.entry import relay_progress
-from ruddergate.entry import tools as tool_types
+from ruddergate.entry import scheduler_messages
 from ruddergate.telemetry import logs
 
 
 def log_start(
     request: requests.Request,
-    seats: tuple[placement.Seat, ...],
+    placements: tuple[scheduler_messages.Placement, ...],
     progress: relay_progress.Progress,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> None:
-    """Tells where an attempt begins, and what that choice went by."""
-    now_ms = tools.env.now_ms()
-    seat = seats[0]
-    tools.metrics.note_wait(request.prompt_tokens, now_ms - request.arrived_ms)
+    """Logs where an attempt starts, and the load estimate behind the choice."""
+    now_ms = context.env.now_ms()
+    placement = placements[0]
+    context.metrics.note_wait(
+        request.prompt_tokens, now_ms - request.arrived_ms
+    )
     logs.make_logger("attempt").info(
         "Attempt begins at {}.",
-        seat.target.target_id,
+        placement.target.target_id,
         request_id=request.request_id,
         route=request.payload.route.name,
-        pool=seat.target.pool,
-        hall=seat.target.hall,
+        pool=placement.target.pool,
+        hall=placement.target.hall,
         prompt_tokens=request.prompt_tokens,
-        helpers=[each.target.target_id for each in seats[1:]],
-        believed=seat.believed,
-        resume_after=progress.last_id,
-        sent=progress.sent,
+        helpers=[each.target.target_id for each in placements[1:]],
+        believed=placement.estimated_load,
+        resume_after=progress.last_event_id,
+        sent=progress.counted_attempts,
         waited_ms=round(now_ms - request.arrived_ms),
         left_ms=round(request.remaining_ms(now_ms)),
         revision=request.workload.revision,
-        view_age_ms=round(tools.view.age_ms(now_ms)),
+        view_age_ms=round(context.view.age_ms(now_ms)),
     )
 
 
 def log_failure(
     request: requests.Request,
-    seat: placement.Seat,
+    placement: scheduler_messages.Placement,
     ended: outcomes.NotServed,
     progress: relay_progress.Progress,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> None:
-    """Tells how an attempt failed, and of which content it was."""
+    """Logs how an attempt failed, with the fingerprint of its request."""
     logs.make_logger("attempt").info(
         "Attempt failed: {} ({}). {}",
         ended.reason.value,
         ended.ran.value,
         ended.detail,
         request_id=request.request_id,
-        target=seat.target.target_id,
+        target=placement.target.target_id,
         content=quarantine.find_fingerprint(request),
         route=request.payload.route.name,
-        sent=progress.sent,
-        blamed=progress.blamed,
-        last_event=progress.last_id,
-        waited_ms=round(tools.env.now_ms() - request.arrived_ms),
+        sent=progress.counted_attempts,
+        blamed=progress.faulted_helpers,
+        last_event=progress.last_event_id,
+        waited_ms=round(context.env.now_ms() - request.arrived_ms),
     )
--- a/src/ruddergate/entry/forwarding.py
+++ b/src/ruddergate/entry/forwarding.py
@@ -1,4 +1,4 @@
-"""Passes a caller's request to the VM that must decide it, and back."""
+"""Forwards requests to the VM that must run them, and relays the answers."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -14,47 +14,47 @@
 from ruddergate.wire import frames
 
 _CONNECT_TIMEOUT_MS = 1_000.0
-_WAY_BACK_MS = 20.0
+_RETURN_TRIP_MS = 20.0
 
 LocalHandler: TypeAlias = Callable[
     [message.IncomingRequest], Awaitable[message.Response]
 ]
 
 
-async def pass_on(
+async def forward_request(
     env: environment.Environment,
     address: environment.Address,
     peer_key: bytes,
     incoming: message.IncomingRequest,
     time_limit_ms: float,
-    when_lost: Callable[[], message.Response],
-    when_broken: Callable[[], bytes],
+    make_lost_response: Callable[[], message.Response],
+    make_broken_tail: Callable[[], bytes],
 ) -> message.Response:
     """Returns the answer of the entry at `address`.
 
     Args:
-        env: Clock and streams.
+        env: Clock and network streams.
         address: The other entry.
         peer_key: Key shared by the system's own processes.
         incoming: The caller's request.
-        time_limit_ms: What is left of its time limit.
-        when_lost: Makes the answer if the other entry does not answer.
-        when_broken: Makes the last bytes if its answer breaks off.
+        time_limit_ms: Time left of its time limit.
+        make_lost_response: Makes the answer if the other entry does not answer.
+        make_broken_tail: Makes the last bytes if its answer breaks off.
     """
-    until_ms = env.now_ms() + time_limit_ms
+    deadline_ms = env.now_ms() + time_limit_ms
     stream, head = await _exchange(
         env, address, peer_key, incoming, time_limit_ms
     )
     if not isinstance(head, forward.ForwardHead):
         if stream is not None:
             stream.close()
-        return when_lost()
+        return make_lost_response()
     if head.headers.get("content-type") == message.EVENT_STREAM_TYPE:
-        body = _relay(stream, env, until_ms, when_broken)
+        body = _relay_stream(stream, env, deadline_ms, make_broken_tail)
         return message.Response(head.status, head.headers, body)
-    whole = await _read_whole(stream, env, until_ms)
+    whole = await _read_body(stream, env, deadline_ms)
     if whole is None:
-        return when_lost()
+        return make_lost_response()
     return message.Response(head.status, head.headers, whole)
 
 
@@ -65,11 +65,12 @@
     incoming: message.IncomingRequest,
     time_limit_ms: float,
 ) -> tuple[frames.FrameStream | None, codec.Message | frames.Closed | None]:
-    """Sends the request on; returns the stream and the first answer."""
+    """Sends the request; returns the stream and the first reply."""
     stream: frames.FrameStream | None = None
     connect_ms = min(time_limit_ms, _CONNECT_TIMEOUT_MS)
-    # The home ends a little earlier, so that its own word still arrives.
-    home_limit_ms = max(1.0, time_limit_ms - _WAY_BACK_MS)
+    # The other entry gets a slightly shorter limit, so that its own answer
+    # still arrives in time.
+    home_limit_ms = max(1.0, time_limit_ms - _RETURN_TRIP_MS)
     try:
         async with asyncio.timeout(time_limit_ms / 1000.0):
             async with asyncio.timeout(connect_ms / 1000.0):
@@ -94,22 +95,22 @@
     return forward.Forward(path, headers, incoming.body, time_limit_ms)
 
 
-async def _relay(
+async def _relay_stream(
     stream: frames.FrameStream,
     env: environment.Environment,
-    until_ms: float,
-    when_broken: Callable[[], bytes],
+    deadline_ms: float,
+    make_broken_tail: Callable[[], bytes],
 ) -> AsyncIterator[bytes]:
     try:
         while True:
-            left_ms = max(1.0, until_ms - env.now_ms())
+            left_ms = max(1.0, deadline_ms - env.now_ms())
             try:
                 async with asyncio.timeout(left_ms / 1000.0):
                     part = await stream.receive()
             except TimeoutError:
                 part = None
             if not isinstance(part, forward.ForwardPart):
-                yield when_broken()
+                yield make_broken_tail()
                 return
             if part.data:
                 yield part.data
@@ -119,22 +120,22 @@
         stream.close()
 
 
-async def _read_whole(
+async def _read_body(
     stream: frames.FrameStream,
     env: environment.Environment,
-    until_ms: float,
+    deadline_ms: float,
 ) -> bytes | None:
-    whole = bytearray()
-    left_ms = max(1.0, until_ms - env.now_ms())
+    body = bytearray()
+    left_ms = max(1.0, deadline_ms - env.now_ms())
     try:
         async with asyncio.timeout(left_ms / 1000.0):
             while True:
                 part = await stream.receive()
                 if not isinstance(part, forward.ForwardPart):
                     return None
-                whole += part.data
+                body += part.data
                 if part.last:
-                    return bytes(whole)
+                    return bytes(body)
     except TimeoutError:
         return None
     finally:
@@ -154,24 +155,28 @@
             async with asyncio.timeout(read_timeout_ms / 1000.0):
                 if await stream.greet() is not None:
                     return
-                asked = await stream.receive()
-            if isinstance(asked, forward.Forward):
-                await _answer(stream, asked, handle)
+                forwarded = await stream.receive()
+            if isinstance(forwarded, forward.Forward):
+                await _answer_forwarded(stream, forwarded, handle)
         except (OSError, TimeoutError):
-            pass  # The other entry is gone; its caller is told there.
+            pass  # The connection is closed; the other entry tells its caller.
         finally:
             stream.close()
 
     return serve
 
 
-async def _answer(
-    stream: frames.FrameStream, asked: forward.Forward, handle: LocalHandler
+async def _answer_forwarded(
+    stream: frames.FrameStream, forwarded: forward.Forward, handle: LocalHandler
 ) -> None:
-    path, _, query = asked.path.partition("?")
-    limit = {"ruddergate-time-limit-ms": f"{max(1.0, asked.time_limit_ms):.0f}"}
-    headers = {**asked.headers, **limit}
-    incoming = message.IncomingRequest("POST", path, query, headers, asked.body)
+    path, _, query = forwarded.path.partition("?")
+    limit = {
+        "ruddergate-time-limit-ms": f"{max(1.0, forwarded.time_limit_ms):.0f}"
+    }
+    headers = {**forwarded.headers, **limit}
+    incoming = message.IncomingRequest(
+        "POST", path, query, headers, forwarded.body
+    )
     response = await handle(incoming)
     await stream.send(
         forward.ForwardHead(response.status, dict(response.headers))
--- a/src/ruddergate/entry/gang_attempt.py
+++ b/src/ruddergate/entry/gang_attempt.py
@@ -1,9 +1,9 @@
 """One attempt at a prompt larger than one engine's memory.
 
 Memory is reserved on every engine of the gang, all or nothing and in one
-global order; each reservation lapses by itself. Each engine then prefills its
-part, importing the KV cache of those before it, and the last one generates.
-Every part is freed on any exit.
+global order; each reservation expires by itself. Each engine then prefills its
+segment, importing the KV cache of those before it, and the last one generates.
+All reservations are released on any exit.
 """
 
 from collections.abc import AsyncIterator
@@ -15,8 +15,8 @@
 from ruddergate.adapters.engines import part as parts
 from ruddergate.decisions import gangs
 from ruddergate.entry import attempt
-from ruddergate.entry import placement
-from ruddergate.entry import tools as tool_types
+from ruddergate.entry import context as contexts
+from ruddergate.entry import scheduler_messages
 
 _RESERVE_TIMEOUT_MS = 2_000.0
 
@@ -25,11 +25,11 @@
 
 async def run(
     request: requests.Request,
-    placed: placement.Placed,
+    grant: scheduler_messages.PlacementGrant,
     delivered: tuple[str, ...],
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
-    """Yields the gang's tokens behind those delivered, then the outcome."""
+    """Yields the gang's tokens after those delivered, then the outcome."""
     pool = request.workload.pool
     segments = gangs.plan_segments(
         request.prompt_tokens,
@@ -37,119 +37,133 @@
         pool.memory_tokens,
         pool.gang_engines_max,
     )
-    failed: set[str] = set()
+    faulted: set[str] = set()
     try:
-        fault = await _reserve_all(request, placed, segments, tools)
-        if fault is None:
-            fault = await _prefill_all(request, placed, segments, tools, failed)
-        if fault is not None:
-            yield fault
+        failure = await _reserve_segments(request, grant, segments, context)
+        if failure is None:
+            failure = await _prefill_segments(
+                request, grant, segments, context, faulted
+            )
+        if failure is not None:
+            yield failure
             return
         first_token = segments[-1].first_token
         async for event in _generate(
-            request, placed, delivered, first_token, tools
+            request, grant, delivered, first_token, context
         ):
             yield event
     finally:
-        for seat in placed.seats:
-            lost = seat.target.target_id in failed
-            tools.scheduler.post(placement.Ended(seat, lost))
-            reservation = _make_reservation(seat, tools)
-            attempt.cancel_later(request, seat, reservation, tools)
+        for placement in grant.placements:
+            is_target_fault = placement.target.target_id in faulted
+            context.scheduler.post(
+                scheduler_messages.AttemptEnded(placement, is_target_fault)
+            )
+            reservation = _make_reservation_id(placement, context)
+            attempt.cancel_in_background(
+                request, placement, reservation, context
+            )
 
 
-async def _reserve_all(
+async def _reserve_segments(
     request: requests.Request,
-    placed: placement.Placed,
+    grant: scheduler_messages.PlacementGrant,
     segments: tuple[gangs.Segment, ...],
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> outcomes.NotServed | None:
-    for seat, segment in zip(placed.seats, segments, strict=True):
-        left_ms = request.remaining_ms(tools.env.now_ms())
+    for placement, segment in zip(grant.placements, segments, strict=True):
+        left_ms = request.remaining_ms(context.env.now_ms())
         answer = await control.reserve(
-            tools.env,
-            seat.target,
-            _make_reservation(seat, tools),
-            tools.owner,
+            context.env,
+            placement.target,
+            _make_reservation_id(placement, context),
+            context.owner,
             segment.held_tokens,
             left_ms,
             min(left_ms, _RESERVE_TIMEOUT_MS),
         )
         if not isinstance(answer, control.Done):
-            # A reservation runs nothing, whatever became of it.
+            # A reservation runs nothing, whether or not it took effect.
             return outcomes.refuse(
                 outcomes.Reason.TARGET_REFUSED,
-                f"{seat.target.target_id} has no memory to reserve",
+                f"{placement.target.target_id} could not reserve memory",
                 1_000.0,
             )
     return None
 
 
-async def _prefill_all(
+async def _prefill_segments(
     request: requests.Request,
-    placed: placement.Placed,
+    grant: scheduler_messages.PlacementGrant,
     segments: tuple[gangs.Segment, ...],
-    tools: tool_types.Tools,
-    failed: set[str],
+    context: contexts.EntryContext,
+    faulted: set[str],
 ) -> outcomes.NotServed | None:
-    """Prefills all parts but the last, which generation begins with."""
+    """Prefills all segments but the last, which is part of the generation."""
     for index, segment in enumerate(segments[:-1]):
-        seat = placed.seats[index]
+        placement = grant.placements[index]
         answer = await control.prefill(
-            tools.env,
-            seat.target,
-            _make_reservation(seat, tools),
+            context.env,
+            placement.target,
+            _make_reservation_id(placement, context),
             segment,
-            _make_kv_parts(placed.seats[:index], tools),
-            request.remaining_ms(tools.env.now_ms()),
+            _make_kv_parts(grant.placements[:index], context),
+            request.remaining_ms(context.env.now_ms()),
         )
         if isinstance(answer, control.Done):
-            tools.scheduler.post(placement.FirstToken(seat, "", 0))
+            context.scheduler.post(
+                scheduler_messages.FirstToken(placement, "", 0)
+            )
             continue
-        if request.remaining_ms(tools.env.now_ms()) <= 0.0:
+        if request.remaining_ms(context.env.now_ms()) <= 0.0:
             reason = outcomes.Reason.TIME_LIMIT
         else:
             reason = outcomes.Reason.TARGET_LOST
-            failed.add(seat.target.target_id)
-        # Prefill yields no answer, but it is work of a target.
+            faulted.add(placement.target.target_id)
+        # Prefill yields no answer, but the target may have done the work.
         return outcomes.NotServed(
-            reason, outcomes.Ran.UNKNOWN, "a part could not be prefilled"
+            reason, outcomes.Ran.UNKNOWN, "a segment could not be prefilled"
         )
     return None
 
 
 async def _generate(
     request: requests.Request,
-    placed: placement.Placed,
+    grant: scheduler_messages.PlacementGrant,
     delivered: tuple[str, ...],
     first_token: int,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
-    last = placed.seats[-1]
-    wanted = attempt.make_generation(
+    last = grant.placements[-1]
+    generation = attempt.make_generation(
         request,
         last,
         delivered,
-        tools,
-        _make_kv_parts(placed.seats[:-1], tools),
-        _make_reservation(last, tools),
+        context,
+        _make_kv_parts(grant.placements[:-1], context),
+        _make_reservation_id(last, context),
         first_token,
     )
-    async for event in attempt.follow(request, last, wanted, tools):
+    async for event in attempt.run_generation(
+        request, last, generation, context
+    ):
         yield event
 
 
 def _make_kv_parts(
-    seats: tuple[placement.Seat, ...], tools: tool_types.Tools
+    placements: tuple[scheduler_messages.Placement, ...],
+    context: contexts.EntryContext,
 ) -> tuple[generations.KvPart, ...]:
     return tuple(
         generations.KvPart(
-            str(seat.target.address), _make_reservation(seat, tools)
+            str(placement.target.address),
+            _make_reservation_id(placement, context),
         )
-        for seat in seats
+        for placement in placements
     )
 
 
-def _make_reservation(seat: placement.Seat, tools: tool_types.Tools) -> str:
-    """Returns the name of a seat's reservation, unlike that of its stream."""
-    return f"{attempt.make_stream_id(seat, tools)}.part"
+def _make_reservation_id(
+    placement: scheduler_messages.Placement, context: contexts.EntryContext
+) -> str:
+    """Returns the reservation id, which differs from the stream id."""
+    return f"{attempt.make_stream_id(placement, context)}.part"
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -17,12 +17,12 @@
 from ruddergate.decisions import retries
 from ruddergate.entry import canceller as cancellers
 from ruddergate.entry import config as configs
+from ruddergate.entry import context as contexts
 from ruddergate.entry import crash_detector
 from ruddergate.entry import drain_check
-from ruddergate.entry import open_calls
+from ruddergate.entry import in_flight
 from ruddergate.entry import peer_gossip
 from ruddergate.entry import peer_rpc
-from ruddergate.entry import placement
 from ruddergate.entry import poll_config
 from ruddergate.entry import quarantine_gossip
 from ruddergate.entry import rate_limiter
@@ -31,11 +31,11 @@
 from ruddergate.entry import reservation_keeper
 from ruddergate.entry import retry_transfers
 from ruddergate.entry import scheduler as schedulers
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import status
 from ruddergate.entry import store_peers
 from ruddergate.entry import store_sync
 from ruddergate.entry import target_availability
-from ruddergate.entry import tools as tool_types
 from ruddergate.entry import view as views
 from ruddergate.fleet import store_position
 from ruddergate.fleet import target as targets
@@ -127,7 +127,7 @@
         self._log = logs.make_logger("entry")
         self._is_stopping = False
         self._connections = http_server.Connections()
-        self._open_requests = open_calls.OpenCalls(
+        self._open_requests = in_flight.InFlightCalls(
             platform.caller_protocol.write_failure
         )
         view = views.View()
@@ -137,8 +137,8 @@
             env,
             str(gateway_config.peers.listen),
             lambda now_ms: self._peers.loads.find_member_halls(now_ms),
-            lambda target_id: self.tools.scheduler.find_target(target_id),
-            lambda pool: self.tools.scheduler.find_halls(pool),
+            lambda target_id: self.context.scheduler.find_target(target_id),
+            lambda pool: self.context.scheduler.find_halls(pool),
             lambda: self._peers.note_change(),
             metrics,
         )
@@ -150,7 +150,7 @@
             lambda: self._peers.collect_sums(),
             lambda: self._peers.lacks_peers(),
             lambda: self._peers.loads.collect_losses(),
-            withdrawn=drain_state,
+            drain_state=drain_state,
             limits=self._rate_limiter.limits,
         )
         self._quarantine_gossip = quarantine_gossip.QuarantineGossip(
@@ -162,32 +162,36 @@
         self._availability = target_availability.TargetAvailability(
             env, drain_state, metrics, self._on_draining
         )
-        self.tools = tool_types.Tools(
+        self.context = contexts.EntryContext(
             env=env,
             config=config,
             incarnation=environment.make_random_id(env.random),
-            began_ms=env.now_ms(),
+            started_ms=env.now_ms(),
             view=view,
             scheduler=scheduler,
             canceller=cancellers.Canceller(env, view),
             budget=retries.Budget(gateway_config.retry_ratio, 0.0, 0.0),
             metrics=metrics,
             tracer=tracer,
-            suspects=self._quarantine_gossip.table,
-            secure_retry=lambda is_large: self._retry_transfers.acquire(
+            quarantine=self._quarantine_gossip.table,
+            ensure_retry=lambda is_large: self._retry_transfers.acquire(
                 is_large
             ),
-            note_lost=lambda lost: self._crash_detector.on_lost_call(lost),
-            refuse_send=self._check_admission,
-            admit=self._rate_limiter.admit,
-            give_back=self._rate_limiter.give_back,
+            report_lost_call=lambda lost: self._crash_detector.on_lost_call(
+                lost
+            ),
+            check_admission=self._check_admission,
+            take_rate_token=self._rate_limiter.admit,
+            return_rate_token=self._rate_limiter.give_back,
         )
         self._orders = platform.make_orders(self._on_hints)
         self._keeper = reservation_keeper.ReservationKeeper(
             env,
             self._rate_limiter.charge_orders(self._orders),
             view.is_superseded,
-            lambda target: scheduler.post(placement.LifeEnded(target)),
+            lambda target: scheduler.post(
+                scheduler_messages.IncarnationEnded(target)
+            ),
             self._rate_limiter.limits.is_limited,
         )
         self._drain_check = drain_check.DrainCheck(
@@ -201,15 +205,17 @@
         self._crash_detector = crash_detector.CrashDetector(
             self._keeper.probe,
             self._quarantine_gossip.table.on_target_ended,
-            lambda target: scheduler.post(placement.LifeEnded(target)),
-            self.tools.metrics,
+            lambda target: scheduler.post(
+                scheduler_messages.IncarnationEnded(target)
+            ),
+            self.context.metrics,
         )
         self._handler = relay_handler.RelayHandler(
-            self.tools,
+            self.context,
             platform.caller_protocol,
             platform.make_send(self._on_hints),
             self._keeper,
-            relay_admit.Trust(
+            relay_admit.SettingsAgeLimits(
                 gateway_config.settings_age_max_ms,
                 gateway_config.certain_age_max_ms,
             ),
@@ -218,11 +224,11 @@
             env,
             gateway_config.peers,
             config.hall,
-            self.tools.incarnation,
-            scheduler.summarize,
+            self.context.incarnation,
+            scheduler.list_own_loads,
             self._resize_retry_budget,
             self.handle_peer_request,
-            scheduler.summarize_lost,
+            scheduler.make_loss_report,
             self._quarantine_gossip.merge_gossip,
             self._on_peer_started,
             summarize_draining=self._availability.summarize,
@@ -234,7 +240,7 @@
         )
         self._retry_transfers = retry_transfers.RetryTransfers(
             env,
-            self.tools.budget,
+            self.context.budget,
             self._peers.rpc,
             self._peers.find_hall_peers,
         )
@@ -288,7 +294,7 @@
                     request.question, position, request.part
                 )
             case retry_loan.RetriesWanted():
-                transferred = self.tools.budget.transfer_out(
+                transferred = self.context.budget.transfer_out(
                     request.retries, request.is_great
                 )
                 return retry_loan.RetriesLent(request.question, transferred)
@@ -313,12 +319,12 @@
         self._vms_max = max(self._vms_max, peers + 1)
         slack = self._gateway_config.retry_slack
         budget_max = retries.compute_capacity(slack, self._vms_max)
-        self.tools.budget.resize(budget_max)
+        self.context.budget.resize(budget_max)
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serves until `stop` is set, then makes a planned stop."""
         tasks = [
-            asyncio.ensure_future(self.tools.scheduler.run()),
+            asyncio.ensure_future(self.context.scheduler.run()),
             asyncio.ensure_future(self._sync.run()),
             asyncio.ensure_future(self._peers.run()),
             asyncio.ensure_future(self._quarantine_gossip.run()),
@@ -350,10 +356,10 @@
                 server.close()
             for task in tasks:
                 task.cancel()
-            self.tools.tracer.close()
+            self.context.tracer.close()
 
     async def _serve(
-        self, handle: open_calls.Handle, address: environment.Address
+        self, handle: in_flight.Handle, address: environment.Address
     ) -> asyncio.Server:
         handler = http_server.make_stream_handler(handle, self._config.limits)
         return await self._env.serve(handler, address)
@@ -363,7 +369,7 @@
     ) -> None:
         """Serves a connection, with the limits in force when it is opened."""
         handler = http_server.make_stream_handler(
-            self._open_requests.guard(self._handler.handle),
+            self._open_requests.track(self._handler.handle),
             self._find_http_limits(),
             self._should_close,
             self._connections,
@@ -372,7 +378,7 @@
 
     def _find_http_limits(self) -> http_server.Limits:
         default = self._config.limits
-        published_limits = self.tools.view.catalog.limits
+        published_limits = self.context.view.catalog.limits
         return dataclasses.replace(
             default,
             header_bytes_max=published_limits.header_bytes_max
@@ -388,7 +394,7 @@
         return self._is_stopping or not self._has_fresh_settings()
 
     def _has_fresh_settings(self) -> bool:
-        view = self.tools.view
+        view = self.context.view
         if view.catalog.revision == 0:
             return False
         age_ms = view.settings_age_ms(self._env.now_ms())
@@ -412,11 +418,11 @@
         self, incoming: message.IncomingRequest
     ) -> message.Response:
         if incoming.path == "/status":
-            return status.make_status(self.tools, False, self._is_stopping)
-        status.set_gauges(self.tools)
-        metrics = self.tools.metrics
+            return status.make_status(self.context, False, self._is_stopping)
+        status.set_gauges(self.context)
+        metrics = self.context.metrics
         metrics.reservations.set({}, len(self._keeper))
-        quarantined = self.tools.suspects.list_quarantined()
+        quarantined = self.context.quarantine.list_quarantined()
         metrics.quarantined.set({}, len(quarantined))
         metrics.entries_refused.set({}, self._sync.count_refused())
         self._rate_limiter.set_gauges()
--- a/src/ruddergate/entry/handler.py
+++ b/src/ruddergate/entry/handler.py
@@ -1,4 +1,4 @@
-"""Answers callers: from HTTP to a request, to events, to HTTP."""
+"""HTTP handler for callers: parses, admits, runs and renders requests."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Awaitable
@@ -14,18 +14,18 @@
 from ruddergate.adapters.services import call as service_calls
 from ruddergate.decisions import ledger as ledgers
 from ruddergate.entry import admit
+from ruddergate.entry import context as contexts
 from ruddergate.entry import forwarding
 from ruddergate.entry import keyed as keyed_runs
 from ruddergate.entry import limits as limit_types
 from ruddergate.entry import recording
 from ruddergate.entry import serve
 from ruddergate.entry import tickets
-from ruddergate.entry import tools as tool_types
 from ruddergate.http import message
 from ruddergate.telemetry import logs
 
 TICKETS = "/v1/tickets"
-# A ticket's ledger entry may be dropped after this time.
+# After this time the ledger may have dropped the entry of a ticket.
 TICKET_VALID_MS = 3_600_000.0
 _UNKNOWN_RETRY_MS = 2_000.0
 _NOT_FOUND = 404
@@ -35,15 +35,15 @@
 
 
 class Handler:
-    """Decides for each call who runs it and renders the answer."""
+    """Decides which VM runs each request, and renders the answer."""
 
     def __init__(
         self,
-        tools: tool_types.Tools,
+        context: contexts.EntryContext,
         limits: limit_types.Limits,
         keyed: keyed_runs.KeyedRuns,
     ) -> None:
-        self._tools = tools
+        self._context = context
         self._limits = limits
         self._keyed = keyed
         self._log = logs.make_logger("entry")
@@ -59,7 +59,7 @@
     async def handle_forwarded(
         self, incoming: message.IncomingRequest
     ) -> message.Response:
-        """Answers another entry, which took this VM for the home."""
+        """Answers a request that another entry forwarded to its home VM."""
         return await self._handle_call(incoming, is_forwarded=True)
 
     async def _handle_call(
@@ -70,9 +70,9 @@
         call = parse.parse_call(incoming)
         if isinstance(call, outcomes.NotServed):
             return render.make_failure(call)
-        request = admit.admit(call, self._tools.view, self._tools.env)
+        request = admit.admit(call, self._context.view, self._context.env)
         if isinstance(request, outcomes.NotServed):
-            self._tools.metrics.note_outcome(request.reason, request.ran)
+            self._context.metrics.note_outcome(request.reason, request.ran)
             return render.make_failure(request)
         if request.ticket:
             return await self._handle_ticket(
@@ -80,7 +80,7 @@
             )
         if request.idempotency_key:
             return await self._handle_key(incoming, call, request, is_forwarded)
-        events = serve.serve(request, self._limits, self._tools)
+        events = serve.serve(request, self._limits, self._context)
         return await self._respond(call, request, events)
 
     async def _handle_key(
@@ -90,18 +90,18 @@
         request: requests.Request,
         is_forwarded: bool,
     ) -> message.Response:
-        own_id = self._tools.config.vm_id
-        listing = self._tools.view.listing
+        own_id = self._context.config.vm_id
+        listing = self._context.view.listing
         home = ledgers.find_home(keyed_runs.scope_key(request), listing)
         if home == own_id or is_forwarded:
             events = self._keyed.serve_key(request)
             return await self._respond(call, request, events)
-        return await self._pass_on(
+        return await self._forward(
             incoming,
             request,
             home or "",
             outcomes.Reason.KEY_HOME_UNREACHABLE,
-            "the VM that decides about this key can't be reached",
+            "the home VM of this idempotency key is unreachable",
         )
 
     async def _handle_ticket(
@@ -113,50 +113,52 @@
     ) -> message.Response:
         ticket = tickets.parse(
             request.ticket,
-            self._tools.config.peer_key,
+            self._context.config.peer_key,
             request.workload.workspace,
         )
         if ticket is None:
             return render.make_failure(
                 outcomes.refuse(outcomes.Reason.BAD_REQUEST, "unknown ticket")
             )
-        if ticket.incarnation == self._tools.incarnation:
-            age_ms = self._tools.env.now_ms() - ticket.issued_ms
+        if ticket.incarnation == self._context.incarnation:
+            age_ms = self._context.env.now_ms() - ticket.issued_ms
             if age_ms > TICKET_VALID_MS:
-                return render.make_failure(_ticket_gone("it is too old"))
+                return render.make_failure(_refuse_ticket("it has expired"))
             events = self._keyed.serve_ticket(request)
             return await self._respond(call, request, events)
-        if is_forwarded or ticket.vm_id == self._tools.config.vm_id:
-            return render.make_failure(_ticket_gone("its issuer has ended"))
-        return await self._pass_on(
+        if is_forwarded or ticket.vm_id == self._context.config.vm_id:
+            return render.make_failure(
+                _refuse_ticket("the process that issued it has ended")
+            )
+        return await self._forward(
             incoming,
             request,
             ticket.vm_id,
             outcomes.Reason.TICKET_HOME_GONE,
-            "the VM that issued this ticket can't be reached",
+            "the VM that issued this ticket is unreachable",
         )
 
     def _issue_ticket(
         self, incoming: message.IncomingRequest
     ) -> message.Response:
         key = parse.read_key(incoming.headers) or ""
-        workspace = self._tools.view.index.find_workspace(key)
+        workspace = self._context.view.index.find_workspace(key)
         if workspace is None:
             return render.make_failure(
                 outcomes.refuse(outcomes.Reason.UNKNOWN_KEY, "unknown key")
             )
         ticket = tickets.issue(
-            self._tools.config.peer_key,
-            self._tools.config.vm_id,
-            self._tools.incarnation,
+            self._context.config.peer_key,
+            self._context.config.vm_id,
+            self._context.incarnation,
             workspace,
-            self._tools.env.now_ms(),
-            self._tools.env.random,
+            self._context.env.now_ms(),
+            self._context.env.random,
         )
         document = {"ticket": ticket, "valid_ms": TICKET_VALID_MS}
         return message.make_json_response(200, document)
 
-    async def _pass_on(
+    async def _forward(
         self,
         incoming: message.IncomingRequest,
         request: requests.Request,
@@ -164,21 +166,21 @@
         reason: outcomes.Reason,
         detail: str,
     ) -> message.Response:
-        lost = outcomes.NotServed(
+        failure = outcomes.NotServed(
             reason, outcomes.Ran.UNKNOWN, detail, _UNKNOWN_RETRY_MS
         )
-        listed = self._tools.view.listing.vms
+        listed = self._context.view.listing.vms
         found = [vm for vm in listed if vm.vm_id == vm_id]
         if not found:
-            return render.make_failure(lost, request.request_id)
-        return await forwarding.pass_on(
-            self._tools.env,
+            return render.make_failure(failure, request.request_id)
+        return await forwarding.forward_request(
+            self._context.env,
             found[0].entry_peer,
-            self._tools.config.peer_key,
+            self._context.config.peer_key,
             incoming,
-            request.remaining_ms(self._tools.env.now_ms()),
-            lambda: render.make_failure(lost, request.request_id),
-            lambda: render.render_failure(lost),
+            request.remaining_ms(self._context.env.now_ms()),
+            lambda: render.make_failure(failure, request.request_id),
+            lambda: render.render_failure(failure),
         )
 
     async def _respond(
@@ -189,7 +191,7 @@
             model=request.workload.name,
             is_chat=call.is_chat,
             prompt_tokens=request.prompt_tokens,
-            created_s=int(self._tools.env.wall_ms() / 1000.0),
+            created_s=int(self._context.env.wall_ms() / 1000.0),
         )
         if call.stream:
             return await self._stream(style, events)
@@ -219,7 +221,7 @@
     async def _stream(
         self, style: render.Style, events: Events
     ) -> message.Response:
-        """Waits for the first event, so that early failures have a status."""
+        """Waits for the first event, so that early failures get a status."""
         try:
             first = await anext(events)
         except BaseException:
@@ -265,15 +267,15 @@
 
 def with_span(
     handle: Callable[[message.IncomingRequest], Awaitable[message.Response]],
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> Callable[[message.IncomingRequest], Awaitable[message.Response]]:
-    """Returns the handler with a span around it, passed on to later hops."""
+    """Wraps a handler in a trace span, which later hops continue."""
 
     async def handle_in_span(
         incoming: message.IncomingRequest,
     ) -> message.Response:
         before = incoming.headers.get("traceparent", "")
-        with tools.tracer.span("request", before) as traceparent:
+        with context.tracer.span("request", before) as traceparent:
             if traceparent == before:
                 return await handle(incoming)
             headers = {**incoming.headers, "traceparent": traceparent}
@@ -303,9 +305,9 @@
     )
 
 
-def _ticket_gone(why: str) -> outcomes.NotServed:
+def _refuse_ticket(why: str) -> outcomes.NotServed:
     return outcomes.NotServed(
         outcomes.Reason.TICKET_HOME_GONE,
         outcomes.Ran.UNKNOWN,
-        f"the ticket can't be used any more: {why}",
+        f"the ticket is no longer valid: {why}",
     )
--- a/src/ruddergate/entry/open_calls.py
+++ b/src/ruddergate/entry/in_flight.py
@@ -1,4 +1,4 @@
-"""Counts calls in flight, so that a planned stop can wait for them."""
+"""Counts requests in flight, so that a planned stop can wait for them."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Awaitable
@@ -14,15 +14,16 @@
 _INTERNAL = outcomes.NotServed(
     outcomes.Reason.INTERNAL,
     outcomes.Ran.UNKNOWN,
-    "a fault in the entry; it is in its log",
+    "internal error in the entry; see its log",
 )
 
 
-class OpenCalls:
-    """The calls that one process is answering.
+class InFlightCalls:
+    """The requests that one process is answering; `len` returns their number.
 
     Args:
-        write_failure: Makes the answer for a call that met a fault of ours.
+        write_failure: Renders the response to a request whose handler raised an
+            exception.
     """
 
     def __init__(
@@ -36,8 +37,8 @@
     def __len__(self) -> int:
         return self._count
 
-    def guard(self, handle: Handle) -> Handle:
-        """Returns the handler, counted; a fault of ours harms its call only."""
+    def track(self, handle: Handle) -> Handle:
+        """Wraps a handler: counts its requests and answers its exceptions."""
 
         async def handle_counted(
             incoming: message.IncomingRequest,
@@ -46,7 +47,7 @@
             try:
                 response = await handle(incoming)
             except Exception:
-                self._log.exception("Request ended by a fault.")
+                self._log.exception("Request failed with an internal error.")
                 response = self._write_failure(_INTERNAL)
             except BaseException:
                 self._count -= 1
--- a/src/ruddergate/entry/limits.py
+++ b/src/ruddergate/entry/limits.py
@@ -1,4 +1,4 @@
-"""This VM's use of the fleet-wide limits."""
+"""Applies this VM's shares of the fleet-wide limits of workspaces."""
 
 from ruddergate import environment
 from ruddergate import outcomes
@@ -8,13 +8,13 @@
 from ruddergate.messages import entry_load
 from ruddergate.settings import effective
 
-_LEAST_FRACTION = 1e-4
-# A workspace that was lately refused would run about this much more.
-_WANTED_WHEN_REFUSED = 1.5
+_MIN_REPORTED_FRACTION = 1e-4
+# A workspace that was refused recently would run about this many times more.
+_REFUSED_DEMAND_FACTOR = 1.5
 
 
 class Limits:
-    """Meters of one entry; counts each request in and out once."""
+    """Meters of one entry; each request is counted at its start and end."""
 
     def __init__(self, env: environment.Environment, view: views.View) -> None:
         self._env = env
@@ -24,7 +24,7 @@
         self._limits: dict[str, tuple[effective.Limit, ...]] = {}
 
     def start(self, request: requests.Request) -> outcomes.NotServed | None:
-        """Counts a request in, or returns why a limit forbids it."""
+        """Counts a request as started, or returns the refusal of a limit."""
         workload = request.workload
         if not workload.limits:
             return None
@@ -43,17 +43,17 @@
         return None
 
     def end(self, request: requests.Request) -> None:
-        """Counts a request out."""
+        """Counts a request as ended."""
         for limit in request.workload.limits:
             self._meters[limit.scope].end()
 
     def demand(self) -> tuple[entry_load.Demand, ...]:
-        """Returns the demand of each workspace as part of its limits."""
+        """Returns each workspace's demand as a fraction of its limits."""
         now_ms = self._env.now_ms()
         found = []
         for workspace, demand in sorted(self._demand.items()):
             fraction = self._predict_fraction(workspace, demand, now_ms)
-            if fraction > _LEAST_FRACTION:
+            if fraction > _MIN_REPORTED_FRACTION:
                 found.append(entry_load.Demand(workspace, fraction))
         return tuple(found)
 
@@ -66,7 +66,7 @@
             meter = self._find_meter(limit.scope, now_ms)
             running = meter.running / limit.concurrency_max
             if now_ms - meter.last_refused_ms < meters.DEMAND_DECAY_MS:
-                running *= _WANTED_WHEN_REFUSED
+                running *= _REFUSED_DEMAND_FACTOR
             highest = max(highest, rate, running)
         return highest
 
--- a/src/ruddergate/entry/model_run.py
+++ b/src/ruddergate/entry/model_run.py
@@ -1,4 +1,4 @@
-"""Runs one request on engines, with retries, until it has an outcome."""
+"""Runs one prompt on engines, with retries, until it has an outcome."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -14,18 +14,25 @@
 from ruddergate.decisions import retries
 from ruddergate.decisions.routing import job as jobs
 from ruddergate.entry import attempt
+from ruddergate.entry import context as contexts
 from ruddergate.entry import gang_attempt
-from ruddergate.entry import placement
-from ruddergate.entry import tools as tool_types
+from ruddergate.entry import scheduler_messages
 
-_OUTRUN_PAUSE_MS = (500.0, 2_000.0)
+_MEMORY_RACE_PAUSE_MS = (500.0, 2_000.0)
 
 Event = parts.Tokens | outcomes.Finished | outcomes.NotServed
 
 
 @dataclasses.dataclass(slots=True)
 class _Progress:
-    """How far a request has come, over all its attempts."""
+    """Progress of a request over all its attempts.
+
+    Attributes:
+        delivered: Tokens that the caller has, as texts.
+        ran: Whether any attempt ran the request, as far as known.
+        attempts: Number of attempts.
+        excluded: Ids of targets that have failed the request.
+    """
 
     delivered: list[str]
     ran: outcomes.Ran
@@ -34,67 +41,71 @@
 
 
 async def run(
-    request: requests.Request, tools: tool_types.Tools
+    request: requests.Request, context: contexts.EntryContext
 ) -> AsyncIterator[Event]:
-    """Yields tokens in order, each once, and at last the outcome."""
+    """Yields tokens in order, each once, and last the outcome."""
     progress = _Progress([], outcomes.Ran.NOT_RUN, 0, frozenset())
-    tools.budget.note_first_attempt()
+    context.budget.note_first_attempt()
     while True:
-        placed = await _place(request, progress, tools)
-        if isinstance(placed, outcomes.NotServed):
-            yield _with_history(placed, progress)
+        grant = await _place(request, progress, context)
+        if isinstance(grant, outcomes.NotServed):
+            yield _with_combined_ran(grant, progress)
             return
         progress.attempts += 1
-        run_once = gang_attempt.run if len(placed.seats) > 1 else attempt.run
-        ended: outcomes.Finished | outcomes.NotServed | None = None
+        run_once = (
+            gang_attempt.run if len(grant.placements) > 1 else attempt.run
+        )
+        outcome: outcomes.Finished | outcomes.NotServed | None = None
         async for event in run_once(
-            request, placed, tuple(progress.delivered), tools
+            request, grant, tuple(progress.delivered), context
         ):
             if isinstance(event, parts.Tokens):
                 progress.delivered.extend(event.texts)
                 yield event
             else:
-                ended = event
-        if isinstance(ended, outcomes.Finished):
-            yield ended
+                outcome = event
+        if isinstance(outcome, outcomes.Finished):
+            yield outcome
             return
-        final = await _decide(request, placed, ended, progress, tools)
+        final = await _conclude_or_retry(
+            request, grant, outcome, progress, context
+        )
         if final is not None:
             yield final
             return
 
 
-async def _decide(
+async def _conclude_or_retry(
     request: requests.Request,
-    placed: placement.Placed,
-    ended: outcomes.NotServed,
+    grant: scheduler_messages.PlacementGrant,
+    outcome: outcomes.NotServed,
     progress: _Progress,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> outcomes.NotServed | None:
-    """Returns the final outcome, or None after the pause for a retry."""
-    tools.metrics.attempts.inc({"result": ended.reason.value})
-    if _is_outrun(placed, ended):
-        # Another gang took the memory first: no work was lost, and waiting
-        # in the queue again costs the engines nothing.
-        pause_ms = tools.env.random.uniform(*_OUTRUN_PAUSE_MS)
+    """Returns the final outcome, or None after the delay before a retry."""
+    context.metrics.attempts.inc({"result": outcome.reason.value})
+    if _lost_memory_race(grant, outcome):
+        # Another gang reserved the memory first. No work was lost, and queueing
+        # again costs the engines nothing.
+        pause_ms = context.env.random.uniform(*_MEMORY_RACE_PAUSE_MS)
         await asyncio.sleep(pause_ms / 1000.0)
         return None
-    progress.ran = worse(progress.ran, ended.ran)
-    failed = {seat.target.target_id for seat in placed.seats}
+    progress.ran = combine_ran(progress.ran, outcome.ran)
+    failed = {placement.target.target_id for placement in grant.placements}
     progress.excluded = progress.excluded | failed
-    now_ms = tools.env.now_ms()
-    needed = _predict(request, progress)
+    now_ms = context.env.now_ms()
+    predicted = _predict(request, progress)
     decided = retries.decide(
-        ended,
+        outcome,
         request.repeatable,
         progress.attempts,
         request.remaining_ms(now_ms),
-        needed.unloaded_ms,
-        tools.budget,
-        tools.env.random,
+        predicted.unloaded_ms,
+        context.budget,
+        context.env.random,
     )
     if isinstance(decided, outcomes.NotServed):
-        return _with_history(decided, progress)
+        return _with_combined_ran(decided, progress)
     await asyncio.sleep(decided.delay_ms / 1000.0)
     return None
 
@@ -102,9 +113,9 @@
 async def _place(
     request: requests.Request,
     progress: _Progress,
-    tools: tool_types.Tools,
-) -> placement.Placed | outcomes.NotServed:
-    now_ms = tools.env.now_ms()
+    context: contexts.EntryContext,
+) -> scheduler_messages.PlacementGrant | outcomes.NotServed:
+    now_ms = context.env.now_ms()
     pool = request.workload.pool
     segments: tuple[gangs.Segment, ...] = ()
     output_tokens = request.output_tokens_max
@@ -118,7 +129,7 @@
     cost = _predict(request, progress)
     band = length_band.find_band(request.prompt_tokens)
     prefix = request.prefix
-    asked = placement.Place(
+    placement_request = scheduler_messages.PlacementRequest(
         job=queueing.Job(
             job_id=f"{request.request_id}.{progress.attempts}",
             priority=request.workload.priority,
@@ -129,7 +140,7 @@
             unloaded_ms=cost.unloaded_ms,
             deadline_ms=request.deadline_ms,
         ),
-        route=jobs.Job(
+        routing_job=jobs.Job(
             prompt_tokens=request.prompt_tokens,
             held_tokens=cost.held_tokens,
             prefix=prefix.name if prefix else "",
@@ -142,22 +153,22 @@
         excluded=progress.excluded,
         reply=asyncio.get_running_loop().create_future(),
     )
-    return await place_in_time(request, asked, tools)
+    return await place_before_deadline(request, placement_request, context)
 
 
-async def place_in_time(
+async def place_before_deadline(
     request: requests.Request,
-    asked: placement.Place,
-    tools: tool_types.Tools,
-) -> placement.Placed | outcomes.NotServed:
-    """Waits for a place until the time limit."""
-    left_ms = request.remaining_ms(tools.env.now_ms())
+    placement_request: scheduler_messages.PlacementRequest,
+    context: contexts.EntryContext,
+) -> scheduler_messages.PlacementGrant | outcomes.NotServed:
+    """Waits for a target until the request's deadline."""
+    left_ms = request.remaining_ms(context.env.now_ms())
     try:
         async with asyncio.timeout(left_ms / 1000.0):
-            return await tools.scheduler.place(asked)
+            return await context.scheduler.place(placement_request)
     except TimeoutError:
         return outcomes.refuse(
-            outcomes.Reason.TIME_LIMIT, "time was up while it waited"
+            outcomes.Reason.TIME_LIMIT, "the time limit passed in the queue"
         )
 
 
@@ -174,7 +185,7 @@
     if planned is None or not pool.exports_kv:
         return outcomes.refuse(
             outcomes.Reason.PROMPT_TOO_LONG,
-            f"pool {pool.name} can't hold so long a prompt",
+            f"pool {pool.name} has no memory for a prompt of this length",
         )
     return planned
 
@@ -189,24 +200,26 @@
     )
 
 
-def _with_history(
-    ended: outcomes.NotServed, progress: _Progress
+def _with_combined_ran(
+    outcome: outcomes.NotServed, progress: _Progress
 ) -> outcomes.NotServed:
-    """Lets the outcome tell of all attempts, not of the last alone."""
-    ran = worse(progress.ran, ended.ran)
-    return dataclasses.replace(ended, ran=ran)
+    """Returns the outcome with `ran` combined over all attempts."""
+    ran = combine_ran(progress.ran, outcome.ran)
+    return dataclasses.replace(outcome, ran=ran)
 
 
-def _is_outrun(placed: placement.Placed, ended: outcomes.NotServed) -> bool:
+def _lost_memory_race(
+    grant: scheduler_messages.PlacementGrant, outcome: outcomes.NotServed
+) -> bool:
     return (
-        len(placed.seats) > 1
-        and ended.ran is outcomes.Ran.NOT_RUN
-        and ended.reason is outcomes.Reason.TARGET_REFUSED
+        len(grant.placements) > 1
+        and outcome.ran is outcomes.Ran.NOT_RUN
+        and outcome.reason is outcomes.Reason.TARGET_REFUSED
     )
 
 
-def worse(first: outcomes.Ran, second: outcomes.Ran) -> outcomes.Ran:
-    """Returns what two attempts together say about having run."""
+def combine_ran(first: outcomes.Ran, second: outcomes.Ran) -> outcomes.Ran:
+    """Returns whether either of two attempts ran, as far as known."""
     for ran in (outcomes.Ran.RAN, outcomes.Ran.UNKNOWN):
         if ran in (first, second):
             return ran
--- a/src/ruddergate/entry/program.py
+++ b/src/ruddergate/entry/program.py
@@ -1,4 +1,4 @@
-"""Wires one entry together and runs it until its planned stop."""
+"""Assembles one entry and runs it until its planned stop."""
 
 import asyncio
 
@@ -8,16 +8,16 @@
 from ruddergate.decisions import retries
 from ruddergate.entry import canceller as cancellers
 from ruddergate.entry import config as configs
+from ruddergate.entry import context as contexts
 from ruddergate.entry import feed as feeds
 from ruddergate.entry import forwarding
 from ruddergate.entry import handler as handlers
+from ruddergate.entry import in_flight
 from ruddergate.entry import keyed as keyed_runs
 from ruddergate.entry import limits as limit_types
-from ruddergate.entry import open_calls
 from ruddergate.entry import quarantine
 from ruddergate.entry import scheduler as schedulers
 from ruddergate.entry import status
-from ruddergate.entry import tools as tool_types
 from ruddergate.entry import view as views
 from ruddergate.http import server as http_server
 from ruddergate.telemetry import logs
@@ -39,34 +39,34 @@
         self._env = env
         self._config = config
         self._log = logs.make_logger("entry")
-        self._open = open_calls.OpenCalls(render.make_failure)
+        self._in_flight = in_flight.InFlightCalls(render.make_failure)
         self._is_closing = False
         view = views.View()
         scheduler = schedulers.Scheduler(env, config, view)
-        self.tools = tool_types.Tools(
+        self.context = contexts.EntryContext(
             env=env,
             config=config,
             incarnation=environment.make_random_id(env.random),
-            began_ms=env.now_ms(),
+            started_ms=env.now_ms(),
             view=view,
             scheduler=scheduler,
             canceller=cancellers.Canceller(env, view),
             budget=retries.Budget(),
             metrics=metric_types.EntryMetrics(),
             tracer=tracer,
-            suspects=quarantine.Quarantine(env),
+            quarantine=quarantine.Quarantine(env),
         )
         limits = limit_types.Limits(env, view)
-        self._keyed = keyed_runs.KeyedRuns(self.tools, limits)
-        self._handler = handlers.Handler(self.tools, limits, self._keyed)
+        self._keyed = keyed_runs.KeyedRuns(self.context, limits)
+        self._handler = handlers.Handler(self.context, limits, self._keyed)
         self._feed = feeds.Feed(
-            env, config, self.tools.incarnation, view, scheduler, limits
+            env, config, self.context.incarnation, view, scheduler, limits
         )
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serves until `stop` is set, then ends as planned."""
         tasks = [
-            asyncio.ensure_future(self.tools.scheduler.run()),
+            asyncio.ensure_future(self.context.scheduler.run()),
             asyncio.ensure_future(self._feed.run()),
         ]
         callers = await self._serve_callers()
@@ -80,13 +80,15 @@
             callers.close()
             for task in tasks:
                 task.cancel()
-            self.tools.tracer.close()
+            self.context.tracer.close()
 
     async def _serve_callers(self) -> asyncio.Server:
-        handle_call = handlers.with_span(self._handler.handle, self.tools)
-        handle = status.make_status_handler(handle_call, self._feed, self.tools)
+        handle_call = handlers.with_span(self._handler.handle, self.context)
+        handle = status.make_status_handler(
+            handle_call, self._feed, self.context
+        )
         handler = http_server.make_stream_handler(
-            self._open.guard(handle),
+            self._in_flight.track(handle),
             self._config.limits,
             lambda: self._is_closing,
         )
@@ -95,7 +97,7 @@
     async def _serve_peers(self) -> asyncio.Server:
         handler = forwarding.make_stream_handler(
             self._config.peer_key,
-            self._open.guard(self._handler.handle_forwarded),
+            self._in_flight.track(self._handler.handle_forwarded),
             self._config.limits.read_timeout_ms,
         )
         return await self._env.serve(handler, self._config.peer_listen)
@@ -103,10 +105,14 @@
     async def _stop(self, callers: asyncio.Server) -> None:
         self._log.info("Planned stop begins.")
         self._feed.is_stopping = True
-        # Callers come for as long as the balancer has not noticed.
+        # New callers come until the load balancer has noticed.
         await asyncio.sleep(self._config.stop_lag_ms / 1000.0)
         self._is_closing = True
         callers.close()
-        while len(self._open) or len(self._keyed) or len(self.tools.canceller):
+        while (
+            len(self._in_flight)
+            or len(self._keyed)
+            or len(self.context.canceller)
+        ):
             await asyncio.sleep(_POLL_MS / 1000.0)
         self._log.info("Planned stop ends, nothing is in flight.")
--- a/src/ruddergate/entry/quarantine.py
+++ b/src/ruddergate/entry/quarantine.py
@@ -44,9 +44,13 @@
         """Records that a target ended while it served a request."""
         now_ms = self._env.now_ms()
         incarnation = lost.target.life
-        weight = poison_requests.weigh_crash(lost.there_ms, lost.reading_ms)
-        if self._evidence.note_crash(lost.content, incarnation, weight, now_ms):
-            self._announce(lost.content, lost.request_id)
+        weight = poison_requests.weigh_crash(
+            lost.since_sent_ms, lost.prefill_ms
+        )
+        if self._evidence.note_crash(
+            lost.fingerprint, incarnation, weight, now_ms
+        ):
+            self._announce(lost.fingerprint, lost.request_id)
 
     def on_request_finished(self, request: requests.Request) -> None:
         """Records that a request ran to its end.
--- a/src/ruddergate/entry/relay_admit.py
+++ b/src/ruddergate/entry/relay_admit.py
@@ -1,4 +1,4 @@
-"""From an inquiry to a request: route, key, freshness, limits of time."""
+"""Admits relayed requests: route, API key, settings freshness, time limit."""
 
 import dataclasses
 import random
@@ -6,7 +6,7 @@
 from ruddergate import outcomes
 from ruddergate import payload as payloads
 from ruddergate import request as requests
-from ruddergate.entry import tools as tool_types
+from ruddergate.entry import context as contexts
 from ruddergate.http import message
 from ruddergate.relay import door as doors
 from ruddergate.settings import catalog as catalogs
@@ -14,72 +14,74 @@
 from ruddergate.settings import route as routes
 
 _NO_SETTINGS_RETRY_MS = 500.0
-# Another VM may know more; a fresh store answer comes within a second or two.
+# Another VM may have newer settings; this one gets an answer from the store
+# within a second or two.
 _STALE_RETRY_MS = 300.0
-# Ranks of routes lie within one step of rank of workspaces.
+# One rank of a workspace spans this many ranks of routes, so that routes only
+# order requests whose workspaces have the same rank.
 _RANK_STEP = 16
-# Calls of relayed routes are sent on at once; this bounds only what waits
-# while no target can be used.
+# Relayed requests are sent at once; this only bounds the queue while no target
+# is available.
 _QUEUE_COST_MS_MAX = 600_000.0
 _OUTPUT_TOKENS_TYPICAL = 512
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Trust:
-    """How old settings may be, in milliseconds.
+class SettingsAgeLimits:
+    """Largest age of the settings for a decision, in milliseconds.
 
     Attributes:
-        key_age_max_ms: For a key to be used.
-        certain_age_max_ms: For an unknown route or key to be unknown for
-            certain; by older ones it may be new.
+        key_age_max_ms: To accept a key.
+        not_found_age_max_ms: To refuse an unknown route or key for good; it may
+            be newer than older settings.
     """
 
     key_age_max_ms: float
-    certain_age_max_ms: float
+    not_found_age_max_ms: float
 
 
 def admit(
     incoming: message.IncomingRequest,
-    inquiry: doors.Inquiry,
+    caller_request: doors.Inquiry,
     arrived_ms: float,
-    tools: tool_types.Tools,
-    trust: Trust,
+    context: contexts.EntryContext,
+    age_limits: SettingsAgeLimits,
 ) -> requests.Request | outcomes.NotServed:
-    """Returns the request with its effective settings, or why not.
+    """Returns the request with its effective settings, or a refusal.
 
     Args:
-        incoming: The call as received.
-        inquiry: The call as understood.
-        arrived_ms: When it came; its time runs from then.
-        tools: What the stages share.
-        trust: How old settings may be.
+        incoming: The HTTP request as received.
+        caller_request: The HTTP request as parsed.
+        arrived_ms: When it arrived; its time limit starts then.
+        context: Shared objects of the entry.
+        age_limits: How old settings may be.
     """
-    catalog = tools.view.catalog
+    catalog = context.view.catalog
     if catalog.revision == 0:
         return outcomes.refuse(
             outcomes.Reason.NO_SETTINGS,
             "this VM has no settings yet",
             _NO_SETTINGS_RETRY_MS,
         )
-    route = catalog.find_route(inquiry.host, incoming.path)
+    route = catalog.find_route(caller_request.host, incoming.path)
     if route is None:
         return _refuse_unknown(
             outcomes.Reason.UNKNOWN_WORKLOAD,
-            "no route covers this call",
-            tools,
-            trust,
+            "no route matches this request",
+            context,
+            age_limits,
         )
     workspace = catalogs.Workspace("", 0)
     if catalog.workspaces and not route.is_open:
-        if _settings_age_ms(tools) > trust.key_age_max_ms:
-            return _refuse_stale("whether the key is still good")
-        found = catalog.workspaces.get(inquiry.key)
+        if _settings_age_ms(context) > age_limits.key_age_max_ms:
+            return _refuse_stale("whether the key is still valid")
+        found = catalog.workspaces.get(caller_request.key)
         if found is None:
             return _refuse_unknown(
-                outcomes.Reason.UNKNOWN_KEY, "unknown key", tools, trust
+                outcomes.Reason.UNKNOWN_KEY, "unknown key", context, age_limits
             )
         workspace = found
-    pool = _choose_pool(catalog, route, tools.env.random)
+    pool = _choose_pool(catalog, route, context.env.random)
     if pool is None:
         return outcomes.refuse(
             outcomes.Reason.NO_TARGET,
@@ -87,45 +89,51 @@
             _NO_SETTINGS_RETRY_MS,
         )
     return _make_request(
-        incoming, inquiry, arrived_ms, route, workspace, pool, catalog.revision
+        incoming,
+        caller_request,
+        arrived_ms,
+        route,
+        workspace,
+        pool,
+        catalog.revision,
     )
 
 
-def _settings_age_ms(tools: tool_types.Tools) -> float:
-    return tools.view.settings_age_ms(tools.env.now_ms())
+def _settings_age_ms(context: contexts.EntryContext) -> float:
+    return context.view.settings_age_ms(context.env.now_ms())
 
 
 def _refuse_unknown(
     reason: outcomes.Reason,
     detail: str,
-    tools: tool_types.Tools,
-    trust: Trust,
+    context: contexts.EntryContext,
+    age_limits: SettingsAgeLimits,
 ) -> outcomes.NotServed:
-    """Says for good that something is unknown, or that it may be new."""
-    if _settings_age_ms(tools) > trust.certain_age_max_ms:
-        return _refuse_stale(f"more than this: {detail}")
+    """Refuses for good, or with a retry if newer settings may know more."""
+    if _settings_age_ms(context) > age_limits.not_found_age_max_ms:
+        return _refuse_stale(f"whether this still holds: {detail}")
     return outcomes.refuse(reason, detail)
 
 
 def _refuse_stale(what: str) -> outcomes.NotServed:
     return outcomes.refuse(
         outcomes.Reason.SETTINGS_TOO_OLD,
-        f"this VM has not heard of the settings for long and can't tell {what}",
+        f"the settings of this VM are too old to tell {what}",
         _STALE_RETRY_MS,
     )
 
 
 def _choose_pool(
-    catalog: catalogs.Catalog, route: routes.Route, chance: random.Random
+    catalog: catalogs.Catalog, route: routes.Route, rng: random.Random
 ) -> effective.Pool | None:
     weights = [share.weight for share in route.shares]
-    chosen = chance.choices(route.shares, weights)[0]
+    chosen = rng.choices(route.shares, weights)[0]
     return catalog.find_pool(chosen.pool)
 
 
 def _make_request(
     incoming: message.IncomingRequest,
-    inquiry: doors.Inquiry,
+    caller_request: doors.Inquiry,
     arrived_ms: float,
     route: routes.Route,
     workspace: catalogs.Workspace,
@@ -133,8 +141,8 @@
     revision: int,
 ) -> requests.Request:
     time_limit_ms = route.time_limit_ms
-    if inquiry.time_limit_ms is not None:
-        time_limit_ms = min(time_limit_ms, inquiry.time_limit_ms)
+    if caller_request.time_limit_ms is not None:
+        time_limit_ms = min(time_limit_ms, caller_request.time_limit_ms)
     rank = workspace.rank * _RANK_STEP + route.rank
     workload = effective.Workload(
         name=route.name,
@@ -146,8 +154,8 @@
         pool=pool,
         time_limit_ms=route.time_limit_ms,
         repeatable=route.repeatable,
-        prompt_tokens_max=inquiry.prompt_tokens,
-        output_tokens_max=inquiry.output_tokens_max,
+        prompt_tokens_max=caller_request.prompt_tokens,
+        output_tokens_max=caller_request.output_tokens_max,
         output_tokens_typical=_OUTPUT_TOKENS_TYPICAL,
         weight=1.0,
         limits=(),
@@ -155,19 +163,19 @@
     payload = payloads.Payload(
         route=route,
         method=incoming.method,
-        host=inquiry.host,
+        host=caller_request.host,
         target=incoming.target,
-        fields=inquiry.fields,
+        fields=caller_request.fields,
         body=incoming.body,
-        last_event=inquiry.last_event,
+        last_event=caller_request.last_event,
     )
     return requests.Request(
-        request_id=inquiry.request_id,
+        request_id=caller_request.request_id,
         workload=workload,
         prompt="",
-        prompt_tokens=inquiry.prompt_tokens,
-        output_tokens_max=inquiry.output_tokens_max,
-        output_tokens_expected=inquiry.output_tokens_max,
+        prompt_tokens=caller_request.prompt_tokens,
+        output_tokens_max=caller_request.output_tokens_max,
+        output_tokens_expected=caller_request.output_tokens_max,
         prefix=None,
         repeatable=route.repeatable,
         idempotency_key="",
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a call that is passed on answered by one target."""
+"""One attempt to have a relayed request answered by one target."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -9,41 +9,45 @@
 from ruddergate.decisions import cost as costs
 from ruddergate.decisions import length_band
 from ruddergate.entry import attempt_log
+from ruddergate.entry import context as contexts
 from ruddergate.entry import first_event
 from ruddergate.entry import lost_call
-from ruddergate.entry import placement
 from ruddergate.entry import quarantine
 from ruddergate.entry import relay_progress
 from ruddergate.entry import reservation_keeper
-from ruddergate.entry import tools as tool_types
+from ruddergate.entry import scheduler_messages
 from ruddergate.relay import answer as answers
 from ruddergate.relay import errand as errands
 from ruddergate.relay import orders
 
-# A connection to a target in reach is up in a few milliseconds; packets lost
-# on the way are sent again after a second, which is too late to wait for. A
-# short prompt, due in 300 ms, can then still be in time elsewhere.
+# A reachable target accepts a connection within a few milliseconds. A lost
+# packet is retransmitted only after a second, which is too long to wait. With
+# this timeout, a short prompt due in 300 ms can still be in time elsewhere.
 CONNECT_TIMEOUT_MS = 150.0
-# Silence that a target is allowed before another one takes over, where the
-# route lets another one take over: times the aim, and at least so long.
-SILENCE_AIMS = 3.0
-SILENCE_LEAST_MS = 900.0
-# Where memory was refused, some may be free again after this time.
+# How long a target may be silent before the request fails over to another one,
+# where the route allows that: a multiple of the route's `aim_ms` for the first
+# event, and of its `gap_aim_ms` for later ones, with a minimum.
+SILENCE_TIMEOUT_AIMS = 3.0
+MIN_SILENCE_TIMEOUT_MS = 900.0
+# Retry-after when helpers refused memory; some may be free again by then.
 _NO_MEMORY_RETRY_MS = 500.0
-# Where engines gave no sign of life, others may serve after this time.
-_SIGN_RETRY_MS = 500.0
-# Urgency of the shortest prompts; plain calls and others follow behind.
-_URGENCY_FIRST = 3
-_GONE_REASONS = (
+# Retry-after when targets did not answer a probe; others may serve by then.
+_PROBE_RETRY_MS = 500.0
+# Urgency of the shortest prompts and of plain calls. Longer prompts get higher
+# numbers, which targets let in later.
+_SHORTEST_PROMPT_URGENCY = 3
+# Nothing listens at the address any more, or another incarnation does.
+_EXITED_REASONS = (
     outcomes.Reason.TARGET_GONE,
     outcomes.Reason.TARGET_REPLACED,
 )
-# Connections that failed before the call was sent; its token is unused.
-_NOT_SENT_REASONS = (
+# The connection failed before the request was sent: its token of the target's
+# rate limit is unused.
+_CONNECT_FAILED_REASONS = (
     outcomes.Reason.TARGET_GONE,
     outcomes.Reason.TARGET_UNREACHABLE,
 )
-_NOT_THE_TARGETS_FAULT = (
+_NOT_TARGET_FAULT_REASONS = (
     outcomes.Reason.TIME_LIMIT,
     outcomes.Reason.QUARANTINED,
     outcomes.Reason.TARGET_LEAVING,
@@ -55,56 +59,56 @@
 
 
 class RelayAttempt:
-    """One attempt; `run` yields its answer once.
+    """One attempt; `run` is called once and yields the answer.
 
     Args:
-        request: The call.
-        placed: The target, and those that help it.
-        progress: Is brought up to date as the answer comes.
-        send: Sends the call.
+        request: The relayed request.
+        grant: The target, and its helpers.
+        progress: Updated as the answer comes in.
+        send: Sends the request to the target.
         keeper: Holds memory on the helpers.
-        tools: What the stages share.
+        context: Shared objects of the entry.
     """
 
     def __init__(
         self,
         request: requests.Request,
-        placed: placement.Placed,
+        grant: scheduler_messages.PlacementGrant,
         progress: relay_progress.Progress,
         send: errands.Send,
         keeper: reservation_keeper.ReservationKeeper,
-        tools: tool_types.Tools,
+        context: contexts.EntryContext,
     ) -> None:
         self._request = request
-        self._seats = placed.seats
+        self._placements = grant.placements
         self._progress = progress
         self._send = send
         self._keeper = keeper
-        self._tools = tools
-        self._at_fault: set[str] = set()
-        # Targets from which nothing came back; their hall may be cut off.
-        self._out_of_reach: set[str] = set()
-        # Targets in whose place nobody or another one answered.
-        self._gone: set[str] = set()
-        self._sent_ms = tools.env.now_ms()
+        self._context = context
+        self._faulted: set[str] = set()
+        # Targets from which nothing came back; their hall may be partitioned.
+        self._unreachable: set[str] = set()
+        # Targets at whose address nothing listens, or another incarnation does.
+        self._exited: set[str] = set()
+        self._sent_ms = context.env.now_ms()
         # Whether a token of the target's rate limit was taken.
-        self._has_token = False
-        self._has_first = False
+        self._has_rate_token = False
+        self._has_first_event = False
         self._has_answered = False
 
     async def run(self) -> AsyncIterator[answers.Event]:
-        """Yields what the caller is to get, and at last how it ended."""
+        """Yields what the caller is to get, and last the outcome."""
         reservations = self._make_reservations()
-        self._progress.blamed = ()
+        self._progress.faulted_helpers = ()
         attempt_log.log_start(
-            self._request, self._seats, self._progress, self._tools
+            self._request, self._placements, self._progress, self._context
         )
         try:
-            signs = await self._ask_signs()
-            if any(sign is not orders.Sign.ALIVE for sign in signs):
-                yield self._give_up_unsent(signs)
+            probes = await self._probe_targets()
+            if any(probe is not orders.Sign.ALIVE for probe in probes):
+                yield self._fail_probes(probes)
                 return
-            refusal = self._refuse_withdrawn()
+            refusal = self._check_admission()
             if refusal is not None:
                 yield refusal
                 return
@@ -112,90 +116,109 @@
                 tuple(reservations.values()), self._request.request_id
             )
             if missing:
-                yield self._give_up_memory(missing)
+                yield self._fail_reservations(missing)
                 return
-            self._sent_ms = self._tools.env.now_ms()
-            errand = self._make_errand(reservations)
+            self._sent_ms = self._context.env.now_ms()
+            upstream_request = self._make_upstream_request(reservations)
             traceparent = self._request.traceparent
-            with self._tools.tracer.span("attempt", traceparent):
+            with self._context.tracer.span("attempt", traceparent):
                 async with contextlib.aclosing(
-                    self._read(errand, bool(reservations))
+                    self._read_answer(upstream_request, bool(reservations))
                 ) as events:
                     async for event in events:
-                        if self._note(event):
+                        if self._process_event(event):
                             yield event
         finally:
             self._keeper.release(tuple(reservations.values()))
-            self._post_ends()
+            self._post_attempt_ends()
 
-    def _refuse_send(self) -> outcomes.NotServed | None:
-        """Returns why the call may not be sent in this moment, if so."""
-        refusal = self._tools.suspects.check_admission(self._request)
-        refusal = refusal or self._refuse_withdrawn()
+    def _check_before_send(self) -> outcomes.NotServed | None:
+        """Returns a refusal if the request must not be sent at this moment."""
+        refusal = self._context.quarantine.check_admission(self._request)
+        refusal = refusal or self._check_admission()
         if refusal is not None:
             return refusal
-        seat = self._seats[0]
-        refusal = self._tools.admit(seat.target, seat.attempt_id)
-        self._has_token = refusal is None
+        placement = self._placements[0]
+        refusal = self._context.take_rate_token(
+            placement.target, placement.attempt_id
+        )
+        self._has_rate_token = refusal is None
         return refusal
 
-    def _refuse_withdrawn(self) -> outcomes.NotServed | None:
-        """Returns a refusal if the target or a helper takes no calls now."""
-        return self._tools.refuse_send([seat.target for seat in self._seats])
+    def _check_admission(self) -> outcomes.NotServed | None:
+        """Returns a refusal if the target or a helper accepts no requests."""
+        return self._context.check_admission(
+            [placement.target for placement in self._placements]
+        )
+
+    async def _probe_targets(self) -> tuple[orders.Sign, ...]:
+        """Probes the target and its helpers if a helper has failed before.
 
-    async def _ask_signs(self) -> tuple[orders.Sign, ...]:
-        """Returns signs of life of this attempt's targets, once one has failed.
+        Engines die together, but each refusal names only one of them. Without
+        this, a prompt for nine engines, four of them dead, was sent five times
+        within 250 ms and then refused.
 
-        Engines die together, and each refusal names one of them only: a prompt
-        read by nine engines, four of them dead, was sent five times within
-        250 ms and refused.
+        Returns:
+            The probe results in order; empty if no helper has failed.
         """
-        if not self._progress.helpers_failed:
+        if not self._progress.helper_failures:
             return ()
         return await self._keeper.probe_all(
-            [seat.target for seat in self._seats]
+            [placement.target for placement in self._placements]
         )
 
-    def _give_up_unsent(
-        self, signs: tuple[orders.Sign, ...]
+    def _fail_probes(
+        self, probes: tuple[orders.Sign, ...]
     ) -> outcomes.NotServed:
-        """Returns the outcome; nothing was sent."""
+        """Records failed probes; returns the outcome, with nothing sent."""
         missing = tuple(
-            seat.target.target_id
-            for seat, sign in zip(self._seats, signs, strict=True)
-            if sign is not orders.Sign.ALIVE
+            placement.target.target_id
+            for placement, probe in zip(self._placements, probes, strict=True)
+            if probe is not orders.Sign.ALIVE
         )
-        self._out_of_reach |= {
-            seat.target.target_id
-            for seat, sign in zip(self._seats, signs, strict=True)
-            if sign is orders.Sign.SILENT
+        self._unreachable |= {
+            placement.target.target_id
+            for placement, probe in zip(self._placements, probes, strict=True)
+            if probe is orders.Sign.SILENT
         }
-        self._gone |= set(missing) - self._out_of_reach
+        self._exited |= set(missing) - self._unreachable
         self._progress.excluded |= set(missing)
-        self._at_fault |= set(missing)
+        self._faulted |= set(missing)
         reason = outcomes.Reason.HELPER_UNREACHABLE
-        if signs[0] is not orders.Sign.ALIVE:
+        if probes[0] is not orders.Sign.ALIVE:
             reason = outcomes.Reason.TARGET_UNREACHABLE
         return outcomes.refuse(
-            reason, f"no sign of life from {', '.join(missing)}", _SIGN_RETRY_MS
+            reason,
+            f"no answer to a health probe from {', '.join(missing)}",
+            _PROBE_RETRY_MS,
         )
 
-    async def _read(
-        self, errand: errands.Errand, is_watched: bool
+    async def _read_answer(
+        self, upstream_request: errands.Errand, is_watched: bool
     ) -> AsyncIterator[answers.Event]:
-        """Yields the answer; a watched target must show that it lives.
+        """Yields the answer, or a failure that is found before its first event.
+
+        A watched target is probed until its first event; after that, gaps
+        between events show its failure. Helpers are watched for just as long,
+        since without them there will be no events.
 
-        It is watched until its first events; from then on their gaps tell. So
-        are its helpers, without which there won't be any.
+        Args:
+            upstream_request: What to send.
+            is_watched: Whether the target is probed.
+
+        Yields:
+            The events of the answer.
         """
-        async with contextlib.aclosing(self._send(errand)) as events:
-            hopeless = []
-            if errand.helpers:
-                hopeless.append(self._wait_for_helpers_end())
+        async with contextlib.aclosing(self._send(upstream_request)) as events:
+            failure_watches = []
+            if upstream_request.helpers:
+                failure_watches.append(self._wait_for_helper_end())
             if is_watched:
-                hopeless.append(self._wait_for_silence())
-            if hopeless:
-                first = await first_event.await_first(events, hopeless)
+                failure_watches.append(self._wait_for_silence())
+            if failure_watches:
+                first = await first_event.wait_for_first(
+                    events, failure_watches
+                )
                 yield first
                 if isinstance(first, outcomes.NotServed):
                     return
@@ -203,206 +226,228 @@
                 yield event
 
     async def _wait_for_silence(self) -> outcomes.NotServed:
-        """Returns how the attempt ends when the target is silent."""
-        await self._keeper.wait_until_unresponsive(self._seats[0].target)
+        """Returns the failure once the target no longer answers probes."""
+        await self._keeper.wait_until_unresponsive(self._placements[0].target)
         return outcomes.NotServed(
             outcomes.Reason.TARGET_LOST,
             outcomes.Ran.UNKNOWN,
-            "the target gave no sign of life",
+            "the target stopped answering health probes",
         )
 
-    async def _wait_for_helpers_end(self) -> outcomes.NotServed:
-        """Returns how the attempt ends when a helper has ended.
+    async def _wait_for_helper_end(self) -> outcomes.NotServed:
+        """Returns the failure once a helper has ended.
 
-        The target would stand still for a second and a half and then refuse;
-        meanwhile the prompt may be read again with another helper. Where it
-        may not be sent again, this waits for as long as the target does.
+        The target would stall for a second and a half and then refuse, while
+        the prompt could be read with another helper meanwhile. If the request
+        may not be sent again, this never returns and the attempt waits as long
+        as the target does.
         """
-        helpers = [seat.target.life for seat in self._seats[1:]]
-        life = await self._tools.scheduler.ends.wait_for_any(helpers)
+        helpers = [placement.target.life for placement in self._placements[1:]]
+        life = await self._context.scheduler.incarnation_ends.wait_for_any(
+            helpers
+        )
         request = self._request
-        is_great = length_band.is_long(request.prompt_tokens)
-        may_again = request.payload.route.repeatable
-        if not may_again or not await self._tools.secure_retry(is_great):
+        is_large = length_band.is_long(request.prompt_tokens)
+        is_repeatable = request.payload.route.repeatable
+        if not is_repeatable or not await self._context.ensure_retry(is_large):
             await asyncio.Event().wait()
-        self._note(answers.FaultTold(life.target_id))
-        self._gone.add(life.target_id)
-        # A content that ends several engines at once must not be cleared by
-        # that: the one that was to answer may have ended, too.
-        self._tools.note_lost(self._describe_lost())
+        self._process_event(answers.FaultTold(life.target_id))
+        self._exited.add(life.target_id)
+        # A poison request can end several engines at once. Report the target as
+        # well, since it may have ended too; otherwise the request would count
+        # as harmless.
+        self._context.report_lost_call(self._make_lost_call())
         return outcomes.NotServed(
             outcomes.Reason.HELPER_ENDED,
             outcomes.Ran.UNKNOWN,
             f"helper {life.target_id} has ended",
         )
 
-    def _give_up_memory(
+    def _fail_reservations(
         self, missing: tuple[reservation_keeper.FailedReservation, ...]
     ) -> outcomes.NotServed:
-        """Returns the outcome; a reservation runs nothing, whatever happens."""
-        names = [each.reservation.target.target_id for each in missing]
-        self._progress.excluded |= set(names)
-        lost = (orders.Answer.GONE, orders.Answer.UNREACHABLE)
-        for name, each in zip(names, missing, strict=True):
-            if each.answer in lost:
-                self._at_fault.add(name)
+        """Records failed reservations; returns the outcome.
+
+        A reservation runs nothing, whatever became of it.
+        """
+        target_ids = [each.reservation.target.target_id for each in missing]
+        self._progress.excluded |= set(target_ids)
+        lost_answers = (orders.Answer.GONE, orders.Answer.UNREACHABLE)
+        for target_id, each in zip(target_ids, missing, strict=True):
+            if each.answer in lost_answers:
+                self._faulted.add(target_id)
             if each.answer is orders.Answer.UNREACHABLE:
-                self._out_of_reach.add(name)
+                self._unreachable.add(target_id)
             if each.answer is orders.Answer.GONE:
-                self._gone.add(name)
+                self._exited.add(target_id)
         return outcomes.refuse(
             outcomes.Reason.NO_MEMORY,
-            f"no memory could be set aside at {', '.join(names)}",
+            f"no memory could be reserved at {', '.join(target_ids)}",
             _NO_MEMORY_RETRY_MS,
         )
 
-    def _note(self, event: answers.Event) -> bool:
-        """Takes an event in; returns whether it is to be handed on."""
+    def _process_event(self, event: answers.Event) -> bool:
+        """Processes an event; returns whether the caller is to get it."""
         match event:
             case answers.LoadTold():
-                self._tools.scheduler.post(placement.Reported(event.report))
+                self._context.scheduler.post(
+                    scheduler_messages.LoadReported(event.report)
+                )
                 return False
             case answers.FaultTold():
-                self._at_fault.add(event.target_id)
+                self._faulted.add(event.target_id)
                 self._progress.excluded |= {event.target_id}
-                self._progress.blamed += (event.target_id,)
+                self._progress.faulted_helpers += (event.target_id,)
                 return False
             case answers.StreamHead():
-                is_new = not self._progress.is_begun
-                self._progress.is_begun = True
+                is_new = not self._progress.has_head
+                self._progress.has_head = True
                 return is_new
             case answers.WholeAnswer():
                 self._has_answered = True
             case answers.StreamEvents():
                 self._has_answered = True
-                self._note_first()
-                self._progress.last_id = event.last_id
+                self._record_first_event()
+                self._progress.last_event_id = event.last_id
             case outcomes.NotServed():
-                self._note_failure(event)
+                self._record_failure(event)
         return True
 
-    def _note_failure(self, ended: outcomes.NotServed) -> None:
-        if self._has_token and ended.reason in _NOT_SENT_REASONS:
-            self._tools.give_back(self._seats[0].target)
-        if ended.reason in _NOT_THE_TARGETS_FAULT or self._at_fault:
+    def _record_failure(self, failure: outcomes.NotServed) -> None:
+        if self._has_rate_token and failure.reason in _CONNECT_FAILED_REASONS:
+            self._context.return_rate_token(self._placements[0].target)
+        if failure.reason in _NOT_TARGET_FAULT_REASONS or self._faulted:
             return
-        writer = self._seats[0].target.target_id
-        self._at_fault.add(writer)
-        if ended.reason is outcomes.Reason.TARGET_LOST:
-            self._tools.note_lost(self._describe_lost())
-        if ended.reason is outcomes.Reason.TARGET_UNREACHABLE:
-            self._out_of_reach.add(writer)
-        if ended.reason in _GONE_REASONS:
-            self._gone.add(writer)
-
-    def _describe_lost(self) -> lost_call.LostCall:
-        target = self._seats[0].target
+        target_id = self._placements[0].target.target_id
+        self._faulted.add(target_id)
+        if failure.reason is outcomes.Reason.TARGET_LOST:
+            self._context.report_lost_call(self._make_lost_call())
+        if failure.reason is outcomes.Reason.TARGET_UNREACHABLE:
+            self._unreachable.add(target_id)
+        if failure.reason in _EXITED_REASONS:
+            self._exited.add(target_id)
+
+    def _make_lost_call(self) -> lost_call.LostCall:
+        target = self._placements[0].target
         return lost_call.LostCall(
             self._request.request_id,
             quarantine.find_fingerprint(self._request),
             target,
-            self._tools.env.now_ms() - self._sent_ms,
+            self._context.env.now_ms() - self._sent_ms,
             costs.predict_prefill_ms(
                 self._request.workload.pool, self._request.prompt_tokens
             ),
-            self._tools.scheduler.count_streams(target.target_id),
+            self._context.scheduler.count_streams(target.target_id),
         )
 
-    def _note_first(self) -> None:
-        if self._has_first:
+    def _record_first_event(self) -> None:
+        if self._has_first_event:
             return
-        self._has_first = True
+        self._has_first_event = True
         request = self._request
-        took_ms = self._tools.env.now_ms() - request.arrived_ms
-        self._tools.metrics.note_first_token(request.prompt_tokens, took_ms)
-        for seat in self._seats:
-            self._tools.scheduler.post(placement.FirstToken(seat, "", 0))
-
-    def _post_ends(self) -> None:
-        writers_hall = self._seats[0].target.hall
-        for seat in self._seats:
-            name = seat.target.target_id
-            # A helper that a target blames may well be out of its reach.
-            is_blamed = name in self._progress.blamed
-            is_in_other_hall = seat.target.hall != writers_hall
-            self._tools.scheduler.post(
-                placement.Ended(
-                    seat,
-                    name in self._at_fault,
-                    name in self._out_of_reach
-                    or (is_blamed and is_in_other_hall),
+        took_ms = self._context.env.now_ms() - request.arrived_ms
+        self._context.metrics.note_first_token(request.prompt_tokens, took_ms)
+        for placement in self._placements:
+            self._context.scheduler.post(
+                scheduler_messages.FirstToken(placement, "", 0)
+            )
+
+    def _post_attempt_ends(self) -> None:
+        answering_hall = self._placements[0].target.hall
+        for placement in self._placements:
+            target_id = placement.target.target_id
+            # A helper in another hall that the target reports as failed may
+            # just be unreachable from there.
+            is_reported = target_id in self._progress.faulted_helpers
+            is_in_other_hall = placement.target.hall != answering_hall
+            self._context.scheduler.post(
+                scheduler_messages.AttemptEnded(
+                    placement,
+                    target_id in self._faulted,
+                    target_id in self._unreachable
+                    or (is_reported and is_in_other_hall),
                     self._has_answered,
-                    name in self._gone,
+                    target_id in self._exited,
                 )
             )
 
     def _make_reservations(self) -> dict[str, orders.Reservation]:
-        """Returns the memory to set aside on helpers, by target."""
-        owner = f"{self._tools.config.vm_id}.{self._tools.incarnation}"
+        """Returns the memory to reserve on helpers, by target id."""
+        owner = f"{self._context.config.vm_id}.{self._context.incarnation}"
         return {
-            seat.target.target_id: orders.Reservation(
-                seat.target, f"{owner}.{seat.attempt_id}", seat.held_tokens
+            placement.target.target_id: orders.Reservation(
+                placement.target,
+                f"{owner}.{placement.attempt_id}",
+                placement.held_tokens,
             )
-            for seat in self._seats[1:]
-            if seat.held_tokens
+            for placement in self._placements[1:]
+            if placement.held_tokens
         }
 
-    def _make_errand(
+    def _make_upstream_request(
         self, reservations: dict[str, orders.Reservation]
     ) -> errands.Errand:
         request = self._request
         return errands.Errand(
             payload=request.payload,
-            target=self._seats[0].target,
+            target=self._placements[0].target,
             workspace=request.workload.workspace,
             deadline_ms=request.deadline_ms,
             urgency=_find_urgency(request),
-            resume_after=self._progress.last_id,
+            resume_after=self._progress.last_event_id,
             helpers=tuple(
-                _make_helper(seat, reservations) for seat in self._seats[1:]
+                _make_helper(placement, reservations)
+                for placement in self._placements[1:]
             ),
-            patience=self._find_patience(),
-            refuse=self._refuse_send,
+            patience=self._find_timeouts(),
+            refuse=self._check_before_send,
         )
 
-    def _find_patience(self) -> errands.Patience:
-        """Returns how long silence is borne; to the end for what runs once."""
+    def _find_timeouts(self) -> errands.Patience:
+        """Returns the timeouts; for what must not run twice, the deadline."""
         request = self._request
         route = request.payload.route
-        left_ms = request.remaining_ms(self._tools.env.now_ms())
+        left_ms = request.remaining_ms(self._context.env.now_ms())
         if not route.repeatable:
             return errands.Patience(CONNECT_TIMEOUT_MS, left_ms, left_ms)
         return errands.Patience(
             CONNECT_TIMEOUT_MS,
-            max(SILENCE_LEAST_MS, SILENCE_AIMS * route.aim_ms),
-            max(SILENCE_LEAST_MS, SILENCE_AIMS * route.gap_aim_ms),
-            self._may_another_take_over,
+            max(MIN_SILENCE_TIMEOUT_MS, SILENCE_TIMEOUT_AIMS * route.aim_ms),
+            max(
+                MIN_SILENCE_TIMEOUT_MS, SILENCE_TIMEOUT_AIMS * route.gap_aim_ms
+            ),
+            self._can_fail_over,
         )
 
-    async def _may_another_take_over(self) -> bool:
-        """Returns whether giving the target up could help the caller.
+    async def _can_fail_over(self) -> bool:
+        """Returns whether another target may be tried instead of this one.
 
-        Silence alone is no failure: an engine that reads a long prompt says
-        nothing for seconds, and goes on.
+        Silence alone is no failure: an engine that reads a long prompt is
+        silent for seconds and then goes on.
         """
         request = self._request
-        being_sent = frozenset({self._seats[0].target.target_id})
-        most = request.payload.route.targets_max
-        if self._progress.count_sent(being_sent) >= most:
+        sending_to = frozenset({self._placements[0].target.target_id})
+        targets_max = request.payload.route.targets_max
+        if self._progress.count_targets_used(sending_to) >= targets_max:
             return False
-        is_great = length_band.is_long(request.prompt_tokens)
-        return await self._tools.secure_retry(is_great)
+        is_large = length_band.is_long(request.prompt_tokens)
+        return await self._context.ensure_retry(is_large)
 
 
 def _make_helper(
-    seat: placement.Seat, reservations: dict[str, orders.Reservation]
+    placement: scheduler_messages.Placement,
+    reservations: dict[str, orders.Reservation],
 ) -> errands.Helper:
-    held = reservations.get(seat.target.target_id)
+    reservation = reservations.get(placement.target.target_id)
     return errands.Helper(
-        seat.target.target_id, seat.target.address, held.name if held else ""
+        placement.target.target_id,
+        placement.target.address,
+        reservation.name if reservation else "",
     )
 
 
 def _find_urgency(request: requests.Request) -> int:
-    """Lets shorter prompts in before longer ones."""
-    return _URGENCY_FIRST + length_band.find_band(request.prompt_tokens)
+    """Returns the urgency, which lets shorter prompts in before longer ones."""
+    return _SHORTEST_PROMPT_URGENCY + length_band.find_band(
+        request.prompt_tokens
+    )
--- a/src/ruddergate/entry/relay_handler.py
+++ b/src/ruddergate/entry/relay_handler.py
@@ -1,4 +1,4 @@
-"""Answers callers whose calls are passed on unchanged."""
+"""Answers callers whose requests are relayed unchanged."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -6,161 +6,169 @@
 
 from ruddergate import outcomes
 from ruddergate import request as requests
+from ruddergate.entry import context as contexts
 from ruddergate.entry import relay_admit
 from ruddergate.entry import relay_run
 from ruddergate.entry import reservation_keeper
-from ruddergate.entry import tools as tool_types
 from ruddergate.http import message
 from ruddergate.relay import answer as answers
 from ruddergate.relay import door as doors
 from ruddergate.relay import errand as errands
 from ruddergate.telemetry import logs
 
-# How a call ends in logs and metrics whose caller did not wait for the answer.
+# Outcome in logs and metrics when the caller did not wait for the answer.
 CALLER_LEFT = "caller_left"
-# A VM that has just started has its settings within a few milliseconds, on a
-# thin link and beside many others within half a second; after the loss of all
-# VMs callers that were refused meanwhile had no try left.
+# A VM that has just started gets its settings within a few milliseconds, or
+# within half a second on a slow link while many others start. Without the wait,
+# after the loss of all VMs, callers used up their retries on refusals.
 FIRST_SETTINGS_WAIT_MS = 800.0
-# For so long a VM counts as just started; later, the store is out of reach.
-STARTING_MS = 3_000.0
+# Time after its start in which a VM waits for settings. If it has none later,
+# the store is unreachable.
+STARTUP_PERIOD_MS = 3_000.0
 
 
 class RelayHandler:
-    """Admits a call, runs it and hands its answer back.
+    """Admits a request, runs it and returns its answer.
 
     Args:
-        tools: What the stages share.
-        door: How callers are understood and answered.
-        send: Sends a call to a target.
-        keeper: Holds memory for requests.
-        trust: How old settings may be.
+        context: Shared objects of the entry.
+        protocol: Reads requests of callers and writes refusals.
+        send: Sends a request to a target.
+        keeper: Holds memory on targets for requests.
+        age_limits: How old settings may be.
     """
 
     def __init__(
         self,
-        tools: tool_types.Tools,
-        door: doors.Door,
+        context: contexts.EntryContext,
+        protocol: doors.Door,
         send: errands.Send,
         keeper: reservation_keeper.ReservationKeeper,
-        trust: relay_admit.Trust,
+        age_limits: relay_admit.SettingsAgeLimits,
     ) -> None:
-        self._tools = tools
-        self._door = door
+        self._context = context
+        self._protocol = protocol
         self._send = send
         self._keeper = keeper
-        self._trust = trust
+        self._age_limits = age_limits
         self._log = logs.make_logger("entry")
 
     async def handle(
         self, incoming: message.IncomingRequest
     ) -> message.Response:
         """Answers a caller."""
-        inquiry = self._door.read(incoming)
-        if isinstance(inquiry, outcomes.NotServed):
-            return self._refuse(inquiry, "")
-        # A wait for the first settings is part of the caller's time.
-        arrived_ms = self._tools.env.now_ms()
+        caller_request = self._protocol.read(incoming)
+        if isinstance(caller_request, outcomes.NotServed):
+            return self._refuse(caller_request, "")
+        # The wait for the first settings counts against the time limit.
+        arrived_ms = self._context.env.now_ms()
         await self._wait_for_catalog()
         request = relay_admit.admit(
-            incoming, inquiry, arrived_ms, self._tools, self._trust
+            incoming,
+            caller_request,
+            arrived_ms,
+            self._context,
+            self._age_limits,
         )
         if isinstance(request, outcomes.NotServed):
-            return self._refuse(request, inquiry.request_id)
-        events = relay_run.run(request, self._send, self._keeper, self._tools)
+            return self._refuse(request, caller_request.request_id)
+        events = relay_run.run(request, self._send, self._keeper, self._context)
         try:
             first = await anext(events)
         except BaseException:
             await events.aclose()
-            self._note_left(request, None)
+            self._log_caller_left(request, None)
             raise
         if isinstance(first, answers.StreamHead):
-            body = self._hand_on(request, events)
+            body = self._stream_body(request, events)
             return message.Response(first.status, {}, body, first.fields)
         await events.aclose()
         if isinstance(first, answers.WholeAnswer):
-            self._note_end(request, "finished", outcomes.Ran.RAN, "")
+            self._log_end(request, "finished", outcomes.Ran.RAN, "")
             return message.Response(first.status, {}, first.body, first.fields)
-        self._note_end(request, first.reason.value, first.ran, first.detail)
-        return self._door.write_failure(first)
+        self._log_end(request, first.reason.value, first.ran, first.detail)
+        return self._protocol.write_failure(first)
 
     async def _wait_for_catalog(self) -> None:
-        """Lets a call that comes right after the start wait for settings."""
-        tools = self._tools
-        starts_for_ms = tools.began_ms + STARTING_MS - tools.env.now_ms()
-        wait_ms = min(FIRST_SETTINGS_WAIT_MS, starts_for_ms)
-        if tools.view.catalog_loaded.is_set() or wait_ms <= 0.0:
+        """Waits for the first settings if the process has just started."""
+        context = self._context
+        startup_left_ms = (
+            context.started_ms + STARTUP_PERIOD_MS - context.env.now_ms()
+        )
+        wait_ms = min(FIRST_SETTINGS_WAIT_MS, startup_left_ms)
+        if context.view.catalog_loaded.is_set() or wait_ms <= 0.0:
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_ms / 1000.0):
-                await tools.view.catalog_loaded.wait()
+                await context.view.catalog_loaded.wait()
 
-    async def _hand_on(
+    async def _stream_body(
         self,
         request: requests.Request,
         events: AsyncIterator[answers.Event],
     ) -> AsyncIterator[bytes]:
-        pauses = _Pauses(request.arrived_ms)
+        pauses = _EventPauses(request.arrived_ms)
         try:
             async with contextlib.aclosing(events):
                 async for event in events:
                     if isinstance(event, answers.StreamEvents):
-                        pauses.note_event(self._tools.env.now_ms())
+                        pauses.note_event(self._context.env.now_ms())
                         yield event.data
                     elif isinstance(event, outcomes.NotServed):
-                        self._note_end(
+                        self._log_end(
                             request,
                             event.reason.value,
                             event.ran,
                             event.detail,
                             pauses,
                         )
-                        # A proper end would make a broken answer look whole.
+                        # A proper end of the response would make a broken
+                        # answer look complete.
                         raise ConnectionAbortedError(event.detail)
         except (GeneratorExit, asyncio.CancelledError):
-            self._note_left(request, pauses)
+            self._log_caller_left(request, pauses)
             raise
-        self._note_end(request, "finished", outcomes.Ran.RAN, "", pauses)
+        self._log_end(request, "finished", outcomes.Ran.RAN, "", pauses)
 
-    def _note_left(
-        self, request: requests.Request, pauses: "_Pauses | None"
+    def _log_caller_left(
+        self, request: requests.Request, pauses: "_EventPauses | None"
     ) -> None:
-        """Notes that the caller left, or that this process ends."""
-        self._note_end(
+        """Logs that the caller disconnected, or that this process stops."""
+        self._log_end(
             request,
             CALLER_LEFT,
             outcomes.Ran.UNKNOWN,
-            "the caller's connection ended before the answer",
+            "the caller's connection was closed before the end of the answer",
             pauses,
         )
 
     def _refuse(
         self, refusal: outcomes.NotServed, request_id: str
     ) -> message.Response:
-        self._tools.metrics.note_outcome(refusal.reason, refusal.ran)
+        self._context.metrics.note_outcome(refusal.reason, refusal.ran)
         self._log.info(
             "Request refused: {}. {}",
             refusal.reason.value,
             refusal.detail,
             request_id=request_id,
-            revision=self._tools.view.catalog.revision,
+            revision=self._context.view.catalog.revision,
         )
-        return self._door.write_failure(refusal)
+        return self._protocol.write_failure(refusal)
 
-    def _note_end(
+    def _log_end(
         self,
         request: requests.Request,
         reason: str,
         ran: outcomes.Ran,
         detail: str,
-        pauses: "_Pauses | None" = None,
+        pauses: "_EventPauses | None" = None,
     ) -> None:
-        self._tools.metrics.note_outcome(reason, ran.value)
+        self._context.metrics.note_outcome(reason, ran.value)
         if pauses is not None:
-            self._tools.metrics.note_pause(
+            self._context.metrics.note_pause(
                 request.prompt_tokens, pauses.longest_ms
             )
-        took_ms = self._tools.env.now_ms() - request.arrived_ms
+        took_ms = self._context.env.now_ms() - request.arrived_ms
         self._log.info(
             "Request ended: {} ({}). {}",
             reason,
@@ -179,12 +187,13 @@
         )
 
 
-class _Pauses:
-    """Times between the events of one stream, as they are handed on.
+class _EventPauses:
+    """Pauses between the events of one stream, as sent to the caller.
 
     Attributes:
-        first_ms: From the call's arrival to the first event.
-        longest_ms: Longest time between two events so far.
+        first_ms: Time from the request's arrival to the first event; negative
+            before it.
+        longest_ms: Longest pause between two events so far.
     """
 
     def __init__(self, arrived_ms: float) -> None:
@@ -193,10 +202,10 @@
         self._last_ms = arrived_ms
 
     def note_event(self, now_ms: float) -> None:
-        """Notes that events are handed on now."""
-        passed_ms = now_ms - self._last_ms
+        """Records that events are sent now."""
+        elapsed_ms = now_ms - self._last_ms
         self._last_ms = now_ms
         if self.first_ms < 0.0:
-            self.first_ms = passed_ms
+            self.first_ms = elapsed_ms
         else:
-            self.longest_ms = max(self.longest_ms, passed_ms)
+            self.longest_ms = max(self.longest_ms, elapsed_ms)
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -1,4 +1,4 @@
-"""Runs one call that is passed on unchanged, with retries, to its outcome."""
+"""Runs one relayed request, with retries, to its outcome."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -14,55 +14,62 @@
 from ruddergate.decisions import retries
 from ruddergate.decisions.routing import job as jobs
 from ruddergate.entry import attempt_log
+from ruddergate.entry import context as contexts
 from ruddergate.entry import model_run
-from ruddergate.entry import placement
 from ruddergate.entry import relay_attempt
 from ruddergate.entry import relay_progress
 from ruddergate.entry import reservation_keeper
-from ruddergate.entry import tools as tool_types
+from ruddergate.entry import scheduler_messages
 from ruddergate.relay import answer as answers
 from ruddergate.relay import errand as errands
 
-# Targets tried for a connection, besides those that were sent the call.
-UNREACHABLE_MAX = 8
-# Times that a call goes to the same target again because of one of its helpers.
-HELPERS_FAILED_MAX = 3
-# Any of a call's targets may take no calls now. Which of them is known where
-# the next ones are chosen, so none has to be excluded.
-_WITHDRAWN = (
+# Largest number of attempts that end before the request is sent; those after
+# which it was sent are limited by the route.
+MAX_UNSENT_ATTEMPTS = 8
+# How often a request goes to the same target again after a helper has failed.
+MAX_HELPER_FAILURES = 3
+# One of the targets, or a helper, accepts no requests at the moment. No target
+# has to be excluded for this: the scheduler knows which one it is when it
+# chooses the next ones.
+_UNAVAILABLE_REASONS = (
     outcomes.Reason.TARGET_LEAVING,
     outcomes.Reason.TARGET_QUIET,
     outcomes.Reason.TARGET_RATE_LIMITED,
 )
-_NOTHING_SENT = (
+# The attempt ended before the request was sent.
+_UNSENT_REASONS = (
     outcomes.Reason.TARGET_GONE,
     outcomes.Reason.TARGET_UNREACHABLE,
     outcomes.Reason.NO_MEMORY,
     outcomes.Reason.HELPER_UNREACHABLE,
     outcomes.Reason.QUARANTINED,
-    *_WITHDRAWN,
+    *_UNAVAILABLE_REASONS,
 )
-# Failures of other engines than the one that was to write the answer.
-_NOT_THE_WRITERS = (
+# The failure need not be that of the target that was to answer, which is not
+# excluded then.
+_KEEP_TARGET_REASONS = (
     outcomes.Reason.NO_MEMORY,
     outcomes.Reason.HELPER_UNREACHABLE,
-    *_WITHDRAWN,
+    *_UNAVAILABLE_REASONS,
 )
-# After these the engine that refused for a helper is asked again.
-_KEEP_PINNED = (outcomes.Reason.HELPER_UNREACHABLE, *_WITHDRAWN)
-# What a target that fails with its own 5xx says is the answer; from here on a
-# repeatable call is worth another try.
-_SERVER_ERROR = 500
-# How long a call waits for a place ahead of others, in aims: after that it is
-# late anyway, and those that can still be in time go first. A policy that holds
-# long prompts back lets them go earlier (routing/long_prompts.py).
+# After these, a target that refused because of a helper stays pinned.
+_KEEP_PIN_REASONS = (outcomes.Reason.HELPER_UNREACHABLE, *_UNAVAILABLE_REASONS)
+# Answers below this status are final. From here on a repeatable request is
+# retried; if all retries fail, the caller gets the last such answer.
+_MIN_SERVER_ERROR_STATUS = 500
+# How long a request waits for a target ahead of late ones, as a multiple of its
+# route's `aim_ms`, the latency below which an answer is in time. After that it
+# is late anyway, and requests that can still be in time go first. A policy that
+# holds long prompts back releases them earlier (routing/long_prompts.py).
 ON_TIME_WAIT_AIMS = 0.5
-# It then waits behind those for an aim, and for so long at least: callers give
-# a stream up that has not begun after four aims, two seconds at least.
-LATE_WAIT_LEAST_MS = 1_200.0
-# Ranks of late calls lie below those of all others.
-_LATE_RANKS = 1_000_000
-# When a place may have become free; callers are not to come back together.
+# It then waits behind those for `aim_ms`, but at least this long. Callers give
+# up a stream that has not begun after four times `aim_ms`, but not before two
+# seconds.
+MIN_LATE_WAIT_MS = 1_200.0
+# Puts the ranks of late requests below those of all others.
+_LATE_RANK_OFFSET = 1_000_000
+# Range of the retry-after when no target is free; random, so that callers don't
+# come back all at once.
 _NO_TARGET_RETRY_MS = (400.0, 1_200.0)
 
 
@@ -70,127 +77,136 @@
     request: requests.Request,
     send: errands.Send,
     keeper: reservation_keeper.ReservationKeeper,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> AsyncIterator[answers.Event]:
-    """Yields the answer in order, each event once; the last tells the end."""
+    """Yields the answer's events in order, each once, and last the outcome."""
     progress = relay_progress.Progress(request.payload.last_event)
-    refusal = tools.suspects.check_admission(request)
+    refusal = context.quarantine.check_admission(request)
     if refusal is not None:
         yield refusal
         return
-    tools.budget.note_first_attempt()
+    context.budget.note_first_attempt()
     while True:
-        placed = await _place(request, progress, tools)
-        if isinstance(placed, outcomes.NotServed):
-            yield _conclude(placed, progress)
+        grant = await _wait_for_placement(request, progress, context)
+        if isinstance(grant, outcomes.NotServed):
+            yield _conclude(grant, progress)
             return
-        ended: answers.Event | None = None
+        outcome: answers.Event | None = None
         attempt = relay_attempt.RelayAttempt(
-            request, placed, progress, send, keeper, tools
+            request, grant, progress, send, keeper, context
         )
         async with contextlib.aclosing(attempt.run()) as events:
             async for event in events:
                 if isinstance(event, answers.StreamHead | answers.StreamEvents):
                     yield event
                 else:
-                    ended = event
-        if isinstance(ended, answers.StreamEnd | answers.WholeAnswer):
-            tools.suspects.on_request_finished(request)
-        if isinstance(ended, answers.StreamEnd):
-            yield ended
+                    outcome = event
+        if isinstance(outcome, answers.StreamEnd | answers.WholeAnswer):
+            context.quarantine.on_request_finished(request)
+        if isinstance(outcome, answers.StreamEnd):
+            yield outcome
             return
-        final = await _decide(request, placed, ended, progress, tools)
+        final = await _conclude_or_retry(
+            request, grant, outcome, progress, context
+        )
         if final is not None:
             yield final
             return
 
 
-async def _decide(
+async def _conclude_or_retry(
     request: requests.Request,
-    placed: placement.Placed,
-    ended: answers.Event | None,
+    grant: scheduler_messages.PlacementGrant,
+    outcome: answers.Event | None,
     progress: relay_progress.Progress,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> answers.Event | None:
-    """Returns the final event, or None after the pause for a retry."""
-    if isinstance(ended, answers.WholeAnswer):
-        if ended.status < _SERVER_ERROR:
-            return ended
-        progress.answer = ended
-        ended = outcomes.NotServed(
+    """Returns the final event, or None after the delay before a retry."""
+    if isinstance(outcome, answers.WholeAnswer):
+        if outcome.status < _MIN_SERVER_ERROR_STATUS:
+            return outcome
+        progress.failed_answer = outcome
+        outcome = outcomes.NotServed(
             outcomes.Reason.TARGET_REFUSED,
             outcomes.Ran.RAN,
-            f"the target answered {ended.status}",
+            f"the target answered {outcome.status}",
         )
-    if ended is None:
+    if outcome is None:
         raise AssertionError("an attempt ended without an outcome")
     route = request.payload.route
-    seat = placed.seats[0]
-    attempt_log.log_failure(request, seat, ended, progress, tools)
-    tools.metrics.attempts.inc({"result": ended.reason.value})
-    progress.ran = model_run.worse(progress.ran, ended.ran)
-    if ended.reason not in _NOTHING_SENT:
-        progress.sent_to |= {seat.target.target_id}
-    if _is_helpers_fault(ended, progress):
-        # The target itself may well take the call, with other helpers; it is
-        # the same target, and so no further one that was sent the call.
-        progress.pinned = seat.target.target_id
-        progress.helpers_failed += 1
-        return await _try_again(request, ended, progress, tools)
-    if ended.reason not in _KEEP_PINNED:
-        progress.pinned = ""
-    if ended.reason not in _NOT_THE_WRITERS:
-        progress.excluded |= {seat.target.target_id}
-    if ended.reason in _NOTHING_SENT:
-        return _conclude_unsent(ended, progress)
-    progress.sent += 1
-    may_go_on = route.is_resumable or not progress.is_begun
-    if not may_go_on or progress.count_sent() >= route.targets_max:
-        return _conclude(ended, progress)
-    return await _try_again(request, ended, progress, tools)
+    placement = grant.placements[0]
+    attempt_log.log_failure(request, placement, outcome, progress, context)
+    context.metrics.attempts.inc({"result": outcome.reason.value})
+    progress.ran = model_run.combine_ran(progress.ran, outcome.ran)
+    if outcome.reason not in _UNSENT_REASONS:
+        progress.sent_targets |= {placement.target.target_id}
+    if _is_helper_failure(outcome, progress):
+        # The target itself may accept the request with other helpers. It is
+        # the same target, so this doesn't count as sending to a further one.
+        progress.pinned_target_id = placement.target.target_id
+        progress.helper_failures += 1
+        return await _pause_for_retry(request, outcome, progress, context)
+    if outcome.reason not in _KEEP_PIN_REASONS:
+        progress.pinned_target_id = ""
+    if outcome.reason not in _KEEP_TARGET_REASONS:
+        progress.excluded |= {placement.target.target_id}
+    if outcome.reason in _UNSENT_REASONS:
+        return _conclude_unsent(outcome, progress)
+    progress.counted_attempts += 1
+    can_continue = route.is_resumable or not progress.has_head
+    if not can_continue or progress.count_targets_used() >= route.targets_max:
+        return _conclude(outcome, progress)
+    return await _pause_for_retry(request, outcome, progress, context)
 
 
 def _conclude_unsent(
-    ended: outcomes.NotServed, progress: relay_progress.Progress
+    outcome: outcomes.NotServed, progress: relay_progress.Progress
 ) -> answers.Event | None:
-    """Returns None for another try, which counts against no limit of sends."""
-    progress.unreachable += 1
-    is_quarantined = ended.reason is outcomes.Reason.QUARANTINED
-    if is_quarantined or progress.unreachable > UNREACHABLE_MAX:
-        return _conclude(ended, progress)
+    """Returns the outcome, or None to try again.
+
+    Nothing was sent, so the attempt counts neither against the number of
+    targets of the route nor against the retry budget.
+    """
+    progress.unsent_attempts += 1
+    is_quarantined = outcome.reason is outcomes.Reason.QUARANTINED
+    if is_quarantined or progress.unsent_attempts > MAX_UNSENT_ATTEMPTS:
+        return _conclude(outcome, progress)
     return None
 
 
-def _is_helpers_fault(
-    ended: outcomes.NotServed, progress: relay_progress.Progress
+def _is_helper_failure(
+    outcome: outcomes.NotServed, progress: relay_progress.Progress
 ) -> bool:
-    """Returns whether a target refused because of one that was to help it."""
-    is_refusal = ended.ran is outcomes.Ran.NOT_RUN
-    is_given_up = ended.reason is outcomes.Reason.HELPER_ENDED
+    """Returns whether a target refused or was given up because of a helper.
+
+    After MAX_HELPER_FAILURES such failures they count as those of the target.
+    """
+    is_refusal = outcome.ran is outcomes.Ran.NOT_RUN
+    has_helper_ended = outcome.reason is outcomes.Reason.HELPER_ENDED
     return (
-        bool(progress.blamed)
-        and (is_refusal or is_given_up)
-        and progress.helpers_failed < HELPERS_FAILED_MAX
+        bool(progress.faulted_helpers)
+        and (is_refusal or has_helper_ended)
+        and progress.helper_failures < MAX_HELPER_FAILURES
     )
 
 
-async def _try_again(
+async def _pause_for_retry(
     request: requests.Request,
-    ended: outcomes.NotServed,
+    outcome: outcomes.NotServed,
     progress: relay_progress.Progress,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> answers.Event | None:
-    """Returns None after a pause, or the outcome if no try is left."""
-    if retries.is_safe_to_retry(ended, request.repeatable):
-        await tools.secure_retry(length_band.is_long(request.prompt_tokens))
+    """Returns None after the delay, or the outcome if no retry is allowed."""
+    if retries.is_safe_to_retry(outcome, request.repeatable):
+        await context.ensure_retry(length_band.is_long(request.prompt_tokens))
     decided = retries.decide(
-        ended,
+        outcome,
         request.repeatable,
-        max(1, progress.sent),
-        request.remaining_ms(tools.env.now_ms()),
+        max(1, progress.counted_attempts),
+        request.remaining_ms(context.env.now_ms()),
         0.0,
-        tools.budget,
-        tools.env.random,
+        context.budget,
+        context.env.random,
     )
     if isinstance(decided, outcomes.NotServed):
         return _conclude(decided, progress)
@@ -199,85 +215,95 @@
 
 
 def _conclude(
-    ended: outcomes.NotServed, progress: relay_progress.Progress
+    outcome: outcomes.NotServed, progress: relay_progress.Progress
 ) -> answers.WholeAnswer | outcomes.NotServed:
-    """Tells of all attempts, or hands on what a target itself answered."""
-    if progress.answer is not None and not progress.is_begun:
-        return progress.answer
-    ran = model_run.worse(progress.ran, ended.ran)
-    return dataclasses.replace(ended, ran=ran)
+    """Returns the outcome of all attempts.
 
+    That is a target's own error answer, if there was one and the caller has no
+    response head yet.
+    """
+    if progress.failed_answer is not None and not progress.has_head:
+        return progress.failed_answer
+    ran = model_run.combine_ran(progress.ran, outcome.ran)
+    return dataclasses.replace(outcome, ran=ran)
 
-async def _place(
+
+async def _wait_for_placement(
     request: requests.Request,
     progress: relay_progress.Progress,
-    tools: tool_types.Tools,
-) -> placement.Placed | outcomes.NotServed:
-    """Waits for a place: ahead of late calls first, and then among them."""
-    for is_late, wait_ms in _find_waits(request, progress, tools):
-        left_ms = request.remaining_ms(tools.env.now_ms())
+    context: contexts.EntryContext,
+) -> scheduler_messages.PlacementGrant | outcomes.NotServed:
+    """Waits for a target: ahead of late requests first, then among them."""
+    for is_late, wait_ms in _find_wait_times(request, progress, context):
+        left_ms = request.remaining_ms(context.env.now_ms())
         wait_ms = min(wait_ms, left_ms)
         if wait_ms <= 0.0:
             continue
-        asked = _make_place(request, progress, tools, is_late, wait_ms)
+        placement_request = _make_placement_request(
+            request, progress, context, is_late, wait_ms
+        )
         try:
             async with asyncio.timeout(wait_ms / 1000.0):
-                placed = await tools.scheduler.place(asked)
+                grant = await context.scheduler.place(placement_request)
         except TimeoutError:
             continue
-        if is_late or not _is_too_long_a_wait(placed):
-            return placed
+        if is_late or not _is_wait_refused(grant):
+            return grant
     return outcomes.refuse(
         outcomes.Reason.NO_TARGET,
-        f"no target of pool {request.workload.pool.name} can be used now",
-        tools.env.random.uniform(*_NO_TARGET_RETRY_MS),
+        f"no target of pool {request.workload.pool.name} is available now",
+        context.env.random.uniform(*_NO_TARGET_RETRY_MS),
     )
 
 
-def _is_too_long_a_wait(
-    placed: placement.Placed | outcomes.NotServed,
+def _is_wait_refused(
+    grant: scheduler_messages.PlacementGrant | outcomes.NotServed,
 ) -> bool:
     return (
-        isinstance(placed, outcomes.NotServed)
-        and placed.reason is outcomes.Reason.CANNOT_FINISH_IN_TIME
+        isinstance(grant, outcomes.NotServed)
+        and grant.reason is outcomes.Reason.CANNOT_FINISH_IN_TIME
     )
 
 
-def _find_waits(
+def _find_wait_times(
     request: requests.Request,
     progress: relay_progress.Progress,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
 ) -> tuple[tuple[bool, float], ...]:
-    """Returns how long to wait as a call in time, and then as a late one."""
+    """Returns how long to wait as a request in time, then as a late one.
+
+    Returns:
+        Whether the request is late, and the wait in milliseconds, for each.
+    """
     aim_ms = request.payload.route.aim_ms
     on_time_ms = ON_TIME_WAIT_AIMS * aim_ms
-    if not progress.is_begun:
-        on_time_ms -= tools.env.now_ms() - request.arrived_ms
-    return (False, on_time_ms), (True, max(LATE_WAIT_LEAST_MS, aim_ms))
+    if not progress.has_head:
+        on_time_ms -= context.env.now_ms() - request.arrived_ms
+    return (False, on_time_ms), (True, max(MIN_LATE_WAIT_MS, aim_ms))
 
 
-def _make_place(
+def _make_placement_request(
     request: requests.Request,
     progress: relay_progress.Progress,
-    tools: tool_types.Tools,
+    context: contexts.EntryContext,
     is_late: bool,
     wait_ms: float,
-) -> placement.Place:
-    now_ms = tools.env.now_ms()
+) -> scheduler_messages.PlacementRequest:
+    now_ms = context.env.now_ms()
     pool = request.workload.pool
     route = request.payload.route
     priority = request.workload.priority
     if is_late:
-        rank = priority.rank - _LATE_RANKS
+        rank = priority.rank - _LATE_RANK_OFFSET
         priority = dataclasses.replace(priority, name=str(rank), rank=rank)
     cost = costs.predict(
         pool, request.prompt_tokens, 0, request.output_tokens_expected
     )
     band = length_band.find_band(request.prompt_tokens)
-    return placement.Place(
+    return scheduler_messages.PlacementRequest(
         job=queueing.Job(
-            job_id=f"{request.request_id}.{progress.sent}."
-            f"{progress.unreachable}.{now_ms}",
+            job_id=f"{request.request_id}.{progress.counted_attempts}."
+            f"{progress.unsent_attempts}.{now_ms}",
             priority=priority,
             workspace=request.workload.workspace,
             weight=request.workload.weight,
@@ -286,7 +312,7 @@
             unloaded_ms=0.0,
             deadline_ms=now_ms + wait_ms,
         ),
-        route=jobs.Job(
+        routing_job=jobs.Job(
             prompt_tokens=request.prompt_tokens,
             held_tokens=cost.held_tokens,
             prefix="",
@@ -295,10 +321,10 @@
             waited_ms=request.arrived_ms,
             ttft_slo_ms=route.aim_ms,
             gap_slo_ms=route.gap_aim_ms if route.is_stream else math.inf,
-            local_hall=tools.config.hall,
-            pinned_target_id=progress.pinned,
-            may_be_poison=tools.suspects.is_suspected(request),
-            tie_break_seed=tools.env.random.getrandbits(32),
+            local_hall=context.config.hall,
+            pinned_target_id=progress.pinned_target_id,
+            may_be_poison=context.quarantine.is_suspected(request),
+            tie_break_seed=context.env.random.getrandbits(32),
         ),
         pool=pool,
         segments=(),
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -1,7 +1,7 @@
-"""The task that owns the queues and the believed load of targets.
+"""The task that owns the request queues and the estimated load of targets.
 
-Everything else sends it messages. After each message it gives out places for
-as long as the next request has a target.
+Other tasks send it messages. After each batch of messages it dispatches queued
+requests until no target is left for the next one.
 """
 
 import asyncio
@@ -18,8 +18,8 @@
 from ruddergate.decisions import rate_limits
 from ruddergate.decisions.routing import by_name
 from ruddergate.entry import config as configs
-from ruddergate.entry import placement
-from ruddergate.entry import seating as seatings
+from ruddergate.entry import placing as placings
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import target_losses
 from ruddergate.entry import target_table
 from ruddergate.entry import view as views
@@ -30,41 +30,43 @@
 from ruddergate.messages import loads as load_messages
 from ruddergate.telemetry import logs
 
-# With requests waiting, targets are looked at this often.
-_TICK_MS = 20.0
+# Interval of dispatch attempts while requests are queued.
+_QUEUED_TICK_MS = 20.0
 _IDLE_TICK_MS = 500.0
-# A lane that no target can take rests for a time drawn from this range: VMs
-# that wait for the same targets must not all go when one has become free.
-_LANE_REST_MS = (5.0, 60.0)
-_GONE_RETRY_MS = 1_000.0
-# Callers refused until a target takes calls are told to come back within this
-# time after it: told the same moment they would all come in it, and the target
-# had too much to do before. Half of what its own time is drawn out by at most.
+# A lane that no target can take is paused for a random time from this range, so
+# that VMs waiting for the same targets don't all dispatch at once when one of
+# them becomes free.
+_LANE_PAUSE_MS = (5.0, 60.0)
+_NO_TARGET_RETRY_MS = 1_000.0
+# Jitter added to the retry-after of callers that are refused until a target
+# accepts requests again: without it they would all return at the same moment,
+# to a target that was overloaded before. Half of the largest jitter that is
+# added to the backoff of the target itself.
 _RETURN_SPREAD_MS = 250.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ViewChanged:
-    """The view has a new list or new settings."""
+    """The view has a new target list or new settings."""
 
 
 Message = (
-    placement.Place
-    | placement.Withdraw
-    | placement.FirstToken
-    | placement.Ended
-    | placement.LifeEnded
-    | placement.Reported
+    scheduler_messages.PlacementRequest
+    | scheduler_messages.CancelPlacement
+    | scheduler_messages.FirstToken
+    | scheduler_messages.AttemptEnded
+    | scheduler_messages.IncarnationEnded
+    | scheduler_messages.LoadReported
     | load_messages.Loads
     | ViewChanged
 )
 
 
 class Scheduler:
-    """Queues, estimates and the routing policy of one entry.
+    """Queues requests and dispatches them to targets, for one entry.
 
     Attributes:
-        ends: Tells of lives of targets that have ended.
+        incarnation_ends: Notifies waiters of target incarnations that ended.
     """
 
     def __init__(
@@ -72,82 +74,86 @@
         env: environment.Environment,
         config: configs.EntryConfig,
         view: views.View,
-        note_change: Callable[[], None] = lambda: None,
-        collect_peers: Callable[
+        on_own_load_change: Callable[[], None] = lambda: None,
+        collect_peer_loads: Callable[
             [], Sequence[dispatched.Dispatched]
         ] = lambda: (),
-        is_blind: Callable[[], bool] = lambda: False,
-        collect_lost: Callable[[], bad_news.BadNews] = lambda: bad_news.NOTHING,
-        withdrawn: draining.DrainState | None = None,
+        lacks_peer_loads: Callable[[], bool] = lambda: False,
+        collect_loss_report: Callable[[], bad_news.BadNews] = lambda: (
+            bad_news.NOTHING
+        ),
+        drain_state: draining.DrainState | None = None,
         limits: rate_limits.RateLimits | None = None,
     ) -> None:
-        """Makes an idle scheduler.
+        """Creates an idle scheduler.
 
         Args:
-            env: Clock and chance.
+            env: Clock and random numbers.
             config: Settings of the process.
-            view: What it goes by.
-            note_change: Called when this VM's work on a target changes, which
-                peers had better hear of.
-            collect_peers: Returns what peers have on targets, as far as it is
-                news; asked before places are given out.
-            is_blind: Returns whether there are peers of which nothing is known.
-            collect_lost: Returns what peers have newly found out of reach.
-            withdrawn: Which lives of targets take no calls.
-            limits: Rate limits that targets name.
+            view: Current target list and settings.
+            on_own_load_change: Called when the load that this VM puts on a
+                target changes, so that peers can be told.
+            collect_peer_loads: Returns the load that peers put on targets, as
+                far as it has changed; called before requests are dispatched.
+            lacks_peer_loads: Returns whether there are peers, but no load of
+                any of them is known yet.
+            collect_loss_report: Returns what peers have newly found to be
+                unreachable.
+            drain_state: Which target incarnations accept no requests.
+            limits: Rate limits that targets advertise.
         """
-        self._withdrawn = withdrawn or draining.DrainState()
+        self._drain_state = drain_state or draining.DrainState()
         if limits is None:
             limits = rate_limits.RateLimits(env.random, lambda *_: 0)
         self._limits = limits
-        self._note_change = note_change
-        self._collect_peers = collect_peers
-        self._is_blind = is_blind
-        self._collect_lost = collect_lost
+        self._on_own_load_change = on_own_load_change
+        self._collect_peer_loads = collect_peer_loads
+        self._lacks_peer_loads = lacks_peer_loads
+        self._collect_loss_report = collect_loss_report
         self._losses = target_losses.TargetLosses(env.random)
-        self.ends = self._losses.ended
+        self.incarnation_ends = self._losses.ended
         self._env = env
         self._config = config
         self._view = view
-        self._seating = seatings.Seating(
+        self._placer = placings.Placer(
             env.random,
             by_name.make_policy(config.policy),
             by_name.make_policy(config.service_policy),
-            note_change,
+            on_own_load_change,
             self._limits.is_limited,
         )
         self._inbox: asyncio.Queue[Message] = asyncio.Queue()
         self._queues: dict[str, queueing.Queue] = {}
-        self._asked: dict[str, placement.Place] = {}
+        self._pending: dict[str, scheduler_messages.PlacementRequest] = {}
         self._table = target_table.TargetTable(
-            view, self._withdrawn, self._limits
+            view, self._drain_state, self._limits
         )
-        self._ticked_ms = env.now_ms()
-        self._held_until_ms = 0.0
+        self._last_turn_ms = env.now_ms()
+        self._hold_until_ms = 0.0
         self._log = logs.make_logger("scheduler")
-        self._lane_rests_until_ms: dict[queueing.Lane, float] = {}
+        self._lane_paused_until_ms: dict[queueing.Lane, float] = {}
 
     def post(self, message: Message) -> None:
         """Sends the scheduler a message."""
         self._inbox.put_nowait(message)
 
     def shorter_first(self) -> bool:
-        """Returns whether engines are to prefill shorter prompts first."""
-        return self._seating.shorter_first
+        """Returns whether engines should prefill shorter prompts first."""
+        return self._placer.shorter_first
 
     async def place(
-        self, asked: placement.Place
-    ) -> placement.Placed | outcomes.NotServed:
-        """Asks for a place and waits for the answer."""
-        self.post(asked)
+        self, request: scheduler_messages.PlacementRequest
+    ) -> scheduler_messages.PlacementGrant | outcomes.NotServed:
+        """Queues a request and waits until it is dispatched or refused."""
+        self.post(request)
         try:
-            return await asked.reply
+            return await request.reply
         except asyncio.CancelledError:
-            self.post(placement.Withdraw(asked))
+            self.post(scheduler_messages.CancelPlacement(request))
             raise
 
-    def summarize(self) -> tuple[dispatched.Dispatched, ...]:
-        """Returns this VM's own work on targets, for peers."""
+    def list_own_loads(self) -> tuple[dispatched.Dispatched, ...]:
+        """Returns the load that this VM puts on targets, for peers."""
         now_ms = self._env.now_ms()
         return tuple(
             estimate.summarize(now_ms)
@@ -155,12 +161,12 @@
             if estimate.own_streams()
         )
 
-    def summarize_lost(self) -> bad_news.BadNews:
-        """Returns what this VM has just found out of reach, for peers."""
+    def make_loss_report(self) -> bad_news.BadNews:
+        """Returns what this VM has just found to be unreachable, for peers."""
         return self._losses.summarize(self._env.now_ms())
 
     def waiting_by_class(self) -> dict[str, float]:
-        """Returns the cost waiting in each class, in milliseconds."""
+        """Returns the queued cost of each priority class in milliseconds."""
         total: dict[str, float] = {}
         for queue in self._queues.values():
             for name, cost_ms in queue.waiting_by_class().items():
@@ -168,7 +174,7 @@
         return total
 
     def count_streams(self, target_id: str) -> float:
-        """Returns how many answers a target is believed to be writing."""
+        """Returns the estimated number of answers a target is generating."""
         estimate = self._table.find_by_id(target_id)
         if estimate is None:
             return 0.0
@@ -182,162 +188,179 @@
     def find_rate_limit(
         self, target_id: str, now_ms: float
     ) -> tuple[float, float]:
-        """Returns a target's rate limit and this VM's part of it, a second."""
+        """Returns a target's rate limit and this VM's share, per second."""
         return self._limits.find_share(target_id, now_ms)
 
     def find_halls(self, pool: str) -> set[str]:
-        """Returns the halls with targets of a pool, whatever their state."""
+        """Returns the halls with targets of a pool, in any state."""
         return self._table.find_halls(pool)
 
-    def believed_loads(self) -> list[estimates.Estimate]:
-        """Returns the believed load of each target, for the status page."""
+    def list_estimates(self) -> list[estimates.Estimate]:
+        """Returns the estimated load of each target, for the status page."""
         return self._table.list_all()
 
     def is_usable(self, estimate: estimates.Estimate) -> bool:
-        """Returns whether a target may be sent work now and had better be."""
+        """Returns whether a target accepts requests now and looks healthy."""
         return self._table.is_usable(estimate, self._env.now_ms())
 
     async def run(self) -> None:
-        """Serves the inbox until cancelled."""
+        """Processes messages until cancelled."""
         while True:
-            await self._wait()
-            self._note_time()
+            await self._wait_for_message()
+            self._detect_clock_gap()
             while not self._inbox.empty():
-                self._take(self._inbox.get_nowait())
-            self._take_peers(self._collect_peers())
-            self._take_lost(self._collect_lost())
-            self._give_places()
+                self._handle(self._inbox.get_nowait())
+            self._merge_peer_loads(self._collect_peer_loads())
+            self._merge_loss_report(self._collect_loss_report())
+            self._dispatch_all()
 
-    async def _wait(self) -> None:
-        """Returns when there is a message or a tick has passed."""
+    async def _wait_for_message(self) -> None:
+        """Processes the next message, or returns after one tick."""
         waiting = any(len(queue) for queue in self._queues.values())
-        tick_ms = _TICK_MS if waiting else _IDLE_TICK_MS
+        tick_ms = _QUEUED_TICK_MS if waiting else _IDLE_TICK_MS
         try:
             async with asyncio.timeout(tick_ms / 1000.0):
-                self._take(await self._inbox.get())
+                self._handle(await self._inbox.get())
         except TimeoutError:
             pass
 
-    def _note_time(self) -> None:
-        """After a gap in time, holds work until the view is fresh again."""
+    def _detect_clock_gap(self) -> None:
+        """Holds dispatch after a suspension until the view is fresh again.
+
+        A long time between two turns counts as a suspension of the process.
+        """
         now_ms = self._env.now_ms()
-        if now_ms - self._ticked_ms > self._config.wake_gap_ms:
-            self._held_until_ms = now_ms + self._config.wake_refresh_ms
-        self._ticked_ms = now_ms
+        if now_ms - self._last_turn_ms > self._config.suspend_gap_ms:
+            self._hold_until_ms = now_ms + self._config.suspend_refresh_max_ms
+        self._last_turn_ms = now_ms
 
-    def _take(self, message: Message) -> None:
+    def _handle(self, message: Message) -> None:
         now_ms = self._env.now_ms()
         match message:
-            case placement.Place():
-                self._take_place(message, now_ms)
-            case placement.Withdraw():
-                self._take_withdraw(message.asked)
-            case placement.FirstToken():
-                self._take_first_token(message, now_ms)
-            case placement.Ended():
-                self._take_ended(message, now_ms)
-            case placement.LifeEnded():
-                self._take_life_ended(message.target, now_ms)
-            case placement.Reported():
-                self._take_report(message.report, now_ms)
+            case scheduler_messages.PlacementRequest():
+                self._on_placement_request(message, now_ms)
+            case scheduler_messages.CancelPlacement():
+                self._on_cancel_placement(message.request)
+            case scheduler_messages.FirstToken():
+                self._on_first_token(message, now_ms)
+            case scheduler_messages.AttemptEnded():
+                self._on_attempt_ended(message, now_ms)
+            case scheduler_messages.IncarnationEnded():
+                self._on_incarnation_ended(message.target, now_ms)
+            case scheduler_messages.LoadReported():
+                self._on_load_report(message.report, now_ms)
             case load_messages.Loads():
-                self._take_loads(message, now_ms)
+                self._on_loads(message, now_ms)
             case ViewChanged():
-                self._take_view(now_ms)
+                self._on_view_changed(now_ms)
 
-    def _take_place(self, asked: placement.Place, now_ms: float) -> None:
-        if asked.reply.cancelled():
+    def _on_placement_request(
+        self, request: scheduler_messages.PlacementRequest, now_ms: float
+    ) -> None:
+        if request.reply.cancelled():
             return
-        queue = self._find_queue(asked.pool.name)
-        if not self._table.has_pool(asked.pool.name):
-            _answer(asked, _refuse_no_target(asked.pool.name))
+        queue = self._find_queue(request.pool.name)
+        if not self._table.has_pool(request.pool.name):
+            _reply(request, _refuse_no_target(request.pool.name))
             return
-        first_ms = self._find_turn_ms(asked.pool.name, len(queue), now_ms)
-        if first_ms > asked.job.deadline_ms:
-            _answer(asked, self._refuse_until(asked.pool.name, first_ms))
+        start_ms = self._predict_start_ms(request.pool.name, len(queue), now_ms)
+        if start_ms > request.job.deadline_ms:
+            _reply(request, self._refuse_until(request.pool.name, start_ms))
             return
-        refusal = queue.offer(asked.job, now_ms)
+        refusal = queue.offer(request.job, now_ms)
         if refusal is not None:
-            _answer(asked, refusal)
+            _reply(request, refusal)
             return
-        self._asked[asked.job.job_id] = asked
+        self._pending[request.job.job_id] = request
+
+    def _predict_start_ms(self, pool: str, ahead: int, now_ms: float) -> float:
+        """Returns when a pool accepts a further request.
 
-    def _find_turn_ms(self, pool: str, ahead: int, now_ms: float) -> float:
-        """Returns when a pool takes a call, as far as targets turn calls away.
+        Only backoff times and rate limits of its targets count, not their load.
 
         Args:
             pool: Name of the pool.
-            ahead: Calls that wait for it already.
-            now_ms: Time.
+            ahead: Number of requests that are queued for it already.
+            now_ms: Monotonic time.
         """
-        first_ms = self._table.find_next_available_ms(pool, now_ms)
+        start_ms = self._table.find_next_available_ms(pool, now_ms)
         if not ahead or not len(self._limits):
-            return first_ms
+            return start_ms
         capacity_per_s = self._table.find_capacity_per_s(pool, now_ms)
         if capacity_per_s <= 0.0:
-            return first_ms
-        return first_ms + ahead / capacity_per_s * 1_000.0
+            return start_ms
+        return start_ms + ahead / capacity_per_s * 1_000.0
 
-    def _take_withdraw(self, asked: placement.Place) -> None:
-        self._asked.pop(asked.job.job_id, None)
-        if self._find_queue(asked.pool.name).remove(asked.job):
+    def _on_cancel_placement(
+        self, request: scheduler_messages.PlacementRequest
+    ) -> None:
+        self._pending.pop(request.job.job_id, None)
+        if self._find_queue(request.pool.name).remove(request.job):
             return
-        if asked.reply.done() and not asked.reply.cancelled():
-            placed = asked.reply.result()
-            if isinstance(placed, placement.Placed):
-                self._release(placed)
-
-    def _release(self, placed: placement.Placed) -> None:
-        for seat in placed.seats:
-            self._limits.note_unplaced(seat.target.target_id, seat.attempt_id)
-            estimate = self._table.find(seat.target)
+        if request.reply.done() and not request.reply.cancelled():
+            grant = request.reply.result()
+            if isinstance(grant, scheduler_messages.PlacementGrant):
+                self._release(grant)
+
+    def _release(self, grant: scheduler_messages.PlacementGrant) -> None:
+        for placement in grant.placements:
+            self._limits.note_unplaced(
+                placement.target.target_id, placement.attempt_id
+            )
+            estimate = self._table.find(placement.target)
             if estimate is not None:
-                estimate.end_attempt(seat.attempt_id)
+                estimate.end_attempt(placement.attempt_id)
 
-    def _take_first_token(
-        self, message: placement.FirstToken, now_ms: float
+    def _on_first_token(
+        self, message: scheduler_messages.FirstToken, now_ms: float
     ) -> None:
-        estimate = self._table.find(message.seat.target)
+        estimate = self._table.find(message.placement.target)
         if estimate is None:
             return
-        self._withdrawn.note_success(estimate.target.life, now_ms)
-        if estimate.note_first_token(message.seat.attempt_id, now_ms):
-            self._note_change()
+        self._drain_state.note_success(estimate.target.life, now_ms)
+        if estimate.note_first_token(message.placement.attempt_id, now_ms):
+            self._on_own_load_change()
         if message.prefix:
             estimate.note_prefix(message.prefix, message.prefix_tokens)
 
-    def _take_ended(self, message: placement.Ended, now_ms: float) -> None:
-        target = message.seat.target
-        self._limits.note_unplaced(target.target_id, message.seat.attempt_id)
+    def _on_attempt_ended(
+        self, message: scheduler_messages.AttemptEnded, now_ms: float
+    ) -> None:
+        target = message.placement.target
+        self._limits.note_unplaced(
+            target.target_id, message.placement.attempt_id
+        )
         estimate = self._table.find(target)
         if estimate is None:
             return
-        estimate.end_attempt(message.seat.attempt_id)
-        if message.unreachable:
+        estimate.end_attempt(message.placement.attempt_id)
+        if message.is_unreachable:
             self._losses.note_unreachable(target, now_ms)
-        elif message.gone:
+        elif message.has_exited:
             self._losses.note_ended(target, now_ms)
-        if message.failed:
+        if message.is_target_fault:
             estimate.note_fault(now_ms)
-        elif message.answered:
-            self._withdrawn.note_success(target.life, now_ms)
+        elif message.has_answered:
+            self._drain_state.note_success(target.life, now_ms)
             self._losses.note_answered(target, now_ms)
             estimate.answered_ms = now_ms
-        self._note_change()
+        self._on_own_load_change()
 
-    def _take_life_ended(self, target: targets.Target, now_ms: float) -> None:
+    def _on_incarnation_ended(
+        self, target: targets.Target, now_ms: float
+    ) -> None:
         estimate = self._table.find(target)
         if estimate is not None:
             estimate.note_fault(now_ms)
             self._losses.note_ended(target, now_ms)
-            self._note_change()
+            self._on_own_load_change()
 
-    def _take_lost(self, told: bad_news.BadNews) -> None:
-        if told is not bad_news.NOTHING:
+    def _merge_loss_report(self, report: bad_news.BadNews) -> None:
+        if report is not bad_news.NOTHING:
             now_ms = self._env.now_ms()
-            self._losses.merge_gossip(told, self._table.find_reported, now_ms)
+            self._losses.merge_gossip(report, self._table.find_reported, now_ms)
 
-    def _take_report(
+    def _on_load_report(
         self, report: load_report.LoadReport, now_ms: float
     ) -> None:
         estimate = self._table.find_by_id(report.target_id)
@@ -345,25 +368,25 @@
             return
         estimate.apply_report(report, now_ms)
 
-    def _take_loads(self, loads: load_messages.Loads, now_ms: float) -> None:
+    def _on_loads(self, loads: load_messages.Loads, now_ms: float) -> None:
         for report in loads.reports:
-            self._take_report(report, now_ms)
-        self._take_peers(loads.peers)
+            self._on_load_report(report, now_ms)
+        self._merge_peer_loads(loads.peers)
         for event in loads.events:
             estimate = self._table.find_by_id(event.target_id)
             if estimate is not None:
                 estimate.apply_cache_event(event)
 
-    def _take_peers(self, rows: Sequence[dispatched.Dispatched]) -> None:
+    def _merge_peer_loads(self, rows: Sequence[dispatched.Dispatched]) -> None:
         now_ms = self._env.now_ms()
         for row in rows:
             estimate = self._table.find_by_id(row.target_id)
             if estimate is not None:
                 estimate.apply_peer_work(row, now_ms)
 
-    def _take_view(self, now_ms: float) -> None:
-        if self._view.age_ms(now_ms) < self._config.wake_gap_ms:
-            self._held_until_ms = 0.0
+    def _on_view_changed(self, now_ms: float) -> None:
+        if self._view.age_ms(now_ms) < self._config.suspend_gap_ms:
+            self._hold_until_ms = 0.0
         self._table.refresh(now_ms)
 
     def _find_queue(self, pool: str) -> queueing.Queue:
@@ -381,95 +404,105 @@
 
         return drain_rate
 
-    def _give_places(self) -> None:
+    def _dispatch_all(self) -> None:
         now_ms = self._env.now_ms()
-        if now_ms < self._held_until_ms:
+        if now_ms < self._hold_until_ms:
             return
         for pool, queue in self._queues.items():
             if len(queue):
-                self._expire(queue, now_ms)
-                self._give_places_of(pool, queue, now_ms)
+                self._refuse_expired(queue, now_ms)
+                self._dispatch_pool(pool, queue, now_ms)
 
-    def _expire(self, queue: queueing.Queue, now_ms: float) -> None:
+    def _refuse_expired(self, queue: queueing.Queue, now_ms: float) -> None:
         for job in queue.remove_expired(now_ms):
-            asked = self._asked.pop(job.job_id)
+            request = self._pending.pop(job.job_id)
             refusal = outcomes.refuse(
                 outcomes.Reason.CANNOT_FINISH_IN_TIME,
-                "it could no longer have finished in time",
-                _GONE_RETRY_MS,
+                "the request could no longer finish before its deadline",
+                _NO_TARGET_RETRY_MS,
             )
-            _answer(asked, refusal)
+            _reply(request, refusal)
 
-    def _give_places_of(
+    def _dispatch_pool(
         self, pool: str, queue: queueing.Queue, now_ms: float
     ) -> None:
-        closed = {
+        paused = {
             lane
-            for lane, until_ms in self._lane_rests_until_ms.items()
+            for lane, until_ms in self._lane_paused_until_ms.items()
             if now_ms < until_ms
         }
         usable = self._find_usable(pool, now_ms)
         if not usable:
-            self._refuse_hopeless(pool, queue, now_ms)
-        while usable and (job := queue.take_next(now_ms, closed)) is not None:
-            asked = self._asked[job.job_id]
-            seats = self._seating.seat(asked, usable, now_ms, self._is_blind())
-            if not seats:
+            self._refuse_unservable(pool, queue, now_ms)
+        while usable and (job := queue.take_next(now_ms, paused)) is not None:
+            request = self._pending[job.job_id]
+            placements = self._placer.place(
+                request, usable, now_ms, self._lacks_peer_loads()
+            )
+            if not placements:
                 queue.requeue(job, now_ms)
-                closed.add(job.lane)
-                rest_ms = self._env.random.uniform(*_LANE_REST_MS)
-                self._lane_rests_until_ms[job.lane] = now_ms + rest_ms
+                paused.add(job.lane)
+                pause_ms = self._env.random.uniform(*_LANE_PAUSE_MS)
+                self._lane_paused_until_ms[job.lane] = now_ms + pause_ms
                 continue
-            del self._asked[job.job_id]
-            first = seats[0]
+            del self._pending[job.job_id]
+            first = placements[0]
             self._limits.note_placed(
                 first.target.target_id, first.attempt_id, now_ms
             )
-            if any(self._takes_few(each.target) for each in seats):
+            if any(
+                self._has_restricted_intake(each.target) for each in placements
+            ):
                 usable = self._find_usable(pool, now_ms)
-            placed = placement.Placed(seats)
-            if asked.reply.done():
-                # Given up in this moment; its withdrawal is still under way.
-                self._release(placed)
+            grant = scheduler_messages.PlacementGrant(placements)
+            if request.reply.done():
+                # Given up just now; its CancelPlacement is still in the inbox.
+                self._release(grant)
             else:
-                asked.reply.set_result(placed)
+                request.reply.set_result(grant)
 
-    def _takes_few(self, target: targets.Target) -> bool:
-        """Returns whether a call given to a target may have been its last."""
-        return self._withdrawn.is_half_open(
+    def _has_restricted_intake(self, target: targets.Target) -> bool:
+        """Returns whether a target may accept no further request after one."""
+        return self._drain_state.is_half_open(
             target.life
         ) or self._limits.is_limited(target.target_id)
 
-    def _refuse_hopeless(
+    def _refuse_unservable(
         self, pool: str, queue: queueing.Queue, now_ms: float
     ) -> None:
-        """Refuses at once what can't have a target before its time is up."""
-        first_ms = self._table.find_next_available_ms(pool, now_ms)
-        hopeless = [job for job in queue.jobs() if first_ms > job.deadline_ms]
-        for job in hopeless:
+        """Refuses requests that get no target before their deadline."""
+        start_ms = self._table.find_next_available_ms(pool, now_ms)
+        unservable = [job for job in queue.jobs() if start_ms > job.deadline_ms]
+        for job in unservable:
             queue.remove(job)
-            asked = self._asked.pop(job.job_id)
-            _answer(asked, self._refuse_until(pool, first_ms))
+            request = self._pending.pop(job.job_id)
+            _reply(request, self._refuse_until(pool, start_ms))
+
+    def _refuse_until(self, pool: str, start_ms: float) -> outcomes.NotServed:
+        """Returns the refusal of a request that no target accepts in time.
 
-    def _refuse_until(self, pool: str, first_ms: float) -> outcomes.NotServed:
-        """Returns the refusal of what no target takes before that time."""
-        if math.isinf(first_ms):
+        Args:
+            pool: Name of the pool.
+            start_ms: Time at which the first target accepts requests; infinite
+                if none will.
+        """
+        if math.isinf(start_ms):
             return outcomes.refuse(
                 outcomes.Reason.NO_TARGET,
-                f"no target of pool {pool} takes calls of this VM",
-                _GONE_RETRY_MS,
+                f"no target of pool {pool} accepts requests from this VM",
+                _NO_TARGET_RETRY_MS,
             )
         now_ms = self._env.now_ms()
-        most_ms = _RETURN_SPREAD_MS
+        spread_max_ms = _RETURN_SPREAD_MS
         capacity_per_s = self._table.find_capacity_per_s(pool, now_ms)
         if capacity_per_s > 0.0:
-            # Under rate limits one caller can be served in such a time.
-            most_ms = max(most_ms, 1_000.0 / capacity_per_s)
-        spread_ms = self._env.random.uniform(0.0, most_ms)
+            # With rate limits, one request can be served per such interval.
+            spread_max_ms = max(spread_max_ms, 1_000.0 / capacity_per_s)
+        spread_ms = self._env.random.uniform(0.0, spread_max_ms)
         return outcomes.refuse(
             outcomes.Reason.CANNOT_FINISH_IN_TIME,
-            f"no target of pool {pool} wants calls now",
-            first_ms - now_ms + spread_ms,
+            f"no target of pool {pool} accepts requests now",
+            start_ms - now_ms + spread_ms,
         )
 
     def _find_usable(
@@ -477,29 +510,33 @@
     ) -> list[estimates.Estimate]:
         """Returns the targets to choose from.
 
-        When all look bad, this VM is more likely at fault than all of them, and
-        any that may take work is better than none.
+        If all look unhealthy, the fault is more likely at this VM than at all
+        of them. With panic routing, any target that accepts requests is then
+        better than none.
         """
-        taking = self._table.list_accepting(pool, now_ms)
-        good = [
+        accepting = self._table.list_accepting(pool, now_ms)
+        healthy = [
             each
-            for each in taking
+            for each in accepting
             if each.is_usable(now_ms)
             and not self._losses.is_suspect(each.target.hall, now_ms)
         ]
-        if good or not self._config.tries_all:
-            return good
-        return taking
+        if healthy or not self._config.panic_routing:
+            return healthy
+        return accepting
 
 
-def _answer(
-    asked: placement.Place, answer: placement.Placed | outcomes.NotServed
+def _reply(
+    request: scheduler_messages.PlacementRequest,
+    result: scheduler_messages.PlacementGrant | outcomes.NotServed,
 ) -> None:
-    if not asked.reply.done():
-        asked.reply.set_result(answer)
+    if not request.reply.done():
+        request.reply.set_result(result)
 
 
 def _refuse_no_target(pool: str) -> outcomes.NotServed:
     return outcomes.refuse(
-        outcomes.Reason.NO_TARGET, f"pool {pool} has no target", _GONE_RETRY_MS
+        outcomes.Reason.NO_TARGET,
+        f"pool {pool} has no target",
+        _NO_TARGET_RETRY_MS,
     )
--- a/src/ruddergate/entry/service_run.py
+++ b/src/ruddergate/entry/service_run.py
@@ -8,41 +8,41 @@
 from ruddergate.decisions import queueing
 from ruddergate.decisions import retries
 from ruddergate.decisions.routing import job as jobs
+from ruddergate.entry import context as contexts
 from ruddergate.entry import model_run
-from ruddergate.entry import placement
-from ruddergate.entry import tools as tool_types
+from ruddergate.entry import scheduler_messages
 
-# What a call is taken to cost in the queue, in milliseconds.
+# Assumed cost of a service call, in milliseconds.
 _CALL_COST_MS = 20.0
 
 
 async def run(
-    request: requests.Request, tools: tool_types.Tools
+    request: requests.Request, context: contexts.EntryContext
 ) -> service_calls.ServiceAnswer | outcomes.NotServed:
     """Returns the service's whole answer, or the outcome."""
     ran = outcomes.Ran.NOT_RUN
     excluded: frozenset[str] = frozenset()
     attempts = 0
-    tools.budget.note_first_attempt()
+    context.budget.note_first_attempt()
     while True:
-        placed = await _place(request, attempts, excluded, tools)
-        if isinstance(placed, outcomes.NotServed):
-            return _with_ran(placed, ran)
+        grant = await _place(request, attempts, excluded, context)
+        if isinstance(grant, outcomes.NotServed):
+            return _with_ran(grant, ran)
         attempts += 1
-        seat = placed.seats[0]
-        answer = await _call(request, seat, tools)
+        placement = grant.placements[0]
+        answer = await _call(request, placement, context)
         if isinstance(answer, service_calls.ServiceAnswer):
             return answer
-        ran = model_run.worse(ran, answer.ran)
-        excluded = excluded | {seat.target.target_id}
+        ran = model_run.combine_ran(ran, answer.ran)
+        excluded = excluded | {placement.target.target_id}
         decided = retries.decide(
             answer,
             request.repeatable,
             attempts,
-            request.remaining_ms(tools.env.now_ms()),
+            request.remaining_ms(context.env.now_ms()),
             _CALL_COST_MS,
-            tools.budget,
-            tools.env.random,
+            context.budget,
+            context.env.random,
         )
         if isinstance(decided, outcomes.NotServed):
             return _with_ran(decided, ran)
@@ -51,33 +51,35 @@
 
 async def _call(
     request: requests.Request,
-    seat: placement.Seat,
-    tools: tool_types.Tools,
+    placement: scheduler_messages.Placement,
+    context: contexts.EntryContext,
 ) -> service_calls.ServiceAnswer | outcomes.NotServed:
-    failed = True
+    is_target_fault = True
     try:
-        with tools.tracer.span("attempt", request.traceparent):
+        with context.tracer.span("attempt", request.traceparent):
             answer = await service_calls.call(
-                tools.env,
-                seat.target,
+                context.env,
+                placement.target,
                 request,
-                request.remaining_ms(tools.env.now_ms()),
+                request.remaining_ms(context.env.now_ms()),
             )
-        failed = isinstance(answer, outcomes.NotServed)
+        is_target_fault = isinstance(answer, outcomes.NotServed)
         return answer
     finally:
-        tools.scheduler.post(placement.Ended(seat, failed))
+        context.scheduler.post(
+            scheduler_messages.AttemptEnded(placement, is_target_fault)
+        )
 
 
 async def _place(
     request: requests.Request,
     attempts: int,
     excluded: frozenset[str],
-    tools: tool_types.Tools,
-) -> placement.Placed | outcomes.NotServed:
-    now_ms = tools.env.now_ms()
+    context: contexts.EntryContext,
+) -> scheduler_messages.PlacementGrant | outcomes.NotServed:
+    now_ms = context.env.now_ms()
     pool = request.workload.pool
-    asked = placement.Place(
+    placement_request = scheduler_messages.PlacementRequest(
         job=queueing.Job(
             job_id=f"{request.request_id}.{attempts}",
             priority=request.workload.priority,
@@ -88,21 +90,23 @@
             unloaded_ms=0.0,
             deadline_ms=request.deadline_ms,
         ),
-        route=jobs.Job(0, 0, "", 0, False, now_ms),
+        routing_job=jobs.Job(0, 0, "", 0, False, now_ms),
         pool=pool,
         segments=(),
         excluded=excluded,
         reply=asyncio.get_running_loop().create_future(),
     )
-    return await model_run.place_in_time(request, asked, tools)
+    return await model_run.place_before_deadline(
+        request, placement_request, context
+    )
 
 
 def _with_ran(
-    ended: outcomes.NotServed, ran: outcomes.Ran
+    outcome: outcomes.NotServed, ran: outcomes.Ran
 ) -> outcomes.NotServed:
     return outcomes.NotServed(
-        ended.reason,
-        model_run.worse(ran, ended.ran),
-        ended.detail,
-        ended.retry_after_ms,
+        outcome.reason,
+        model_run.combine_ran(ran, outcome.ran),
+        outcome.detail,
+        outcome.retry_after_ms,
     )
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -14,9 +14,9 @@
 from ruddergate import environment
 from ruddergate.decisions import draining
 from ruddergate.entry import config as configs
-from ruddergate.entry import placement
 from ruddergate.entry import reservation_keeper
 from ruddergate.entry import scheduler as schedulers
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import target_list
 from ruddergate.entry import view as views
 from ruddergate.fleet import bad_news
@@ -122,7 +122,9 @@
                 env,
                 configs.EntryConfig("vm", "h", environment.Address("vm", 1)),
                 view,
-                collect_lost=lambda: told.pop() if told else bad_news.NOTHING,
+                collect_loss_report=lambda: (
+                    told.pop() if told else bad_news.NOTHING
+                ),
             )
             process.start(scheduler.run)
             for born_ms in (5, 6):
@@ -134,14 +136,18 @@
                 scheduler.post(message)
             await asyncio.sleep(0.55)
             now_ms = env.now_ms()
-            return scheduler.believed_loads()[0].is_usable(now_ms)
+            return scheduler.list_estimates()[0].is_usable(now_ms)
 
         return virtual_process.run(run)
 
     def test_failures_of_the_former_life(self) -> None:
         for born_ms, is_used in ((5, True), (6, False)):
-            seat = placement.Seat(_make_target(born_ms), "attempt", 0)
-            ended = placement.Ended(seat, failed=True, answered=False)
+            seat = scheduler_messages.Placement(
+                _make_target(born_ms), "attempt", 0
+            )
+            ended = scheduler_messages.AttemptEnded(
+                seat, is_target_fault=True, has_answered=False
+            )
             self.assertIs(self._play(*[ended] * 4), is_used)
 
     def test_reports_of_the_former_life(self) -> None:
@@ -149,7 +155,9 @@
             report = load_report.LoadReport(
                 "engine-1", "g", 0, 0, 0, True, 0.0, born_ms
             )
-            self.assertIs(self._play(placement.Reported(report)), is_used)
+            self.assertIs(
+                self._play(scheduler_messages.LoadReported(report)), is_used
+            )
 
     def test_losses_told_by_peers(self) -> None:
         self.assertTrue(self._play(lost="engine-1@5"))
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -11,8 +11,8 @@
 from ruddergate.decisions.routing import job as jobs
 from ruddergate.decisions.routing import policy as policies
 from ruddergate.entry import config as configs
-from ruddergate.entry import placement
 from ruddergate.entry import scheduler as schedulers
+from ruddergate.entry import scheduler_messages
 from ruddergate.entry import view as views
 from ruddergate.fleet import condition
 from ruddergate.fleet import dispatched
@@ -47,8 +47,8 @@
     return view
 
 
-def _ask(view: views.View) -> placement.Place:
-    return placement.Place(
+def _ask(view: views.View) -> scheduler_messages.PlacementRequest:
+    return scheduler_messages.PlacementRequest(
         job=queueing.Job(
             "r",
             _CLASS,
@@ -59,7 +59,7 @@
             50.0,
             float("inf"),
         ),
-        route=jobs.Job(1_000, 1_100, "", 0, False, 0.0),
+        routing_job=jobs.Job(1_000, 1_100, "", 0, False, 0.0),
         pool=view.index.find_pool("engines"),
         segments=(),
         excluded=frozenset(),
@@ -67,11 +67,11 @@
     )
 
 
-def _report(generation: str, draining: bool) -> placement.Reported:
+def _report(generation: str, draining: bool) -> scheduler_messages.LoadReported:
     report = load_report.LoadReport(
         "engine-1", generation, 0, 0, 0, draining, 0.0
     )
-    return placement.Reported(report)
+    return scheduler_messages.LoadReported(report)
 
 
 class PeersTest(unittest.TestCase):
@@ -88,12 +88,12 @@
                 network.make_environment(process, 1),
                 configs.EntryConfig("vm", "h", _WHERE),
                 view,
-                collect_peers=lambda: told,
+                collect_peer_loads=lambda: told,
             )
             process.start(scheduler.run)
             scheduler.post(schedulers.ViewChanged())
             placed = await scheduler.place(_ask(view))
-            return placed.seats[0].believed
+            return placed.placements[0].estimated_load
 
         self.assertIn("streams=7.0", virtual_process.run(run))
 
@@ -122,7 +122,7 @@
             scheduler.post(_report("b", draining=False))
             await asyncio.sleep(0.2)
             running.cancel()
-            return scheduler.summarize()
+            return scheduler.list_own_loads()
 
         return virtual_process.run(run)
 
@@ -157,14 +157,16 @@
             scheduler = schedulers.Scheduler(
                 env, configs.EntryConfig("vm-1", "h", _WHERE), view
             )
-            scheduler._seating._policy = policies.Policy(
+            scheduler._placer._policy = policies.Policy(
                 choose, choose_helpers=choose_helpers
             )
             running = asyncio.ensure_future(scheduler.run())
             scheduler.post(schedulers.ViewChanged())
             asked = _ask(view)
-            route = dataclasses.replace(asked.route, waited_ms=env.now_ms())
-            asked = dataclasses.replace(asked, route=route)
+            route = dataclasses.replace(
+                asked.routing_job, waited_ms=env.now_ms()
+            )
+            asked = dataclasses.replace(asked, routing_job=route)
             await scheduler.place(asked)
             running.cancel()
 
