--- a/src/ruddergate/decisions/doubts.py
+++ b/src/ruddergate/decisions/doubts.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection
 import dataclasses
 
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 
 # A life in doubt by a peer's word is not asked sooner. In most cases the list
 # tells meanwhile, and a target that leaves is not asked by a whole fleet.
@@ -44,17 +44,22 @@
     """Lives in doubt; owned by what knows which lives have left."""
 
     def __init__(self) -> None:
-        self._doubts: dict[lives.Life, _Doubt] = {}
+        self._doubts: dict[incarnations.Incarnation, _Doubt] = {}
         # Until when words of peers on lives are not taken.
-        self._denied_ms: dict[tuple[lives.Life, str], float] = {}
+        self._denied_ms: dict[tuple[incarnations.Incarnation, str], float] = {}
 
-    def __contains__(self, life: lives.Life) -> bool:
-        return life in self._doubts
+    def __contains__(self, incarnation: incarnations.Incarnation) -> bool:
+        return incarnation in self._doubts
 
     def __len__(self) -> int:
         return len(self._doubts)
 
-    def add(self, life: lives.Life, due_ms: float, peer: str = "") -> bool:
+    def add(
+        self,
+        incarnation: incarnations.Incarnation,
+        due_ms: float,
+        peer: str = "",
+    ) -> bool:
         """Puts a life in doubt.
 
         Args:
@@ -65,20 +70,22 @@
         Returns:
             Whether that is new.
         """
-        if life in self._doubts:
+        if incarnation in self._doubts:
             return False
-        self._doubts[life] = _Doubt(due_ms, AGAIN_MS, peer)
+        self._doubts[incarnation] = _Doubt(due_ms, AGAIN_MS, peer)
         return True
 
-    def is_denied(self, life: lives.Life, peer: str, now_ms: float) -> bool:
+    def is_denied(
+        self, incarnation: incarnations.Incarnation, peer: str, now_ms: float
+    ) -> bool:
         """Returns whether a peer's word on a life was wrong a while ago."""
-        return self._denied_ms.get((life, peer), now_ms) > now_ms
+        return self._denied_ms.get((incarnation, peer), now_ms) > now_ms
 
-    def find_due(self, now_ms: float) -> list[lives.Life]:
+    def find_due(self, now_ms: float) -> list[incarnations.Incarnation]:
         """Returns the lives that are to be asked now."""
         return [
-            life
-            for life, doubt in self._doubts.items()
+            incarnation
+            for incarnation, doubt in self._doubts.items()
             if doubt.due_ms <= now_ms
         ]
 
@@ -87,37 +94,43 @@
         due_ms = (doubt.due_ms for doubt in self._doubts.values())
         return min(due_ms, default=float("inf"))
 
-    def put_off(self, life: lives.Life, now_ms: float) -> None:
+    def put_off(
+        self, incarnation: incarnations.Incarnation, now_ms: float
+    ) -> None:
         """Has a life that gave no answer asked again later."""
-        doubt = self._doubts.get(life)
+        doubt = self._doubts.get(incarnation)
         if doubt is None:
             return
-        self._doubts[life] = dataclasses.replace(
+        self._doubts[incarnation] = dataclasses.replace(
             doubt,
             due_ms=now_ms + doubt.pause_ms,
             pause_ms=min(AGAIN_MOST_MS, 2.0 * doubt.pause_ms),
         )
 
-    def settle(self, life: lives.Life) -> bool:
+    def settle(self, incarnation: incarnations.Incarnation) -> bool:
         """Ends the doubt; returns whether there was one."""
-        return self._doubts.pop(life, None) is not None
+        return self._doubts.pop(incarnation, None) is not None
 
-    def deny(self, life: lives.Life, now_ms: float) -> bool:
+    def deny(
+        self, incarnation: incarnations.Incarnation, now_ms: float
+    ) -> bool:
         """Ends the doubt, as the life does not leave.
 
         Returns:
             Whether there was one.
         """
-        doubt = self._doubts.pop(life, None)
+        doubt = self._doubts.pop(incarnation, None)
         if doubt is None:
             return False
         if doubt.peer:
-            self._denied_ms[life, doubt.peer] = now_ms + DENIED_MS
+            self._denied_ms[incarnation, doubt.peer] = now_ms + DENIED_MS
         if len(self._denied_ms) > DENIED_MOST:
             del self._denied_ms[next(iter(self._denied_ms))]
         return True
 
-    def forget_unlisted(self, listed: Collection[lives.Life]) -> None:
+    def forget_unlisted(
+        self, listed: Collection[incarnations.Incarnation]
+    ) -> None:
         """Drops lives that are not listed any more."""
-        for life in self._doubts.keys() - set(listed):
-            del self._doubts[life]
+        for incarnation in self._doubts.keys() - set(listed):
+            del self._doubts[incarnation]
--- a/src/ruddergate/decisions/losses_found.py
+++ b/src/ruddergate/decisions/losses_found.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 
 from ruddergate.fleet import bad_news
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 
 # A loss is told for so long: two rounds of digests miss it at most once, and
 # what was found in a cut is forgotten soon after its end.
@@ -29,27 +29,33 @@
     """Losses that this VM has found; owned by the scheduler task."""
 
     def __init__(self) -> None:
-        self._gone: dict[lives.Life, float] = {}
-        self._silent: dict[lives.Life, float] = {}
+        self._gone: dict[incarnations.Incarnation, float] = {}
+        self._silent: dict[incarnations.Incarnation, float] = {}
         self._halls: dict[str, float] = {}
         self._reached_ms: dict[str, float] = {}
 
-    def note_reached(self, hall: str, life: lives.Life, now_ms: float) -> None:
+    def note_reached(
+        self, hall: str, incarnation: incarnations.Incarnation, now_ms: float
+    ) -> None:
         """Notes that a target has answered."""
         self._reached_ms[hall] = now_ms
-        self._gone.pop(life, None)
-        self._silent.pop(life, None)
+        self._gone.pop(incarnation, None)
+        self._silent.pop(incarnation, None)
         self._halls.pop(hall, None)
 
     def note_lost(
-        self, hall: str, life: lives.Life, is_silent: bool, now_ms: float
+        self,
+        hall: str,
+        incarnation: incarnations.Incarnation,
+        is_silent: bool,
+        now_ms: float,
     ) -> bool:
         """Notes a target that is not there; returns whether it is told."""
         reached_ms = self._reached_ms.get(hall, float("-inf"))
         if now_ms - reached_ms > REACHED_MS:
             return False
         found = self._silent if is_silent else self._gone
-        found[life] = now_ms
+        found[incarnation] = now_ms
         return True
 
     def note_hall_lost(self, hall: str, now_ms: float) -> None:
@@ -65,8 +71,8 @@
         if len(self._gone) + len(self._silent) > TOLD_MOST:
             return bad_news.NOTHING
         return bad_news.BadNews(
-            tuple(map(lives.format_life, self._gone)),
-            tuple(map(lives.format_life, self._silent)),
+            tuple(map(incarnations.format_incarnation, self._gone)),
+            tuple(map(incarnations.format_incarnation, self._silent)),
             tuple(self._halls),
         )
 
--- a/src/ruddergate/decisions/removals.py
+++ b/src/ruddergate/decisions/removals.py
@@ -25,7 +25,7 @@
         copied_sequence: Number of its entry in the copy; None until it is read.
     """
 
-    born_ms: int
+    started_ms: int
     is_binding: bool = False
     copied_sequence: int | None = None
 
@@ -39,14 +39,14 @@
     def note_removed(self, target: targets.Target) -> None:
         """Notes that a target went off the list."""
         self._removed.pop(target.target_id, None)
-        self._removed[target.target_id] = _Removal(target.born_ms)
+        self._removed[target.target_id] = _Removal(target.started_ms)
         if len(self._removed) > REMOVED_MOST:
             del self._removed[next(iter(self._removed))]
 
     def note_restored(self) -> None:
         """Has removals bind that the store may have lost."""
         for target_id, removal in self._removed.items():
-            self._removed[target_id] = _Removal(removal.born_ms, True)
+            self._removed[target_id] = _Removal(removal.started_ms, True)
 
     def take_entry(self, target: targets.Target, is_all: bool) -> bool:
         """Takes in an entry; returns whether it was written since a restore.
@@ -60,7 +60,7 @@
         removal = self._removed.get(name)
         if removal is None:
             return True
-        is_younger = target.born_ms > removal.born_ms
+        is_younger = target.started_ms > removal.started_ms
         if is_younger or not (removal.is_binding and is_all):
             del self._removed[name]
             return True
--- a/src/ruddergate/decisions/suspicion.py
+++ b/src/ruddergate/decisions/suspicion.py
@@ -23,7 +23,7 @@
 import math
 from typing import TypeAlias
 
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.messages import suspects as messages
 
 # What is proof. Callers try twice, and each try is sent to two targets at most,
@@ -76,7 +76,9 @@
         finished_ms: When it last ran to its end.
     """
 
-    ended: dict[lives.Life, _Ended] = dataclasses.field(default_factory=dict)
+    ended: dict[incarnations.Incarnation, _Ended] = dataclasses.field(
+        default_factory=dict
+    )
     finished_ms: float = -math.inf
 
     def weigh(self) -> float:
@@ -95,13 +97,17 @@
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
         # Contents under which each life ended.
-        self._by_life: dict[lives.Life, set[str]] = {}
+        self._by_life: dict[incarnations.Incarnation, set[str]] = {}
 
     def __len__(self) -> int:
         return len(self._records)
 
     def note_ended(
-        self, content: str, life: lives.Life, weight: float, now_ms: float
+        self,
+        content: str,
+        incarnation: incarnations.Incarnation,
+        weight: float,
+        now_ms: float,
     ) -> bool:
         """Notes that a life ended under a content; returns whether it is news.
 
@@ -111,7 +117,7 @@
             weight: How much that counts, see `find_weight`.
             now_ms: Time.
         """
-        is_news = self._add(content, life, now_ms, weight)
+        is_news = self._add(content, incarnation, now_ms, weight)
         self._drop_least(now_ms)
         return is_news
 
@@ -162,8 +168,8 @@
         if math.isinf(finished_age_ms):
             finished_age_ms = messages.NEVER_FINISHED
         ended = tuple(
-            messages.EndedLife(life, now_ms - each.at_ms, each.weight)
-            for life, each in record.ended.items()
+            messages.EndedLife(incarnation, now_ms - each.at_ms, each.weight)
+            for incarnation, each in record.ended.items()
         )
         return messages.Suspect(content, ended, finished_age_ms)
 
@@ -178,36 +184,43 @@
         return len(record.ended), record.last_ms()
 
     def _add(
-        self, content: str, life: lives.Life, at_ms: float, weight: float
+        self,
+        content: str,
+        incarnation: incarnations.Incarnation,
+        at_ms: float,
+        weight: float,
     ) -> bool:
         """Adds a life that ended; returns whether it is news."""
         record = self._records.setdefault(content, _Record())
-        known = record.ended.get(life)
+        known = record.ended.get(incarnation)
         if known is not None:
             is_more = weight > known.weight
             known.weight = max(known.weight, weight)
             return is_more
         if at_ms <= record.finished_ms or len(record.ended) >= LIVES_MOST:
             return False
-        record.ended[life] = _Ended(at_ms, weight)
-        self._by_life.setdefault(life, set()).add(content)
+        record.ended[incarnation] = _Ended(at_ms, weight)
+        self._by_life.setdefault(incarnation, set()).add(content)
         return True
 
     def _clear(self, content: str, record: _Record, finished_ms: float) -> None:
         """Notes an end of a call, which voids what was held against it."""
         record.finished_ms = finished_ms
-        for life, each in list(record.ended.items()):
+        for incarnation, each in list(record.ended.items()):
             if each.at_ms <= finished_ms:
-                self._remove_life(content, record, life)
+                self._remove_life(content, record, incarnation)
 
     def _remove_life(
-        self, content: str, record: _Record, life: lives.Life
+        self,
+        content: str,
+        record: _Record,
+        incarnation: incarnations.Incarnation,
     ) -> None:
-        del record.ended[life]
-        sharers = self._by_life[life]
+        del record.ended[incarnation]
+        sharers = self._by_life[incarnation]
         sharers.discard(content)
         if not sharers:
-            del self._by_life[life]
+            del self._by_life[incarnation]
 
     def _take_row(self, row: messages.Suspect, now_ms: float) -> bool:
         is_news = False
@@ -215,7 +228,9 @@
             is_news = self._take_finished(row, now_ms)
         for each in row.ended:
             at_ms = now_ms - each.age_ms
-            is_news |= self._add(row.content, each.life, at_ms, each.weight)
+            is_news |= self._add(
+                row.content, each.incarnation, at_ms, each.weight
+            )
         return is_news
 
     def _take_finished(self, row: messages.Suspect, now_ms: float) -> bool:
@@ -235,10 +250,10 @@
             return []
         return [
             each.weight
-            for life, each in record.ended.items()
+            for incarnation, each in record.ended.items()
             if not any(
                 self._explains(other, record)
-                for other in self._by_life[life]
+                for other in self._by_life[incarnation]
                 if other != content
             )
         ]
@@ -264,8 +279,8 @@
 
     def _drop(self, content: str) -> None:
         record = self._records.pop(content)
-        for life in list(record.ended):
-            self._remove_life(content, record, life)
+        for incarnation in list(record.ended):
+            self._remove_life(content, record, incarnation)
 
     def _drop_least(self, now_ms: float) -> None:
         if len(self._records) <= CONTENTS_MOST:
--- a/src/ruddergate/decisions/withdrawals.py
+++ b/src/ruddergate/decisions/withdrawals.py
@@ -13,7 +13,7 @@
 import dataclasses
 
 from ruddergate.decisions import doubts
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 
 # Lives that are remembered to have left, the oldest are forgotten first: before
 # 12,000 replicas each of them, and all of them again after a release.
@@ -50,42 +50,47 @@
 
     def __init__(self) -> None:
         self.doubts = doubts.Doubts()
-        self._left: dict[lives.Life, None] = {}
+        self._left: dict[incarnations.Incarnation, None] = {}
         # When leavings were heard that peers are to be told.
-        self._heard_ms: dict[lives.Life, float] = {}
+        self._heard_ms: dict[incarnations.Incarnation, float] = {}
         # Lives that told this VM themselves, while the list has not.
-        self._answered: dict[lives.Life, None] = {}
-        self._quiet_until_ms: dict[lives.Life, float] = {}
+        self._answered: dict[incarnations.Incarnation, None] = {}
+        self._quiet_until_ms: dict[incarnations.Incarnation, float] = {}
         # By target: which start of it asked for that is not certain.
         self._undated_backoff: dict[str, _UndatedBackoff] = {}
         # The life under which each target is listed.
-        self._listed: dict[str, lives.Life] = {}
+        self._listed: dict[str, incarnations.Incarnation] = {}
         # Targets that said that they leave, but not which life of theirs does.
         self._undated: dict[str, None] = {}
 
-    def note_listed(self, life: lives.Life, now_ms: float) -> None:
+    def note_listed(
+        self, incarnation: incarnations.Incarnation, now_ms: float
+    ) -> None:
         """Notes under which life a target is listed.
 
         An answer may have come from this life before the list told of it.
         """
-        self._listed[life.target_id] = life
-        self._doubt_undated(life, now_ms)
-        self._extend_backoff(life, now_ms)
+        self._listed[incarnation.target_id] = incarnation
+        self._doubt_undated(incarnation, now_ms)
+        self._extend_backoff(incarnation, now_ms)
 
     def note_unlisted(self, target_id: str) -> None:
         """Notes that a target is off the list."""
-        life = self._listed.pop(target_id, None)
-        self._answered.pop(life, None)
+        incarnation = self._listed.pop(target_id, None)
+        self._answered.pop(incarnation, None)
         self.doubts.forget_unlisted(self._listed.values())
 
-    def note_published(self, life: lives.Life) -> None:
+    def note_published(self, incarnation: incarnations.Incarnation) -> None:
         """Notes that the list says that a target leaves; peers read it, too."""
-        self._note_left(life)
-        self._heard_ms.pop(life, None)
-        self._answered.pop(life, None)
+        self._note_left(incarnation)
+        self._heard_ms.pop(incarnation, None)
+        self._answered.pop(incarnation, None)
 
     def note_answered(
-        self, life: lives.Life, now_ms: float, is_dated: bool = True
+        self,
+        incarnation: incarnations.Incarnation,
+        now_ms: float,
+        is_dated: bool = True,
     ) -> bool:
         """Notes that a target said it in an answer; returns whether it is news.
 
@@ -97,18 +102,24 @@
             now_ms: Time.
             is_dated: Whether the answer tells which life it comes from.
         """
-        was_doubted = life in self.doubts
-        is_new = self._note_left(life)
+        was_doubted = incarnation in self.doubts
+        is_new = self._note_left(incarnation)
         if is_new:
-            self._answered[life] = None
+            self._answered[incarnation] = None
             _drop_oldest(self._answered, LEFT_MOST)
         if is_new and not was_doubted:
-            self._heard_ms[life] = now_ms
-        is_other_doubted = not is_dated and self._note_undated(life, now_ms)
+            self._heard_ms[incarnation] = now_ms
+        is_other_doubted = not is_dated and self._note_undated(
+            incarnation, now_ms
+        )
         return is_new or is_other_doubted
 
     def note_told(
-        self, told: lives.Life, peer: str, now_ms: float, due_ms: float
+        self,
+        told: incarnations.Incarnation,
+        peer: str,
+        now_ms: float,
+        due_ms: float,
     ) -> bool:
         """Notes that a peer has heard it; returns whether it is news.
 
@@ -125,21 +136,23 @@
             return False
         return self.doubts.add(listed, due_ms, peer)
 
-    def note_staying(self, life: lives.Life, now_ms: float) -> bool:
+    def note_staying(
+        self, incarnation: incarnations.Incarnation, now_ms: float
+    ) -> bool:
         """Notes that a life in doubt was asked, and does not leave.
 
         Returns:
             Whether it was in doubt until now.
         """
-        if not self.doubts.deny(life, now_ms):
+        if not self.doubts.deny(incarnation, now_ms):
             # It said that it leaves while the question was under way.
             return False
-        self._undated.pop(life.target_id, None)
+        self._undated.pop(incarnation.target_id, None)
         return True
 
     def note_quiet(
         self,
-        life: lives.Life,
+        incarnation: incarnations.Incarnation,
         until_ms: float,
         said_wall_ms: float | None = None,
     ) -> bool:
@@ -154,10 +167,10 @@
         Returns:
             Whether that is longer than was known.
         """
-        is_longer = self._set_quiet(life, until_ms)
+        is_longer = self._set_quiet(incarnation, until_ms)
         if said_wall_ms is None:
             return is_longer
-        target_id = life.target_id
+        target_id = incarnation.target_id
         known = self._undated_backoff.pop(target_id, None)
         until_ms = max(until_ms, known.until_ms if known else 0.0)
         self._undated_backoff[target_id] = _UndatedBackoff(
@@ -169,69 +182,82 @@
             self._extend_backoff(listed, 0.0)
         return is_longer
 
-    def _extend_backoff(self, life: lives.Life, now_ms: float) -> None:
+    def _extend_backoff(
+        self, incarnation: incarnations.Incarnation, now_ms: float
+    ) -> None:
         """Has a life back off that may be the one that asked for it."""
-        undated = self._undated_backoff.get(life.target_id)
+        undated = self._undated_backoff.get(incarnation.target_id)
         if undated is None:
             return
-        if undated.until_ms <= now_ms or life.born_ms > undated.said_wall_ms:
-            del self._undated_backoff[life.target_id]
+        if (
+            undated.until_ms <= now_ms
+            or incarnation.started_ms > undated.said_wall_ms
+        ):
+            del self._undated_backoff[incarnation.target_id]
             return
-        self._set_quiet(life, undated.until_ms)
+        self._set_quiet(incarnation, undated.until_ms)
 
-    def _set_quiet(self, life: lives.Life, until_ms: float) -> bool:
-        if until_ms <= self._quiet_until_ms.get(life, 0.0):
+    def _set_quiet(
+        self, incarnation: incarnations.Incarnation, until_ms: float
+    ) -> bool:
+        if until_ms <= self._quiet_until_ms.get(incarnation, 0.0):
             return False
-        self._quiet_until_ms.pop(life, None)
-        self._quiet_until_ms[life] = until_ms
+        self._quiet_until_ms.pop(incarnation, None)
+        self._quiet_until_ms[incarnation] = until_ms
         _drop_oldest(self._quiet_until_ms, QUIET_MOST)
         return True
 
-    def note_served(self, life: lives.Life, now_ms: float) -> None:
+    def note_served(
+        self, incarnation: incarnations.Incarnation, now_ms: float
+    ) -> None:
         """Notes that a target has done what it was asked.
 
         What was sent before it wanted quiet says nothing of what comes after.
         """
-        if self._quiet_until_ms.get(life, _NEVER_MS) <= now_ms:
-            del self._quiet_until_ms[life]
+        if self._quiet_until_ms.get(incarnation, _NEVER_MS) <= now_ms:
+            del self._quiet_until_ms[incarnation]
 
-    def has_left(self, life: lives.Life) -> bool:
+    def has_left(self, incarnation: incarnations.Incarnation) -> bool:
         """Returns whether a life was found to leave, or may well do."""
-        return life in self._left or life in self.doubts
+        return incarnation in self._left or incarnation in self.doubts
 
-    def find_until_ms(self, life: lives.Life, now_ms: float) -> float:
+    def find_until_ms(
+        self, incarnation: incarnations.Incarnation, now_ms: float
+    ) -> float:
         """Returns until when a target takes no calls.
 
         Returns:
             Infinity where it leaves; a time not after now where it takes some.
         """
-        if self.has_left(life):
+        if self.has_left(incarnation):
             return _NEVER_MS
-        return self._quiet_until_ms.get(life, now_ms)
+        return self._quiet_until_ms.get(incarnation, now_ms)
 
-    def takes_calls(self, life: lives.Life, now_ms: float) -> bool:
+    def takes_calls(
+        self, incarnation: incarnations.Incarnation, now_ms: float
+    ) -> bool:
         """Returns whether a target may be sent calls now."""
-        return self.find_until_ms(life, now_ms) <= now_ms
+        return self.find_until_ms(incarnation, now_ms) <= now_ms
 
     def has_quiet(self) -> bool:
         """Returns whether any target wants, or lately wanted, no calls."""
         return bool(self._quiet_until_ms)
 
     def forget_quiet(
-        self, listed: Collection[lives.Life], now_ms: float
+        self, listed: Collection[incarnations.Incarnation], now_ms: float
     ) -> None:
         """Drops quiet times that are over, of lives that are not listed."""
-        for life, until_ms in list(self._quiet_until_ms.items()):
-            if until_ms <= now_ms and life not in listed:
-                del self._quiet_until_ms[life]
+        for incarnation, until_ms in list(self._quiet_until_ms.items()):
+            if until_ms <= now_ms and incarnation not in listed:
+                del self._quiet_until_ms[incarnation]
 
-    def is_on_trial(self, life: lives.Life) -> bool:
+    def is_on_trial(self, incarnation: incarnations.Incarnation) -> bool:
         """Returns whether it wanted quiet and has not served since.
 
         It had too much to do; what waited for it must not all come back in the
         moment in which its time ends.
         """
-        return life in self._quiet_until_ms
+        return incarnation in self._quiet_until_ms
 
     def count_quiet(self, now_ms: float) -> int:
         """Returns how many targets want no calls now."""
@@ -239,11 +265,11 @@
 
     def summarize(self, now_ms: float) -> tuple[str, ...]:
         """Returns the leavings that peers are to be told now, as words."""
-        for life, heard_ms in list(self._heard_ms.items()):
+        for incarnation, heard_ms in list(self._heard_ms.items()):
             if now_ms - heard_ms > TOLD_MS:
-                del self._heard_ms[life]
+                del self._heard_ms[incarnation]
         latest = list(self._heard_ms)[-TOLD_MOST:]
-        return tuple(map(lives.format_life, latest))
+        return tuple(map(incarnations.format_incarnation, latest))
 
     def tell_again(self, now_ms: float) -> bool:
         """Has peers told again of listed targets that the list shows as ready.
@@ -252,20 +278,26 @@
             Whether there are any.
         """
         listed = set(self._listed.values())
-        again = [life for life in self._answered if life in listed]
-        for life in again:
-            self._heard_ms[life] = now_ms
+        again = [
+            incarnation
+            for incarnation in self._answered
+            if incarnation in listed
+        ]
+        for incarnation in again:
+            self._heard_ms[incarnation] = now_ms
         return bool(again)
 
-    def _note_left(self, life: lives.Life) -> bool:
-        self.doubts.settle(life)
-        if life in self._left:
+    def _note_left(self, incarnation: incarnations.Incarnation) -> bool:
+        self.doubts.settle(incarnation)
+        if incarnation in self._left:
             return False
-        self._left[life] = None
+        self._left[incarnation] = None
         _drop_oldest(self._left, LEFT_MOST)
         return True
 
-    def _note_undated(self, life: lives.Life, now_ms: float) -> bool:
+    def _note_undated(
+        self, incarnation: incarnations.Incarnation, now_ms: float
+    ) -> bool:
         """Notes a word that may be of another life of its target.
 
         The target may have started again since it was listed, or the list has
@@ -274,20 +306,30 @@
         Returns:
             Whether another life is in doubt now.
         """
-        self._undated[life.target_id] = None
+        self._undated[incarnation.target_id] = None
         _drop_oldest(self._undated, LEFT_MOST)
-        listed = self._listed.get(life.target_id)
+        listed = self._listed.get(incarnation.target_id)
         return listed is not None and self._doubt_undated(listed, now_ms)
 
-    def _doubt_undated(self, life: lives.Life, now_ms: float) -> bool:
-        if life in self._left or life.target_id not in self._undated:
+    def _doubt_undated(
+        self, incarnation: incarnations.Incarnation, now_ms: float
+    ) -> bool:
+        if (
+            incarnation in self._left
+            or incarnation.target_id not in self._undated
+        ):
             return False
-        return self.doubts.add(life, now_ms)
+        return self.doubts.add(incarnation, now_ms)
 
 
-def _may_be_same(one: lives.Life, other: lives.Life) -> bool:
+def _may_be_same(
+    one: incarnations.Incarnation, other: incarnations.Incarnation
+) -> bool:
     """Returns whether two lives of a target are one, as far as is known."""
-    return one == other or lives.BORN_UNKNOWN in (one.born_ms, other.born_ms)
+    return one == other or incarnations.START_UNKNOWN in (
+        one.started_ms,
+        other.started_ms,
+    )
 
 
 def _drop_oldest(found: dict, most: int) -> None:
--- a/src/ruddergate/entry/leaving_check.py
+++ b/src/ruddergate/entry/leaving_check.py
@@ -12,7 +12,7 @@
 from ruddergate import environment
 from ruddergate.decisions import withdrawals
 from ruddergate.entry import view as views
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
 from ruddergate.relay import orders
 from ruddergate.telemetry import logs
@@ -79,10 +79,12 @@
 
     async def _ask_due(self) -> None:
         due = self._withdrawn.doubts.find_due(self._outside.now_ms())
-        listed = {each.life: each for each in self._view.listing.targets}
-        asked = [listed[life] for life in due if life in listed]
-        for life in due:
-            self._withdrawn.doubts.put_off(life, self._outside.now_ms())
+        listed = {each.incarnation: each for each in self._view.listing.targets}
+        asked = [
+            listed[incarnation] for incarnation in due if incarnation in listed
+        ]
+        for incarnation in due:
+            self._withdrawn.doubts.put_off(incarnation, self._outside.now_ms())
         told = await asyncio.gather(*map(self._ask, asked))
         if any(told):
             self._note_staying()
@@ -90,16 +92,19 @@
     async def _ask(self, target: targets.Target) -> bool:
         """Returns whether a target turned out not to leave."""
         told = await self._ask_sign(target)
-        is_its_own = told.born_ms in (lives.BORN_UNKNOWN, target.born_ms)
+        is_its_own = told.started_ms in (
+            incarnations.START_UNKNOWN,
+            target.started_ms,
+        )
         if not told.is_staying or not is_its_own:
             return False
         now_ms = self._outside.now_ms()
-        if not self._withdrawn.note_staying(target.life, now_ms):
+        if not self._withdrawn.note_staying(target.incarnation, now_ms):
             return False
         self._metrics.leavings_denied.inc({})
         self._log.info(
             "Target {} does not leave, as it was asked.",
             target.target_id,
-            born_ms=target.born_ms,
+            born_ms=target.started_ms,
         )
         return True
--- a/src/ruddergate/entry/life_ends.py
+++ b/src/ruddergate/entry/life_ends.py
@@ -8,7 +8,7 @@
 import asyncio
 from collections.abc import Iterable
 
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 
 # Ends kept, for attempts that begin after them; the list of targets has dropped
 # them long before so many more have ended.
@@ -19,24 +19,28 @@
     """Lives that have certainly ended; owned by the scheduler task."""
 
     def __init__(self) -> None:
-        self._ended: dict[lives.Life, None] = {}
-        self._waiting: dict[asyncio.Future[lives.Life], frozenset] = {}
+        self._ended: dict[incarnations.Incarnation, None] = {}
+        self._waiting: dict[
+            asyncio.Future[incarnations.Incarnation], frozenset
+        ] = {}
 
-    def note(self, life: lives.Life) -> None:
+    def note(self, incarnation: incarnations.Incarnation) -> None:
         """Notes that a life has ended."""
-        self._ended[life] = None
+        self._ended[incarnation] = None
         if len(self._ended) > _KEPT_MOST:
             del self._ended[next(iter(self._ended))]
         for waiting, awaited in self._waiting.items():
-            if life in awaited and not waiting.done():
-                waiting.set_result(life)
+            if incarnation in awaited and not waiting.done():
+                waiting.set_result(incarnation)
 
-    async def wait_for_any(self, awaited: Iterable[lives.Life]) -> lives.Life:
+    async def wait_for_any(
+        self, awaited: Iterable[incarnations.Incarnation]
+    ) -> incarnations.Incarnation:
         """Returns the first of some lives that has ended, once one has."""
         wanted = frozenset(awaited)
-        for life in wanted:
-            if life in self._ended:
-                return life
+        for incarnation in wanted:
+            if incarnation in self._ended:
+                return incarnation
         waiting = asyncio.get_running_loop().create_future()
         self._waiting[waiting] = wanted
         try:
--- a/src/ruddergate/entry/life_watch.py
+++ b/src/ruddergate/entry/life_watch.py
@@ -11,7 +11,7 @@
 import dataclasses
 
 from ruddergate.entry import lost_call
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
 from ruddergate.relay import orders
 from ruddergate.telemetry import logs
@@ -52,23 +52,23 @@
         self._note_ended = note_ended
         self._note_life = note_life
         self._metrics = metrics
-        self._questions: dict[lives.Life, _Question] = {}
+        self._questions: dict[incarnations.Incarnation, _Question] = {}
         self._log = logs.make_logger("attempt")
 
     def post(self, lost: lost_call.LostCall) -> None:
         """Has it found out whether a call's target has ended."""
-        life = lost.target.life
-        question = self._questions.get(life)
+        incarnation = lost.target.incarnation
+        question = self._questions.get(incarnation)
         if question is not None:
             question.lost.append(lost)
             return
         task = asyncio.ensure_future(self._find_out(lost.target))
-        self._questions[life] = _Question(task, [lost])
+        self._questions[incarnation] = _Question(task, [lost])
 
     async def _find_out(self, target: targets.Target) -> None:
         told = await self._ask_again(target)
-        question = self._questions.pop(target.life)
-        if not _has_ended(target.life, told):
+        question = self._questions.pop(target.incarnation)
+        if not _has_ended(target.incarnation, told):
             return
         self._metrics.targets_ended.inc({})
         self._note_life(target)
@@ -80,7 +80,7 @@
                 target.target_id,
                 request_id=each.request_id,
                 content=each.content,
-                born_ms=target.born_ms,
+                born_ms=target.started_ms,
                 streams=streams,
                 there_ms=round(each.there_ms),
                 hall=target.hall,
@@ -98,9 +98,13 @@
         return told
 
 
-def _has_ended(life: lives.Life, told: orders.Told) -> bool:
+def _has_ended(
+    incarnation: incarnations.Incarnation, told: orders.Told
+) -> bool:
     """Returns whether a life is certainly over."""
     if told.sign is orders.Sign.GONE:
         return True
-    is_younger = told.born_ms > life.born_ms > lives.BORN_UNKNOWN
+    is_younger = (
+        told.started_ms > incarnation.started_ms > incarnations.START_UNKNOWN
+    )
     return told.sign is orders.Sign.ALIVE and is_younger
--- a/src/ruddergate/entry/rate_limiter.py
+++ b/src/ruddergate/entry/rate_limiter.py
@@ -111,7 +111,7 @@
     def observe(self, said: statements.Statement) -> None:
         """Applies the limit in a target's answer, or its absence."""
         now_ms = self._outside.now_ms()
-        target_id = said.life.target_id
+        target_id = said.incarnation.target_id
         if said.rate_limit_per_s is not None:
             is_news = self.limits.observe_limit(
                 target_id, said.rate_limit_per_s, said.sent_ms, now_ms
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -218,22 +218,22 @@
         meanwhile the prompt may be read again with another helper. Where it
         may not be sent again, this waits for as long as the target does.
         """
-        helpers = [seat.target.life for seat in self._seats[1:]]
-        life = await self._tools.scheduler.ends.wait_for_any(helpers)
+        helpers = [seat.target.incarnation for seat in self._seats[1:]]
+        incarnation = await self._tools.scheduler.ends.wait_for_any(helpers)
         request = self._request
         is_great = length_band.is_long(request.prompt_tokens)
         may_again = request.payload.route.repeatable
         if not may_again or not await self._tools.secure_retry(is_great):
             await asyncio.Event().wait()
-        self._note(answers.FaultTold(life.target_id))
-        self._gone.add(life.target_id)
+        self._note(answers.FaultTold(incarnation.target_id))
+        self._gone.add(incarnation.target_id)
         # A content that ends several engines at once must not be cleared by
         # that: the one that was to answer may have ended, too.
         self._tools.note_lost(self._describe_lost())
         return outcomes.NotServed(
             outcomes.Reason.HELPER_ENDED,
             outcomes.Ran.UNKNOWN,
-            f"helper {life.target_id} has ended",
+            f"helper {incarnation.target_id} has ended",
         )
 
     def _give_up_memory(
--- a/src/ruddergate/entry/reservation_keeper.py
+++ b/src/ruddergate/entry/reservation_keeper.py
@@ -11,7 +11,7 @@
 import dataclasses
 
 from ruddergate import environment
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
 from ruddergate.relay import orders
 from ruddergate.telemetry import logs
@@ -68,7 +68,9 @@
         self,
         outside: environment.Environment,
         given: orders.Orders,
-        is_over: Callable[[lives.Life], bool] = lambda life: False,
+        is_over: Callable[
+            [incarnations.Incarnation], bool
+        ] = lambda incarnation: False,
         note_life: Callable[[targets.Target], None] = lambda target: None,
         is_limited: Callable[[str], bool] = lambda target_id: False,
     ) -> None:
@@ -178,7 +180,7 @@
         """
         pause_ms = RENEW_MS
         while not await _is_set_within(is_over, pause_ms):
-            if self._is_over(held.target.life):
+            if self._is_over(held.target.incarnation):
                 # The next life holds nothing: to renew there would set memory
                 # aside for nobody.
                 return
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -300,7 +300,7 @@
         estimate = self._table.find(message.seat.target)
         if estimate is None:
             return
-        self._withdrawn.note_served(estimate.target.life, now_ms)
+        self._withdrawn.note_served(estimate.target.incarnation, now_ms)
         if estimate.first_token(message.seat.attempt_id, now_ms):
             self._note_change()
         if message.prefix:
@@ -320,7 +320,7 @@
         if message.failed:
             estimate.note_fault(now_ms)
         elif message.answered:
-            self._withdrawn.note_served(target.life, now_ms)
+            self._withdrawn.note_served(target.incarnation, now_ms)
             self._losses.note_answered(target, now_ms)
             estimate.answered_ms = now_ms
         self._note_change()
@@ -341,7 +341,7 @@
         self, report: load_report.LoadReport, now_ms: float
     ) -> None:
         estimate = self._table.find_named(report.target_id)
-        if estimate is None or report.born_ms != estimate.target.born_ms:
+        if estimate is None or report.started_ms != estimate.target.started_ms:
             return
         estimate.take_report(report, now_ms)
 
@@ -437,7 +437,7 @@
     def _takes_few(self, target: targets.Target) -> bool:
         """Returns whether a call given to a target may have been its last."""
         return self._withdrawn.is_on_trial(
-            target.life
+            target.incarnation
         ) or self._limits.is_limited(target.target_id)
 
     def _refuse_hopeless(
--- a/src/ruddergate/entry/suspects.py
+++ b/src/ruddergate/entry/suspects.py
@@ -42,9 +42,11 @@
     def note_ended(self, lost: lost_call.LostCall) -> None:
         """Notes that a target ended under a call."""
         now_ms = self._outside.now_ms()
-        life = lost.target.life
+        incarnation = lost.target.incarnation
         weight = suspicion.find_weight(lost.there_ms, lost.reading_ms)
-        if self._suspicion.note_ended(lost.content, life, weight, now_ms):
+        if self._suspicion.note_ended(
+            lost.content, incarnation, weight, now_ms
+        ):
             self._note_news(lost.content, lost.request_id)
 
     def note_finished(self, request: requests.Request) -> None:
@@ -136,7 +138,7 @@
             peer=peer,
             left_ms=round(left_ms),
             ended=[
-                f"{each.life.target_id} born {each.life.born_ms}, "
+                f"{each.incarnation.target_id} born {each.incarnation.started_ms}, "
                 f"{each.age_ms:.0f} ms ago, weight {each.weight}"
                 for each in (row.ended if row else ())
             ],
--- a/src/ruddergate/entry/target_list.py
+++ b/src/ruddergate/entry/target_list.py
@@ -14,7 +14,7 @@
 from ruddergate.decisions import removals
 from ruddergate.decisions import withdrawals
 from ruddergate.fleet import condition
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
 from ruddergate.relay import published
 from ruddergate.telemetry import logs
@@ -127,7 +127,7 @@
 
         A peer of an earlier release hands entries on without it.
         """
-        is_untold = target.born_ms == lives.BORN_UNKNOWN
+        is_untold = target.started_ms == incarnations.START_UNKNOWN
         return is_untold and self._born_ms.get(target.target_id, 0) > 0
 
     def forget_lapsed(self, now_ms: float) -> None:
@@ -146,12 +146,12 @@
         newest: dict[str, targets.Target] = {}
         for each in found:
             name = each.target_id
-            if each.born_ms < self._born_ms.get(name, each.born_ms):
+            if each.started_ms < self._born_ms.get(name, each.started_ms):
                 self._tell_once(name, f"Target {name}: older life dropped.")
                 continue
-            self._born_ms[name] = each.born_ms
+            self._born_ms[name] = each.started_ms
             if each.condition is condition.Condition.LEAVING:
-                self._withdrawn.note_published(each.life)
+                self._withdrawn.note_published(each.incarnation)
             newest[name] = each
         return newest
 
@@ -167,7 +167,7 @@
         self._stale.pop(name, None)
         self._kept_until_ms.pop(name, None)
         self._told.forget(name)
-        self._withdrawn.note_listed(target.life, now_ms)
+        self._withdrawn.note_listed(target.incarnation, now_ms)
         if self._targets.get(name) != target:
             self._log.info(
                 "Target {} is {}.",
@@ -176,13 +176,13 @@
                 pool=target.pool,
                 hall=target.hall,
                 address=str(target.address),
-                born_ms=target.born_ms,
+                born_ms=target.started_ms,
             )
         self._targets[name] = target
 
     def _mark(self, target: targets.Target) -> targets.Target:
         """Returns a target as leaving, if its life was ever found to leave."""
-        if not self._withdrawn.has_left(target.life):
+        if not self._withdrawn.has_left(target.incarnation):
             return target
         return dataclasses.replace(
             target, condition=condition.Condition.LEAVING
--- a/src/ruddergate/entry/target_losses.py
+++ b/src/ruddergate/entry/target_losses.py
@@ -8,7 +8,7 @@
 from ruddergate.decisions import reachability
 from ruddergate.entry import life_ends
 from ruddergate.fleet import bad_news
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
 from ruddergate.telemetry import logs
 
@@ -36,17 +36,17 @@
         if self._reachability.note_missed(hall, target.target_id, now_ms):
             self._log.warning("Hall {} is out of reach.", hall)
             self._found.note_hall_lost(hall, now_ms)
-        self._found.note_lost(hall, target.life, True, now_ms)
+        self._found.note_lost(hall, target.incarnation, True, now_ms)
 
     def note_gone(self, target: targets.Target, now_ms: float) -> None:
         """Notes that a target's life has certainly ended."""
-        self._found.note_lost(target.hall, target.life, False, now_ms)
-        self.ends.note(target.life)
+        self._found.note_lost(target.hall, target.incarnation, False, now_ms)
+        self.ends.note(target.incarnation)
 
     def note_answered(self, target: targets.Target, now_ms: float) -> None:
         """Notes that a target has answered."""
         self._reachability.note_reached(target.hall)
-        self._found.note_reached(target.hall, target.life, now_ms)
+        self._found.note_reached(target.hall, target.incarnation, now_ms)
 
     def is_suspect(self, hall: str, now_ms: float) -> bool:
         """Returns whether a hall is to be passed over now."""
@@ -59,14 +59,16 @@
     def take_told(
         self,
         told: bad_news.BadNews,
-        find_estimate: Callable[[lives.Life], estimates.Estimate | None],
+        find_estimate: Callable[
+            [incarnations.Incarnation], estimates.Estimate | None
+        ],
         now_ms: float,
     ) -> None:
         """Passes over for a moment what peers found out of reach."""
         for name in told.gone:
-            self.ends.note(lives.parse_life(name))
+            self.ends.note(incarnations.parse_incarnation(name))
         for name in (*told.gone, *told.silent):
-            estimate = find_estimate(lives.parse_life(name))
+            estimate = find_estimate(incarnations.parse_incarnation(name))
             if estimate is not None:
                 pause_ms = self._chance.uniform(*losses_found.PAUSE_MS)
                 estimate.note_told_lost(now_ms, pause_ms)
--- a/src/ruddergate/entry/target_notices.py
+++ b/src/ruddergate/entry/target_notices.py
@@ -13,7 +13,7 @@
 from ruddergate.decisions import doubts
 from ruddergate.decisions import peer_groups
 from ruddergate.decisions import withdrawals
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
 from ruddergate.relay import statement as statements
 from ruddergate.telemetry import logs
@@ -82,16 +82,16 @@
             if len(word) > _WORD_MOST:
                 self._log.warning("Leaving dropped, no life.", peer=peer)
                 continue
-            life = lives.parse_life(word)
+            incarnation = incarnations.parse_incarnation(word)
             spread_ms = self._outside.random.uniform(0.0, _CONFIRM_SPREAD_MS)
             due_ms = now_ms + doubts.CONFIRM_MS + spread_ms
-            if self._withdrawn.note_told(life, peer, now_ms, due_ms):
+            if self._withdrawn.note_told(incarnation, peer, now_ms, due_ms):
                 is_news = True
                 self._metrics.leavings_heard.inc({"from": "peer"})
                 self._log.info(
                     "Target {} leaves, as a peer has heard.",
-                    life.target_id,
-                    born_ms=life.born_ms,
+                    incarnation.target_id,
+                    born_ms=incarnation.started_ms,
                     peer=peer,
                 )
         if is_news:
@@ -107,9 +107,9 @@
         """
         now_ms = self._outside.now_ms()
         for number, target in enumerate(asked):
-            if self._withdrawn.takes_calls(target.life, now_ms):
+            if self._withdrawn.takes_calls(target.incarnation, now_ms):
                 continue
-            is_leaving = self._withdrawn.has_left(target.life)
+            is_leaving = self._withdrawn.has_left(target.incarnation)
             self._metrics.sends_withheld.inc(
                 {
                     "reason": "leaving" if is_leaving else "quiet",
@@ -122,7 +122,7 @@
                     f"target {target.target_id} leaves",
                     _LEAVING_RETRY_MS,
                 )
-            until_ms = self._withdrawn.find_until_ms(target.life, now_ms)
+            until_ms = self._withdrawn.find_until_ms(target.incarnation, now_ms)
             return outcomes.refuse(
                 outcomes.Reason.TARGET_QUIET,
                 f"target {target.target_id} wants no calls now",
@@ -153,15 +153,17 @@
 
     def _hear_leaving(self, said: statements.Statement) -> None:
         now_ms = self._outside.now_ms()
-        is_new = self._withdrawn.note_answered(said.life, now_ms, said.is_dated)
+        is_new = self._withdrawn.note_answered(
+            said.incarnation, now_ms, said.is_dated
+        )
         if not is_new:
             return
         self._metrics.leavings_heard.inc({"from": "answer"})
         self._log.info(
             "Target {} says that it leaves.",
-            said.life.target_id,
+            said.incarnation.target_id,
             request_id=said.request_id,
-            born_ms=said.life.born_ms,
+            born_ms=said.incarnation.started_ms,
         )
         self._note_leaving()
 
@@ -170,23 +172,23 @@
         spread_ms = self._outside.random.uniform(0.0, spread_ms)
         until_ms = self._outside.now_ms() + quiet_ms + spread_ms
         said_wall_ms = None if said.is_dated else self._outside.wall_ms()
-        if self._withdrawn.note_quiet(said.life, until_ms, said_wall_ms):
+        if self._withdrawn.note_quiet(said.incarnation, until_ms, said_wall_ms):
             self._log.info(
                 "Target {} wants no calls for {:.0f} ms.",
-                said.life.target_id,
+                said.incarnation.target_id,
                 quiet_ms,
                 request_id=said.request_id,
-                born_ms=said.life.born_ms,
+                born_ms=said.incarnation.started_ms,
             )
 
     def _hear_unread(self, said: statements.Statement, detail: str) -> None:
         self._metrics.statements_unread.inc({})
-        name = lives.format_life(said.life)
+        name = incarnations.format_incarnation(said.incarnation)
         if self._told.is_new(name, detail):
             self._log.warning(
                 "Target {} says what has no meaning: {}.",
-                said.life.target_id,
+                said.incarnation.target_id,
                 detail,
                 request_id=said.request_id,
-                born_ms=said.life.born_ms,
+                born_ms=said.incarnation.started_ms,
             )
--- a/src/ruddergate/entry/target_table.py
+++ b/src/ruddergate/entry/target_table.py
@@ -4,7 +4,7 @@
 from ruddergate.decisions import rate_limits
 from ruddergate.decisions import withdrawals
 from ruddergate.entry import view as views
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
 
 _NEVER_MS = float("inf")
@@ -50,25 +50,33 @@
         and what comes late of its former life says nothing of it.
         """
         estimate = self._by_name.get(target.target_id)
-        if estimate is None or estimate.target.life != target.life:
+        if (
+            estimate is None
+            or estimate.target.incarnation != target.incarnation
+        ):
             return None
         return estimate
 
-    def find_told(self, life: lives.Life) -> estimates.Estimate | None:
+    def find_told(
+        self, incarnation: incarnations.Incarnation
+    ) -> estimates.Estimate | None:
         """Returns what is believed of a target that a peer has told of.
 
         Peers of an earlier release name no life.
         """
-        estimate = self._by_name.get(life.target_id)
+        estimate = self._by_name.get(incarnation.target_id)
         if estimate is None:
             return None
-        is_same = life.born_ms in (lives.BORN_UNKNOWN, estimate.target.born_ms)
+        is_same = incarnation.started_ms in (
+            incarnations.START_UNKNOWN,
+            estimate.target.started_ms,
+        )
         return estimate if is_same else None
 
     def take_view(self, now_ms: float) -> None:
         """Goes by the list and the settings as they are now."""
-        listed = {each.life: each for each in self._view.listing.targets}
-        names = {life.target_id for life in listed}
+        listed = {each.incarnation: each for each in self._view.listing.targets}
+        names = {incarnation.target_id for incarnation in listed}
         for target_id in self._by_name.keys() - names:
             del self._by_name[target_id]
         self._withdrawn.forget_quiet(listed, now_ms)
@@ -116,9 +124,11 @@
             # Those that leave are listed so. To look 150 targets up took 0.7 ms
             # of a core (mean of 200), in each turn of the scheduler.
             return True
-        life = each.target.life
-        is_busy = self._withdrawn.is_on_trial(life) and each.own_streams() > 0
-        return self._withdrawn.takes_calls(life, now_ms) and not is_busy
+        incarnation = each.target.incarnation
+        is_busy = (
+            self._withdrawn.is_on_trial(incarnation) and each.own_streams() > 0
+        )
+        return self._withdrawn.takes_calls(incarnation, now_ms) and not is_busy
 
     def find_first_ms(self, pool: str, now_ms: float) -> float:
         """Returns when the first target of a pool takes calls.
@@ -134,7 +144,9 @@
         return min(
             (
                 max(
-                    self._withdrawn.find_until_ms(each.target.life, now_ms),
+                    self._withdrawn.find_until_ms(
+                        each.target.incarnation, now_ms
+                    ),
                     self._limits.find_next_ms(each.target.target_id, now_ms),
                 )
                 for each in able
@@ -152,7 +164,7 @@
             self._limits.find_share(each.target.target_id, now_ms)[1]
             for each in self._by_pool.get(pool, [])
             if each.may_take_work()
-            and self._withdrawn.takes_calls(each.target.life, now_ms)
+            and self._withdrawn.takes_calls(each.target.incarnation, now_ms)
         ]
         return sum(shares)
 
@@ -183,4 +195,4 @@
 
 def _is_same(one: targets.Target, other: targets.Target) -> bool:
     """Returns whether two entries are of the same life at the same place."""
-    return one.life == other.life and one.address == other.address
+    return one.incarnation == other.incarnation and one.address == other.address
--- a/src/ruddergate/entry/view.py
+++ b/src/ruddergate/entry/view.py
@@ -6,7 +6,7 @@
 
 from ruddergate.decisions import adoption
 from ruddergate.fleet import condition
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import listing as listings
 from ruddergate.fleet import store_position
 from ruddergate.fleet import target as targets
@@ -87,10 +87,11 @@
         self.listing = listings.Listing(version, self.listing.vms, tuple(found))
         self._confirmed_ms = max(self._confirmed_ms, asked_ms)
 
-    def is_over(self, life: lives.Life) -> bool:
+    def is_over(self, incarnation: incarnations.Incarnation) -> bool:
         """Returns whether a younger life of the same target is listed."""
         return any(
-            each.target_id == life.target_id and each.born_ms > life.born_ms
+            each.target_id == incarnation.target_id
+            and each.started_ms > incarnation.started_ms
             for each in self.listing.targets
         )
 
--- a/src/ruddergate/fleet/bad_news.py
+++ b/src/ruddergate/fleet/bad_news.py
@@ -6,7 +6,7 @@
 class BadNews(msgspec.Struct, frozen=True, array_like=True):
     """Hints for placing work; no promise rests on them.
 
-    Targets are named as `life.format_life` does it.
+    Targets are named as `incarnation.format_incarnation` does it.
 
     Attributes:
         gone: Targets in whose place nobody or another one answered; that is so
--- a/src/ruddergate/fleet/life.py
+++ b/src/ruddergate/fleet/incarnation.py
@@ -3,11 +3,11 @@
 import dataclasses
 
 # Stands where a target does not tell when it started.
-BORN_UNKNOWN = 0
+START_UNKNOWN = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
-class Life:
+class Incarnation:
     """What is learnt of a target holds for one life of it.
 
     Attributes:
@@ -18,23 +18,23 @@
     """
 
     target_id: str
-    born_ms: int = BORN_UNKNOWN
+    started_ms: int = START_UNKNOWN
 
 
-def format_life(life: Life) -> str:
+def format_incarnation(incarnation: Incarnation) -> str:
     """Returns a life as one word, in digests and logs.
 
     Where the start is unknown it is the target's name, which is all that VMs of
     earlier releases tell and understand.
     """
-    if life.born_ms == BORN_UNKNOWN:
-        return life.target_id
-    return f"{life.target_id}@{life.born_ms}"
+    if incarnation.started_ms == START_UNKNOWN:
+        return incarnation.target_id
+    return f"{incarnation.target_id}@{incarnation.started_ms}"
 
 
-def parse_life(text: str) -> Life:
-    """Returns the life that `format_life` wrote as a word."""
+def parse_incarnation(text: str) -> Incarnation:
+    """Returns the life that `format_incarnation` wrote as a word."""
     target_id, separator, born = text.rpartition("@")
     if not separator or not born.isdecimal():
-        return Life(text)
-    return Life(target_id, int(born))
+        return Incarnation(text)
+    return Incarnation(target_id, int(born))
--- a/src/ruddergate/fleet/listing.py
+++ b/src/ruddergate/fleet/listing.py
@@ -35,13 +35,13 @@
     if offered.version < current.version:
         return current
     gone = {
-        (each.life, each.address)
+        (each.incarnation, each.address)
         for each in current.targets
         if each.condition is condition.Condition.LEAVING
     }
     kept = tuple(
         dataclasses.replace(each, condition=condition.Condition.LEAVING)
-        if (each.life, each.address) in gone
+        if (each.incarnation, each.address) in gone
         else each
         for each in offered.targets
     )
--- a/src/ruddergate/fleet/load_report.py
+++ b/src/ruddergate/fleet/load_report.py
@@ -15,7 +15,7 @@
         held_tokens: Memory in use, in tokens.
         draining: Whether the target says that it takes no new work.
         age_ms: How old the account was when it was read.
-        born_ms: The life that tells it, see `life.Life`.
+        born_ms: The life that tells it, see `incarnation.Incarnation`.
     """
 
     target_id: str
@@ -25,4 +25,4 @@
     held_tokens: int
     draining: bool
     age_ms: float
-    born_ms: int = 0
+    started_ms: int = 0
--- a/src/ruddergate/fleet/target.py
+++ b/src/ruddergate/fleet/target.py
@@ -4,7 +4,7 @@
 
 from ruddergate import environment
 from ruddergate.fleet import condition
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -18,7 +18,7 @@
         address: Where it serves requests.
         condition: Live or leaving.
         streams_max: Requests it works on at once; 0 when it does not tell.
-        born_ms: When it started, see `life.Life`.
+        born_ms: When it started, see `incarnation.Incarnation`.
         sequence: Rises with each write of its entry within a life; it is no
             part of what the entry says.
     """
@@ -29,10 +29,10 @@
     address: environment.Address
     condition: condition.Condition
     streams_max: int = 0
-    born_ms: int = lives.BORN_UNKNOWN
+    started_ms: int = incarnations.START_UNKNOWN
     sequence: int = dataclasses.field(default=0, compare=False)
 
     @property
-    def life(self) -> lives.Life:
+    def incarnation(self) -> incarnations.Incarnation:
         """The life that this entry is of."""
-        return lives.Life(self.target_id, self.born_ms)
+        return incarnations.Incarnation(self.target_id, self.started_ms)
--- a/src/ruddergate/messages/load_digest.py
+++ b/src/ruddergate/messages/load_digest.py
@@ -19,7 +19,7 @@
         rows: Its work on targets; targets without any are left out.
         lost: What it has just found out of reach.
         leaving: Lives of targets that have lately told it in answers that they
-            leave, as `life.format_life` writes them.
+            leave, as `incarnation.format_incarnation` writes them.
         rate_limits: Limits that targets have lately named or ended.
         settings_revision: Revision of the published settings in force there.
     """
--- a/src/ruddergate/messages/suspects.py
+++ b/src/ruddergate/messages/suspects.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 
 # Age that stands for a content that never ran to its end.
 NEVER_FINISHED = -1.0
@@ -18,7 +18,7 @@
         weight: How much that counts, see `suspicion.find_weight`.
     """
 
-    life: lives.Life
+    incarnation: incarnations.Incarnation
     age_ms: float
     weight: float
 
--- a/src/ruddergate/platform/orders.py
+++ b/src/ruddergate/platform/orders.py
@@ -85,7 +85,7 @@
     )
     return orders.Told(
         orders.Sign.ALIVE,
-        target_entries.read_born_ms(document),
+        target_entries.read_started_ms(document),
         statements.says_it_stays(said, answer.status),
     )
 
--- a/src/ruddergate/platform/replicas.py
+++ b/src/ruddergate/platform/replicas.py
@@ -246,7 +246,7 @@
             held_tokens=0,
             draining=False,
             age_ms=0.0,
-            born_ms=errand.target.born_ms,
+            started_ms=errand.target.started_ms,
         )
     )
 
--- a/src/ruddergate/platform/statements.py
+++ b/src/ruddergate/platform/statements.py
@@ -2,7 +2,7 @@
 
 import re
 
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
 from ruddergate.http import message
 from ruddergate.platform import headers
@@ -43,10 +43,10 @@
         is_call: Whether a call was answered, and no order or probe.
         sent_ms: When the request was sent.
     """
-    born_ms = target_entries.read_born_ms(document)
-    life = _find_life(target, born_ms)
+    started_ms = target_entries.read_started_ms(document)
+    incarnation = _find_life(target, started_ms)
     if status == _MISDIRECTED:
-        return statements.Statement(life)
+        return statements.Statement(incarnation)
     is_leaving, wrong_word = _read_leaving(_find_words(fields, headers.LEAVING))
     quiet_ms, wrong_time = None, ""
     if status in REFUSALS:
@@ -56,12 +56,12 @@
     rate_limit_per_s, wrong_rate = _read_rate_limit(rates)
     unread = tuple(filter(None, (wrong_word, wrong_time, wrong_rate)))
     return statements.Statement(
-        life,
+        incarnation,
         is_leaving,
         quiet_ms,
         unread,
         request_id,
-        is_dated=born_ms != lives.BORN_UNKNOWN,
+        is_dated=started_ms != incarnations.START_UNKNOWN,
         rate_limit_per_s=rate_limit_per_s,
         is_unlimited=not rates,
         is_call=is_call,
@@ -78,15 +78,17 @@
     return status != _MISDIRECTED and not said.is_leaving
 
 
-def _find_life(target: targets.Target, born_ms: int) -> lives.Life:
+def _find_life(
+    target: targets.Target, started_ms: int
+) -> incarnations.Incarnation:
     """Returns whose statement it is.
 
     An answer that tells another start than was known comes from another life;
     where starts were not known, the name stands for the life.
     """
-    if lives.BORN_UNKNOWN in (born_ms, target.born_ms):
-        return target.life
-    return lives.Life(target.target_id, born_ms)
+    if incarnations.START_UNKNOWN in (started_ms, target.started_ms):
+        return target.incarnation
+    return incarnations.Incarnation(target.target_id, started_ms)
 
 
 def _find_words(
--- a/src/ruddergate/platform/targets.py
+++ b/src/ruddergate/platform/targets.py
@@ -5,7 +5,7 @@
 from ruddergate import environment
 from ruddergate.adapters import _private
 from ruddergate.fleet import condition
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
 
 # Entries stand under this prefix and the target's incarnation.
@@ -32,10 +32,10 @@
 _OPTIONAL = frozenset({_SEQUENCE, "cold-remaining-ms", _BORN})
 
 
-def read_born_ms(document: object) -> int:
+def read_started_ms(document: object) -> int:
     """Returns when a target started, as it says in whatever it publishes."""
-    born_ms = _private.get(document, _BORN, int, lives.BORN_UNKNOWN)
-    return max(lives.BORN_UNKNOWN, born_ms)
+    started_ms = _private.get(document, _BORN, int, incarnations.START_UNKNOWN)
+    return max(incarnations.START_UNKNOWN, started_ms)
 
 
 def read_target(target_id: str, document: object) -> targets.Target | str:
@@ -64,7 +64,7 @@
         address=where,
         condition=state,
         streams_max=document["slots"],
-        born_ms=document.get(_BORN, lives.BORN_UNKNOWN),
+        started_ms=document.get(_BORN, incarnations.START_UNKNOWN),
         sequence=document.get(_SEQUENCE, 0),
     )
 
--- a/src/ruddergate/relay/orders.py
+++ b/src/ruddergate/relay/orders.py
@@ -5,7 +5,7 @@
 import dataclasses
 import enum
 
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
 
 
@@ -56,12 +56,12 @@
 
     Attributes:
         sign: What came back.
-        born_ms: When it started, as in `life.Life`, if it told.
+        born_ms: When it started, as in `incarnation.Incarnation`, if it told.
         is_staying: Whether it answered, and so that it certainly did not leave.
     """
 
     sign: Sign
-    born_ms: int = lives.BORN_UNKNOWN
+    started_ms: int = incarnations.START_UNKNOWN
     is_staying: bool = False
 
 
--- a/src/ruddergate/relay/statement.py
+++ b/src/ruddergate/relay/statement.py
@@ -4,7 +4,7 @@
 import dataclasses
 from typing import TypeAlias
 
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
         sent_ms: When the request was sent that it answered.
     """
 
-    life: lives.Life
+    incarnation: incarnations.Incarnation
     is_leaving: bool = False
     quiet_ms: float | None = None
     unread: tuple[str, ...] = ()
--- a/standins/gateway_cluster.py
+++ b/standins/gateway_cluster.py
@@ -262,7 +262,7 @@
         replica = platform_replica.PlatformReplica(
             f"{node.name}.{start}", outside, figures, self._engines
         )
-        replica.born_ms = int(outside.wall_ms()) if keeps_name else 0
+        replica.started_ms = int(outside.wall_ms()) if keeps_name else 0
         replica.fatal = self.fatal
         replica.crash = lambda: self.crash_target(node)
         node.replica = replica
--- a/standins/platform_replica.py
+++ b/standins/platform_replica.py
@@ -138,7 +138,7 @@
         self.wrong = Misbehaviour()
         self.tickets: dict[str, tuple[int, float]] = {}
         self.engine = pass_engine.PassEngine(figures) if figures else None
-        self.born_ms = 0
+        self.started_ms = 0
         self.fatal: set[bytes] = set()
         self.crash: Callable[[], None] = lambda: None
         self.leaving = ""
@@ -246,7 +246,7 @@
 
     def tell_born(self) -> dict[str, int]:
         """Returns the field that tells when it started, if it does."""
-        return {"born": self.born_ms} if self.born_ms else {}
+        return {"born": self.started_ms} if self.started_ms else {}
 
     def held_tokens(self) -> int:
         """Returns the memory that is set aside now."""
--- a/standins/rate_limit_fleet.py
+++ b/standins/rate_limit_fleet.py
@@ -22,7 +22,7 @@
 from ruddergate.entry import peer_exchange
 from ruddergate.entry import rate_limiter
 from ruddergate.fleet import condition
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
 from ruddergate.relay import orders
 from ruddergate.relay import statement as statements
@@ -236,7 +236,7 @@
             vm.passed_on_s.setdefault(each.name, loop.time())
         vm.limiter.observe(
             statements.Statement(
-                lives.Life(each.name),
+                incarnations.Incarnation(each.name),
                 rate_limit_per_s=None if is_unlimited else rate_per_s,
                 is_unlimited=is_unlimited,
                 is_call=True,
@@ -256,7 +256,7 @@
             is_unlimited = rate_per_s == float("inf")
             vm.limiter.observe(
                 statements.Statement(
-                    lives.Life(each.name),
+                    incarnations.Incarnation(each.name),
                     rate_limit_per_s=None if is_unlimited else rate_per_s,
                     is_unlimited=is_unlimited,
                     sent_ms=sent_ms,
--- a/standins/restore_checks.py
+++ b/standins/restore_checks.py
@@ -6,7 +6,7 @@
 import dataclasses
 
 from ruddergate.fleet import condition
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from standins import gateway_caller
 from standins import gateway_cluster
 from standins import gateway_schedules
@@ -56,7 +56,7 @@
 
     def __init__(self, cluster: gateway_cluster.GatewayCluster) -> None:
         self._cluster = cluster
-        self._leavings: dict[lives.Life, _Leaving] = {}
+        self._leavings: dict[incarnations.Incarnation, _Leaving] = {}
         self._restored_s: list[float] = []
         self._key_removed_s = float("inf")
         self._revisions: dict[tuple[str, int], int] = {}
@@ -71,8 +71,8 @@
     def note_leaving(self, replica: platform_replica.PlatformReplica) -> None:
         """Notes that the store was told that a target leaves."""
         self._counts[_LEAVINGS] += 1
-        life = lives.Life(replica.name, replica.born_ms)
-        self._leavings[life] = _Leaving(replica, self._now_s())
+        incarnation = incarnations.Incarnation(replica.name, replica.started_ms)
+        self._leavings[incarnation] = _Leaving(replica, self._now_s())
 
     def note_restored(self) -> None:
         """Notes that the store has gone back."""
@@ -113,7 +113,7 @@
             self._broken.append(f"{node.name}: settings went back")
         self._revisions[run] = max(before, view.catalog.revision)
         for each in view.listing.targets:
-            leaving = self._leavings.get(each.life)
+            leaving = self._leavings.get(each.incarnation)
             is_known = each.condition is condition.Condition.LEAVING
             if leaving is not None and is_known:
                 leaving.known_s.setdefault(run, self._now_s())
@@ -196,7 +196,7 @@
     It is to be asked after REST_S without a fault.
     """
     sound = [
-        lives.Life(node.replica.name, node.replica.born_ms)
+        incarnations.Incarnation(node.replica.name, node.replica.started_ms)
         for node in cluster.targets.values()
         if node.state == "ready" and not node.process.is_dead
     ]
@@ -205,13 +205,13 @@
         if vm.process.is_dead or vm.task.done():
             continue
         live = {
-            each.life
+            each.incarnation
             for each in vm.gateway.tools.view.listing.targets
             if each.condition is condition.Condition.LIVE
         }
         broken += [
-            f"{vm.name} does not use {life.target_id}, which lives"
-            for life in sound
-            if life not in live
+            f"{vm.name} does not use {incarnation.target_id}, which lives"
+            for incarnation in sound
+            if incarnation not in live
         ]
     return broken
--- a/standins/withdrawal_schedules.py
+++ b/standins/withdrawal_schedules.py
@@ -17,7 +17,7 @@
 
 import cyclopts
 
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from standins import gateway_caller
 from standins import gateway_cluster
 from standins import gateway_promises
@@ -166,9 +166,9 @@
         # A target that has said it does not unsay it.
         replica.leaving = word
     await asyncio.sleep(chance.uniform(0.5, 8.0))
-    if not replica.born_ms and chance.random() < 0.3:
+    if not replica.started_ms and chance.random() < 0.3:
         ways[withdrawal_ways.START_LATE] += 1
-        replica.born_ms = round(asyncio.get_running_loop().time() * 1_000.0)
+        replica.started_ms = round(asyncio.get_running_loop().time() * 1_000.0)
         await asyncio.sleep(chance.uniform(0.5, 8.0))
     if node.process.is_dead or node.replica is not replica:
         return
@@ -188,8 +188,11 @@
     ways[withdrawal_ways.LIED] += 1
     names = chance.sample(sorted(cluster.targets), 2)
     replicas = [cluster.targets[name].replica for name in names]
-    lives_told = [lives.Life(each.name, each.born_ms) for each in replicas]
-    words = tuple(map(lives.format_life, lives_told))
+    lives_told = [
+        incarnations.Incarnation(each.name, each.started_ms)
+        for each in replicas
+    ]
+    words = tuple(map(incarnations.format_incarnation, lives_told))
     for number in range(1, chance.randrange(2, 20)):
         await peer_liar.tell_leaving(cluster, number, words)
         await asyncio.sleep(_LIE_EVERY_S)
--- a/standins/withdrawal_ways.py
+++ b/standins/withdrawal_ways.py
@@ -48,7 +48,7 @@
     It is to be asked after REST_S without a fault.
     """
     sound = {
-        node.replica.name: node.replica.born_ms
+        node.replica.name: node.replica.started_ms
         for node in cluster.targets.values()
         if not node.process.is_dead and not node.replica.has_told
     }
@@ -58,5 +58,5 @@
         if not (vm.process.is_dead or vm.task.done())
         for target in vm.gateway.tools.view.listing.targets
         if target.condition is condition.Condition.LEAVING
-        and sound.get(target.target_id) == target.born_ms
+        and sound.get(target.target_id) == target.started_ms
     ]
--- a/tests/test_foreign_settings.py
+++ b/tests/test_foreign_settings.py
@@ -87,6 +87,6 @@
     @hypothesis.given(_JSON)
     @hypothesis.settings(max_examples=200, deadline=None, derandomize=True)
     def test_a_start_is_a_whole_number_or_unknown(self, document) -> None:
-        born_ms = targets.read_born_ms(document)
-        self.assertIs(type(born_ms), int)
-        self.assertGreaterEqual(born_ms, 0)
+        started_ms = targets.read_started_ms(document)
+        self.assertIs(type(started_ms), int)
+        self.assertGreaterEqual(started_ms, 0)
--- a/tests/test_leaving_told.py
+++ b/tests/test_leaving_told.py
@@ -9,7 +9,7 @@
 from ruddergate import environment
 from ruddergate.decisions import withdrawals
 from ruddergate.entry import target_notices
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.messages import load_digest
 from ruddergate.telemetry import metrics
 from ruddergate.wire import codec
@@ -231,11 +231,13 @@
             withdrawn,
             metrics.EntryMetrics(),
         )
-        withdrawn.note_listed(lives.Life("i" * 1_000), 0.0)
-        withdrawn.note_listed(lives.Life("i-1", 5), 0.0)
+        withdrawn.note_listed(incarnations.Incarnation("i" * 1_000), 0.0)
+        withdrawn.note_listed(incarnations.Incarnation("i-1", 5), 0.0)
         notices.take_told(["i" * 1_000, "i-1@5"], "peer")
-        self.assertFalse(withdrawn.has_left(lives.Life("i" * 1_000)))
-        self.assertTrue(withdrawn.has_left(lives.Life("i-1", 5)))
+        self.assertFalse(
+            withdrawn.has_left(incarnations.Incarnation("i" * 1_000))
+        )
+        self.assertTrue(withdrawn.has_left(incarnations.Incarnation("i-1", 5)))
 
     def test_digest_of_an_earlier_release_says_nothing_of_it(self) -> None:
         digest = load_digest.LoadDigest("vm:1", "h", 0, "run", 1, ())
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -21,7 +21,7 @@
 from ruddergate.entry import view as views
 from ruddergate.fleet import bad_news
 from ruddergate.fleet import condition
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import load_report
 from ruddergate.fleet import store_position
 from ruddergate.fleet import target as targets
@@ -39,7 +39,7 @@
 
 
 def _make_target(
-    born_ms: int, state: condition.Condition = condition.Condition.LIVE
+    started_ms: int, state: condition.Condition = condition.Condition.LIVE
 ) -> targets.Target:
     return targets.Target(
         "engine-1",
@@ -48,21 +48,31 @@
         environment.Address("engine-1", 1),
         state,
         8,
-        born_ms,
+        started_ms,
     )
 
 
 class LifeTest(unittest.TestCase):
     def test_words_of_lives_are_read_back(self) -> None:
-        for life in (lives.Life("a"), lives.Life("a@b", 7), lives.Life("a", 7)):
-            if life.target_id == "a@b" and not life.born_ms:
+        for incarnation in (
+            incarnations.Incarnation("a"),
+            incarnations.Incarnation("a@b", 7),
+            incarnations.Incarnation("a", 7),
+        ):
+            if incarnation.target_id == "a@b" and not incarnation.started_ms:
                 continue
-            text = lives.format_life(life)
-            self.assertEqual(lives.parse_life(text), life)
+            text = incarnations.format_incarnation(incarnation)
+            self.assertEqual(incarnations.parse_incarnation(text), incarnation)
 
     def test_word_of_an_earlier_release_is_a_name(self) -> None:
-        self.assertEqual(lives.parse_life("i-5"), lives.Life("i-5"))
-        self.assertEqual(lives.parse_life("i@x"), lives.Life("i@x"))
+        self.assertEqual(
+            incarnations.parse_incarnation("i-5"),
+            incarnations.Incarnation("i-5"),
+        )
+        self.assertEqual(
+            incarnations.parse_incarnation("i@x"),
+            incarnations.Incarnation("i@x"),
+        )
 
 
 class TargetListTest(unittest.TestCase):
@@ -125,8 +135,8 @@
                 collect_lost=lambda: told.pop() if told else bad_news.NOTHING,
             )
             process.start(scheduler.run)
-            for born_ms in (5, 6):
-                view.take_targets((_make_target(born_ms),), outside.now_ms())
+            for started_ms in (5, 6):
+                view.take_targets((_make_target(started_ms),), outside.now_ms())
                 scheduler.post(schedulers.ViewChanged())
                 await asyncio.sleep(0.1)
             told.extend([bad_news.BadNews(gone=(lost,))] if lost else [])
@@ -139,15 +149,15 @@
         return virtual_process.run(run)
 
     def test_failures_of_the_former_life(self) -> None:
-        for born_ms, is_used in ((5, True), (6, False)):
-            seat = placement.Seat(_make_target(born_ms), "attempt", 0)
+        for started_ms, is_used in ((5, True), (6, False)):
+            seat = placement.Seat(_make_target(started_ms), "attempt", 0)
             ended = placement.Ended(seat, failed=True, answered=False)
             self.assertIs(self._play(*[ended] * 4), is_used)
 
     def test_reports_of_the_former_life(self) -> None:
-        for born_ms, is_used in ((5, True), (6, False)):
+        for started_ms, is_used in ((5, True), (6, False)):
             report = load_report.LoadReport(
-                "engine-1", "g", 0, 0, 0, True, 0.0, born_ms
+                "engine-1", "g", 0, 0, 0, True, 0.0, started_ms
             )
             self.assertIs(self._play(placement.Reported(report)), is_used)
 
--- a/tests/test_losses_found.py
+++ b/tests/test_losses_found.py
@@ -8,7 +8,7 @@
 from ruddergate.decisions import losses_found
 from ruddergate.decisions import reachability
 from ruddergate.fleet import bad_news
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from standins import gateway_cluster
 from tests import gateway_scene
 
@@ -21,12 +21,16 @@
         self.losses = losses_found.LossesFound()
 
     def test_loss_is_told_for_a_while(self) -> None:
-        self.losses.note_reached(_HALL, lives.Life("t1"), 0.0)
+        self.losses.note_reached(_HALL, incarnations.Incarnation("t1"), 0.0)
         self.assertTrue(
-            self.losses.note_lost(_HALL, lives.Life("t2"), False, 10.0)
+            self.losses.note_lost(
+                _HALL, incarnations.Incarnation("t2"), False, 10.0
+            )
         )
         self.assertTrue(
-            self.losses.note_lost(_HALL, lives.Life("t3"), True, 10.0)
+            self.losses.note_lost(
+                _HALL, incarnations.Incarnation("t3"), True, 10.0
+            )
         )
         told = bad_news.BadNews(gone=("t2",), silent=("t3",))
         self.assertEqual(self.losses.summarize(500.0), told)
@@ -34,25 +38,29 @@
         self.assertIs(self.losses.summarize(late_ms), bad_news.NOTHING)
 
     def test_target_that_answers_is_not_lost(self) -> None:
-        self.losses.note_reached(_HALL, lives.Life("t1"), 0.0)
-        self.losses.note_lost(_HALL, lives.Life("t2"), True, 10.0)
-        self.losses.note_reached(_HALL, lives.Life("t2"), 20.0)
+        self.losses.note_reached(_HALL, incarnations.Incarnation("t1"), 0.0)
+        self.losses.note_lost(_HALL, incarnations.Incarnation("t2"), True, 10.0)
+        self.losses.note_reached(_HALL, incarnations.Incarnation("t2"), 20.0)
         self.assertIs(self.losses.summarize(30.0), bad_news.NOTHING)
 
     def test_vm_that_is_cut_off_tells_nothing(self) -> None:
         self.assertFalse(
-            self.losses.note_lost(_HALL, lives.Life("t1"), True, 0.0)
+            self.losses.note_lost(
+                _HALL, incarnations.Incarnation("t1"), True, 0.0
+            )
         )
-        self.losses.note_reached(_HALL, lives.Life("t1"), 0.0)
+        self.losses.note_reached(_HALL, incarnations.Incarnation("t1"), 0.0)
         late_ms = losses_found.REACHED_MS + 1.0
         self.assertFalse(
-            self.losses.note_lost(_HALL, lives.Life("t2"), False, late_ms)
+            self.losses.note_lost(
+                _HALL, incarnations.Incarnation("t2"), False, late_ms
+            )
         )
         # Nor does one that loses many at once.
-        self.losses.note_reached(_HALL, lives.Life("t1"), late_ms)
+        self.losses.note_reached(_HALL, incarnations.Incarnation("t1"), late_ms)
         for number in range(losses_found.TOLD_MOST + 1):
             self.losses.note_lost(
-                _HALL, lives.Life(f"e{number}"), False, late_ms
+                _HALL, incarnations.Incarnation(f"e{number}"), False, late_ms
             )
         self.assertIs(self.losses.summarize(late_ms), bad_news.NOTHING)
 
--- a/tests/test_restored_targets.py
+++ b/tests/test_restored_targets.py
@@ -104,7 +104,7 @@
         self.removals = removals.Removals()
         self.removals.note_removed(self._make(5, 7))
 
-    def _make(self, born_ms: int, sequence: int) -> targets.Target:
+    def _make(self, started_ms: int, sequence: int) -> targets.Target:
         return targets.Target(
             "t",
             "p",
@@ -112,7 +112,7 @@
             environment.Address("t", 1),
             condition.Condition.LIVE,
             1,
-            born_ms,
+            started_ms,
             sequence,
         )
 
--- a/tests/test_statements.py
+++ b/tests/test_statements.py
@@ -8,12 +8,12 @@
 
 from ruddergate import environment
 from ruddergate.fleet import condition
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
 from ruddergate.platform import statements
 
 
-def _make_target(born_ms: int = 5) -> targets.Target:
+def _make_target(started_ms: int = 5) -> targets.Target:
     return targets.Target(
         "i-1",
         "p",
@@ -21,7 +21,7 @@
         environment.Address("i-1", 1),
         condition.Condition.LIVE,
         8,
-        born_ms,
+        started_ms,
     )
 
 
@@ -72,7 +72,9 @@
         for status in (200, 202, 400, 409, 429, 500, 503, 504):
             said = _read(status, ("server-leaving", "1"))
             self.assertTrue(said.is_leaving)
-            self.assertEqual(said.life, lives.Life("i-1", 5))
+            self.assertEqual(
+                said.incarnation, incarnations.Incarnation("i-1", 5)
+            )
 
     def test_another_target_at_the_address_tells_nothing(self) -> None:
         said = _read(421, ("server-leaving", "1"), ("server-limit", "1"))
@@ -101,16 +103,18 @@
 
     def test_document_that_tells_the_start_tells_whose_word_it_is(self) -> None:
         said = _read(200, ("server-leaving", "1"), document={"born": 6})
-        self.assertEqual(said.life, lives.Life("i-1", 6))
+        self.assertEqual(said.incarnation, incarnations.Incarnation("i-1", 6))
         for document in ({"born": "6"}, {"born": -6}, {"born": True}, [], None):
             said = _read(200, ("server-leaving", "1"), document=document)
-            self.assertEqual(said.life, lives.Life("i-1", 5))
+            self.assertEqual(
+                said.incarnation, incarnations.Incarnation("i-1", 5)
+            )
 
     def test_name_stands_for_a_life_where_starts_are_not_known(self) -> None:
         said = statements.read_statement(
             _make_target(0), 200, (("server-leaving", "1"),), {"born": 6}
         )
-        self.assertEqual(said.life, lives.Life("i-1", 0))
+        self.assertEqual(said.incarnation, incarnations.Incarnation("i-1", 0))
 
 
 class QuietTest(unittest.TestCase):
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -10,15 +10,17 @@
 from hypothesis import strategies
 
 from ruddergate.decisions import suspicion
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.messages import suspects as messages
 from ruddergate.wire import codec
 
 _NOW_MS = 1_000_000.0
 
 
-def _life(number: int) -> lives.Life:
-    return lives.Life(f"engine-{number}", 1_700_000_000_000 + number)
+def _life(number: int) -> incarnations.Incarnation:
+    return incarnations.Incarnation(
+        f"engine-{number}", 1_700_000_000_000 + number
+    )
 
 
 def _row(content: str, *numbers: int, finished_age_ms=None) -> messages.Suspect:
@@ -70,9 +72,9 @@
         self.assertFalse(self._is_quarantined("a"))
 
     def test_two_starts_under_one_name_are_two_lives(self) -> None:
-        for born_ms in (5, 6, 7):
-            life = lives.Life("engine-0", born_ms)
-            self.known.note_ended("a", life, 1.0, _NOW_MS)
+        for started_ms in (5, 6, 7):
+            incarnation = incarnations.Incarnation("engine-0", started_ms)
+            self.known.note_ended("a", incarnation, 1.0, _NOW_MS)
         self.assertTrue(self._is_quarantined("a"))
 
     def test_content_that_ran_to_its_end_is_cleared(self) -> None:
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -4,10 +4,10 @@
 
 from ruddergate.decisions import doubts
 from ruddergate.decisions import withdrawals
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 
-_OLD = lives.Life("i-1", 5)
-_YOUNG = lives.Life("i-1", 6)
+_OLD = incarnations.Incarnation("i-1", 5)
+_YOUNG = incarnations.Incarnation("i-1", 6)
 
 
 class LeavingTest(unittest.TestCase):
@@ -51,7 +51,7 @@
         self.assertTrue(self.withdrawn.note_told(_OLD, "liar", again_ms, 1e9))
 
     def test_peers_word_counts_for_the_listed_life_only(self) -> None:
-        unknown = lives.Life("i-1")
+        unknown = incarnations.Incarnation("i-1")
         self.assertFalse(self.withdrawn.note_told(_OLD, "peer", 0.0, 9.0))
         self.withdrawn.note_listed(_YOUNG, 0.0)
         self.assertFalse(self.withdrawn.note_told(_OLD, "peer", 0.0, 9.0))
@@ -112,7 +112,7 @@
         self.withdrawn.note_listed(_YOUNG, 0.0)
         self.withdrawn.note_told(_YOUNG, "peer", 0.0, 9.0)
         self.withdrawn.note_answered(_YOUNG, 0.5)
-        self.withdrawn.note_published(lives.Life("i-2", 1))
+        self.withdrawn.note_published(incarnations.Incarnation("i-2", 1))
         self.assertEqual(self.withdrawn.summarize(1.0), ("i-1@5",))
         late_ms = withdrawals.TOLD_MS + 1.0
         self.assertEqual(self.withdrawn.summarize(late_ms), ())
@@ -124,12 +124,18 @@
 
     def test_what_is_kept_and_told_is_bounded(self) -> None:
         for number in range(withdrawals.LEFT_MOST + 10):
-            self.withdrawn.note_answered(lives.Life(f"i-{number}"), 0.0)
+            self.withdrawn.note_answered(
+                incarnations.Incarnation(f"i-{number}"), 0.0
+            )
         told = self.withdrawn.summarize(0.0)
         self.assertEqual(len(told), withdrawals.TOLD_MOST)
         self.assertEqual(told[-1], f"i-{withdrawals.LEFT_MOST + 9}")
-        self.assertFalse(self.withdrawn.has_left(lives.Life("i-9")))
-        self.assertTrue(self.withdrawn.has_left(lives.Life("i-10")))
+        self.assertFalse(
+            self.withdrawn.has_left(incarnations.Incarnation("i-9"))
+        )
+        self.assertTrue(
+            self.withdrawn.has_left(incarnations.Incarnation("i-10"))
+        )
 
 
 class QuietTest(unittest.TestCase):
@@ -165,7 +171,9 @@
 
     def test_what_is_kept_is_bounded(self) -> None:
         for number in range(withdrawals.QUIET_MOST + 1):
-            self.withdrawn.note_quiet(lives.Life(f"i-{number}"), 100.0)
+            self.withdrawn.note_quiet(
+                incarnations.Incarnation(f"i-{number}"), 100.0
+            )
         most = withdrawals.QUIET_MOST
         self.assertEqual(self.withdrawn.count_quiet(0.0), most)
         self.assertEqual(self.withdrawn.count_quiet(100.0), 0)
@@ -197,7 +205,7 @@
 
     def test_it_does_not_hold_for_one_that_started_later(self) -> None:
         self.withdrawn.note_quiet(_OLD, 100.0, said_wall_ms=50.0)
-        later = lives.Life("i-1", 51)
+        later = incarnations.Incarnation("i-1", 51)
         self.withdrawn.note_listed(later, 60.0)
         self.assertTrue(self.withdrawn.takes_calls(later, 60.0))
 
