--- a/src/ruddergate/decisions/losses_found.py
+++ b/src/ruddergate/decisions/losses_found.py
@@ -10,8 +10,8 @@
 
 from collections.abc import Iterable
 
-from ruddergate.fleet import bad_news
 from ruddergate.fleet import incarnation as incarnations
+from ruddergate.fleet import loss_report
 
 # A loss is told for so long: two rounds of digests miss it at most once, and
 # what was found in a cut is forgotten soon after its end.
@@ -62,15 +62,15 @@
         """Notes a hall that seems cut off."""
         self._halls[hall] = now_ms
 
-    def summarize(self, now_ms: float) -> bad_news.BadNews:
+    def summarize(self, now_ms: float) -> loss_report.LossReport:
         """Returns what peers are to be told now."""
         for found in (self._gone, self._silent, self._halls):
             _forget_old(found, now_ms)
         if not self._gone and not self._silent and not self._halls:
-            return bad_news.NOTHING
+            return loss_report.EMPTY
         if len(self._gone) + len(self._silent) > TOLD_MOST:
-            return bad_news.NOTHING
-        return bad_news.BadNews(
+            return loss_report.EMPTY
+        return loss_report.LossReport(
             tuple(map(incarnations.format_incarnation, self._gone)),
             tuple(map(incarnations.format_incarnation, self._silent)),
             tuple(self._halls),
@@ -83,37 +83,41 @@
             del found[name]
 
 
-def select_for(told: bad_news.BadNews, is_same_hall: bool) -> bad_news.BadNews:
+def select_for(
+    told: loss_report.LossReport, is_same_hall: bool
+) -> loss_report.LossReport:
     """Returns what of a peer's news holds for this VM.
 
     What did not answer a VM of another hall may well answer here.
     """
     if is_same_hall:
         return told
-    return bad_news.BadNews(gone=told.gone)
+    return loss_report.LossReport(terminated=told.terminated)
 
 
 def find_new(
-    told: bad_news.BadNews, before: bad_news.BadNews
-) -> bad_news.BadNews:
+    told: loss_report.LossReport, before: loss_report.LossReport
+) -> loss_report.LossReport:
     """Returns what a peer did not tell already in its digest before."""
-    return bad_news.BadNews(
-        _without(told.gone, before.gone),
-        _without(told.silent, before.silent),
-        _without(told.halls, before.halls),
+    return loss_report.LossReport(
+        _without(told.terminated, before.terminated),
+        _without(told.unresponsive, before.unresponsive),
+        _without(told.unreachable_halls, before.unreachable_halls),
     )
 
 
-def merge(news: Iterable[bad_news.BadNews]) -> bad_news.BadNews:
+def merge(news: Iterable[loss_report.LossReport]) -> loss_report.LossReport:
     """Returns several peers' news as one, each name once."""
-    gone: dict[str, None] = {}
-    silent: dict[str, None] = {}
-    halls: dict[str, None] = {}
+    terminated: dict[str, None] = {}
+    unresponsive: dict[str, None] = {}
+    unreachable_halls: dict[str, None] = {}
     for each in news:
-        gone.update(dict.fromkeys(each.gone))
-        silent.update(dict.fromkeys(each.silent))
-        halls.update(dict.fromkeys(each.halls))
-    return bad_news.BadNews(tuple(gone), tuple(silent), tuple(halls))
+        terminated.update(dict.fromkeys(each.terminated))
+        unresponsive.update(dict.fromkeys(each.unresponsive))
+        unreachable_halls.update(dict.fromkeys(each.unreachable_halls))
+    return loss_report.LossReport(
+        tuple(terminated), tuple(unresponsive), tuple(unreachable_halls)
+    )
 
 
 def _without(
--- a/src/ruddergate/decisions/peer_loads.py
+++ b/src/ruddergate/decisions/peer_loads.py
@@ -9,8 +9,8 @@
 from ruddergate.decisions import losses_found
 from ruddergate.decisions import pause_class
 from ruddergate.decisions import peer_groups
-from ruddergate.fleet import bad_news
 from ruddergate.fleet import dispatched
+from ruddergate.fleet import loss_report
 from ruddergate.messages import load_digest
 
 # A peer's digest counts for so long. A VM tells its load once a second; two
@@ -53,7 +53,7 @@
     incarnation: str
     number: int
     rows: dict[str, dispatched.Dispatched]
-    lost: bad_news.BadNews = bad_news.NOTHING
+    lost: loss_report.LossReport = loss_report.EMPTY
     awaited_since_ms: float | None = None
 
 
@@ -71,7 +71,7 @@
         self._peers: dict[str, _Peer] = {}
         self._by_target: dict[str, dict[str, dispatched.Dispatched]] = {}
         self._changed: set[str] = set()
-        self._lost: list[bad_news.BadNews] = []
+        self._lost: list[loss_report.LossReport] = []
         self._groups: tuple[peer_groups.Group, ...] | None = None
         # VMs of this hall by rank, for as long as the same ones are known.
         self._hall: tuple[str, ...] | None = None
@@ -113,20 +113,20 @@
         peer.incarnation = digest.incarnation
         peer.number = digest.number
         self._replace_rows(digest.sender, peer, digest.rows)
-        self._take_lost(peer, digest.lost)
+        self._take_lost(peer, digest.losses)
         return True
 
-    def _take_lost(self, peer: _Peer, told: bad_news.BadNews) -> None:
+    def _take_lost(self, peer: _Peer, told: loss_report.LossReport) -> None:
         if told != peer.lost:
             is_same_hall = peer.place.hall == self._place.hall
             new = losses_found.find_new(told, peer.lost)
             self._lost.append(losses_found.select_for(new, is_same_hall))
             peer.lost = told
 
-    def collect_lost(self) -> bad_news.BadNews:
+    def collect_lost(self) -> loss_report.LossReport:
         """Returns what peers have found out of reach since the last call."""
         if not self._lost:
-            return bad_news.NOTHING
+            return loss_report.EMPTY
         found = losses_found.merge(self._lost)
         self._lost.clear()
         return found
--- a/src/ruddergate/entry/digest_relay.py
+++ b/src/ruddergate/entry/digest_relay.py
@@ -11,7 +11,7 @@
 
 from ruddergate import environment
 from ruddergate.decisions import peer_loads
-from ruddergate.fleet import bad_news
+from ruddergate.fleet import loss_report
 from ruddergate.messages import load_bundle
 from ruddergate.messages import load_digest
 
@@ -113,4 +113,4 @@
 
 def _is_urgent(digest: load_digest.LoadDigest) -> bool:
     """Returns whether a digest tells more than its VM's load."""
-    return bool(digest.leaving) or digest.lost != bad_news.NOTHING
+    return bool(digest.leaving) or digest.losses != loss_report.EMPTY
--- a/src/ruddergate/entry/peer_exchange.py
+++ b/src/ruddergate/entry/peer_exchange.py
@@ -18,8 +18,8 @@
 from ruddergate.decisions import peer_loads
 from ruddergate.entry import digest_relay
 from ruddergate.entry import peer_questions
-from ruddergate.fleet import bad_news
 from ruddergate.fleet import dispatched
+from ruddergate.fleet import loss_report
 from ruddergate.fleet import rate_limit
 from ruddergate.messages import load_bundle
 from ruddergate.messages import load_digest
@@ -108,8 +108,8 @@
         summarize: Callable[[], tuple[dispatched.Dispatched, ...]],
         note_peers: Callable[[int], None] = lambda count: None,
         answer: Answerer | None = None,
-        summarize_lost: Callable[[], bad_news.BadNews] = lambda: (
-            bad_news.NOTHING
+        summarize_lost: Callable[[], loss_report.LossReport] = lambda: (
+            loss_report.EMPTY
         ),
         take_suspects: Callable[
             [suspect_messages.Suspects], None
@@ -269,7 +269,7 @@
             incarnation=self._incarnation,
             number=self._number,
             rows=self._summarize(),
-            lost=self._summarize_lost(),
+            losses=self._summarize_lost(),
             leaving=self._summarize_leaving(),
             rate_limits=self._summarize_rate_limits(),
             settings_revision=self._find_settings_revision(),
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -23,9 +23,9 @@
 from ruddergate.entry import target_losses
 from ruddergate.entry import target_table
 from ruddergate.entry import view as views
-from ruddergate.fleet import bad_news
 from ruddergate.fleet import dispatched
 from ruddergate.fleet import load_report
+from ruddergate.fleet import loss_report
 from ruddergate.fleet import target as targets
 from ruddergate.messages import loads as load_messages
 from ruddergate.telemetry import logs
@@ -77,7 +77,9 @@
             [], Sequence[dispatched.Dispatched]
         ] = lambda: (),
         is_blind: Callable[[], bool] = lambda: False,
-        collect_lost: Callable[[], bad_news.BadNews] = lambda: bad_news.NOTHING,
+        collect_lost: Callable[[], loss_report.LossReport] = lambda: (
+            loss_report.EMPTY
+        ),
         withdrawn: withdrawals.Withdrawals | None = None,
         limits: rate_limits.RateLimits | None = None,
     ) -> None:
@@ -155,7 +157,7 @@
             if estimate.own_streams()
         )
 
-    def summarize_lost(self) -> bad_news.BadNews:
+    def summarize_lost(self) -> loss_report.LossReport:
         """Returns what this VM has just found out of reach, for peers."""
         return self._losses.summarize(self._outside.now_ms())
 
@@ -332,8 +334,8 @@
             self._losses.note_gone(target, now_ms)
             self._note_change()
 
-    def _take_lost(self, told: bad_news.BadNews) -> None:
-        if told is not bad_news.NOTHING:
+    def _take_lost(self, told: loss_report.LossReport) -> None:
+        if told is not loss_report.EMPTY:
             now_ms = self._outside.now_ms()
             self._losses.take_told(told, self._table.find_told, now_ms)
 
--- a/src/ruddergate/entry/target_losses.py
+++ b/src/ruddergate/entry/target_losses.py
@@ -7,8 +7,8 @@
 from ruddergate.decisions import losses_found
 from ruddergate.decisions import reachability
 from ruddergate.entry import life_ends
-from ruddergate.fleet import bad_news
 from ruddergate.fleet import incarnation as incarnations
+from ruddergate.fleet import loss_report
 from ruddergate.fleet import target as targets
 from ruddergate.telemetry import logs
 
@@ -52,26 +52,26 @@
         """Returns whether a hall is to be passed over now."""
         return self._reachability.is_suspect(hall, now_ms)
 
-    def summarize(self, now_ms: float) -> bad_news.BadNews:
+    def summarize(self, now_ms: float) -> loss_report.LossReport:
         """Returns what peers are to be told now."""
         return self._found.summarize(now_ms)
 
     def take_told(
         self,
-        told: bad_news.BadNews,
+        told: loss_report.LossReport,
         find_estimate: Callable[
             [incarnations.Incarnation], estimates.Estimate | None
         ],
         now_ms: float,
     ) -> None:
         """Passes over for a moment what peers found out of reach."""
-        for name in told.gone:
+        for name in told.terminated:
             self.ends.note(incarnations.parse_incarnation(name))
-        for name in (*told.gone, *told.silent):
+        for name in (*told.terminated, *told.unresponsive):
             estimate = find_estimate(incarnations.parse_incarnation(name))
             if estimate is not None:
                 pause_ms = self._chance.uniform(*losses_found.PAUSE_MS)
                 estimate.note_told_lost(now_ms, pause_ms)
-        for hall in told.halls:
+        for hall in told.unreachable_halls:
             if self._reachability.note_told(hall, now_ms):
                 self._log.warning("Hall {} is out of reach of peers.", hall)
--- a/src/ruddergate/fleet/bad_news.py
+++ b/src/ruddergate/fleet/loss_report.py
@@ -3,7 +3,7 @@
 import msgspec
 
 
-class BadNews(msgspec.Struct, frozen=True, array_like=True):
+class LossReport(msgspec.Struct, frozen=True, array_like=True):
     """Hints for placing work; no promise rests on them.
 
     Targets are named as `incarnation.format_incarnation` does it.
@@ -15,9 +15,9 @@
         halls: Data halls that seem cut off from this VM.
     """
 
-    gone: tuple[str, ...] = ()
-    silent: tuple[str, ...] = ()
-    halls: tuple[str, ...] = ()
+    terminated: tuple[str, ...] = ()
+    unresponsive: tuple[str, ...] = ()
+    unreachable_halls: tuple[str, ...] = ()
 
 
-NOTHING = BadNews()
+EMPTY = LossReport()
--- a/src/ruddergate/messages/load_digest.py
+++ b/src/ruddergate/messages/load_digest.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from ruddergate.fleet import bad_news
 from ruddergate.fleet import dispatched
+from ruddergate.fleet import loss_report
 from ruddergate.fleet import rate_limit
 
 
@@ -30,7 +30,7 @@
     incarnation: str
     number: int
     rows: tuple[dispatched.Dispatched, ...]
-    lost: bad_news.BadNews = bad_news.NOTHING
+    losses: loss_report.LossReport = loss_report.EMPTY
     leaving: tuple[str, ...] = ()
     rate_limits: tuple[rate_limit.RateLimitUpdate, ...] = ()
     settings_revision: int = 0
--- a/tests/test_digest_cost.py
+++ b/tests/test_digest_cost.py
@@ -11,8 +11,8 @@
 import msgpack
 import msgspec
 
-from ruddergate.fleet import bad_news
 from ruddergate.fleet import dispatched
+from ruddergate.fleet import loss_report
 from ruddergate.fleet import rate_limit
 from ruddergate.messages import load_bundle
 from ruddergate.messages import load_digest
@@ -45,7 +45,7 @@
             "run",
             7,
             (self.row,),
-            bad_news.BadNews(("g",), ("s",), ("h2",)),
+            loss_report.LossReport(("g",), ("s",), ("h2",)),
             ("i-1@5",),
             (rate_limit.RateLimitUpdate("e", 0.5, 120.0),),
             13,
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -19,10 +19,10 @@
 from ruddergate.entry import scheduler as schedulers
 from ruddergate.entry import target_list
 from ruddergate.entry import view as views
-from ruddergate.fleet import bad_news
 from ruddergate.fleet import condition
 from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import load_report
+from ruddergate.fleet import loss_report
 from ruddergate.fleet import store_position
 from ruddergate.fleet import target as targets
 from ruddergate.relay import orders
@@ -119,7 +119,7 @@
 
     def _play(self, *messages: object, lost: str = "") -> bool:
         """Returns whether the new life may be used after late news."""
-        told: list[bad_news.BadNews] = []
+        told: list[loss_report.LossReport] = []
 
         async def run() -> bool:
             network = virtual_network.VirtualNetwork(
@@ -132,14 +132,16 @@
                 outside,
                 configs.EntryConfig("vm", "h", environment.Address("vm", 1)),
                 view,
-                collect_lost=lambda: told.pop() if told else bad_news.NOTHING,
+                collect_lost=lambda: told.pop() if told else loss_report.EMPTY,
             )
             process.start(scheduler.run)
             for started_ms in (5, 6):
                 view.take_targets((_make_target(started_ms),), outside.now_ms())
                 scheduler.post(schedulers.ViewChanged())
                 await asyncio.sleep(0.1)
-            told.extend([bad_news.BadNews(gone=(lost,))] if lost else [])
+            told.extend(
+                [loss_report.LossReport(terminated=(lost,))] if lost else []
+            )
             for message in messages:
                 scheduler.post(message)
             await asyncio.sleep(0.55)
--- a/tests/test_losses_found.py
+++ b/tests/test_losses_found.py
@@ -7,8 +7,8 @@
 
 from ruddergate.decisions import losses_found
 from ruddergate.decisions import reachability
-from ruddergate.fleet import bad_news
 from ruddergate.fleet import incarnation as incarnations
+from ruddergate.fleet import loss_report
 from standins import gateway_cluster
 from tests import gateway_scene
 
@@ -32,16 +32,16 @@
                 _HALL, incarnations.Incarnation("t3"), True, 10.0
             )
         )
-        told = bad_news.BadNews(gone=("t2",), silent=("t3",))
+        told = loss_report.LossReport(terminated=("t2",), unresponsive=("t3",))
         self.assertEqual(self.losses.summarize(500.0), told)
         late_ms = 11.0 + losses_found.TOLD_MS
-        self.assertIs(self.losses.summarize(late_ms), bad_news.NOTHING)
+        self.assertIs(self.losses.summarize(late_ms), loss_report.EMPTY)
 
     def test_target_that_answers_is_not_lost(self) -> None:
         self.losses.note_reached(_HALL, incarnations.Incarnation("t1"), 0.0)
         self.losses.note_lost(_HALL, incarnations.Incarnation("t2"), True, 10.0)
         self.losses.note_reached(_HALL, incarnations.Incarnation("t2"), 20.0)
-        self.assertIs(self.losses.summarize(30.0), bad_news.NOTHING)
+        self.assertIs(self.losses.summarize(30.0), loss_report.EMPTY)
 
     def test_vm_that_is_cut_off_tells_nothing(self) -> None:
         self.assertFalse(
@@ -62,21 +62,23 @@
             self.losses.note_lost(
                 _HALL, incarnations.Incarnation(f"e{number}"), False, late_ms
             )
-        self.assertIs(self.losses.summarize(late_ms), bad_news.NOTHING)
+        self.assertIs(self.losses.summarize(late_ms), loss_report.EMPTY)
 
     def test_only_what_holds_elsewhere_is_taken_from_another_hall(self) -> None:
-        told = bad_news.BadNews(("a",), ("b",), ("h2",))
+        told = loss_report.LossReport(("a",), ("b",), ("h2",))
         self.assertEqual(losses_found.select_for(told, True), told)
         self.assertEqual(
-            losses_found.select_for(told, False), bad_news.BadNews(("a",))
+            losses_found.select_for(told, False), loss_report.LossReport(("a",))
         )
 
     def test_what_was_told_before_is_no_news(self) -> None:
-        before = bad_news.BadNews(("a",))
-        told = bad_news.BadNews(("a", "b"))
+        before = loss_report.LossReport(("a",))
+        told = loss_report.LossReport(("a", "b"))
         new = losses_found.find_new(told, before)
-        self.assertEqual(new, bad_news.BadNews(("b",)))
-        self.assertEqual(losses_found.merge([new, new, told]).gone, ("b", "a"))
+        self.assertEqual(new, loss_report.LossReport(("b",)))
+        self.assertEqual(
+            losses_found.merge([new, new, told]).terminated, ("b", "a")
+        )
 
     def test_hall_that_peers_lost_is_passed_over_once(self) -> None:
         found = reachability.Reachability()
