--- a/src/ruddergate/adapters/vm_list/client.py
+++ b/src/ruddergate/adapters/vm_list/client.py
@@ -95,4 +95,4 @@
     """Takes anything but `live` as leaving: no new work is the safe side."""
     if _private.get(row, "state", str, "") == condition.Condition.LIVE:
         return condition.Condition.LIVE
-    return condition.Condition.LEAVING
+    return condition.Condition.DRAINING
--- a/src/ruddergate/agent/knowledge.py
+++ b/src/ruddergate/agent/knowledge.py
@@ -130,7 +130,7 @@
             incarnation=self.incarnation,
             heartbeat=self._heartbeat,
             age_ms=0.0,
-            leaving=self.is_stopping,
+            draining=self.is_stopping,
             revision=self.in_force.manifest.revision,
             service_age_ms=min(self.service_age_ms(), 1e12),
         )
--- a/src/ruddergate/entry/digest_relay.py
+++ b/src/ruddergate/entry/digest_relay.py
@@ -113,4 +113,4 @@
 
 def _is_urgent(digest: load_digest.LoadDigest) -> bool:
     """Returns whether a digest tells more than its VM's load."""
-    return bool(digest.leaving) or digest.losses != loss_report.EMPTY
+    return bool(digest.draining) or digest.losses != loss_report.EMPTY
--- a/src/ruddergate/entry/peer_exchange.py
+++ b/src/ruddergate/entry/peer_exchange.py
@@ -270,7 +270,7 @@
             number=self._number,
             rows=self._summarize(),
             losses=self._summarize_lost(),
-            leaving=self._summarize_leaving(),
+            draining=self._summarize_leaving(),
             rate_limits=self._summarize_rate_limits(),
             settings_revision=self._find_settings_revision(),
         )
@@ -336,8 +336,8 @@
                 continue
             if is_new_run:
                 self._welcome(digest.sender)
-            if digest.leaving:
-                self._take_leaving(digest.leaving, digest.sender)
+            if digest.draining:
+                self._take_leaving(digest.draining, digest.sender)
             if digest.rate_limits:
                 self._merge_rate_limits(digest.rate_limits, digest.sender)
             if digest.settings_revision > own_revision:
--- a/src/ruddergate/entry/target_list.py
+++ b/src/ruddergate/entry/target_list.py
@@ -150,7 +150,7 @@
                 self._tell_once(name, f"Target {name}: older life dropped.")
                 continue
             self._born_ms[name] = each.started_ms
-            if each.condition is condition.Condition.LEAVING:
+            if each.condition is condition.Condition.DRAINING:
                 self._withdrawn.note_published(each.incarnation)
             newest[name] = each
         return newest
@@ -185,7 +185,7 @@
         if not self._withdrawn.has_left(target.incarnation):
             return target
         return dataclasses.replace(
-            target, condition=condition.Condition.LEAVING
+            target, condition=condition.Condition.DRAINING
         )
 
     def _keep_until(
--- a/src/ruddergate/fleet/condition.py
+++ b/src/ruddergate/fleet/condition.py
@@ -7,4 +7,4 @@
     """Condition as published by the platform."""
 
     LIVE = "live"
-    LEAVING = "leaving"
+    DRAINING = "leaving"
--- a/src/ruddergate/fleet/listing.py
+++ b/src/ruddergate/fleet/listing.py
@@ -37,10 +37,10 @@
     gone = {
         (each.incarnation, each.address)
         for each in current.targets
-        if each.condition is condition.Condition.LEAVING
+        if each.condition is condition.Condition.DRAINING
     }
     kept = tuple(
-        dataclasses.replace(each, condition=condition.Condition.LEAVING)
+        dataclasses.replace(each, condition=condition.Condition.DRAINING)
         if (each.incarnation, each.address) in gone
         else each
         for each in offered.targets
--- a/src/ruddergate/messages/gossip.py
+++ b/src/ruddergate/messages/gossip.py
@@ -26,7 +26,7 @@
     incarnation: int
     heartbeat: int
     age_ms: float
-    leaving: bool
+    draining: bool
     revision: int
     service_age_ms: float
 
--- a/src/ruddergate/messages/load_digest.py
+++ b/src/ruddergate/messages/load_digest.py
@@ -31,6 +31,6 @@
     number: int
     rows: tuple[dispatched.Dispatched, ...]
     losses: loss_report.LossReport = loss_report.EMPTY
-    leaving: tuple[str, ...] = ()
+    draining: tuple[str, ...] = ()
     rate_limits: tuple[rate_limit.RateLimitUpdate, ...] = ()
     settings_revision: int = 0
--- a/src/ruddergate/platform/headers.py
+++ b/src/ruddergate/platform/headers.py
@@ -35,7 +35,7 @@
 # In a target's refusal: seconds for which it wants nothing from this VM.
 RETRY_AFTER = "retry-after"
 # In all answers of a target that takes no new work any more: 1.
-LEAVING = "server-leaving"
+DRAINING = "server-leaving"
 # In the answers of a target in need: requests a second that it takes from all
 # VMs together.
 RATE_LIMIT = "server-limit"
--- a/src/ruddergate/platform/statements.py
+++ b/src/ruddergate/platform/statements.py
@@ -47,7 +47,9 @@
     incarnation = _find_life(target, started_ms)
     if status == _MISDIRECTED:
         return statements.Statement(incarnation)
-    is_leaving, wrong_word = _read_leaving(_find_words(fields, headers.LEAVING))
+    is_leaving, wrong_word = _read_leaving(
+        _find_words(fields, headers.DRAINING)
+    )
     quiet_ms, wrong_time = None, ""
     if status in REFUSALS:
         times = _find_words(fields, headers.RETRY_AFTER, separator="")
--- a/src/ruddergate/platform/targets.py
+++ b/src/ruddergate/platform/targets.py
@@ -14,7 +14,7 @@
 _SEQUENCE = "sequence"
 _CONDITIONS: Mapping[object, condition.Condition] = {
     "ready": condition.Condition.LIVE,
-    "draining": condition.Condition.LEAVING,
+    "draining": condition.Condition.DRAINING,
 }
 # The fields that are gone by, and those that tell a target's own entries from
 # what others write; with the types that they may have.
--- a/standins/peer_liar.py
+++ b/standins/peer_liar.py
@@ -26,7 +26,7 @@
     outside = cluster.network.make_environment(process, number)
     port = await outside.bind(lambda data: None, _ADDRESS)
     digest = load_digest.LoadDigest(
-        str(_ADDRESS), _HALL, 0, "run", number, (), leaving=words
+        str(_ADDRESS), _HALL, 0, "run", number, (), draining=words
     )
     data = codec.encode(digest)
     for vm in cluster.vms:
--- a/standins/restore_checks.py
+++ b/standins/restore_checks.py
@@ -114,7 +114,7 @@
         self._revisions[run] = max(before, view.catalog.revision)
         for each in view.listing.targets:
             leaving = self._leavings.get(each.incarnation)
-            is_known = each.condition is condition.Condition.LEAVING
+            is_known = each.condition is condition.Condition.DRAINING
             if leaving is not None and is_known:
                 leaving.known_s.setdefault(run, self._now_s())
 
--- a/standins/withdrawal_ways.py
+++ b/standins/withdrawal_ways.py
@@ -57,6 +57,6 @@
         for vm in cluster.vms.values()
         if not (vm.process.is_dead or vm.task.done())
         for target in vm.gateway.tools.view.listing.targets
-        if target.condition is condition.Condition.LEAVING
+        if target.condition is condition.Condition.DRAINING
         and sound.get(target.target_id) == target.started_ms
     ]
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -117,7 +117,7 @@
         # What a sound entry said before it holds, such as that it leaves.
         leaving = _make_item("a", _make_entry("a", state="draining"))
         found = _read([leaving, bad]).targets
-        self.assertIs(found[0].condition, condition.Condition.LEAVING)
+        self.assertIs(found[0].condition, condition.Condition.DRAINING)
 
 
 class TargetListTest(unittest.TestCase):
--- a/tests/test_leaving_delay.py
+++ b/tests/test_leaving_delay.py
@@ -77,7 +77,7 @@
     listed = node.gateway.tools.view.listing.targets
     return any(
         each.target_id == target_id
-        and each.condition is condition.Condition.LEAVING
+        and each.condition is condition.Condition.DRAINING
         for each in listed
     )
 
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -91,16 +91,16 @@
         return next(iter(self.list.listed()), None)
 
     def test_leaving_binds_the_life_that_left(self) -> None:
-        leaving = _make_target(5, condition.Condition.LEAVING)
+        leaving = _make_target(5, condition.Condition.DRAINING)
         self._take(_make_target(5))
         self._take(leaving, _make_target(5))
-        self.assertIs(self._find().condition, condition.Condition.LEAVING)
+        self.assertIs(self._find().condition, condition.Condition.DRAINING)
         self._take(_make_target(6))
         self.assertIs(self._find().condition, condition.Condition.LIVE)
 
     def test_late_news_of_the_older_life_changes_nothing(self) -> None:
         self._take(_make_target(6))
-        self._take(_make_target(5, condition.Condition.LEAVING))
+        self._take(_make_target(5, condition.Condition.DRAINING))
         self.assertEqual(self._find(), _make_target(6))
         self._take(gone=("engine-1",))
         self._take(_make_target(5))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -280,7 +280,7 @@
     def test_states(self) -> None:
         for state, expected in (
             ("ready", condition.Condition.LIVE),
-            ("draining", condition.Condition.LEAVING),
+            ("draining", condition.Condition.DRAINING),
         ):
             found = targets.read_target("i-1", {**_ENTRY, "state": state})
             self.assertIs(found.condition, expected)
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -94,7 +94,7 @@
     def setUp(self) -> None:
         self.log = change_log.ChangeLog()
         self.live = _make_target("t", condition.Condition.LIVE)
-        self.leaving = _make_target("t", condition.Condition.LEAVING)
+        self.leaving = _make_target("t", condition.Condition.DRAINING)
 
     def test_changes_since_a_position(self) -> None:
         self.log.note(change_log.Step(1, 5, False, (self.live,)))
@@ -193,7 +193,7 @@
                     for each in view.listing.targets
                     if each.target_id == node.replica.name
                 ]
-                self.assertIs(found.condition, condition.Condition.LEAVING)
+                self.assertIs(found.condition, condition.Condition.DRAINING)
 
         self.play(scene)
 
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -56,7 +56,7 @@
         await asyncio.sleep(_APPLY_S)
         for vm in scene.cluster.vms:
             found = scene.find_condition(vm, node)
-            self.assertIs(found, condition.Condition.LEAVING, vm)
+            self.assertIs(found, condition.Condition.DRAINING, vm)
             self.assertEqual(
                 await scene.count_arrivals(node.replica, "open", vm), 0, vm
             )
@@ -100,7 +100,7 @@
             await asyncio.sleep(_APPLY_S)
             for vm in scene.cluster.vms:
                 found = scene.find_condition(vm, node)
-                self.assertIs(found, condition.Condition.LEAVING, vm)
+                self.assertIs(found, condition.Condition.DRAINING, vm)
 
         gateway_scene.play(scene, vms=9, halls=1)
 
@@ -182,7 +182,7 @@
             await asyncio.sleep(5.0)
             for name in names:
                 found = scene.find_condition(name, node)
-                self.assertIs(found, condition.Condition.LEAVING, name)
+                self.assertIs(found, condition.Condition.DRAINING, name)
                 self.assertEqual((await scene.call("unsafe", name)).status, 200)
 
         gateway_scene.play(scene, vms=9, halls=1)
@@ -222,7 +222,7 @@
             await asyncio.sleep(_APPLY_S)
             for vm in cluster.vms:
                 found = scene.find_condition(vm, node)
-                self.assertIs(found, condition.Condition.LEAVING, vm)
+                self.assertIs(found, condition.Condition.DRAINING, vm)
 
         gateway_scene.play(scene, vms=5, halls=1)
 
