--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -42,8 +42,8 @@
 from ruddergate.http import message
 from ruddergate.http import server as http_server
 from ruddergate.messages import document_part
-from ruddergate.messages import news
 from ruddergate.messages import retry_loan
+from ruddergate.messages import store_changes
 from ruddergate.relay import door as doors
 from ruddergate.relay import errand as errands
 from ruddergate.relay import orders
@@ -269,24 +269,24 @@
     ) -> peer_questions.Answer | None:
         """Returns the answer to a peer's question, if there is one."""
         match question:
-            case news.NewsWanted():
+            case store_changes.StoreChangesRequest():
                 return self._sync.answer_news(question)
             case document_part.SettingsWanted():
                 return self._sync.settings.answer(
-                    question.question, question.revision, question.part
+                    question.correlation_id, question.revision, question.part
                 )
             case document_part.TargetsWanted():
                 position = store_position.StorePosition(
                     question.epoch, question.revision
                 )
                 return self._sync.targets.answer(
-                    question.question, position, question.part
+                    question.correlation_id, position, question.part
                 )
             case retry_loan.RetriesWanted():
                 lent = self.tools.budget.lend(
                     question.retries, question.is_great
                 )
-                return retry_loan.RetriesLent(question.question, lent)
+                return retry_loan.RetriesLent(question.correlation_id, lent)
 
     def note_newer_settings(self, peer: str, revision: int) -> None:
         """Takes in that a peer goes by later settings than this VM."""
--- a/src/ruddergate/entry/peer_questions.py
+++ b/src/ruddergate/entry/peer_questions.py
@@ -10,26 +10,32 @@
 from ruddergate import environment
 from ruddergate.fleet import store_position
 from ruddergate.messages import document_part
-from ruddergate.messages import news
 from ruddergate.messages import retry_loan
+from ruddergate.messages import store_changes
 from ruddergate.telemetry import logs
 
 Question: TypeAlias = (
-    news.NewsWanted
+    store_changes.StoreChangesRequest
     | retry_loan.RetriesWanted
     | document_part.SettingsWanted
     | document_part.TargetsWanted
 )
 Answer: TypeAlias = (
-    news.News | retry_loan.RetriesLent | document_part.DocumentPart
+    store_changes.StoreChangesReply
+    | retry_loan.RetriesLent
+    | document_part.DocumentPart
 )
 QUESTIONS = (
-    news.NewsWanted,
+    store_changes.StoreChangesRequest,
     retry_loan.RetriesWanted,
     document_part.SettingsWanted,
     document_part.TargetsWanted,
 )
-ANSWERS = (news.News, retry_loan.RetriesLent, document_part.DocumentPart)
+ANSWERS = (
+    store_changes.StoreChangesReply,
+    retry_loan.RetriesLent,
+    document_part.DocumentPart,
+)
 # Peers of a hall answer within a few milliseconds, a busy one within some tens.
 ANSWER_TIMEOUT_MS = 120.0
 
@@ -60,13 +66,17 @@
 
     async def ask_news(
         self, peer: str, position: store_position.StorePosition
-    ) -> news.News | None:
+    ) -> store_changes.StoreChangesReply | None:
         """Returns what a peer knows of the store, or None without an answer."""
-        question = news.NewsWanted(
+        question = store_changes.StoreChangesRequest(
             self._own, self._name_question(), position.revision, position.epoch
         )
         found = await self._ask(question, peer)
-        return found if isinstance(found, news.News) else None
+        return (
+            found
+            if isinstance(found, store_changes.StoreChangesReply)
+            else None
+        )
 
     async def ask_settings(
         self, peer: str, revision: int, part: int
@@ -118,7 +128,7 @@
         if isinstance(message, QUESTIONS):
             self._give_answer(message)
             return
-        waiting = self._open.pop(message.question, None)
+        waiting = self._open.pop(message.correlation_id, None)
         if waiting is not None and not waiting.done():
             waiting.set_result(message)
 
@@ -141,7 +151,7 @@
 
     async def _ask(self, question: Question, peer: str) -> Answer | None:
         loop = asyncio.get_running_loop()
-        waiting = self._open[question.question] = loop.create_future()
+        waiting = self._open[question.correlation_id] = loop.create_future()
         self._send(question, peer)
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_MS / 1000.0):
@@ -149,4 +159,4 @@
         except TimeoutError:
             return None
         finally:
-            self._open.pop(question.question, None)
+            self._open.pop(question.correlation_id, None)
--- a/src/ruddergate/entry/peer_source.py
+++ b/src/ruddergate/entry/peer_source.py
@@ -9,7 +9,7 @@
 from ruddergate.fleet import store_position
 from ruddergate.fleet import target as targets
 from ruddergate.messages import document_part
-from ruddergate.messages import news
+from ruddergate.messages import store_changes
 from ruddergate.relay import published
 from ruddergate.settings import catalog as catalogs
 from ruddergate.telemetry import logs
@@ -74,12 +74,15 @@
 
     async def ask(
         self, peer: str, position: store_position.StorePosition
-    ) -> news.News | None:
+    ) -> store_changes.StoreChangesReply | None:
         """Returns a peer's news since a position, or None without any."""
         return await self._peers.ask(peer, position)
 
     async def complete(
-        self, peer: str, found: news.News, own_revision: int
+        self,
+        peer: str,
+        found: store_changes.StoreChangesReply,
+        own_revision: int,
     ) -> published.Changes | None:
         """Returns what a peer told, with all that the datagram does not hold.
 
@@ -95,7 +98,7 @@
             What was told, or None if the store is to be read for it.
         """
         listed = found.listed
-        if not found.is_whole:
+        if not found.is_complete:
             listed = await self._fetch_targets(peer, found)
         if listed is None:
             return None
@@ -109,12 +112,14 @@
             store_position.StorePosition(found.epoch, found.position),
             catalog,
             listed,
-            found.gone,
+            found.removed,
             (),
             document,
             tuple(
-                published.Spoilt(each, f"a peer could not read it: {peer}")
-                for each in found.spoilt
+                published.MalformedEntry(
+                    each, f"a peer could not read it: {peer}"
+                )
+                for each in found.malformed
             ),
         )
 
@@ -132,7 +137,7 @@
         return catalog, document
 
     async def _fetch_targets(
-        self, peer: str, found: news.News
+        self, peer: str, found: store_changes.StoreChangesReply
     ) -> tuple[targets.Target, ...] | None:
         """Returns all of a peer's targets, if they can be had."""
         position = store_position.StorePosition(found.epoch, found.position)
--- a/src/ruddergate/entry/source_peers.py
+++ b/src/ruddergate/entry/source_peers.py
@@ -7,7 +7,7 @@
 
 from ruddergate.entry import document_exchange
 from ruddergate.fleet import store_position
-from ruddergate.messages import news
+from ruddergate.messages import store_changes
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -26,7 +26,8 @@
     rank_hall: Callable[[], Sequence[str]]
     own: str
     ask: Callable[
-        [str, store_position.StorePosition], Awaitable[news.News | None]
+        [str, store_position.StorePosition],
+        Awaitable[store_changes.StoreChangesReply | None],
     ]
     ask_settings: document_exchange.AskPart[int]
     ask_targets: document_exchange.AskPart[store_position.StorePosition]
--- a/src/ruddergate/entry/source_sync.py
+++ b/src/ruddergate/entry/source_sync.py
@@ -27,7 +27,7 @@
 from ruddergate.entry import view as views
 from ruddergate.fleet import store_position
 from ruddergate.messages import document_part
-from ruddergate.messages import news
+from ruddergate.messages import store_changes
 from ruddergate.relay import published
 from ruddergate.settings import catalog as catalogs
 from ruddergate.telemetry import logs
@@ -123,7 +123,9 @@
         """Notes that a peer goes by later settings than this VM."""
         self._claims.note(peer, revision, self._outside.now_ms())
 
-    def answer_news(self, wanted: news.NewsWanted) -> news.News | None:
+    def answer_news(
+        self, wanted: store_changes.StoreChangesRequest
+    ) -> store_changes.StoreChangesReply | None:
         """Returns what this VM knows, for a peer that follows it."""
         position = self._position
         if position is None:
@@ -133,8 +135,8 @@
         step = None
         if wanted.epoch == position.epoch:
             step = self._changes.find_since(wanted.position, position.revision)
-        told = news.News(
-            wanted.question,
+        told = store_changes.StoreChangesReply(
+            wanted.correlation_id,
             position.revision,
             self._find_age_ms(),
             False,
@@ -145,10 +147,10 @@
             return told
         return dataclasses.replace(
             told,
-            is_whole=True,
+            is_complete=True,
             listed=step.listed,
-            gone=step.gone,
-            spoilt=step.spoilt,
+            removed=step.gone,
+            malformed=step.spoilt,
         )
 
     def _find_settings(self, revision: int) -> bytes | None:
@@ -242,7 +244,7 @@
             )
             if changes is None or self._is_vague(changes):
                 return False
-            is_since = found.is_whole and found.epoch == position.epoch
+            is_since = found.is_complete and found.epoch == position.epoch
             self._take(changes, proven_ms, position if is_since else None)
             if self._is_fresh():
                 return True
@@ -348,8 +350,8 @@
                 changes.position.revision,
                 bool(changes.problems),
                 changes.targets,
-                changes.gone,
-                tuple(each.target_id for each in changes.spoilt),
+                changes.removed,
+                tuple(each.target_id for each in changes.malformed),
             )
         )
 
@@ -432,7 +434,8 @@
 
 
 def _is_behind(
-    found: news.News, position: store_position.StorePosition
+    found: store_changes.StoreChangesReply,
+    position: store_position.StorePosition,
 ) -> bool:
     """Returns whether a peer has read less of the same epoch."""
     is_same = found.epoch == position.epoch
--- a/src/ruddergate/entry/target_list.py
+++ b/src/ruddergate/entry/target_list.py
@@ -94,23 +94,23 @@
             now_ms: Time.
             grace: Until when targets are kept that are not listed.
         """
-        off = set(changes.gone)
-        spoilt = {each.target_id for each in changes.spoilt}
+        off = set(changes.removed)
+        malformed = {each.target_id for each in changes.malformed}
         listed = self._find_newest(changes.targets)
-        for each in changes.spoilt:
+        for each in changes.malformed:
             self._tell_spoilt(each)
         if is_all:
-            off |= self._targets.keys() - listed.keys() - spoilt
+            off |= self._targets.keys() - listed.keys() - malformed
             off |= self._stale.keys() - listed.keys()
         for target_id in off & self._stale.keys():
             del self._stale[target_id]
         for target_id in off & self._targets.keys():
             self._removals.note_removed(self._targets[target_id])
             self._keep_until(target_id, grace.lapsed_ms, now_ms)
-        for target_id in spoilt & self._targets.keys():
+        for target_id in malformed & self._targets.keys():
             self._keep_until(target_id, grace.spoilt_ms, now_ms)
         for target_id, each in listed.items():
-            if target_id in off | spoilt:
+            if target_id in off | malformed:
                 continue
             if self._removals.take_entry(each, is_all):
                 self._put(each, now_ms)
@@ -202,7 +202,7 @@
         self._withdrawn.note_unlisted(target_id)
         self._log.info("Target {} is off the list.", target_id)
 
-    def _tell_spoilt(self, entry: published.Spoilt) -> None:
+    def _tell_spoilt(self, entry: published.MalformedEntry) -> None:
         self.refused += 1
         self._tell_once(entry.target_id, f"Entry refused. {entry.detail}")
 
--- a/src/ruddergate/messages/document_part.py
+++ b/src/ruddergate/messages/document_part.py
@@ -17,7 +17,7 @@
     """
 
     sender: str
-    question: str
+    correlation_id: str
     revision: int
     part: int
 
@@ -35,7 +35,7 @@
     """
 
     sender: str
-    question: str
+    correlation_id: str
     epoch: int
     revision: int
     part: int
@@ -51,7 +51,7 @@
         data: The part of the compressed document.
     """
 
-    question: str
+    correlation_id: str
     parts: int
     data: bytes
 
--- a/src/ruddergate/messages/retry_loan.py
+++ b/src/ruddergate/messages/retry_loan.py
@@ -15,7 +15,7 @@
     """
 
     sender: str
-    question: str
+    correlation_id: str
     retries: float
     is_great: bool
 
@@ -27,5 +27,5 @@
     It is given for good. One that gets lost is spent by nobody.
     """
 
-    question: str
+    correlation_id: str
     retries: float
--- a/src/ruddergate/messages/news.py
+++ b/src/ruddergate/messages/store_changes.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NewsWanted:
+class StoreChangesRequest:
     """Asks a peer what the store has published since a position.
 
     Attributes:
@@ -19,13 +19,13 @@
     """
 
     sender: str
-    question: str
+    correlation_id: str
     position: int
     epoch: int = store_position.EPOCH_UNKNOWN
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class News:
+class StoreChangesReply:
     """The answer to a `NewsWanted`.
 
     Attributes:
@@ -44,12 +44,12 @@
             earlier release.
     """
 
-    question: str
+    correlation_id: str
     position: int
     age_ms: float
-    is_whole: bool
+    is_complete: bool
     settings_revision: int = 0
     listed: tuple[targets.Target, ...] = ()
-    gone: tuple[str, ...] = ()
-    spoilt: tuple[str, ...] = ()
+    removed: tuple[str, ...] = ()
+    malformed: tuple[str, ...] = ()
     epoch: int = store_position.EPOCH_UNKNOWN
--- a/src/ruddergate/platform/store.py
+++ b/src/ruddergate/platform/store.py
@@ -160,21 +160,21 @@
     """
 
     listed: list[targets.Target] = dataclasses.field(default_factory=list)
-    gone: dict[str, None] = dataclasses.field(default_factory=dict)
-    spoilt: dict[str, str] = dataclasses.field(default_factory=dict)
+    removed: dict[str, None] = dataclasses.field(default_factory=dict)
+    malformed: dict[str, str] = dataclasses.field(default_factory=dict)
 
     def take(self, target_id: str, item: object) -> None:
         """Reads the next item; what it replaces says nothing any more."""
-        self.gone.pop(target_id, None)
-        self.spoilt.pop(target_id, None)
+        self.removed.pop(target_id, None)
+        self.malformed.pop(target_id, None)
         if _private.get(item, "gone", bool, False):
-            self.gone[target_id] = None
+            self.removed[target_id] = None
             return
         read = _read_value(
             item, lambda value: target_entries.read_target(target_id, value)
         )
         if isinstance(read, str):
-            self.spoilt[target_id] = read
+            self.malformed[target_id] = read
         else:
             self.listed.append(read)
 
@@ -199,10 +199,13 @@
         position,
         catalog,
         tuple(entries.listed),
-        tuple(entries.gone),
+        tuple(entries.removed),
         tuple(problems),
         document,
-        tuple(published.Spoilt(*each) for each in entries.spoilt.items()),
+        tuple(
+            published.MalformedEntry(*each)
+            for each in entries.malformed.items()
+        ),
     )
 
 
--- a/src/ruddergate/relay/published.py
+++ b/src/ruddergate/relay/published.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Spoilt:
+class MalformedEntry:
     """An entry of a target that is none: it names no target to be used.
 
     Attributes:
@@ -40,10 +40,10 @@
     position: store_position.StorePosition
     catalog: catalogs.Catalog | None
     targets: tuple[targets.Target, ...]
-    gone: tuple[str, ...]
+    removed: tuple[str, ...]
     problems: tuple[str, ...]
     document: bytes = b""
-    spoilt: tuple[Spoilt, ...] = ()
+    malformed: tuple[MalformedEntry, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/ruddergate/wire/codec.py
+++ b/src/ruddergate/wire/codec.py
@@ -20,9 +20,9 @@
 from ruddergate.messages import load_bundle
 from ruddergate.messages import load_digest
 from ruddergate.messages import loads
-from ruddergate.messages import news
 from ruddergate.messages import retry_loan
 from ruddergate.messages import shares
+from ruddergate.messages import store_changes
 from ruddergate.messages import suspects
 from ruddergate.messages import tree_parts
 from ruddergate.messages import tree_wanted
@@ -45,8 +45,8 @@
     | load_bundle.LoadBundle
     | load_digest.LoadDigest
     | loads.Loads
-    | news.News
-    | news.NewsWanted
+    | store_changes.StoreChangesReply
+    | store_changes.StoreChangesRequest
     | retry_loan.RetriesLent
     | retry_loan.RetriesWanted
     | shares.Shares
@@ -75,8 +75,8 @@
     # 15 was a digest that named peers.
     16: load_digest.LoadDigest,
     17: load_bundle.LoadBundle,
-    18: news.NewsWanted,
-    19: news.News,
+    18: store_changes.StoreChangesRequest,
+    19: store_changes.StoreChangesReply,
     20: retry_loan.RetriesWanted,
     21: retry_loan.RetriesLent,
     22: document_part.SettingsWanted,
--- a/standins/epoch_model.py
+++ b/standins/epoch_model.py
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class News:
+class StoreChangesReply:
     """An answer under way to the follower.
 
     Attributes:
@@ -95,7 +95,7 @@
     reader_log: tuple[Change, ...] = ()
     questions: tuple[tuple[int, store_position.StorePosition], ...] = ()
     asked: int = 0
-    news: tuple[News, ...] = ()
+    news: tuple[StoreChangesReply, ...] = ()
     follower: Held = Held()
 
 
@@ -197,7 +197,9 @@
         )
     for index, (asked_at, position) in enumerate(state.questions):
         rest = state.questions[:index] + state.questions[index + 1 :]
-        news = News(asked_at, position, state.reader_log, state.reader)
+        news = StoreChangesReply(
+            asked_at, position, state.reader_log, state.reader
+        )
         yield explore.Step(
             "answer",
             dataclasses.replace(
@@ -206,7 +208,9 @@
         )
 
 
-def _take(own: Held, news: News, compares_epochs: bool) -> Held | None:
+def _take(
+    own: Held, news: StoreChangesReply, compares_epochs: bool
+) -> Held | None:
     """Returns what a follower knows after an answer, None if nothing new."""
     told = news.held.position()
     if own.position() != news.asked:
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -100,9 +100,9 @@
             each for each in whole.targets if each.target_id != _NAMES[place]
         ]
         self.assertEqual(list(found.targets), others)
-        spoilt = [each.target_id for each in found.spoilt]
-        self.assertEqual(spoilt, [_NAMES[place]])
-        self.assertEqual((found.gone, found.problems), ((), ()))
+        malformed = [each.target_id for each in found.malformed]
+        self.assertEqual(malformed, [_NAMES[place]])
+        self.assertEqual((found.removed, found.problems), ((), ()))
 
     @hypothesis.given(strategies.lists(_JSON, max_size=6))
     @hypothesis.settings(max_examples=100, deadline=None, derandomize=True)
@@ -112,8 +112,8 @@
     def test_what_follows_in_the_same_answer_stands(self) -> None:
         sound = _make_item("a", _make_entry("a"))
         bad = _make_item("a", b"\xff")
-        self.assertEqual(_read([bad, sound]).spoilt, ())
-        self.assertEqual(len(_read([sound, bad]).spoilt), 1)
+        self.assertEqual(_read([bad, sound]).malformed, ())
+        self.assertEqual(len(_read([sound, bad]).malformed), 1)
         # What a sound entry said before it holds, such as that it leaves.
         leaving = _make_item("a", _make_entry("a", state="draining"))
         found = _read([leaving, bad]).targets
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -369,10 +369,10 @@
         found = self._ask(
             message.make_json_response(200, {"events": events, "at": 11})
         )
-        self.assertEqual(found.gone, ("a",))
+        self.assertEqual(found.removed, ("a",))
         named = [each.target_id for each in found.targets]
         self.assertEqual(named, ["a", "b"])
-        self.assertEqual([each.target_id for each in found.spoilt], ["c"])
+        self.assertEqual([each.target_id for each in found.malformed], ["c"])
         # Settings are as certain as before: no entry is part of them.
         self.assertEqual(found.problems, ())
 
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -15,7 +15,7 @@
 from ruddergate.fleet import condition
 from ruddergate.fleet import target as targets
 from ruddergate.messages import document_part
-from ruddergate.messages import news
+from ruddergate.messages import store_changes
 from standins import epoch_model
 from standins import explore
 from standins import gateway_cluster
@@ -328,8 +328,10 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             for node in scene.cluster.vms.values():
                 sync = node.gateway._sync
-                sync.answer_news = lambda wanted: news.News(
-                    wanted.question, 9_999, -5_000.0, True
+                sync.answer_news = lambda wanted: (
+                    store_changes.StoreChangesReply(
+                        wanted.correlation_id, 9_999, -5_000.0, True
+                    )
                 )
             scene.cluster.keys = {"w1": ["another"]}
             scene.cluster.publish()
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -109,7 +109,7 @@
             (peer,) = exchange.find_hall_peers()
             lender = scene.cluster.vms[peer.partition(":")[0]].gateway
             lender._peers.questions._answer = lambda wanted: (
-                retry_loan.RetriesLent(wanted.question, 1_000.0)
+                retry_loan.RetriesLent(wanted.correlation_id, 1_000.0)
             )
             lent = await exchange.questions.ask_retries(peer, 1.0, True)
             self.assertEqual(lent, 0.0)
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -19,7 +19,7 @@
 from ruddergate.entry import epochs
 from ruddergate.fleet import condition
 from ruddergate.fleet import store_position
-from ruddergate.messages import news
+from ruddergate.messages import store_changes
 from ruddergate.relay import published
 from standins import gateway_cluster
 from standins import virtual_network
@@ -232,7 +232,7 @@
     sync = node.gateway._sync
     answer_news, find_targets = sync.answer_news, sync._find_targets
     sync.answer_news = lambda wanted: dataclasses.replace(
-        answer_news(wanted), epoch=10**9, is_whole=False
+        answer_news(wanted), epoch=10**9, is_complete=False
     )
     sync.targets._find = lambda position: find_targets(
         dataclasses.replace(position, epoch=1)
@@ -246,14 +246,14 @@
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def _ask(self, epoch: int, ahead: int) -> news.News:
+    def _ask(self, epoch: int, ahead: int) -> store_changes.StoreChangesReply:
         """Returns a VM's answer to a question from a position."""
         told = []
 
         async def scene(scene: gateway_scene.Scene) -> None:
             gateway = scene.cluster.vms["vm-0"].gateway
             position = gateway.tools.view.store_position
-            question = news.NewsWanted(
+            question = store_changes.StoreChangesRequest(
                 "vm-1:83", "q", position.revision + ahead, epoch
             )
             told.append(gateway.answer_peer(question))
@@ -262,17 +262,19 @@
         return told[0]
 
     def test_nothing_is_told_across_epochs(self) -> None:
-        self.assertTrue(self._ask(1, 0).is_whole)
+        self.assertTrue(self._ask(1, 0).is_complete)
         for epoch in (0, 2, 10**9):
-            self.assertFalse(self._ask(epoch, 0).is_whole)
+            self.assertFalse(self._ask(epoch, 0).is_complete)
 
     def test_nothing_is_told_to_a_vm_that_is_ahead(self) -> None:
-        self.assertFalse(self._ask(1, 1).is_whole)
+        self.assertFalse(self._ask(1, 1).is_complete)
 
     def test_peer_that_makes_up_an_epoch_costs_a_read(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             gateway = scene.cluster.vms["vm-0"].gateway
-            gateway.answer_peer(news.NewsWanted("vm-1:83", "q", 5, 10**9))
+            gateway.answer_peer(
+                store_changes.StoreChangesRequest("vm-1:83", "q", 5, 10**9)
+            )
             await asyncio.sleep(_APPLY_S)
             self.assertEqual(gateway.tools.view.store_position.epoch, 1)
             before = scene.cluster.store.calls
