--- a/src/ruddergate/decisions/retries.py
+++ b/src/ruddergate/decisions/retries.py
@@ -63,14 +63,14 @@
         self.tokens -= ONE
         return True
 
-    def lend(self, wanted: float, is_great: bool) -> float:
+    def lend(self, wanted: float, is_large: bool) -> float:
         """Takes out second sends for a peer; returns how many.
 
         What is lent is given up for good, so all VMs together have what they
         had before, also if it gets lost on its way. Of what short prompts want,
         a part is kept: a long one that comes next is worth many of them.
         """
-        kept = 0.0 if is_great else self.most * KEPT_FOR_GREAT
+        kept = 0.0 if is_large else self.most * KEPT_FOR_GREAT
         lent = min(max(0.0, wanted), max(0.0, self.tokens - kept))
         self.tokens -= lent
         return lent
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -42,7 +42,7 @@
 from ruddergate.http import message
 from ruddergate.http import server as http_server
 from ruddergate.messages import document_part
-from ruddergate.messages import retry_loan
+from ruddergate.messages import retry_transfer
 from ruddergate.messages import store_changes
 from ruddergate.relay import door as doors
 from ruddergate.relay import errand as errands
@@ -171,7 +171,7 @@
             metrics=metrics,
             tracer=tracer,
             suspects=self._suspects.table,
-            secure_retry=lambda is_great: self._loans.secure(is_great),
+            secure_retry=lambda is_large: self._loans.secure(is_large),
             note_lost=lambda lost: self._lives.post(lost),
             refuse_send=self._refuse_send,
             admit=self._rate_limiter.admit,
@@ -282,11 +282,13 @@
                 return self._sync.targets.answer(
                     question.correlation_id, position, question.part
                 )
-            case retry_loan.RetriesWanted():
+            case retry_transfer.RetryTransferRequest():
                 lent = self.tools.budget.lend(
-                    question.retries, question.is_great
+                    question.retries, question.is_large
+                )
+                return retry_transfer.RetryTransferReply(
+                    question.correlation_id, lent
                 )
-                return retry_loan.RetriesLent(question.correlation_id, lent)
 
     def note_newer_settings(self, peer: str, revision: int) -> None:
         """Takes in that a peer goes by later settings than this VM."""
--- a/src/ruddergate/entry/peer_questions.py
+++ b/src/ruddergate/entry/peer_questions.py
@@ -10,30 +10,30 @@
 from ruddergate import environment
 from ruddergate.fleet import store_position
 from ruddergate.messages import document_part
-from ruddergate.messages import retry_loan
+from ruddergate.messages import retry_transfer
 from ruddergate.messages import store_changes
 from ruddergate.telemetry import logs
 
 Question: TypeAlias = (
     store_changes.StoreChangesRequest
-    | retry_loan.RetriesWanted
+    | retry_transfer.RetryTransferRequest
     | document_part.SettingsWanted
     | document_part.TargetsWanted
 )
 Answer: TypeAlias = (
     store_changes.StoreChangesReply
-    | retry_loan.RetriesLent
+    | retry_transfer.RetryTransferReply
     | document_part.DocumentPart
 )
 QUESTIONS = (
     store_changes.StoreChangesRequest,
-    retry_loan.RetriesWanted,
+    retry_transfer.RetryTransferRequest,
     document_part.SettingsWanted,
     document_part.TargetsWanted,
 )
 ANSWERS = (
     store_changes.StoreChangesReply,
-    retry_loan.RetriesLent,
+    retry_transfer.RetryTransferReply,
     document_part.DocumentPart,
 )
 # Peers of a hall answer within a few milliseconds, a busy one within some tens.
@@ -107,16 +107,16 @@
         return found if isinstance(found, document_part.DocumentPart) else None
 
     async def ask_retries(
-        self, peer: str, retries: float, is_great: bool
+        self, peer: str, retries: float, is_large: bool
     ) -> float:
         """Returns the second sends that a peer has given up for this VM."""
         found = await self._ask(
-            retry_loan.RetriesWanted(
-                self._own, self._name_question(), retries, is_great
+            retry_transfer.RetryTransferRequest(
+                self._own, self._name_question(), retries, is_large
             ),
             peer,
         )
-        if not isinstance(found, retry_loan.RetriesLent):
+        if not isinstance(found, retry_transfer.RetryTransferReply):
             return 0.0
         if not 0.0 <= found.retries <= retries:
             self._log.warning("Loan dropped, it is not what was asked for.")
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -221,9 +221,9 @@
         helpers = [seat.target.incarnation for seat in self._seats[1:]]
         incarnation = await self._tools.scheduler.ends.wait_for_any(helpers)
         request = self._request
-        is_great = length_band.is_long(request.prompt_tokens)
+        is_large = length_band.is_long(request.prompt_tokens)
         may_again = request.payload.route.repeatable
-        if not may_again or not await self._tools.secure_retry(is_great):
+        if not may_again or not await self._tools.secure_retry(is_large):
             await asyncio.Event().wait()
         self._note(answers.FaultTold(incarnation.target_id))
         self._gone.add(incarnation.target_id)
@@ -389,8 +389,8 @@
         most = request.payload.route.targets_max
         if self._progress.count_sent(being_sent) >= most:
             return False
-        is_great = length_band.is_long(request.prompt_tokens)
-        return await self._tools.secure_retry(is_great)
+        is_large = length_band.is_long(request.prompt_tokens)
+        return await self._tools.secure_retry(is_large)
 
 
 def _make_helper(
--- a/src/ruddergate/entry/retry_loans.py
+++ b/src/ruddergate/entry/retry_loans.py
@@ -47,7 +47,7 @@
         self._paused_until_ms = {True: 0.0, False: 0.0}
         self._log = logs.make_logger("retries")
 
-    async def secure(self, is_great: bool) -> bool:
+    async def secure(self, is_large: bool) -> bool:
         """Sees to it that a second send can be made; returns whether it can.
 
         Args:
@@ -56,12 +56,12 @@
         if self._budget.has_one():
             return True
         now_ms = self._outside.now_ms()
-        if now_ms < self._paused_until_ms[is_great]:
+        if now_ms < self._paused_until_ms[is_large]:
             return False
-        asked, lent = await self._borrow(is_great)
+        asked, lent = await self._borrow(is_large)
         is_had = self._budget.has_one()
         if not is_had:
-            self._paused_until_ms[is_great] = now_ms + REFUSED_PAUSE_MS
+            self._paused_until_ms[is_large] = now_ms + REFUSED_PAUSE_MS
         self._log.info(
             "Second send borrowed." if is_had else "No second send to borrow.",
             peers_asked=asked,
@@ -70,7 +70,7 @@
         )
         return is_had
 
-    async def _borrow(self, is_great: bool) -> tuple[int, float]:
+    async def _borrow(self, is_large: bool) -> tuple[int, float]:
         """Asks one peer after the other for what is missing.
 
         Several at once would give up more than is used.
@@ -88,7 +88,7 @@
                 break
             asked += 1
             missing = retries.ONE - self._budget.tokens
-            lent = await self._questions.ask_retries(peer, missing, is_great)
+            lent = await self._questions.ask_retries(peer, missing, is_large)
             self._budget.take_loan(lent)
             given += lent
         return asked, given
--- a/src/ruddergate/entry/tools.py
+++ b/src/ruddergate/entry/tools.py
@@ -37,7 +37,7 @@
     return None
 
 
-async def _lend_nothing(is_great: bool) -> bool:
+async def _lend_nothing(is_large: bool) -> bool:
     """Stands where there are no peers that lend retries."""
     return False
 
--- a/src/ruddergate/messages/retry_loan.py
+++ b/src/ruddergate/messages/retry_transfer.py
@@ -4,7 +4,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RetriesWanted:
+class RetryTransferRequest:
     """Asks a peer for some of the second sends that it has saved up.
 
     Attributes:
@@ -17,11 +17,11 @@
     sender: str
     correlation_id: str
     retries: float
-    is_great: bool
+    is_large: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RetriesLent:
+class RetryTransferReply:
     """The answer: what the lender has given up, perhaps 0.
 
     It is given for good. One that gets lost is spent by nobody.
--- a/src/ruddergate/wire/codec.py
+++ b/src/ruddergate/wire/codec.py
@@ -20,7 +20,7 @@
 from ruddergate.messages import load_bundle
 from ruddergate.messages import load_digest
 from ruddergate.messages import loads
-from ruddergate.messages import retry_loan
+from ruddergate.messages import retry_transfer
 from ruddergate.messages import shares
 from ruddergate.messages import store_changes
 from ruddergate.messages import suspects
@@ -47,8 +47,8 @@
     | loads.Loads
     | store_changes.StoreChangesReply
     | store_changes.StoreChangesRequest
-    | retry_loan.RetriesLent
-    | retry_loan.RetriesWanted
+    | retry_transfer.RetryTransferReply
+    | retry_transfer.RetryTransferRequest
     | shares.Shares
     | suspects.Suspects
     | tree_parts.TreeParts
@@ -77,8 +77,8 @@
     17: load_bundle.LoadBundle,
     18: store_changes.StoreChangesRequest,
     19: store_changes.StoreChangesReply,
-    20: retry_loan.RetriesWanted,
-    21: retry_loan.RetriesLent,
+    20: retry_transfer.RetryTransferRequest,
+    21: retry_transfer.RetryTransferReply,
     22: document_part.SettingsWanted,
     23: document_part.DocumentPart,
     24: suspects.Suspects,
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -8,7 +8,7 @@
 import loguru
 
 from ruddergate.decisions import retries
-from ruddergate.messages import retry_loan
+from ruddergate.messages import retry_transfer
 from standins import gateway_cluster
 from tests import gateway_scene
 
@@ -89,8 +89,8 @@
                 budgets[borrower].note_first_attempt()
                 allowed += share
             else:
-                is_great = deed != "borrow"
-                lent = budgets[lender].lend(0.7, is_great)
+                is_large = deed != "borrow"
+                lent = budgets[lender].lend(0.7, is_large)
                 if deed != "lost":
                     budgets[borrower].take_loan(lent)
             left = sum(each.tokens for each in budgets)
@@ -109,7 +109,9 @@
             (peer,) = exchange.find_hall_peers()
             lender = scene.cluster.vms[peer.partition(":")[0]].gateway
             lender._peers.questions._answer = lambda wanted: (
-                retry_loan.RetriesLent(wanted.correlation_id, 1_000.0)
+                retry_transfer.RetryTransferReply(
+                    wanted.correlation_id, 1_000.0
+                )
             )
             lent = await exchange.questions.ask_retries(peer, 1.0, True)
             self.assertEqual(lent, 0.0)
