--- a/src/ruddergate/agent/list_sync.py
+++ b/src/ruddergate/agent/list_sync.py
@@ -9,7 +9,7 @@
 from ruddergate.agent import links as link_types
 from ruddergate.fleet import vm as vms
 from ruddergate.messages import fleet_view
-from ruddergate.messages import listing_wanted
+from ruddergate.messages import listing_request
 from ruddergate.telemetry import metrics as metric_types
 
 
@@ -53,7 +53,7 @@
 
     async def fetch_from_peer(self, peer: vms.Vm) -> None:
         """Takes a peer's list if it is newer."""
-        wanted = listing_wanted.ListingWanted(self._knowledge.listing.version)
+        wanted = listing_request.ListingRequest(self._knowledge.listing.version)
         answer = await self._links.ask(peer, wanted)
         if isinstance(answer, fleet_view.FleetView):
             self._knowledge.take_listing(answer.listing, answer.age_ms)
--- a/src/ruddergate/agent/peer_server.py
+++ b/src/ruddergate/agent/peer_server.py
@@ -9,9 +9,9 @@
 from ruddergate.agent import share_task
 from ruddergate.messages import fleet_view
 from ruddergate.messages import gossip
-from ruddergate.messages import lend
-from ruddergate.messages import listing_wanted
-from ruddergate.messages import tree_wanted
+from ruddergate.messages import listing_request
+from ruddergate.messages import quota_loan
+from ruddergate.messages import tree_request
 from ruddergate.telemetry import logs
 from ruddergate.wire import codec
 from ruddergate.wire import frames
@@ -67,15 +67,15 @@
             case gossip.Gossip():
                 self._gossip.take_digest(asked)
                 return self._gossip.make_digest()
-            case tree_wanted.TreeWanted():
+            case tree_request.TreeRequest():
                 return feed_server.make_parts(self._knowledge, asked.digests)
-            case listing_wanted.ListingWanted():
+            case listing_request.ListingRequest():
                 return fleet_view.FleetView(
                     self._knowledge.listing,
                     min(self._knowledge.listing_age_ms(), 1e12),
                     self._knowledge.settled_ms(),
                 )
-            case lend.LendWanted():
+            case quota_loan.QuotaLoanRequest():
                 return self._shares.answer(asked)
             case _:
                 self._log.warning("Unexpected message from a peer.")
--- a/src/ruddergate/agent/settings_sync.py
+++ b/src/ruddergate/agent/settings_sync.py
@@ -10,7 +10,7 @@
 from ruddergate.decisions import adoption
 from ruddergate.fleet import vm as vms
 from ruddergate.messages import tree_parts
-from ruddergate.messages import tree_wanted
+from ruddergate.messages import tree_request
 from ruddergate.settings import manifest as manifests
 from ruddergate.telemetry import logs
 from ruddergate.telemetry import metrics as metric_types
@@ -78,7 +78,7 @@
     async def fetch_from_peer(self, peer: vms.Vm) -> bool:
         """Takes a peer's settings if newer; returns whether it answered."""
         in_force = self._knowledge.in_force
-        wanted = tree_wanted.TreeWanted(
+        wanted = tree_request.TreeRequest(
             in_force.manifest.revision, tuple(sorted(in_force.shards))
         )
         answer = await self._links.ask(peer, wanted)
--- a/src/ruddergate/agent/share_task.py
+++ b/src/ruddergate/agent/share_task.py
@@ -10,7 +10,7 @@
 from ruddergate.decisions import shares as decisions
 from ruddergate.fleet import vm as vms
 from ruddergate.messages import entry_load
-from ruddergate.messages import lend
+from ruddergate.messages import quota_loan
 from ruddergate.messages import shares as messages
 from ruddergate.settings import kind as kinds
 
@@ -64,7 +64,9 @@
             rows.append(messages.Share(workspace, fraction, valid_ms))
         return messages.Shares(self._base(""), tuple(rows))
 
-    def answer(self, wanted: lend.LendWanted) -> lend.Lent:
+    def answer(
+        self, wanted: quota_loan.QuotaLoanRequest
+    ) -> quota_loan.QuotaLoanReply:
         """Lends what this VM does not need; its own part shrinks at once."""
         now_ms = self._outside.now_ms()
         fraction = self._book.lend(
@@ -75,7 +77,7 @@
             min(wanted.valid_ms, decisions.LEND_VALID_MS),
             now_ms,
         )
-        return lend.Lent(wanted.workspace, fraction)
+        return quota_loan.QuotaLoanReply(wanted.workspace, fraction)
 
     async def _borrow(self, workspace: str, wanted: float) -> None:
         now_ms = self._outside.now_ms()
@@ -98,11 +100,14 @@
     ) -> float:
         asked_ms = self._outside.now_ms()
         valid_ms = decisions.LEND_VALID_MS
-        wanted = lend.LendWanted(
+        wanted = quota_loan.QuotaLoanRequest(
             self._config.vm_id, workspace, missing, valid_ms
         )
         answer = await self._links.ask(peer, wanted)
-        if not isinstance(answer, lend.Lent) or answer.workspace != workspace:
+        if (
+            not isinstance(answer, quota_loan.QuotaLoanReply)
+            or answer.workspace != workspace
+        ):
             return 0.0
         self._book.borrow(workspace, answer.fraction, asked_ms, valid_ms)
         return answer.fraction
--- a/src/ruddergate/entry/document_exchange.py
+++ b/src/ruddergate/entry/document_exchange.py
@@ -63,10 +63,10 @@
         parts: list[bytes] = []
         while True:
             found = await self._ask_part(peer, version, len(parts))
-            if found is None or found.parts > document_copy.PARTS_MOST:
+            if found is None or found.part_count > document_copy.PARTS_MOST:
                 return None
             parts.append(found.data)
-            if len(parts) >= found.parts:
+            if len(parts) >= found.part_count:
                 return document_copy.join(parts)
 
     async def _ask_part(
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -271,11 +271,11 @@
         match question:
             case store_changes.StoreChangesRequest():
                 return self._sync.answer_news(question)
-            case document_part.SettingsWanted():
+            case document_part.SettingsRequest():
                 return self._sync.settings.answer(
                     question.correlation_id, question.revision, question.part
                 )
-            case document_part.TargetsWanted():
+            case document_part.TargetsRequest():
                 position = store_position.StorePosition(
                     question.epoch, question.revision
                 )
--- a/src/ruddergate/entry/peer_questions.py
+++ b/src/ruddergate/entry/peer_questions.py
@@ -17,8 +17,8 @@
 Question: TypeAlias = (
     store_changes.StoreChangesRequest
     | retry_transfer.RetryTransferRequest
-    | document_part.SettingsWanted
-    | document_part.TargetsWanted
+    | document_part.SettingsRequest
+    | document_part.TargetsRequest
 )
 Answer: TypeAlias = (
     store_changes.StoreChangesReply
@@ -28,8 +28,8 @@
 QUESTIONS = (
     store_changes.StoreChangesRequest,
     retry_transfer.RetryTransferRequest,
-    document_part.SettingsWanted,
-    document_part.TargetsWanted,
+    document_part.SettingsRequest,
+    document_part.TargetsRequest,
 )
 ANSWERS = (
     store_changes.StoreChangesReply,
@@ -82,7 +82,7 @@
         self, peer: str, revision: int, part: int
     ) -> document_part.DocumentPart | None:
         """Returns a part of a peer's settings, or None without an answer."""
-        question = document_part.SettingsWanted(
+        question = document_part.SettingsRequest(
             self._own, self._name_question(), revision, part
         )
         return await self._ask_part(question, peer)
@@ -91,7 +91,7 @@
         self, peer: str, position: store_position.StorePosition, part: int
     ) -> document_part.DocumentPart | None:
         """Returns a part of a peer's targets, or None without an answer."""
-        question = document_part.TargetsWanted(
+        question = document_part.TargetsRequest(
             self._own,
             self._name_question(),
             position.epoch,
--- a/src/ruddergate/messages/document_part.py
+++ b/src/ruddergate/messages/document_part.py
@@ -6,7 +6,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SettingsWanted:
+class SettingsRequest:
     """Asks a peer for one part of its settings.
 
     Attributes:
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TargetsWanted:
+class TargetsRequest:
     """Asks a peer for one part of its list of targets.
 
     Attributes:
@@ -52,7 +52,7 @@
     """
 
     correlation_id: str
-    parts: int
+    part_count: int
     data: bytes
 
 
--- a/src/ruddergate/messages/listing_wanted.py
+++ b/src/ruddergate/messages/listing_request.py
@@ -4,7 +4,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ListingWanted:
+class ListingRequest:
     """A request for the list; the answer is a `FleetView`.
 
     Attributes:
--- a/src/ruddergate/messages/lend.py
+++ b/src/ruddergate/messages/quota_loan.py
@@ -4,7 +4,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LendWanted:
+class QuotaLoanRequest:
     """Asks a peer to lend part of a workspace's limit.
 
     Attributes:
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Lent:
+class QuotaLoanReply:
     """The answer: the part that the lender has given up, perhaps 0."""
 
     workspace: str
--- a/src/ruddergate/messages/tree_wanted.py
+++ b/src/ruddergate/messages/tree_request.py
@@ -4,7 +4,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TreeWanted:
+class TreeRequest:
     """A request for the parts of a tree that the sender lacks.
 
     Attributes:
--- a/src/ruddergate/wire/codec.py
+++ b/src/ruddergate/wire/codec.py
@@ -15,23 +15,23 @@
 from ruddergate.messages import fleet_view
 from ruddergate.messages import forward
 from ruddergate.messages import gossip
-from ruddergate.messages import lend
-from ruddergate.messages import listing_wanted
+from ruddergate.messages import listing_request
 from ruddergate.messages import load_bundle
 from ruddergate.messages import load_digest
 from ruddergate.messages import loads
+from ruddergate.messages import quota_loan
 from ruddergate.messages import retry_transfer
 from ruddergate.messages import shares
 from ruddergate.messages import store_changes
 from ruddergate.messages import suspects
 from ruddergate.messages import tree_parts
-from ruddergate.messages import tree_wanted
+from ruddergate.messages import tree_request
 
 Message: TypeAlias = (
     document_part.DocumentPart
-    | document_part.SettingsWanted
+    | document_part.SettingsRequest
     | document_part.TargetsDocument
-    | document_part.TargetsWanted
+    | document_part.TargetsRequest
     | entry_hello.EntryHello
     | entry_load.EntryLoad
     | fleet_view.FleetView
@@ -39,9 +39,9 @@
     | forward.ForwardHead
     | forward.ForwardPart
     | gossip.Gossip
-    | lend.LendWanted
-    | lend.Lent
-    | listing_wanted.ListingWanted
+    | quota_loan.QuotaLoanRequest
+    | quota_loan.QuotaLoanReply
+    | listing_request.ListingRequest
     | load_bundle.LoadBundle
     | load_digest.LoadDigest
     | loads.Loads
@@ -52,7 +52,7 @@
     | shares.Shares
     | suspects.Suspects
     | tree_parts.TreeParts
-    | tree_wanted.TreeWanted
+    | tree_request.TreeRequest
 )
 
 # A tag never changes its meaning: processes of two releases talk to each
@@ -65,13 +65,13 @@
     5: forward.ForwardHead,
     6: forward.ForwardPart,
     7: gossip.Gossip,
-    8: lend.LendWanted,
-    9: lend.Lent,
+    8: quota_loan.QuotaLoanRequest,
+    9: quota_loan.QuotaLoanReply,
     10: loads.Loads,
     11: shares.Shares,
     12: tree_parts.TreeParts,
-    13: tree_wanted.TreeWanted,
-    14: listing_wanted.ListingWanted,
+    13: tree_request.TreeRequest,
+    14: listing_request.ListingRequest,
     # 15 was a digest that named peers.
     16: load_digest.LoadDigest,
     17: load_bundle.LoadBundle,
@@ -79,10 +79,10 @@
     19: store_changes.StoreChangesReply,
     20: retry_transfer.RetryTransferRequest,
     21: retry_transfer.RetryTransferReply,
-    22: document_part.SettingsWanted,
+    22: document_part.SettingsRequest,
     23: document_part.DocumentPart,
     24: suspects.Suspects,
-    25: document_part.TargetsWanted,
+    25: document_part.TargetsRequest,
     26: document_part.TargetsDocument,
 }
 _SCALARS = (str, int, float, bool, bytes)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -14,7 +14,7 @@
 from ruddergate.adapters.vm_list import client as vm_list
 from ruddergate.http import message
 from ruddergate.http import server
-from ruddergate.messages import tree_wanted
+from ruddergate.messages import tree_request
 from ruddergate.wire import codec
 from ruddergate.wire import frames
 from standins import virtual_network
@@ -188,7 +188,7 @@
             reader, writer = await outside.connect(_ADDRESS)
             stream = frames.FrameStream(reader, writer, key)
             await stream.greet()
-            await stream.send(tree_wanted.TreeWanted(3, ("a",)))
+            await stream.send(tree_request.TreeRequest(3, ("a",)))
             for data in sent:
                 writer.write(data)
             await asyncio.sleep(1.0)
@@ -200,7 +200,7 @@
 
     def test_peer_with_the_key_is_heard(self) -> None:
         received = self.receive(self.KEY)
-        self.assertEqual(received[0], tree_wanted.TreeWanted(3, ("a",)))
+        self.assertEqual(received[0], tree_request.TreeRequest(3, ("a",)))
 
     def test_peer_without_the_key_is_refused(self) -> None:
         received = self.receive(b"another key of 16")
