--- a/src/ruddergate/decisions/suspicion.py
+++ b/src/ruddergate/decisions/suspicion.py
@@ -24,7 +24,7 @@
 from typing import TypeAlias
 
 from ruddergate.fleet import incarnation as incarnations
-from ruddergate.messages import suspects as messages
+from ruddergate.messages import poison_reports as messages
 
 # What is proof. Callers try twice, and each try is sent to two targets at most,
 # so a call that does no harm seldom has as much against it, even on days on
@@ -56,7 +56,7 @@
 # the time that datagrams take, and would never come to rest otherwise.
 FINISHED_SLACK_MS = 500.0
 
-Rows: TypeAlias = tuple[messages.Suspect, ...]
+Rows: TypeAlias = tuple[messages.PoisonReport, ...]
 
 
 @dataclasses.dataclass(slots=True)
@@ -149,16 +149,20 @@
             if self.find_left_ms(content, now_ms) > 0.0
         ]
 
-    def take(self, rows: Iterable[messages.Suspect], now_ms: float) -> set[str]:
+    def take(
+        self, rows: Iterable[messages.PoisonReport], now_ms: float
+    ) -> set[str]:
         """Takes in what a peer knows; returns the contents that it had news of.
 
         Rows are to be sound, see `find_fault`.
         """
-        news = {row.content for row in rows if self._take_row(row, now_ms)}
+        news = {row.fingerprint for row in rows if self._take_row(row, now_ms)}
         self._drop_least(now_ms)
         return news
 
-    def describe(self, content: str, now_ms: float) -> messages.Suspect | None:
+    def describe(
+        self, content: str, now_ms: float
+    ) -> messages.PoisonReport | None:
         """Returns what is known of a content, to be told."""
         self._forget_if_old(content, now_ms)
         record = self._records.get(content)
@@ -168,10 +172,12 @@
         if math.isinf(finished_age_ms):
             finished_age_ms = messages.NEVER_FINISHED
         ended = tuple(
-            messages.EndedLife(incarnation, now_ms - each.at_ms, each.weight)
+            messages.EndedIncarnation(
+                incarnation, now_ms - each.at_ms, each.weight
+            )
             for incarnation, each in record.ended.items()
         )
-        return messages.Suspect(content, ended, finished_age_ms)
+        return messages.PoisonReport(content, ended, finished_age_ms)
 
     def rank(self, now_ms: float) -> list[str]:
         """Returns all contents, those under which most ended first."""
@@ -222,25 +228,25 @@
         if not sharers:
             del self._by_life[incarnation]
 
-    def _take_row(self, row: messages.Suspect, now_ms: float) -> bool:
+    def _take_row(self, row: messages.PoisonReport, now_ms: float) -> bool:
         is_news = False
         if row.finished_age_ms != messages.NEVER_FINISHED:
             is_news = self._take_finished(row, now_ms)
         for each in row.ended:
             at_ms = now_ms - each.age_ms
             is_news |= self._add(
-                row.content, each.incarnation, at_ms, each.weight
+                row.fingerprint, each.incarnation, at_ms, each.weight
             )
         return is_news
 
-    def _take_finished(self, row: messages.Suspect, now_ms: float) -> bool:
+    def _take_finished(self, row: messages.PoisonReport, now_ms: float) -> bool:
         finished_ms = now_ms - row.finished_age_ms
         if now_ms - finished_ms >= SUSPECT_MS:
             return False
-        record = self._records.setdefault(row.content, _Record())
+        record = self._records.setdefault(row.fingerprint, _Record())
         if finished_ms <= record.finished_ms + FINISHED_SLACK_MS:
             return False
-        self._clear(row.content, record, finished_ms)
+        self._clear(row.fingerprint, record, finished_ms)
         return True
 
     def _find_against(self, content: str) -> list[float]:
@@ -315,7 +321,7 @@
     return ""
 
 
-def _find_row_fault(row: messages.Suspect) -> str:
+def _find_row_fault(row: messages.PoisonReport) -> str:
     if len(row.ended) > LIVES_MOST:
         return f"{len(row.ended)} lives of one content"
     finished_ms = row.finished_age_ms
--- a/src/ruddergate/entry/peer_exchange.py
+++ b/src/ruddergate/entry/peer_exchange.py
@@ -23,7 +23,7 @@
 from ruddergate.fleet import rate_limit
 from ruddergate.messages import load_bundle
 from ruddergate.messages import load_digest
-from ruddergate.messages import suspects as suspect_messages
+from ruddergate.messages import poison_reports
 from ruddergate.telemetry import logs
 from ruddergate.wire import codec
 
@@ -112,7 +112,7 @@
             loss_report.EMPTY
         ),
         take_suspects: Callable[
-            [suspect_messages.Suspects], None
+            [poison_reports.PoisonReports], None
         ] = lambda told: None,
         greet: Callable[[str], None] = lambda peer: None,
         summarize_leaving: Callable[[], tuple[str, ...]] = lambda: (),
@@ -310,7 +310,7 @@
                 )
                 self._take_digests(message.digests, pass_on)
                 self.loads.note_written_by(message.sender)
-            case suspect_messages.Suspects():
+            case poison_reports.PoisonReports():
                 self._take_suspects(message)
             case _ if isinstance(
                 message, peer_questions.QUESTIONS + peer_questions.ANSWERS
@@ -364,7 +364,7 @@
         | load_bundle.LoadBundle
         | peer_questions.Question
         | peer_questions.Answer
-        | suspect_messages.Suspects,
+        | poison_reports.PoisonReports,
         receivers: Iterable[str],
     ) -> None:
         if self._port is None:
@@ -375,7 +375,7 @@
                 self._port.send(data, environment.parse_address(name))
 
     def tell_suspects(
-        self, told: suspect_messages.Suspects, receivers: Iterable[str]
+        self, told: poison_reports.PoisonReports, receivers: Iterable[str]
     ) -> None:
         """Tells peers of contents under which targets have ended."""
         self._send(told, receivers)
--- a/src/ruddergate/entry/suspect_exchange.py
+++ b/src/ruddergate/entry/suspect_exchange.py
@@ -13,7 +13,7 @@
 from ruddergate import environment
 from ruddergate.decisions import suspicion
 from ruddergate.entry import suspects as suspect_tables
-from ruddergate.messages import suspects as messages
+from ruddergate.messages import poison_reports as messages
 
 # What is new within this time goes into one datagram: calls that shared a
 # target are lost together.
@@ -46,7 +46,7 @@
         outside: environment.Environment,
         own: environment.Address,
         list_peers: Callable[[], list[str]],
-        send: Callable[[messages.Suspects, Iterable[str]], None],
+        send: Callable[[messages.PoisonReports, Iterable[str]], None],
     ) -> None:
         self._outside = outside
         self._own = str(own)
@@ -68,7 +68,7 @@
                 self._round_due_ms = self._outside.now_ms() + ROUND_MS
                 self._tell_all(self._draw_peers(ROUND_PEERS))
 
-    def take(self, told: messages.Suspects) -> None:
+    def take(self, told: messages.PoisonReports) -> None:
         """Takes in what a peer told, and passes on what was news."""
         news = self.table.take(told)
         self._changed.set()
@@ -115,7 +115,7 @@
     def _tell(self, contents: list[str], peers: list[str]) -> None:
         rows = self.table.describe(contents)
         if rows and peers:
-            self._send(messages.Suspects(self._own, rows), peers)
+            self._send(messages.PoisonReports(self._own, rows), peers)
 
     def _draw_peers(self, count: int) -> list[str]:
         peers = self._list_peers()
--- a/src/ruddergate/entry/suspects.py
+++ b/src/ruddergate/entry/suspects.py
@@ -12,7 +12,7 @@
 from ruddergate.decisions import call_content
 from ruddergate.decisions import suspicion
 from ruddergate.entry import lost_call
-from ruddergate.messages import suspects as messages
+from ruddergate.messages import poison_reports as messages
 from ruddergate.telemetry import logs
 
 
@@ -86,7 +86,7 @@
             left_ms,
         )
 
-    def take(self, told: messages.Suspects) -> set[str]:
+    def take(self, told: messages.PoisonReports) -> set[str]:
         """Takes in what a peer told; returns the contents that are news."""
         fault = suspicion.find_fault(told.rows)
         if fault:
@@ -100,7 +100,9 @@
             self._tell_operators(content, "", told.sender)
         return news
 
-    def describe(self, contents: list[str]) -> tuple[messages.Suspect, ...]:
+    def describe(
+        self, contents: list[str]
+    ) -> tuple[messages.PoisonReport, ...]:
         """Returns what is known of contents, to be told to peers."""
         now_ms = self._outside.now_ms()
         rows = [self._suspicion.describe(each, now_ms) for each in contents]
--- a/src/ruddergate/messages/suspects.py
+++ b/src/ruddergate/messages/poison_reports.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EndedLife:
+class EndedIncarnation:
     """A life of a target that ended while it had a call of the content.
 
     Attributes:
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Suspect:
+class PoisonReport:
     """What a gateway knows of one content.
 
     Attributes:
@@ -34,13 +34,13 @@
             NEVER_FINISHED for never.
     """
 
-    content: str
-    ended: tuple[EndedLife, ...]
+    fingerprint: str
+    ended: tuple[EndedIncarnation, ...]
     finished_age_ms: float = NEVER_FINISHED
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Suspects:
+class PoisonReports:
     """Contents that a gateway tells a peer of.
 
     Attributes:
@@ -49,4 +49,4 @@
     """
 
     sender: str
-    rows: tuple[Suspect, ...]
+    rows: tuple[PoisonReport, ...]
--- a/src/ruddergate/wire/codec.py
+++ b/src/ruddergate/wire/codec.py
@@ -19,11 +19,11 @@
 from ruddergate.messages import load_bundle
 from ruddergate.messages import load_digest
 from ruddergate.messages import loads
+from ruddergate.messages import poison_reports
 from ruddergate.messages import quota_loan
 from ruddergate.messages import retry_transfer
 from ruddergate.messages import shares
 from ruddergate.messages import store_changes
-from ruddergate.messages import suspects
 from ruddergate.messages import tree_parts
 from ruddergate.messages import tree_request
 
@@ -50,7 +50,7 @@
     | retry_transfer.RetryTransferReply
     | retry_transfer.RetryTransferRequest
     | shares.Shares
-    | suspects.Suspects
+    | poison_reports.PoisonReports
     | tree_parts.TreeParts
     | tree_request.TreeRequest
 )
@@ -81,7 +81,7 @@
     21: retry_transfer.RetryTransferReply,
     22: document_part.SettingsRequest,
     23: document_part.DocumentPart,
-    24: suspects.Suspects,
+    24: poison_reports.PoisonReports,
     25: document_part.TargetsRequest,
     26: document_part.TargetsDocument,
 }
--- a/standins/suspect_spread.py
+++ b/standins/suspect_spread.py
@@ -16,7 +16,7 @@
 from ruddergate.entry import suspect_exchange
 from ruddergate.fleet import condition
 from ruddergate.fleet import target as targets
-from ruddergate.messages import suspects as messages
+from ruddergate.messages import poison_reports as messages
 from ruddergate.wire import codec
 from standins import virtual_network
 from standins import virtual_process
@@ -62,7 +62,9 @@
         def list_peers() -> list[str]:
             return [each for each in self.vms if each != name]
 
-        def send(told: messages.Suspects, receivers: Iterable[str]) -> None:
+        def send(
+            told: messages.PoisonReports, receivers: Iterable[str]
+        ) -> None:
             size = len(codec.encode(told))
             for receiver in receivers:
                 self.vms[name].sent_bytes += size
@@ -77,7 +79,7 @@
         self.vms[name] = _Vm(exchange)
         process.start(exchange.run)
 
-    def _deliver(self, receiver: str, told: messages.Suspects) -> None:
+    def _deliver(self, receiver: str, told: messages.PoisonReports) -> None:
         vm = self.vms[receiver]
         vm.exchange.take(told)
         if vm.knew_s is None and vm.exchange.table.list_quarantined():
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -11,7 +11,7 @@
 
 from ruddergate.decisions import suspicion
 from ruddergate.fleet import incarnation as incarnations
-from ruddergate.messages import suspects as messages
+from ruddergate.messages import poison_reports as messages
 from ruddergate.wire import codec
 
 _NOW_MS = 1_000_000.0
@@ -23,13 +23,16 @@
     )
 
 
-def _row(content: str, *numbers: int, finished_age_ms=None) -> messages.Suspect:
+def _row(
+    content: str, *numbers: int, finished_age_ms=None
+) -> messages.PoisonReport:
     ended = tuple(
-        messages.EndedLife(_life(number), 100.0, 1.0) for number in numbers
+        messages.EndedIncarnation(_life(number), 100.0, 1.0)
+        for number in numbers
     )
     if finished_age_ms is None:
-        return messages.Suspect(content, ended)
-    return messages.Suspect(content, ended, finished_age_ms)
+        return messages.PoisonReport(content, ended)
+    return messages.PoisonReport(content, ended, finished_age_ms)
 
 
 class VerdictTest(unittest.TestCase):
@@ -157,7 +160,7 @@
         self.assertEqual(known.count_against("a", _NOW_MS + 50.0), 0)
 
     def test_rows_survive_the_wire(self) -> None:
-        told = messages.Suspects(
+        told = messages.PoisonReports(
             "10.0.0.1:83", (_row("a", 0, 1, finished_age_ms=5.0), _row("b", 2))
         )
         self.assertEqual(codec.decode(codec.encode(told)), told)
@@ -167,11 +170,11 @@
             _row(f"{number:032x}", number, number + 1, number + 2)
             for number in range(suspicion.TOLD_MOST)
         )
-        data = codec.encode(messages.Suspects("10.0.0.1:83", rows))
+        data = codec.encode(messages.PoisonReports("10.0.0.1:83", rows))
         self.assertLess(len(data), 3_000)
 
     def test_rows_that_can_not_be_true_are_refused(self) -> None:
-        ended = messages.EndedLife(_life(0), 1.0, 1.0)
+        ended = messages.EndedIncarnation(_life(0), 1.0, 1.0)
         wrong = [
             dataclasses.replace(ended, age_ms=-1.0),
             dataclasses.replace(ended, age_ms=math.nan),
@@ -181,14 +184,14 @@
             dataclasses.replace(ended, weight=math.nan),
         ]
         for each in wrong:
-            rows = (messages.Suspect("a", (each,)),)
+            rows = (messages.PoisonReport("a", (each,)),)
             self.assertNotEqual(suspicion.find_fault(rows), "")
         for age_ms in (-5.0, math.inf):
-            rows = (messages.Suspect("a", (ended,), age_ms),)
+            rows = (messages.PoisonReport("a", (ended,), age_ms),)
             self.assertNotEqual(suspicion.find_fault(rows), "")
         many = (ended,) * (suspicion.LIVES_MOST + 1)
         self.assertNotEqual(
-            suspicion.find_fault((messages.Suspect("a", many),)), ""
+            suspicion.find_fault((messages.PoisonReport("a", many),)), ""
         )
         rows = (_row("a", 0),) * (suspicion.TOLD_MOST + 1)
         self.assertNotEqual(suspicion.find_fault(rows), "")
