--- a/src/ruddergate/cli/gateway.py
+++ b/src/ruddergate/cli/gateway.py
@@ -147,9 +147,9 @@
     )
     platform = gateways.Platform(
         door=callers.make_door(),
-        make_send=lambda hear: replicas.make_send(outside, hear),
-        make_orders=lambda hear: orders.make_orders(
-            outside, _ORDER_LIMITS, hear
+        make_send=lambda on_hints: replicas.make_send(outside, on_hints),
+        make_orders=lambda on_hints: orders.make_orders(
+            outside, _ORDER_LIMITS, on_hints
         ),
         source=store.make_source(
             outside,
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -46,9 +46,9 @@
 from ruddergate.messages import store_changes
 from ruddergate.relay import door as doors
 from ruddergate.relay import errand as errands
+from ruddergate.relay import hints as hint_types
 from ruddergate.relay import orders
 from ruddergate.relay import published
-from ruddergate.relay import statement as statements
 from ruddergate.telemetry import logs
 from ruddergate.telemetry import metrics as metric_types
 from ruddergate.telemetry import traces
@@ -104,8 +104,8 @@
     """
 
     door: doors.Door
-    make_send: Callable[[statements.Hear], errands.Send]
-    make_orders: Callable[[statements.Hear], orders.Orders]
+    make_send: Callable[[hint_types.OnHints], errands.Send]
+    make_orders: Callable[[hint_types.OnHints], orders.Orders]
     source: published.Source
 
 
@@ -252,7 +252,7 @@
             self._leaving_check.look,
         )
 
-    def _observe(self, said: statements.Statement) -> None:
+    def _observe(self, said: hint_types.Hints) -> None:
         """Takes in what a target says of itself in an answer."""
         self._notices.hear(said)
         self._rate_limiter.observe(said)
--- a/src/ruddergate/entry/rate_limiter.py
+++ b/src/ruddergate/entry/rate_limiter.py
@@ -20,8 +20,8 @@
 from ruddergate.decisions import rate_limits
 from ruddergate.fleet import rate_limit
 from ruddergate.fleet import target as targets
+from ruddergate.relay import hints as hint_types
 from ruddergate.relay import orders
-from ruddergate.relay import statement as statements
 from ruddergate.telemetry import logs
 from ruddergate.telemetry import metrics as metric_types
 
@@ -108,7 +108,7 @@
             lambda: len(self._members),
         )
 
-    def observe(self, said: statements.Statement) -> None:
+    def observe(self, said: hint_types.Hints) -> None:
         """Applies the limit in a target's answer, or its absence."""
         now_ms = self._outside.now_ms()
         target_id = said.incarnation.target_id
--- a/src/ruddergate/entry/target_notices.py
+++ b/src/ruddergate/entry/target_notices.py
@@ -15,7 +15,7 @@
 from ruddergate.decisions import withdrawals
 from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
-from ruddergate.relay import statement as statements
+from ruddergate.relay import hints as hint_types
 from ruddergate.telemetry import logs
 from ruddergate.telemetry import metrics as metric_types
 from ruddergate.telemetry import told_once
@@ -62,13 +62,13 @@
         self._told = told_once.ToldOnce()
         self._log = logs.make_logger("target")
 
-    def hear(self, said: statements.Statement) -> None:
+    def hear(self, said: hint_types.Hints) -> None:
         """Takes in what a target said of itself in an answer."""
-        if said.is_leaving:
+        if said.is_draining:
             self._hear_leaving(said)
-        if said.quiet_ms is not None:
-            self._hear_quiet(said, said.quiet_ms)
-        for detail in said.unread:
+        if said.backoff_ms is not None:
+            self._hear_quiet(said, said.backoff_ms)
+        for detail in said.problems:
             self._hear_unread(said, detail)
 
     def take_told(self, words: Iterable[str], peer: str) -> None:
@@ -151,10 +151,10 @@
         """Returns how many targets want no calls of this VM now."""
         return self._withdrawn.count_quiet(self._outside.now_ms())
 
-    def _hear_leaving(self, said: statements.Statement) -> None:
+    def _hear_leaving(self, said: hint_types.Hints) -> None:
         now_ms = self._outside.now_ms()
         is_new = self._withdrawn.note_answered(
-            said.incarnation, now_ms, said.is_dated
+            said.incarnation, now_ms, said.has_start_time
         )
         if not is_new:
             return
@@ -167,11 +167,11 @@
         )
         self._note_leaving()
 
-    def _hear_quiet(self, said: statements.Statement, quiet_ms: float) -> None:
+    def _hear_quiet(self, said: hint_types.Hints, quiet_ms: float) -> None:
         spread_ms = min(_SPREAD_MOST_MS, _SPREAD_PART * quiet_ms)
         spread_ms = self._outside.random.uniform(0.0, spread_ms)
         until_ms = self._outside.now_ms() + quiet_ms + spread_ms
-        said_wall_ms = None if said.is_dated else self._outside.wall_ms()
+        said_wall_ms = None if said.has_start_time else self._outside.wall_ms()
         if self._withdrawn.note_quiet(said.incarnation, until_ms, said_wall_ms):
             self._log.info(
                 "Target {} wants no calls for {:.0f} ms.",
@@ -181,7 +181,7 @@
                 born_ms=said.incarnation.started_ms,
             )
 
-    def _hear_unread(self, said: statements.Statement, detail: str) -> None:
+    def _hear_unread(self, said: hint_types.Hints, detail: str) -> None:
         self._metrics.statements_unread.inc({})
         name = incarnations.format_incarnation(said.incarnation)
         if self._told.is_new(name, detail):
--- a/src/ruddergate/platform/statements.py
+++ b/src/ruddergate/platform/hints.py
@@ -7,7 +7,7 @@
 from ruddergate.http import message
 from ruddergate.platform import headers
 from ruddergate.platform import targets as target_entries
-from ruddergate.relay import statement as statements
+from ruddergate.relay import hints as hint_types
 
 # Another target serves at that address; what it says is not of the one asked.
 _MISDIRECTED = 421
@@ -20,10 +20,10 @@
 _RATE = re.compile(r"\d{1,12}(\.\d{1,12})?([eE][+-]?\d{1,2})?", re.ASCII)
 # The longest time for which a target is believed to want no calls: an hour. One
 # that says a year is asked again after it, rather than lost to this VM.
-QUIET_MOST_MS = 3_600_000.0
+MAX_BACKOFF_MS = 3_600_000.0
 
 
-def read_statement(
+def read_hints(
     target: targets.Target,
     status: int,
     fields: message.Fields,
@@ -31,7 +31,7 @@
     request_id: str = "",
     is_call: bool = False,
     sent_ms: float = 0.0,
-) -> statements.Statement:
+) -> hint_types.Hints:
     """Returns what the target says of itself.
 
     Args:
@@ -46,24 +46,24 @@
     started_ms = target_entries.read_started_ms(document)
     incarnation = _find_life(target, started_ms)
     if status == _MISDIRECTED:
-        return statements.Statement(incarnation)
-    is_leaving, wrong_word = _read_leaving(
+        return hint_types.Hints(incarnation)
+    is_draining, wrong_word = _read_leaving(
         _find_words(fields, headers.DRAINING)
     )
-    quiet_ms, wrong_time = None, ""
+    backoff_ms, wrong_time = None, ""
     if status in REFUSALS:
         times = _find_words(fields, headers.RETRY_AFTER, separator="")
-        quiet_ms, wrong_time = _read_quiet_ms(times)
+        backoff_ms, wrong_time = _read_quiet_ms(times)
     rates = _find_words(fields, headers.RATE_LIMIT)
     rate_limit_per_s, wrong_rate = _read_rate_limit(rates)
-    unread = tuple(filter(None, (wrong_word, wrong_time, wrong_rate)))
-    return statements.Statement(
+    problems = tuple(filter(None, (wrong_word, wrong_time, wrong_rate)))
+    return hint_types.Hints(
         incarnation,
-        is_leaving,
-        quiet_ms,
-        unread,
+        is_draining,
+        backoff_ms,
+        problems,
         request_id,
-        is_dated=started_ms != incarnations.START_UNKNOWN,
+        has_start_time=started_ms != incarnations.START_UNKNOWN,
         rate_limit_per_s=rate_limit_per_s,
         is_unlimited=not rates,
         is_call=is_call,
@@ -71,13 +71,13 @@
     )
 
 
-def says_it_stays(said: statements.Statement, status: int) -> bool:
+def refutes_draining(said: hint_types.Hints, status: int) -> bool:
     """Returns whether an answer is proof that its target does not leave.
 
     One that leaves says so in each of its answers, and a word without a meaning
     does not.
     """
-    return status != _MISDIRECTED and not said.is_leaving
+    return status != _MISDIRECTED and not said.is_draining
 
 
 def _find_life(
@@ -124,8 +124,8 @@
     wrong = [each for each in times if not _SECONDS.fullmatch(each)]
     detail = f"a time to wait is {wrong[0]!r:.40}" if wrong else ""
     told_ms = max(sound, default=0.0) * 1_000.0
-    if told_ms > QUIET_MOST_MS:
+    if told_ms > MAX_BACKOFF_MS:
         detail = f"a time to wait is {told_ms / 1_000.0:.0f} s"
     if not sound:
         return None, detail
-    return min(told_ms, QUIET_MOST_MS), detail
+    return min(told_ms, MAX_BACKOFF_MS), detail
--- a/src/ruddergate/platform/orders.py
+++ b/src/ruddergate/platform/orders.py
@@ -4,10 +4,10 @@
 from ruddergate.fleet import target as targets
 from ruddergate.http import client
 from ruddergate.http import message
-from ruddergate.platform import statements
+from ruddergate.platform import hints
 from ruddergate.platform import targets as target_entries
+from ruddergate.relay import hints as hint_types
 from ruddergate.relay import orders
-from ruddergate.relay import statement as statement_types
 
 _PATH = "/api/order"
 _REPORT_PATH = "/api/report"
@@ -19,7 +19,7 @@
 def make_orders(
     outside: environment.Environment,
     limits: client.TimeLimits,
-    hear: statement_types.Hear,
+    on_hints: hint_types.OnHints,
 ) -> orders.Orders:
     """Returns the orders.
 
@@ -37,14 +37,14 @@
             outside, target.address, request, limits
         )
         if isinstance(answer, client.WholeAnswer):
-            said = statements.read_statement(
+            said = hints.read_hints(
                 target,
                 answer.status,
                 answer.fields,
                 answer.json(),
                 sent_ms=sent_ms,
             )
-            hear(said)
+            on_hints(said)
         return answer
 
     async def reserve(
@@ -80,13 +80,11 @@
     target: targets.Target, answer: client.WholeAnswer
 ) -> orders.Told:
     document = answer.json()
-    said = statements.read_statement(
-        target, answer.status, answer.fields, document
-    )
+    said = hints.read_hints(target, answer.status, answer.fields, document)
     return orders.Told(
         orders.Sign.ALIVE,
         target_entries.read_started_ms(document),
-        statements.says_it_stays(said, answer.status),
+        hints.refutes_draining(said, answer.status),
     )
 
 
--- a/src/ruddergate/platform/replicas.py
+++ b/src/ruddergate/platform/replicas.py
@@ -13,11 +13,11 @@
 from ruddergate.http import client
 from ruddergate.http import message
 from ruddergate.platform import headers
-from ruddergate.platform import statements
+from ruddergate.platform import hints
 from ruddergate.relay import answer as answers
 from ruddergate.relay import errand as errands
 from ruddergate.relay import event_splitter
-from ruddergate.relay import statement as statement_types
+from ruddergate.relay import hints as hint_types
 
 _MISDIRECTED = 421
 _REDIRECTION = 300
@@ -34,7 +34,7 @@
 
 
 def make_send(
-    outside: environment.Environment, hear: statement_types.Hear
+    outside: environment.Environment, on_hints: hint_types.OnHints
 ) -> errands.Send:
     """Returns the function that sends a call to a target.
 
@@ -56,7 +56,9 @@
                 yield unsent
                 return
             sent_ms = outside.now_ms()
-            async for event in _read(outside, errand, exchange, hear, sent_ms):
+            async for event in _read(
+                outside, errand, exchange, on_hints, sent_ms
+            ):
                 yield event
         finally:
             exchange.close()
@@ -114,7 +116,7 @@
     outside: environment.Environment,
     errand: errands.Errand,
     exchange: client.Exchange,
-    hear: statement_types.Hear,
+    on_hints: hint_types.OnHints,
     sent_ms: float,
 ) -> AsyncIterator[answers.Event]:
     until_ms = min(
@@ -124,7 +126,7 @@
     if fault is not None:
         yield _make_lost(fault) if isinstance(fault, client.Fault) else fault
         return
-    hear(_read_statement(errand, exchange, sent_ms))
+    on_hints(_read_statement(errand, exchange, sent_ms))
     told = _read_load(errand, exchange)
     if told is not None:
         yield told
@@ -215,8 +217,8 @@
 
 def _read_statement(
     errand: errands.Errand, exchange: client.Exchange, sent_ms: float
-) -> statement_types.Statement:
-    return statements.read_statement(
+) -> hint_types.Hints:
+    return hints.read_hints(
         errand.target,
         exchange.status,
         exchange.fields,
@@ -308,7 +310,7 @@
     if isinstance(body, client.Fault):
         return _make_lost(body)
     fields = headers.select_for_caller(exchange.fields)
-    if exchange.status in statements.REFUSALS:
+    if exchange.status in hints.REFUSALS:
         fields = headers.leave_out_pause(fields)
     return answers.WholeAnswer(exchange.status, fields, body)
 
--- a/src/ruddergate/relay/statement.py
+++ b/src/ruddergate/relay/hints.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Statement:
+class Hints:
     """Said in one answer: to a call, an order or a question.
 
     Attributes:
@@ -29,20 +29,20 @@
     """
 
     incarnation: incarnations.Incarnation
-    is_leaving: bool = False
-    quiet_ms: float | None = None
-    unread: tuple[str, ...] = ()
+    is_draining: bool = False
+    backoff_ms: float | None = None
+    problems: tuple[str, ...] = ()
     request_id: str = ""
-    is_dated: bool = False
+    has_start_time: bool = False
     rate_limit_per_s: float | None = None
     is_unlimited: bool = False
     is_call: bool = False
     sent_ms: float = 0.0
 
 
-Hear: TypeAlias = Callable[[Statement], None]
+OnHints: TypeAlias = Callable[[Hints], None]
 """Takes a statement in; called before anyone sees the answer it came with."""
 
 
-def ignore(said: Statement) -> None:
+def ignore(said: Hints) -> None:
     """Stands where nobody hears what targets say."""
--- a/standins/gateway_cluster.py
+++ b/standins/gateway_cluster.py
@@ -368,9 +368,9 @@
 def _make_platform(outside: environment.Environment) -> gateways.Platform:
     return gateways.Platform(
         door=callers.make_door(),
-        make_send=lambda hear: replicas.make_send(outside, hear),
-        make_orders=lambda hear: orders.make_orders(
-            outside, _ORDER_LIMITS, hear
+        make_send=lambda on_hints: replicas.make_send(outside, on_hints),
+        make_orders=lambda on_hints: orders.make_orders(
+            outside, _ORDER_LIMITS, on_hints
         ),
         source=stores.make_source(outside, _STORE, _STORE_LIMITS),
     )
--- a/standins/rate_limit_fleet.py
+++ b/standins/rate_limit_fleet.py
@@ -24,8 +24,8 @@
 from ruddergate.fleet import condition
 from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
+from ruddergate.relay import hints as hint_types
 from ruddergate.relay import orders
-from ruddergate.relay import statement as statements
 from ruddergate.telemetry import metrics
 from standins import gateway_cluster
 from standins import platform_replica
@@ -235,7 +235,7 @@
         if not is_unlimited:
             vm.passed_on_s.setdefault(each.name, loop.time())
         vm.limiter.observe(
-            statements.Statement(
+            hint_types.Hints(
                 incarnations.Incarnation(each.name),
                 rate_limit_per_s=None if is_unlimited else rate_per_s,
                 is_unlimited=is_unlimited,
@@ -255,7 +255,7 @@
             await asyncio.sleep(0.002)
             is_unlimited = rate_per_s == float("inf")
             vm.limiter.observe(
-                statements.Statement(
+                hint_types.Hints(
                     incarnations.Incarnation(each.name),
                     rate_limit_per_s=None if is_unlimited else rate_per_s,
                     is_unlimited=is_unlimited,
--- a/tests/test_replica_calls.py
+++ b/tests/test_replica_calls.py
@@ -14,7 +14,7 @@
 from ruddergate.platform import replicas
 from ruddergate.relay import answer as answers
 from ruddergate.relay import errand as errands
-from ruddergate.relay import statement as statements
+from ruddergate.relay import hints as hint_types
 from ruddergate.settings import route as routes
 from standins import virtual_network
 from standins import virtual_process
@@ -77,7 +77,7 @@
         return passed + (stands_still_ms if passed > began_ms + 500.0 else 0.0)
 
     outside = dataclasses.replace(plain, now_ms=now_ms)
-    send = replicas.make_send(outside, statements.ignore)
+    send = replicas.make_send(outside, hint_types.ignore)
 
     async def collect() -> list[answers.Event]:
         return [event async for event in send(_make_errand(now_ms()))]
@@ -124,7 +124,7 @@
                 return streams
 
             outside = dataclasses.replace(plain, connect=connect)
-            send = replicas.make_send(outside, statements.ignore)
+            send = replicas.make_send(outside, hint_types.ignore)
             errand = dataclasses.replace(
                 _make_errand(outside.now_ms()), refuse=refuse
             )
--- a/tests/test_statements.py
+++ b/tests/test_statements.py
@@ -10,7 +10,7 @@
 from ruddergate.fleet import condition
 from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
-from ruddergate.platform import statements
+from ruddergate.platform import hints
 
 
 def _make_target(started_ms: int = 5) -> targets.Target:
@@ -26,14 +26,14 @@
 
 
 def _read(status: int, *fields: tuple[str, str], document: object = None):
-    return statements.read_statement(_make_target(), status, fields, document)
+    return hints.read_hints(_make_target(), status, fields, document)
 
 
 def _says_nothing(said) -> bool:
     return (
-        said.quiet_ms is None
+        said.backoff_ms is None
         and said.rate_limit_per_s is None
-        and not (said.is_leaving or said.unread)
+        and not (said.is_draining or said.problems)
     )
 
 
@@ -44,7 +44,7 @@
                 said = _read(status, ("server-limit", text))
                 self.assertEqual(said.rate_limit_per_s, rate)
                 self.assertFalse(said.is_unlimited)
-                self.assertEqual(said.unread, ())
+                self.assertEqual(said.problems, ())
 
     def test_answer_without_it_names_none(self) -> None:
         self.assertTrue(_read(200).is_unlimited)
@@ -64,14 +64,14 @@
             said = _read(200, ("server-limit", text))
             self.assertIsNone(said.rate_limit_per_s)
             self.assertFalse(said.is_unlimited)
-            self.assertEqual(len(said.unread), 1)
+            self.assertEqual(len(said.problems), 1)
 
 
 class LeavingTest(unittest.TestCase):
     def test_any_answer_tells_it(self) -> None:
         for status in (200, 202, 400, 409, 429, 500, 503, 504):
             said = _read(status, ("server-leaving", "1"))
-            self.assertTrue(said.is_leaving)
+            self.assertTrue(said.is_draining)
             self.assertEqual(
                 said.incarnation, incarnations.Incarnation("i-1", 5)
             )
@@ -92,14 +92,14 @@
     def test_one_sound_word_is_enough(self) -> None:
         for words in (["1", "1"], ["1, 1"], ["0", "1"], [" 1 "]):
             said = _read(200, *(("server-leaving", each) for each in words))
-            self.assertTrue(said.is_leaving)
-            self.assertEqual(said.unread, ())
+            self.assertTrue(said.is_draining)
+            self.assertEqual(said.problems, ())
 
     def test_other_words_have_no_meaning(self) -> None:
         for word in ("", "2", "true", "01", "-1", "1.0", "\u0661"):
             said = _read(200, ("server-leaving", word))
-            self.assertFalse(said.is_leaving)
-            self.assertEqual(len(said.unread), 1)
+            self.assertFalse(said.is_draining)
+            self.assertEqual(len(said.problems), 1)
 
     def test_document_that_tells_the_start_tells_whose_word_it_is(self) -> None:
         said = _read(200, ("server-leaving", "1"), document={"born": 6})
@@ -111,7 +111,7 @@
             )
 
     def test_name_stands_for_a_life_where_starts_are_not_known(self) -> None:
-        said = statements.read_statement(
+        said = hints.read_hints(
             _make_target(0), 200, (("server-leaving", "1"),), {"born": 6}
         )
         self.assertEqual(said.incarnation, incarnations.Incarnation("i-1", 0))
@@ -122,12 +122,12 @@
         for status in (429, 503):
             for text, told_ms in (("2", 2_000.0), ("0.25", 250.0), ("0", 0.0)):
                 said = _read(status, ("retry-after", text))
-                self.assertEqual(said.quiet_ms, told_ms)
-                self.assertEqual(said.unread, ())
+                self.assertEqual(said.backoff_ms, told_ms)
+                self.assertEqual(said.problems, ())
 
     def test_the_longest_of_several_holds(self) -> None:
         said = _read(503, ("retry-after", "2"), ("retry-after", "3"))
-        self.assertEqual(said.quiet_ms, 3_000.0)
+        self.assertEqual(said.backoff_ms, 3_000.0)
 
     def test_what_is_no_time_is_none(self) -> None:
         for text in (
@@ -143,13 +143,13 @@
             "1,2",
         ):
             said = _read(503, ("retry-after", text))
-            self.assertIsNone(said.quiet_ms)
-            self.assertEqual(len(said.unread), 1)
+            self.assertIsNone(said.backoff_ms)
+            self.assertEqual(len(said.problems), 1)
 
     def test_a_year_is_believed_for_an_hour(self) -> None:
         said = _read(503, ("retry-after", "31536000"))
-        self.assertEqual(said.quiet_ms, 3_600_000.0)
-        self.assertEqual(len(said.unread), 1)
+        self.assertEqual(said.backoff_ms, 3_600_000.0)
+        self.assertEqual(len(said.problems), 1)
 
     @hypothesis.given(
         strategies.integers(100, 599),
@@ -165,9 +165,9 @@
         self, status: int, fields: list[tuple[str, str]]
     ) -> None:
         said = _read(status, *fields)
-        if said.quiet_ms is not None:
-            self.assertTrue(math.isfinite(said.quiet_ms))
-            self.assertGreaterEqual(said.quiet_ms, 0.0)
-            self.assertLessEqual(said.quiet_ms, statements.QUIET_MOST_MS)
-        for detail in said.unread:
+        if said.backoff_ms is not None:
+            self.assertTrue(math.isfinite(said.backoff_ms))
+            self.assertGreaterEqual(said.backoff_ms, 0.0)
+            self.assertLessEqual(said.backoff_ms, hints.MAX_BACKOFF_MS)
+        for detail in said.problems:
             self.assertLess(len(detail), 100)
