--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -189,12 +189,12 @@
             outside,
             withdrawn,
             view,
-            self._keeper.ask_sign,
+            self._keeper.probe,
             lambda: self._sync.mark_leaving(),
             metrics,
         )
         self._lives = life_watch.LifeWatch(
-            self._keeper.ask_sign,
+            self._keeper.probe,
             self._suspects.table.note_ended,
             lambda target: scheduler.post(placement.LifeEnded(target)),
             self.tools.metrics,
@@ -320,9 +320,7 @@
             asyncio.ensure_future(self._peers.run()),
             asyncio.ensure_future(self._suspects.run()),
             asyncio.ensure_future(self._leaving_check.run()),
-            asyncio.ensure_future(
-                self._rate_limiter.run(self._orders.ask_sign)
-            ),
+            asyncio.ensure_future(self._rate_limiter.run(self._orders.probe)),
         ]
         servers = [
             await self._serve(
--- a/src/ruddergate/entry/leaving_check.py
+++ b/src/ruddergate/entry/leaving_check.py
@@ -43,14 +43,14 @@
         outside: environment.Environment,
         withdrawn: withdrawals.Withdrawals,
         view: views.View,
-        ask_sign: Callable[[targets.Target], Awaitable[orders.Told]],
+        probe: Callable[[targets.Target], Awaitable[orders.ProbeResult]],
         note_staying: Callable[[], None],
         metrics: metric_types.EntryMetrics,
     ) -> None:
         self._outside = outside
         self._withdrawn = withdrawn
         self._view = view
-        self._ask_sign = ask_sign
+        self._ask_sign = probe
         self._note_staying = note_staying
         self._metrics = metrics
         self._changed = asyncio.Event()
@@ -96,7 +96,7 @@
             incarnations.START_UNKNOWN,
             target.started_ms,
         )
-        if not told.is_staying or not is_its_own:
+        if not told.refutes_draining or not is_its_own:
             return False
         now_ms = self._outside.now_ms()
         if not self._withdrawn.note_staying(target.incarnation, now_ms):
--- a/src/ruddergate/entry/life_watch.py
+++ b/src/ruddergate/entry/life_watch.py
@@ -43,12 +43,12 @@
 
     def __init__(
         self,
-        ask_sign: Callable[[targets.Target], Awaitable[orders.Told]],
+        probe: Callable[[targets.Target], Awaitable[orders.ProbeResult]],
         note_ended: Callable[[lost_call.LostCall], None],
         note_life: Callable[[targets.Target], None],
         metrics: metric_types.EntryMetrics,
     ) -> None:
-        self._ask_sign = ask_sign
+        self._ask_sign = probe
         self._note_ended = note_ended
         self._note_life = note_life
         self._metrics = metrics
@@ -87,11 +87,11 @@
             )
             self._note_ended(each)
 
-    async def _ask_again(self, target: targets.Target) -> orders.Told:
+    async def _ask_again(self, target: targets.Target) -> orders.ProbeResult:
         """Asks until something comes back, a few times at most."""
         told = await self._ask_sign(target)
         for pause_ms in _ASK_AGAIN_MS:
-            if told.sign is not orders.Sign.SILENT:
+            if told.status is not orders.ProbeStatus.NO_RESPONSE:
                 break
             await asyncio.sleep(pause_ms / 1000.0)
             told = await self._ask_sign(target)
@@ -99,12 +99,12 @@
 
 
 def _has_ended(
-    incarnation: incarnations.Incarnation, told: orders.Told
+    incarnation: incarnations.Incarnation, told: orders.ProbeResult
 ) -> bool:
     """Returns whether a life is certainly over."""
-    if told.sign is orders.Sign.GONE:
+    if told.status is orders.ProbeStatus.NOT_LISTENING:
         return True
     is_younger = (
         told.started_ms > incarnation.started_ms > incarnations.START_UNKNOWN
     )
-    return told.sign is orders.Sign.ALIVE and is_younger
+    return told.status is orders.ProbeStatus.ALIVE and is_younger
--- a/src/ruddergate/entry/rate_limiter.py
+++ b/src/ruddergate/entry/rate_limiter.py
@@ -178,22 +178,22 @@
 
         async def reserve(
             wanted: orders.Reservation, hold_ms: float
-        ) -> orders.Answer:
+        ) -> orders.OrderResult:
             charge(wanted.target)
             return await given.reserve(wanted, hold_ms)
 
-        async def release(held: orders.Reservation) -> orders.Answer:
+        async def release(held: orders.Reservation) -> orders.OrderResult:
             charge(held.target)
             return await given.release(held)
 
-        async def ask_sign(target: targets.Target) -> orders.Told:
+        async def probe(target: targets.Target) -> orders.ProbeResult:
             charge(target)
-            return await given.ask_sign(target)
+            return await given.probe(target)
 
-        return orders.Orders(reserve, release, ask_sign)
+        return orders.Orders(reserve, release, probe)
 
     async def run(
-        self, probe: Callable[[targets.Target], Awaitable[orders.Told]]
+        self, probe: Callable[[targets.Target], Awaitable[orders.ProbeResult]]
     ) -> None:
         """Probes limited targets until cancelled.
 
@@ -224,7 +224,7 @@
 
     async def _probe(
         self,
-        probe: Callable[[targets.Target], Awaitable[orders.Told]],
+        probe: Callable[[targets.Target], Awaitable[orders.ProbeResult]],
         target: targets.Target,
     ) -> None:
         with contextlib.suppress(TimeoutError):
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -101,7 +101,7 @@
         )
         try:
             signs = await self._ask_signs()
-            if any(sign is not orders.Sign.ALIVE for sign in signs):
+            if any(sign is not orders.ProbeStatus.ALIVE for sign in signs):
                 yield self._give_up_unsent(signs)
                 return
             refusal = self._refuse_withdrawn()
@@ -143,7 +143,7 @@
         """Returns a refusal if the target or a helper takes no calls now."""
         return self._tools.refuse_send([seat.target for seat in self._seats])
 
-    async def _ask_signs(self) -> tuple[orders.Sign, ...]:
+    async def _ask_signs(self) -> tuple[orders.ProbeStatus, ...]:
         """Returns signs of life of this attempt's targets, once one has failed.
 
         Engines die together, and each refusal names one of them only: a prompt
@@ -157,24 +157,24 @@
         )
 
     def _give_up_unsent(
-        self, signs: tuple[orders.Sign, ...]
+        self, signs: tuple[orders.ProbeStatus, ...]
     ) -> outcomes.NotServed:
         """Returns the outcome; nothing was sent."""
         missing = tuple(
             seat.target.target_id
             for seat, sign in zip(self._seats, signs, strict=True)
-            if sign is not orders.Sign.ALIVE
+            if sign is not orders.ProbeStatus.ALIVE
         )
         self._out_of_reach |= {
             seat.target.target_id
             for seat, sign in zip(self._seats, signs, strict=True)
-            if sign is orders.Sign.SILENT
+            if sign is orders.ProbeStatus.NO_RESPONSE
         }
         self._gone |= set(missing) - self._out_of_reach
         self._progress.excluded |= set(missing)
         self._at_fault |= set(missing)
         reason = outcomes.Reason.HELPER_UNREACHABLE
-        if signs[0] is not orders.Sign.ALIVE:
+        if signs[0] is not orders.ProbeStatus.ALIVE:
             reason = outcomes.Reason.TARGET_UNREACHABLE
         return outcomes.refuse(
             reason, f"no sign of life from {', '.join(missing)}", _SIGN_RETRY_MS
@@ -242,13 +242,16 @@
         """Returns the outcome; a reservation runs nothing, whatever happens."""
         names = [each.reservation.target.target_id for each in missing]
         self._progress.excluded |= set(names)
-        lost = (orders.Answer.GONE, orders.Answer.UNREACHABLE)
+        lost = (
+            orders.OrderResult.NOT_LISTENING,
+            orders.OrderResult.UNREACHABLE,
+        )
         for name, each in zip(names, missing, strict=True):
             if each.answer in lost:
                 self._at_fault.add(name)
-            if each.answer is orders.Answer.UNREACHABLE:
+            if each.answer is orders.OrderResult.UNREACHABLE:
                 self._out_of_reach.add(name)
-            if each.answer is orders.Answer.GONE:
+            if each.answer is orders.OrderResult.NOT_LISTENING:
                 self._gone.add(name)
         return outcomes.refuse(
             outcomes.Reason.NO_MEMORY,
--- a/src/ruddergate/entry/reservation_keeper.py
+++ b/src/ruddergate/entry/reservation_keeper.py
@@ -42,7 +42,7 @@
     """Memory that could not be set aside, and what the target answered."""
 
     reservation: orders.Reservation
-    answer: orders.Answer
+    answer: orders.OrderResult
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
         )
         missing: list[Missing] = []
         for each, answer in zip(wanted, answers, strict=True):
-            if answer is orders.Answer.DONE:
+            if answer is orders.OrderResult.DONE:
                 self._keep(each)
                 continue
             missing.append(Missing(each, answer))
@@ -108,7 +108,7 @@
                 request_id=request_id,
                 tokens=each.tokens,
             )
-            if answer is orders.Answer.UNKNOWN:
+            if answer is orders.OrderResult.UNKNOWN:
                 # It may have been set aside all the same.
                 self._keep(each)
         if missing:
@@ -135,18 +135,18 @@
 
     async def ask_signs(
         self, asked: Sequence[targets.Target]
-    ) -> tuple[orders.Sign, ...]:
+    ) -> tuple[orders.ProbeStatus, ...]:
         """Returns the signs of life that targets give at once, in order."""
-        told = await asyncio.gather(*map(self.ask_sign, asked))
-        return tuple(each.sign for each in told)
+        told = await asyncio.gather(*map(self.probe, asked))
+        return tuple(each.status for each in told)
 
-    async def ask_sign(self, target: targets.Target) -> orders.Told:
+    async def probe(self, target: targets.Target) -> orders.ProbeResult:
         """Returns the sign of life that a target gives at once."""
         try:
             async with asyncio.timeout(SIGN_WAIT_MS / 1000.0):
-                return await self._orders.ask_sign(target)
+                return await self._orders.probe(target)
         except TimeoutError:
-            return orders.Told(orders.Sign.SILENT)
+            return orders.ProbeResult(orders.ProbeStatus.NO_RESPONSE)
 
     async def wait_for_silence(self, target: targets.Target) -> None:
         """Returns when a target does not answer any more.
@@ -160,8 +160,10 @@
             if self._is_limited(target.target_id):
                 pause_ms = SILENT_PAUSE_MS if silent else PROBE_LIMITED_MS
             await asyncio.sleep(pause_ms / 1000.0)
-            told = await self._orders.ask_sign(target)
-            silent = 0 if told.sign is orders.Sign.ALIVE else silent + 1
+            told = await self._orders.probe(target)
+            silent = (
+                0 if told.status is orders.ProbeStatus.ALIVE else silent + 1
+            )
         self._log.warning("Target {} is silent.", target.target_id)
 
     def _keep(self, held: orders.Reservation) -> None:
@@ -187,15 +189,15 @@
             is_limited = self._is_limited(held.target.target_id)
             hold_ms = HOLD_LIMITED_MS if is_limited else HOLD_MS
             answer = await self._orders.reserve(held, hold_ms)
-            is_seldom = is_limited and answer is orders.Answer.DONE
+            is_seldom = is_limited and answer is orders.OrderResult.DONE
             pause_ms = RENEW_LIMITED_MS if is_seldom else RENEW_MS
-            if answer is orders.Answer.GONE:
+            if answer is orders.OrderResult.NOT_LISTENING:
                 self._note_life(held.target)
-            if answer is orders.Answer.REFUSED:
+            if answer is orders.OrderResult.REFUSED:
                 self._log.warning("Memory lost at {}.", held.target.target_id)
                 return
         answer = await self._orders.release(held)
-        if answer is not orders.Answer.DONE:
+        if answer is not orders.OrderResult.DONE:
             self._log.info(
                 "Memory at {} is left to lapse: {}.",
                 held.target.target_id,
--- a/src/ruddergate/platform/orders.py
+++ b/src/ruddergate/platform/orders.py
@@ -49,7 +49,7 @@
 
     async def reserve(
         wanted: orders.Reservation, hold_ms: float
-    ) -> orders.Answer:
+    ) -> orders.OrderResult:
         document = {
             "op": "reserve",
             "id": wanted.name,
@@ -58,31 +58,35 @@
         }
         return _read_answer(await ask(wanted.target, _make_order(document)))
 
-    async def release(held: orders.Reservation) -> orders.Answer:
+    async def release(held: orders.Reservation) -> orders.OrderResult:
         document = {"op": "release", "id": held.name}
         return _read_answer(await ask(held.target, _make_order(document)))
 
-    async def ask_sign(target: targets.Target) -> orders.Told:
+    async def probe(target: targets.Target) -> orders.ProbeResult:
         request = client.make_json_request("GET", _REPORT_PATH)
         answer = await ask(target, request)
         if not isinstance(answer, client.Fault):
             return _read_sign(target, answer)
         if answer.timed_out:
-            return orders.Told(orders.Sign.SILENT)
+            return orders.ProbeResult(orders.ProbeStatus.NO_RESPONSE)
         # A target with too many connections resets more of them.
         is_there = answer.sent
-        return orders.Told(orders.Sign.ALIVE if is_there else orders.Sign.GONE)
+        return orders.ProbeResult(
+            orders.ProbeStatus.ALIVE
+            if is_there
+            else orders.ProbeStatus.NOT_LISTENING
+        )
 
-    return orders.Orders(reserve, release, ask_sign)
+    return orders.Orders(reserve, release, probe)
 
 
 def _read_sign(
     target: targets.Target, answer: client.WholeAnswer
-) -> orders.Told:
+) -> orders.ProbeResult:
     document = answer.json()
     said = hints.read_hints(target, answer.status, answer.fields, document)
-    return orders.Told(
-        orders.Sign.ALIVE,
+    return orders.ProbeResult(
+        orders.ProbeStatus.ALIVE,
         target_entries.read_started_ms(document),
         hints.refutes_draining(said, answer.status),
     )
@@ -92,15 +96,17 @@
     return client.make_json_request("POST", _PATH, document)
 
 
-def _read_answer(answer: client.WholeAnswer | client.Fault) -> orders.Answer:
+def _read_answer(
+    answer: client.WholeAnswer | client.Fault,
+) -> orders.OrderResult:
     if isinstance(answer, client.Fault):
         if answer.sent:
-            return orders.Answer.UNKNOWN
+            return orders.OrderResult.UNKNOWN
         if answer.timed_out:
-            return orders.Answer.UNREACHABLE
-        return orders.Answer.GONE
+            return orders.OrderResult.UNREACHABLE
+        return orders.OrderResult.NOT_LISTENING
     if answer.status == _OK:
-        return orders.Answer.DONE
+        return orders.OrderResult.DONE
     if answer.status in _REFUSALS:
-        return orders.Answer.REFUSED
-    return orders.Answer.UNKNOWN
+        return orders.OrderResult.REFUSED
+    return orders.OrderResult.UNKNOWN
--- a/src/ruddergate/relay/orders.py
+++ b/src/ruddergate/relay/orders.py
@@ -24,7 +24,7 @@
     tokens: int
 
 
-class Answer(enum.Enum):
+class OrderResult(enum.Enum):
     """What became of an order.
 
     After GONE (nobody listens there) and UNREACHABLE (nothing came back) it was
@@ -33,12 +33,12 @@
 
     DONE = "done"
     REFUSED = "refused"
-    GONE = "gone"
+    NOT_LISTENING = "gone"
     UNREACHABLE = "unreachable"
     UNKNOWN = "unknown"
 
 
-class Sign(enum.Enum):
+class ProbeStatus(enum.Enum):
     """What came back from a target that was asked for a sign of life.
 
     GONE says that its machine is in reach and nobody listens there; SILENT that
@@ -46,12 +46,12 @@
     """
 
     ALIVE = "alive"
-    GONE = "gone"
-    SILENT = "silent"
+    NOT_LISTENING = "gone"
+    NO_RESPONSE = "silent"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Told:
+class ProbeResult:
     """What a target told when it was asked for a sign of life.
 
     Attributes:
@@ -60,9 +60,9 @@
         is_staying: Whether it answered, and so that it certainly did not leave.
     """
 
-    sign: Sign
+    status: ProbeStatus
     started_ms: int = incarnations.START_UNKNOWN
-    is_staying: bool = False
+    refutes_draining: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -75,6 +75,6 @@
         ask_sign: Asks a target for a sign of life.
     """
 
-    reserve: Callable[[Reservation, float], Awaitable[Answer]]
-    release: Callable[[Reservation], Awaitable[Answer]]
-    ask_sign: Callable[[targets.Target], Awaitable[Told]]
+    reserve: Callable[[Reservation, float], Awaitable[OrderResult]]
+    release: Callable[[Reservation], Awaitable[OrderResult]]
+    probe: Callable[[targets.Target], Awaitable[ProbeResult]]
--- a/standins/rate_limit_fleet.py
+++ b/standins/rate_limit_fleet.py
@@ -245,7 +245,7 @@
         )
 
     def _make_probe(self, name: str) -> Callable:
-        async def probe(target: targets.Target) -> orders.Told:
+        async def probe(target: targets.Target) -> orders.ProbeResult:
             vm = self.vms[name]
             each = self.found[target.target_id]
             sent_ms = vm.outside.now_ms()
@@ -262,7 +262,7 @@
                     sent_ms=sent_ms,
                 )
             )
-            return orders.Told(orders.Sign.ALIVE)
+            return orders.ProbeResult(orders.ProbeStatus.ALIVE)
 
         return probe
 
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -174,9 +174,9 @@
     def test_memory_is_not_set_aside_anew_in_the_next_life(self) -> None:
         given: list[str] = []
 
-        async def note(name: str) -> orders.Answer:
+        async def note(name: str) -> orders.OrderResult:
             given.append(name)
-            return orders.Answer.DONE
+            return orders.OrderResult.DONE
 
         async def run() -> None:
             network = virtual_network.VirtualNetwork(
