--- a/src/ruddergate/cli/gateway.py
+++ b/src/ruddergate/cli/gateway.py
@@ -146,7 +146,7 @@
         ),
     )
     platform = gateways.Platform(
-        door=callers.make_door(),
+        caller_protocol=callers.make_caller_protocol(),
         make_send=lambda on_hints: replicas.make_send(outside, on_hints),
         make_orders=lambda on_hints: orders.make_orders(
             outside, _ORDER_LIMITS, on_hints
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -44,7 +44,7 @@
 from ruddergate.messages import document_part
 from ruddergate.messages import retry_transfer
 from ruddergate.messages import store_changes
-from ruddergate.relay import door as doors
+from ruddergate.relay import caller_protocol as caller_protocols
 from ruddergate.relay import errand as errands
 from ruddergate.relay import hints as hint_types
 from ruddergate.relay import orders
@@ -103,7 +103,7 @@
         source: Calls of the store.
     """
 
-    door: doors.Door
+    caller_protocol: caller_protocols.CallerProtocol
     make_send: Callable[[hint_types.OnHints], errands.Send]
     make_orders: Callable[[hint_types.OnHints], orders.Orders]
     source: published.Source
@@ -126,7 +126,9 @@
         self._log = logs.make_logger("entry")
         self._is_stopping = False
         self._connections = http_server.Connections()
-        self._open = open_calls.OpenCalls(platform.door.write_failure)
+        self._open = open_calls.OpenCalls(
+            platform.caller_protocol.write_failure
+        )
         view = views.View()
         withdrawn = withdrawals.Withdrawals()
         metrics = metric_types.EntryMetrics()
@@ -201,7 +203,7 @@
         )
         self._handler = relay_handler.RelayHandler(
             self.tools,
-            platform.door,
+            platform.caller_protocol,
             platform.make_send(self._observe),
             self._keeper,
             relay_admit.Trust(
--- a/src/ruddergate/entry/relay_admit.py
+++ b/src/ruddergate/entry/relay_admit.py
@@ -8,7 +8,7 @@
 from ruddergate import request as requests
 from ruddergate.entry import tools as tool_types
 from ruddergate.http import message
-from ruddergate.relay import door as doors
+from ruddergate.relay import caller_protocol as caller_protocols
 from ruddergate.settings import catalog as catalogs
 from ruddergate.settings import effective
 from ruddergate.settings import route as routes
@@ -40,7 +40,7 @@
 
 def admit(
     incoming: message.IncomingRequest,
-    inquiry: doors.Inquiry,
+    caller_request: caller_protocols.CallerRequest,
     arrived_ms: float,
     tools: tool_types.Tools,
     trust: Trust,
@@ -61,7 +61,7 @@
             "this VM has no settings yet",
             _NO_SETTINGS_RETRY_MS,
         )
-    route = catalog.find_route(inquiry.host, incoming.path)
+    route = catalog.find_route(caller_request.host, incoming.path)
     if route is None:
         return _refuse_unknown(
             outcomes.Reason.UNKNOWN_WORKLOAD,
@@ -73,7 +73,7 @@
     if catalog.workspaces and not route.is_open:
         if _settings_age_ms(tools) > trust.key_age_max_ms:
             return _refuse_stale("whether the key is still good")
-        found = catalog.workspaces.get(inquiry.key)
+        found = catalog.workspaces.get(caller_request.key)
         if found is None:
             return _refuse_unknown(
                 outcomes.Reason.UNKNOWN_KEY, "unknown key", tools, trust
@@ -87,7 +87,13 @@
             _NO_SETTINGS_RETRY_MS,
         )
     return _make_request(
-        incoming, inquiry, arrived_ms, route, workspace, pool, catalog.revision
+        incoming,
+        caller_request,
+        arrived_ms,
+        route,
+        workspace,
+        pool,
+        catalog.revision,
     )
 
 
@@ -125,7 +131,7 @@
 
 def _make_request(
     incoming: message.IncomingRequest,
-    inquiry: doors.Inquiry,
+    caller_request: caller_protocols.CallerRequest,
     arrived_ms: float,
     route: routes.Route,
     workspace: catalogs.Workspace,
@@ -133,8 +139,8 @@
     revision: int,
 ) -> requests.Request:
     time_limit_ms = route.time_limit_ms
-    if inquiry.time_limit_ms is not None:
-        time_limit_ms = min(time_limit_ms, inquiry.time_limit_ms)
+    if caller_request.time_limit_ms is not None:
+        time_limit_ms = min(time_limit_ms, caller_request.time_limit_ms)
     rank = workspace.rank * _RANK_STEP + route.rank
     workload = effective.Workload(
         name=route.name,
@@ -146,8 +152,8 @@
         pool=pool,
         time_limit_ms=route.time_limit_ms,
         repeatable=route.repeatable,
-        prompt_tokens_max=inquiry.prompt_tokens,
-        output_tokens_max=inquiry.output_tokens_max,
+        prompt_tokens_max=caller_request.prompt_tokens,
+        output_tokens_max=caller_request.output_tokens_max,
         output_tokens_typical=_OUTPUT_TOKENS_TYPICAL,
         weight=1.0,
         limits=(),
@@ -155,19 +161,19 @@
     payload = payloads.Payload(
         route=route,
         method=incoming.method,
-        host=inquiry.host,
+        host=caller_request.host,
         target=incoming.target,
-        fields=inquiry.fields,
+        fields=caller_request.fields,
         body=incoming.body,
-        last_event=inquiry.last_event,
+        last_event=caller_request.last_event,
     )
     return requests.Request(
-        request_id=inquiry.request_id,
+        request_id=caller_request.request_id,
         workload=workload,
         prompt="",
-        prompt_tokens=inquiry.prompt_tokens,
-        output_tokens_max=inquiry.output_tokens_max,
-        output_tokens_expected=inquiry.output_tokens_max,
+        prompt_tokens=caller_request.prompt_tokens,
+        output_tokens_max=caller_request.output_tokens_max,
+        output_tokens_expected=caller_request.output_tokens_max,
         prefix=None,
         repeatable=route.repeatable,
         idempotency_key="",
--- a/src/ruddergate/entry/relay_handler.py
+++ b/src/ruddergate/entry/relay_handler.py
@@ -12,7 +12,7 @@
 from ruddergate.entry import tools as tool_types
 from ruddergate.http import message
 from ruddergate.relay import answer as answers
-from ruddergate.relay import door as doors
+from ruddergate.relay import caller_protocol as caller_protocols
 from ruddergate.relay import errand as errands
 from ruddergate.telemetry import logs
 
@@ -40,13 +40,13 @@
     def __init__(
         self,
         tools: tool_types.Tools,
-        door: doors.Door,
+        caller_protocol: caller_protocols.CallerProtocol,
         send: errands.Send,
         keeper: reservation_keeper.ReservationKeeper,
         trust: relay_admit.Trust,
     ) -> None:
         self._tools = tools
-        self._door = door
+        self._door = caller_protocol
         self._send = send
         self._keeper = keeper
         self._trust = trust
@@ -56,17 +56,17 @@
         self, incoming: message.IncomingRequest
     ) -> message.Response:
         """Answers a caller."""
-        inquiry = self._door.read(incoming)
-        if isinstance(inquiry, outcomes.NotServed):
-            return self._refuse(inquiry, "")
+        caller_request = self._door.read(incoming)
+        if isinstance(caller_request, outcomes.NotServed):
+            return self._refuse(caller_request, "")
         # A wait for the first settings is part of the caller's time.
         arrived_ms = self._tools.outside.now_ms()
         await self._wait_for_catalog()
         request = relay_admit.admit(
-            incoming, inquiry, arrived_ms, self._tools, self._trust
+            incoming, caller_request, arrived_ms, self._tools, self._trust
         )
         if isinstance(request, outcomes.NotServed):
-            return self._refuse(request, inquiry.request_id)
+            return self._refuse(request, caller_request.request_id)
         events = relay_run.run(request, self._send, self._keeper, self._tools)
         try:
             first = await anext(events)
--- a/src/ruddergate/platform/callers.py
+++ b/src/ruddergate/platform/callers.py
@@ -6,7 +6,7 @@
 from ruddergate import outcomes
 from ruddergate.http import message
 from ruddergate.platform import headers
-from ruddergate.relay import door as doors
+from ruddergate.relay import caller_protocol as caller_protocols
 
 _STATUS: Mapping[outcomes.Reason, int] = {
     outcomes.Reason.BAD_REQUEST: 400,
@@ -19,14 +19,14 @@
 _OTHER_STATUS = 502
 
 
-def make_door() -> doors.Door:
+def make_caller_protocol() -> caller_protocols.CallerProtocol:
     """Returns the door of the platform's callers."""
-    return doors.Door(_read, _write_failure)
+    return caller_protocols.CallerProtocol(_read, _write_failure)
 
 
 def _read(
     incoming: message.IncomingRequest,
-) -> doors.Inquiry | outcomes.NotServed:
+) -> caller_protocols.CallerRequest | outcomes.NotServed:
     found = incoming.headers
     time_limit_ms = _read_number(found.get(headers.TIME_LEFT, ""))
     tokens = found.get(headers.TOKENS, "").split(",")
@@ -35,7 +35,7 @@
     prefix_name, prefix_tokens = _read_shared_part(
         found.get(headers.PREFIX, "")
     )
-    return doors.Inquiry(
+    return caller_protocols.CallerRequest(
         request_id=found.get(headers.REQUEST_ID, ""),
         host=found.get("host", ""),
         key=found.get(headers.API_KEY, ""),
--- a/src/ruddergate/relay/door.py
+++ b/src/ruddergate/relay/caller_protocol.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Inquiry:
+class CallerRequest:
     """A call before the settings are asked about it.
 
     Attributes:
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Door:
+class CallerProtocol:
     """Translation between HTTP and the product, for one kind of caller.
 
     Attributes:
@@ -45,5 +45,7 @@
         write_failure: Returns the answer for a call that was not served.
     """
 
-    read: Callable[[message.IncomingRequest], Inquiry | outcomes.NotServed]
+    read: Callable[
+        [message.IncomingRequest], CallerRequest | outcomes.NotServed
+    ]
     write_failure: Callable[[outcomes.NotServed], message.Response]
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -50,20 +50,20 @@
 
 class CallersTest(unittest.TestCase):
     def test_not_run_statuses_are_told_only_when_nothing_ran(self) -> None:
-        door = callers.make_door()
+        caller_protocol = callers.make_caller_protocol()
         for reason, ran in itertools.product(outcomes.Reason, outcomes.Ran):
             failure = outcomes.NotServed(reason, ran, "why", 100.0)
-            status = door.write_failure(failure).status
+            status = caller_protocol.write_failure(failure).status
             if ran is not outcomes.Ran.NOT_RUN:
                 self.assertNotIn(status, _PROMISES, (reason, ran))
 
     def test_retry_after_is_in_seconds(self) -> None:
         refusal = outcomes.refuse(outcomes.Reason.NO_TARGET, "why", 250.0)
-        answer = callers.make_door().write_failure(refusal)
+        answer = callers.make_caller_protocol().write_failure(refusal)
         self.assertEqual(answer.headers["retry-after"], "0.250")
 
     def test_call_is_read(self) -> None:
-        inquiry = callers.make_door().read(
+        caller_request = callers.make_caller_protocol().read(
             _incoming(
                 {
                     "host": "a.example",
@@ -76,12 +76,12 @@
                 }
             )
         )
-        self.assertEqual(inquiry.request_id, "9c41")
-        self.assertEqual(inquiry.time_limit_ms, 10_000.0)
-        self.assertEqual(inquiry.prompt_tokens, 1_460)
-        self.assertEqual(inquiry.output_tokens_max, 80)
-        self.assertEqual(inquiry.prefix_name, "5c1e")
-        self.assertEqual(inquiry.last_event, "12")
+        self.assertEqual(caller_request.request_id, "9c41")
+        self.assertEqual(caller_request.time_limit_ms, 10_000.0)
+        self.assertEqual(caller_request.prompt_tokens, 1_460)
+        self.assertEqual(caller_request.output_tokens_max, 80)
+        self.assertEqual(caller_request.prefix_name, "5c1e")
+        self.assertEqual(caller_request.last_event, "12")
 
     @hypothesis.given(
         strategies.dictionaries(
@@ -92,8 +92,8 @@
         )
     )
     def test_any_header_value_is_borne(self, fields: dict[str, str]) -> None:
-        inquiry = callers.make_door().read(_incoming(fields))
-        self.assertGreaterEqual(inquiry.prompt_tokens, 0)
+        caller_request = callers.make_caller_protocol().read(_incoming(fields))
+        self.assertGreaterEqual(caller_request.prompt_tokens, 0)
 
     def test_targets_see_neither_keys_nor_forged_orders(self) -> None:
         fields = (
