--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -45,10 +45,10 @@
 from ruddergate.messages import retry_transfer
 from ruddergate.messages import store_changes
 from ruddergate.relay import caller_protocol as caller_protocols
-from ruddergate.relay import errand as errands
 from ruddergate.relay import hints as hint_types
 from ruddergate.relay import orders
 from ruddergate.relay import published
+from ruddergate.relay import upstream_request as upstream_requests
 from ruddergate.telemetry import logs
 from ruddergate.telemetry import metrics as metric_types
 from ruddergate.telemetry import traces
@@ -104,7 +104,7 @@
     """
 
     caller_protocol: caller_protocols.CallerProtocol
-    make_send: Callable[[hint_types.OnHints], errands.Send]
+    make_send: Callable[[hint_types.OnHints], upstream_requests.Send]
     make_orders: Callable[[hint_types.OnHints], orders.Orders]
     source: published.Source
 
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -17,8 +17,8 @@
 from ruddergate.entry import suspects
 from ruddergate.entry import tools as tool_types
 from ruddergate.relay import answer as answers
-from ruddergate.relay import errand as errands
 from ruddergate.relay import orders
+from ruddergate.relay import upstream_request as upstream_requests
 
 # A connection to a target in reach is up in a few milliseconds; packets lost
 # on the way are sent again after a second, which is too late to wait for. A
@@ -71,7 +71,7 @@
         request: requests.Request,
         placed: placement.Placed,
         progress: relay_progress.Progress,
-        send: errands.Send,
+        send: upstream_requests.Send,
         keeper: reservation_keeper.ReservationKeeper,
         tools: tool_types.Tools,
     ) -> None:
@@ -115,11 +115,11 @@
                 yield self._give_up_memory(missing)
                 return
             self._sent_ms = self._tools.outside.now_ms()
-            errand = self._make_errand(reservations)
+            upstream_request = self._make_errand(reservations)
             traceparent = self._request.traceparent
             with self._tools.tracer.span("attempt", traceparent):
                 async with contextlib.aclosing(
-                    self._read(errand, bool(reservations))
+                    self._read(upstream_request, bool(reservations))
                 ) as events:
                     async for event in events:
                         if self._note(event):
@@ -181,16 +181,18 @@
         )
 
     async def _read(
-        self, errand: errands.Errand, is_watched: bool
+        self,
+        upstream_request: upstream_requests.UpstreamRequest,
+        is_watched: bool,
     ) -> AsyncIterator[answers.Event]:
         """Yields the answer; a watched target must show that it lives.
 
         It is watched until its first events; from then on their gaps tell. So
         are its helpers, without which there won't be any.
         """
-        async with contextlib.aclosing(self._send(errand)) as events:
+        async with contextlib.aclosing(self._send(upstream_request)) as events:
             hopeless = []
-            if errand.helpers:
+            if upstream_request.helpers:
                 hopeless.append(self._wait_for_helpers_end())
             if is_watched:
                 hopeless.append(self._wait_for_silence())
@@ -351,9 +353,9 @@
 
     def _make_errand(
         self, reservations: dict[str, orders.Reservation]
-    ) -> errands.Errand:
+    ) -> upstream_requests.UpstreamRequest:
         request = self._request
-        return errands.Errand(
+        return upstream_requests.UpstreamRequest(
             payload=request.payload,
             target=self._seats[0].target,
             workspace=request.workload.workspace,
@@ -363,18 +365,20 @@
             helpers=tuple(
                 _make_helper(seat, reservations) for seat in self._seats[1:]
             ),
-            patience=self._find_patience(),
-            refuse=self._refuse_send,
+            timeouts=self._find_patience(),
+            check_admission=self._refuse_send,
         )
 
-    def _find_patience(self) -> errands.Patience:
+    def _find_patience(self) -> upstream_requests.Timeouts:
         """Returns how long silence is borne; to the end for what runs once."""
         request = self._request
         route = request.payload.route
         left_ms = request.remaining_ms(self._tools.outside.now_ms())
         if not route.repeatable:
-            return errands.Patience(CONNECT_TIMEOUT_MS, left_ms, left_ms)
-        return errands.Patience(
+            return upstream_requests.Timeouts(
+                CONNECT_TIMEOUT_MS, left_ms, left_ms
+            )
+        return upstream_requests.Timeouts(
             CONNECT_TIMEOUT_MS,
             max(SILENCE_LEAST_MS, SILENCE_AIMS * route.aim_ms),
             max(SILENCE_LEAST_MS, SILENCE_AIMS * route.gap_aim_ms),
@@ -398,9 +402,9 @@
 
 def _make_helper(
     seat: placement.Seat, reservations: dict[str, orders.Reservation]
-) -> errands.Helper:
+) -> upstream_requests.Helper:
     held = reservations.get(seat.target.target_id)
-    return errands.Helper(
+    return upstream_requests.Helper(
         seat.target.target_id, seat.target.address, held.name if held else ""
     )
 
--- a/src/ruddergate/entry/relay_handler.py
+++ b/src/ruddergate/entry/relay_handler.py
@@ -13,7 +13,7 @@
 from ruddergate.http import message
 from ruddergate.relay import answer as answers
 from ruddergate.relay import caller_protocol as caller_protocols
-from ruddergate.relay import errand as errands
+from ruddergate.relay import upstream_request as upstream_requests
 from ruddergate.telemetry import logs
 
 # How a call ends in logs and metrics whose caller did not wait for the answer.
@@ -41,7 +41,7 @@
         self,
         tools: tool_types.Tools,
         caller_protocol: caller_protocols.CallerProtocol,
-        send: errands.Send,
+        send: upstream_requests.Send,
         keeper: reservation_keeper.ReservationKeeper,
         trust: relay_admit.Trust,
     ) -> None:
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -21,7 +21,7 @@
 from ruddergate.entry import reservation_keeper
 from ruddergate.entry import tools as tool_types
 from ruddergate.relay import answer as answers
-from ruddergate.relay import errand as errands
+from ruddergate.relay import upstream_request as upstream_requests
 
 # Targets tried for a connection, besides those that were sent the call.
 UNREACHABLE_MAX = 8
@@ -68,7 +68,7 @@
 
 async def run(
     request: requests.Request,
-    send: errands.Send,
+    send: upstream_requests.Send,
     keeper: reservation_keeper.ReservationKeeper,
     tools: tool_types.Tools,
 ) -> AsyncIterator[answers.Event]:
--- a/src/ruddergate/platform/replicas.py
+++ b/src/ruddergate/platform/replicas.py
@@ -15,9 +15,9 @@
 from ruddergate.platform import headers
 from ruddergate.platform import hints
 from ruddergate.relay import answer as answers
-from ruddergate.relay import errand as errands
 from ruddergate.relay import event_splitter
 from ruddergate.relay import hints as hint_types
+from ruddergate.relay import upstream_request as upstream_requests
 
 _MISDIRECTED = 421
 _REDIRECTION = 300
@@ -35,7 +35,7 @@
 
 def make_send(
     outside: environment.Environment, on_hints: hint_types.OnHints
-) -> errands.Send:
+) -> upstream_requests.Send:
     """Returns the function that sends a call to a target.
 
     Args:
@@ -43,21 +43,25 @@
         hear: Takes what targets say of themselves in their answers.
     """
 
-    async def send(errand: errands.Errand) -> AsyncIterator[answers.Event]:
+    async def send(
+        upstream_request: upstream_requests.UpstreamRequest,
+    ) -> AsyncIterator[answers.Event]:
         exchange = await client.connect(
-            outside, errand.target.address, errand.patience.connect_ms
+            outside,
+            upstream_request.target.address,
+            upstream_request.timeouts.connect_ms,
         )
         if isinstance(exchange, client.Fault):
             yield _make_lost(exchange)
             return
         try:
-            unsent = _send_now(outside, errand, exchange)
+            unsent = _send_now(outside, upstream_request, exchange)
             if unsent is not None:
                 yield unsent
                 return
             sent_ms = outside.now_ms()
             async for event in _read(
-                outside, errand, exchange, on_hints, sent_ms
+                outside, upstream_request, exchange, on_hints, sent_ms
             ):
                 yield event
         finally:
@@ -68,34 +72,36 @@
 
 def _send_now(
     outside: environment.Environment,
-    errand: errands.Errand,
+    upstream_request: upstream_requests.UpstreamRequest,
     exchange: client.Exchange,
 ) -> outcomes.NotServed | None:
     """Sends the call unless it is refused; nothing may come between the two."""
-    refusal = errand.refuse()
+    refusal = upstream_request.check_admission()
     if refusal is not None:
         return refusal
-    outgoing = _make_outgoing(errand, outside.now_ms())
-    fault = exchange.try_send(errand.target.address, outgoing)
+    outgoing = _make_outgoing(upstream_request, outside.now_ms())
+    fault = exchange.try_send(upstream_request.target.address, outgoing)
     return None if fault is None else _make_lost(fault)
 
 
 def _make_outgoing(
-    errand: errands.Errand, now_ms: float
+    upstream_request: upstream_requests.UpstreamRequest, now_ms: float
 ) -> message.OutgoingRequest:
-    left_ms = max(1.0, errand.deadline_ms - now_ms)
+    left_ms = max(1.0, upstream_request.deadline_ms - now_ms)
     set_here = {
         headers.TIME_LEFT: str(int(left_ms)),
-        headers.EXPECTED_TARGET: errand.target.target_id,
-        headers.URGENCY: str(errand.urgency),
+        headers.EXPECTED_TARGET: upstream_request.target.target_id,
+        headers.URGENCY: str(upstream_request.urgency),
     }
-    if errand.workspace:
-        set_here[headers.WORKSPACE] = errand.workspace
-    if errand.resume_after:
-        set_here[headers.LAST_EVENT] = errand.resume_after
-    if errand.helpers:
-        set_here[headers.HELPERS] = ",".join(map(_name_helper, errand.helpers))
-    payload = errand.payload
+    if upstream_request.workspace:
+        set_here[headers.WORKSPACE] = upstream_request.workspace
+    if upstream_request.resume_after:
+        set_here[headers.LAST_EVENT] = upstream_request.resume_after
+    if upstream_request.helpers:
+        set_here[headers.HELPERS] = ",".join(
+            map(_name_helper, upstream_request.helpers)
+        )
+    payload = upstream_request.payload
     return message.OutgoingRequest(
         payload.method,
         payload.target,
@@ -106,7 +112,7 @@
     )
 
 
-def _name_helper(helper: errands.Helper) -> str:
+def _name_helper(helper: upstream_requests.Helper) -> str:
     if helper.ticket:
         return f"{helper.address}/{helper.ticket}"
     return str(helper.address)
@@ -114,33 +120,36 @@
 
 async def _read(
     outside: environment.Environment,
-    errand: errands.Errand,
+    upstream_request: upstream_requests.UpstreamRequest,
     exchange: client.Exchange,
     on_hints: hint_types.OnHints,
     sent_ms: float,
 ) -> AsyncIterator[answers.Event]:
     until_ms = min(
-        errand.deadline_ms, outside.now_ms() + errand.patience.first_ms
+        upstream_request.deadline_ms,
+        outside.now_ms() + upstream_request.timeouts.first_ms,
     )
-    fault = await _wait(exchange.read_head, outside, until_ms, errand)
+    fault = await _wait(exchange.read_head, outside, until_ms, upstream_request)
     if fault is not None:
         yield _make_lost(fault) if isinstance(fault, client.Fault) else fault
         return
-    on_hints(_read_statement(errand, exchange, sent_ms))
-    told = _read_load(errand, exchange)
+    on_hints(_read_statement(upstream_request, exchange, sent_ms))
+    told = _read_load(upstream_request, exchange)
     if told is not None:
         yield told
-    at_fault = _find_helper_at_fault(errand, exchange)
+    at_fault = _find_helper_at_fault(upstream_request, exchange)
     if at_fault is not None:
         yield answers.FaultTold(at_fault)
-    wrong = _check_head(errand, exchange)
+    wrong = _check_head(upstream_request, exchange)
     if wrong is not None:
         yield wrong
         return
-    if not errand.payload.route.is_stream or exchange.status != _OK:
-        yield await _read_whole(outside, errand, exchange)
+    if not upstream_request.payload.route.is_stream or exchange.status != _OK:
+        yield await _read_whole(outside, upstream_request, exchange)
         return
-    async for event in _read_stream(outside, errand, exchange, until_ms):
+    async for event in _read_stream(
+        outside, upstream_request, exchange, until_ms
+    ):
         yield event
 
 
@@ -148,7 +157,7 @@
     read: Callable[[], Awaitable[T]],
     outside: environment.Environment,
     until_ms: float,
-    errand: errands.Errand,
+    upstream_request: upstream_requests.UpstreamRequest,
 ) -> T | outcomes.NotServed:
     """Waits until a time; tells a deadline from a target's silence.
 
@@ -160,16 +169,16 @@
     if isinstance(found, _Nothing) and late_ms > _STOPPED_MS:
         again_ms = outside.now_ms() + _LOOK_AGAIN_MS
         found = await _read_until(read, outside, again_ms)
-    is_early = outside.now_ms() < errand.deadline_ms
+    is_early = outside.now_ms() < upstream_request.deadline_ms
     if (
         isinstance(found, _Nothing)
         and is_early
-        and not await errand.patience.may_end()
+        and not await upstream_request.timeouts.may_give_up()
     ):
-        found = await _read_until(read, outside, errand.deadline_ms)
+        found = await _read_until(read, outside, upstream_request.deadline_ms)
     if not isinstance(found, _Nothing):
         return found
-    if outside.now_ms() >= errand.deadline_ms:
+    if outside.now_ms() >= upstream_request.deadline_ms:
         return _make_time_limit()
     return outcomes.NotServed(
         outcomes.Reason.TARGET_LOST,
@@ -216,29 +225,34 @@
 
 
 def _read_statement(
-    errand: errands.Errand, exchange: client.Exchange, sent_ms: float
+    upstream_request: upstream_requests.UpstreamRequest,
+    exchange: client.Exchange,
+    sent_ms: float,
 ) -> hint_types.Hints:
     return hints.read_hints(
-        errand.target,
+        upstream_request.target,
         exchange.status,
         exchange.fields,
-        request_id=_find_request_id(errand),
+        request_id=_find_request_id(upstream_request),
         is_call=True,
         sent_ms=sent_ms,
     )
 
 
-def _find_request_id(errand: errands.Errand) -> str:
-    return dict(errand.payload.fields).get(headers.REQUEST_ID, "")
+def _find_request_id(
+    upstream_request: upstream_requests.UpstreamRequest,
+) -> str:
+    return dict(upstream_request.payload.fields).get(headers.REQUEST_ID, "")
 
 
 def _read_load(
-    errand: errands.Errand, exchange: client.Exchange
+    upstream_request: upstream_requests.UpstreamRequest,
+    exchange: client.Exchange,
 ) -> answers.LoadTold | None:
     parts = exchange.headers.get(headers.LOAD, "").split(",")
     if len(parts) < 2 or not (parts[0].isdigit() and parts[1].isdigit()):
         return None
-    target_id = errand.target.target_id
+    target_id = upstream_request.target.target_id
     return answers.LoadTold(
         load_report.LoadReport(
             target_id=target_id,
@@ -248,24 +262,26 @@
             held_tokens=0,
             draining=False,
             age_ms=0.0,
-            started_ms=errand.target.started_ms,
+            started_ms=upstream_request.target.started_ms,
         )
     )
 
 
 def _find_helper_at_fault(
-    errand: errands.Errand, exchange: client.Exchange
+    upstream_request: upstream_requests.UpstreamRequest,
+    exchange: client.Exchange,
 ) -> str | None:
     """Returns the helper that the target blames, by whichever name it does."""
     named = exchange.headers.get(headers.AT_FAULT, "")
-    for helper in errand.helpers:
+    for helper in upstream_request.helpers:
         if named in (helper.target_id, str(helper.address)):
             return helper.target_id
     return None
 
 
 def _check_head(
-    errand: errands.Errand, exchange: client.Exchange
+    upstream_request: upstream_requests.UpstreamRequest,
+    exchange: client.Exchange,
 ) -> outcomes.NotServed | None:
     """Returns why the answer can't be this call's own, if so."""
     found = exchange.headers
@@ -281,7 +297,7 @@
             f"the target refused with {exchange.status}",
             _RETRY_MS,
         )
-    sent_id = _find_request_id(errand)
+    sent_id = _find_request_id(upstream_request)
     echoed_id = found.get(headers.REQUEST_ID)
     if echoed_id is not None and echoed_id != sent_id:
         return _make_broken("the answer belongs to another call")
@@ -299,12 +315,14 @@
 
 async def _read_whole(
     outside: environment.Environment,
-    errand: errands.Errand,
+    upstream_request: upstream_requests.UpstreamRequest,
     exchange: client.Exchange,
 ) -> answers.Event:
     # What was read of a body is gone when reading is given up, so this looks
     # only once.
-    body = await _read_until(exchange.read_all, outside, errand.deadline_ms)
+    body = await _read_until(
+        exchange.read_all, outside, upstream_request.deadline_ms
+    )
     if isinstance(body, _Nothing):
         return _make_time_limit()
     if isinstance(body, client.Fault):
@@ -317,14 +335,16 @@
 
 async def _read_stream(
     outside: environment.Environment,
-    errand: errands.Errand,
+    upstream_request: upstream_requests.UpstreamRequest,
     exchange: client.Exchange,
     until_ms: float,
 ) -> AsyncIterator[answers.Event]:
     splitter = event_splitter.EventSplitter()
     is_begun = False
     while True:
-        part = await _wait(exchange.read_part, outside, until_ms, errand)
+        part = await _wait(
+            exchange.read_part, outside, until_ms, upstream_request
+        )
         if isinstance(part, client.Fault):
             yield _make_lost(part)
             return
@@ -343,7 +363,8 @@
             return
         yield events
         until_ms = min(
-            errand.deadline_ms, outside.now_ms() + errand.patience.gap_ms
+            upstream_request.deadline_ms,
+            outside.now_ms() + upstream_request.timeouts.gap_ms,
         )
 
 
--- a/src/ruddergate/relay/errand.py
+++ b/src/ruddergate/relay/upstream_request.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Patience:
+class Timeouts:
     """How long to wait for a target, in milliseconds.
 
     Attributes:
@@ -51,11 +51,11 @@
     connect_ms: float
     first_ms: float
     gap_ms: float
-    may_end: Callable[[], Awaitable[bool]] = _always
+    may_give_up: Callable[[], Awaitable[bool]] = _always
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Errand:
+class UpstreamRequest:
     """What to send to whom.
 
     Attributes:
@@ -78,9 +78,9 @@
     urgency: int
     resume_after: str
     helpers: tuple[Helper, ...]
-    patience: Patience
-    refuse: Callable[[], outcomes.NotServed | None] = _refuse_nothing
+    timeouts: Timeouts
+    check_admission: Callable[[], outcomes.NotServed | None] = _refuse_nothing
 
 
-Send: TypeAlias = Callable[[Errand], AsyncIterator[answers.Event]]
+Send: TypeAlias = Callable[[UpstreamRequest], AsyncIterator[answers.Event]]
 """Sends an errand; the caller closes the iterator to give it up."""
--- a/tests/test_replica_calls.py
+++ b/tests/test_replica_calls.py
@@ -13,8 +13,8 @@
 from ruddergate.http import server
 from ruddergate.platform import replicas
 from ruddergate.relay import answer as answers
-from ruddergate.relay import errand as errands
 from ruddergate.relay import hints as hint_types
+from ruddergate.relay import upstream_request as upstream_requests
 from ruddergate.settings import route as routes
 from standins import virtual_network
 from standins import virtual_process
@@ -39,7 +39,7 @@
 _FIRST_MS = 900.0
 
 
-def _make_errand(now_ms: float) -> errands.Errand:
+def _make_errand(now_ms: float) -> upstream_requests.UpstreamRequest:
     payload = payloads.Payload(
         _ROUTE,
         "POST",
@@ -49,9 +49,9 @@
         b"",
         "",
     )
-    patience = errands.Patience(250.0, _FIRST_MS, _FIRST_MS)
-    return errands.Errand(
-        payload, _TARGET, "w", now_ms + 10_000.0, 3, "", (), patience
+    timeouts = upstream_requests.Timeouts(250.0, _FIRST_MS, _FIRST_MS)
+    return upstream_requests.UpstreamRequest(
+        payload, _TARGET, "w", now_ms + 10_000.0, 3, "", (), timeouts
     )
 
 
@@ -125,12 +125,12 @@
 
             outside = dataclasses.replace(plain, connect=connect)
             send = replicas.make_send(outside, hint_types.ignore)
-            errand = dataclasses.replace(
+            upstream_request = dataclasses.replace(
                 _make_errand(outside.now_ms()), refuse=refuse
             )
 
             async def collect() -> list[answers.Event]:
-                return [event async for event in send(errand)]
+                return [event async for event in send(upstream_request)]
 
             return await near.start(collect)
 
