--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -227,7 +227,7 @@
         may_again = request.payload.route.repeatable
         if not may_again or not await self._tools.secure_retry(is_large):
             await asyncio.Event().wait()
-        self._note(answers.FaultTold(incarnation.target_id))
+        self._note(answers.HelperFaultReported(incarnation.target_id))
         self._gone.add(incarnation.target_id)
         # A content that ends several engines at once must not be cleared by
         # that: the one that was to answer may have ended, too.
@@ -264,10 +264,10 @@
     def _note(self, event: answers.Event) -> bool:
         """Takes an event in; returns whether it is to be handed on."""
         match event:
-            case answers.LoadTold():
+            case answers.LoadReported():
                 self._tools.scheduler.post(placement.Reported(event.report))
                 return False
-            case answers.FaultTold():
+            case answers.HelperFaultReported():
                 self._at_fault.add(event.target_id)
                 self._progress.excluded |= {event.target_id}
                 self._progress.blamed += (event.target_id,)
--- a/src/ruddergate/platform/replicas.py
+++ b/src/ruddergate/platform/replicas.py
@@ -139,7 +139,7 @@
         yield told
     at_fault = _find_helper_at_fault(upstream_request, exchange)
     if at_fault is not None:
-        yield answers.FaultTold(at_fault)
+        yield answers.HelperFaultReported(at_fault)
     wrong = _check_head(upstream_request, exchange)
     if wrong is not None:
         yield wrong
@@ -248,12 +248,12 @@
 def _read_load(
     upstream_request: upstream_requests.UpstreamRequest,
     exchange: client.Exchange,
-) -> answers.LoadTold | None:
+) -> answers.LoadReported | None:
     parts = exchange.headers.get(headers.LOAD, "").split(",")
     if len(parts) < 2 or not (parts[0].isdigit() and parts[1].isdigit()):
         return None
     target_id = upstream_request.target.target_id
-    return answers.LoadTold(
+    return answers.LoadReported(
         load_report.LoadReport(
             target_id=target_id,
             generation=target_id,
--- a/src/ruddergate/relay/answer.py
+++ b/src/ruddergate/relay/answer.py
@@ -54,14 +54,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LoadTold:
+class LoadReported:
     """A target told its load with an answer."""
 
     report: load_report.LoadReport
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class FaultTold:
+class HelperFaultReported:
     """A target told that another one was at fault, which helped it.
 
     Attributes:
@@ -76,8 +76,8 @@
     | StreamHead
     | StreamEvents
     | StreamEnd
-    | LoadTold
-    | FaultTold
+    | LoadReported
+    | HelperFaultReported
     | outcomes.NotServed
 )
 """The last event is a WholeAnswer, a StreamEnd or a NotServed."""
