--- a/src/ruddergate/platform/configuration.py
+++ b/src/ruddergate/platform/configuration.py
@@ -178,6 +178,6 @@
         checks_key=False,
         gang_engines_max=_ENGINES_MAX if "hop_ms" in engine else 1,
         weight_reads_per_s_max=0.0,
-        pass_ms=_private.get(engine, "stride", int, 1)
+        iteration_ms=_private.get(engine, "stride", int, 1)
         * _private.get(engine, "step_ms", float, 0.0),
     )
--- a/src/ruddergate/platform/headers.py
+++ b/src/ruddergate/platform/headers.py
@@ -82,7 +82,7 @@
     return _select(fields, _ONE_HOP | length | _named_in(fields))
 
 
-def leave_out_pause(fields: message.Fields) -> message.Fields:
+def drop_retry_after(fields: message.Fields) -> message.Fields:
     """Returns a refusal's header lines without the time to come back.
 
     That is said to this VM, of one target; others may serve the caller at once.
--- a/src/ruddergate/platform/replicas.py
+++ b/src/ruddergate/platform/replicas.py
@@ -329,7 +329,7 @@
         return _make_lost(body)
     fields = headers.select_for_caller(exchange.fields)
     if exchange.status in hints.REFUSALS:
-        fields = headers.leave_out_pause(fields)
+        fields = headers.drop_retry_after(fields)
     return answers.WholeAnswer(exchange.status, fields, body)
 
 
--- a/src/ruddergate/settings/check.py
+++ b/src/ruddergate/settings/check.py
@@ -67,8 +67,8 @@
     shard: str, data: bytes, problems: list[problem.Problem]
 ) -> Iterator[tuple[str, object]]:
     path = f"shard {shard}"
-    if len(data) > schema.VALUE_BYTES_MAX:
-        expected = f"at most {schema.VALUE_BYTES_MAX} bytes"
+    if len(data) > schema.MAX_SHARD_BYTES:
+        expected = f"at most {schema.MAX_SHARD_BYTES} bytes"
         problems.append(problem.Problem(path, expected, f"{len(data)}"))
         return
     try:
--- a/src/ruddergate/settings/effective.py
+++ b/src/ruddergate/settings/effective.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Explained:
+class ExplainedSetting:
     """One effective value and where it comes from.
 
     Attributes:
@@ -61,7 +61,7 @@
     checks_key: bool
     gang_engines_max: int
     weight_reads_per_s_max: float
-    pass_ms: float = 0.0
+    iteration_ms: float = 0.0
     pause_aims_ms: tuple[float, ...] = ()
 
 
@@ -100,7 +100,7 @@
 
 def explain(
     whole: tree.Tree, name: str, used_by: kinds.Kind
-) -> tuple[Explained, ...]:
+) -> tuple[ExplainedSetting, ...]:
     """Returns each setting used by a kind of branch, effective at `name`."""
     lineage = tuple(whole.lineage(name))
     rows = []
@@ -112,12 +112,12 @@
 
 def _explain_one(
     setting: schema.Setting, lineage: tuple[tree.Branch, ...]
-) -> Explained:
+) -> ExplainedSetting:
     for branch in lineage:
         if setting.name in branch.own:
             value = branch.own[setting.name]
-            return Explained(setting.name, value, branch.name)
-    return Explained(setting.name, setting.default, "default")
+            return ExplainedSetting(setting.name, value, branch.name)
+    return ExplainedSetting(setting.name, setting.default, "default")
 
 
 def resolve_workload(whole: tree.Tree, name: str) -> Workload | None:
--- a/src/ruddergate/settings/schema.py
+++ b/src/ruddergate/settings/schema.py
@@ -145,4 +145,4 @@
 
 BY_NAME = {setting.name: setting for setting in SETTINGS}
 
-VALUE_BYTES_MAX = 1_000_000
+MAX_SHARD_BYTES = 1_000_000
--- a/src/ruddergate/wire/frames.py
+++ b/src/ruddergate/wire/frames.py
@@ -14,8 +14,8 @@
 
 from ruddergate.wire import codec
 
-FRAME_BYTES_MAX = 8_000_000
-HEAD_BYTES = 20
+MAX_FRAME_BYTES = 8_000_000
+FRAME_HEADER_BYTES = 20
 _NONCE_BYTES = 16
 _MAC_BYTES = 16
 
@@ -82,9 +82,9 @@
     async def receive(self) -> codec.Message | Closed:
         """Returns the next message, or Closed at the end or a bad frame."""
         try:
-            head = await self._reader.readexactly(HEAD_BYTES)
+            head = await self._reader.readexactly(FRAME_HEADER_BYTES)
             (length,) = struct.unpack(">I", head[:4])
-            if length > FRAME_BYTES_MAX:
+            if length > MAX_FRAME_BYTES:
                 return self._refuse(f"a frame of {length} bytes")
             payload = await self._reader.readexactly(length)
         except asyncio.IncompleteReadError:
@@ -95,7 +95,7 @@
         if not hmac.compare_digest(head[4:], expected):
             return self._refuse("a frame that is not from a peer")
         self._received += 1
-        self.received_bytes += HEAD_BYTES + length
+        self.received_bytes += FRAME_HEADER_BYTES + length
         message = codec.decode(payload)
         if isinstance(message, codec.Malformed):
             return self._refuse(message.detail)
