--- a/src/ruddergate/adapters/engines/stream.py
+++ b/src/ruddergate/adapters/engines/stream.py
@@ -99,7 +99,7 @@
         wait_ms = min(self._silence_ms, timeout_ms)
         try:
             async with asyncio.timeout(wait_ms / 1000.0):
-                data = await self._exchange.read_part()
+                data = await self._exchange.read_chunk()
         except TimeoutError:
             if timeout_ms <= self._silence_ms:
                 return _lost(outcomes.Reason.TIME_LIMIT, "time is up")
@@ -259,7 +259,7 @@
     body = await exchange.read_all()
     if isinstance(body, client.Fault):
         return _lost(outcomes.Reason.TARGET_LOST, body.detail)
-    answer = client.WholeAnswer(exchange.status, exchange.headers, body)
+    answer = client.CompleteResponse(exchange.status, exchange.headers, body)
     document = answer.json()
     started = _private.get(document, "started", bool, True)
     ran = outcomes.Ran.UNKNOWN if started else outcomes.Ran.NOT_RUN
--- a/src/ruddergate/adapters/services/call.py
+++ b/src/ruddergate/adapters/services/call.py
@@ -60,7 +60,7 @@
     return outcomes.NotServed(outcomes.Reason.TARGET_LOST, ran, fault.detail)
 
 
-def _make_refused(answer: client.WholeAnswer) -> outcomes.NotServed:
+def _make_refused(answer: client.CompleteResponse) -> outcomes.NotServed:
     started = _private.get(answer.json(), "started", bool, True)
     ran = outcomes.Ran.UNKNOWN if started else outcomes.Ran.NOT_RUN
     return outcomes.NotServed(
--- a/src/ruddergate/cli/gateway.py
+++ b/src/ruddergate/cli/gateway.py
@@ -35,7 +35,7 @@
 _READY_PART = 0.5
 # Answers to orders come in a few milliseconds, and connections are as soon up;
 # renewals come every 800 ms.
-_ORDER_LIMITS = client.TimeLimits(150.0, 500.0, 500.0)
+_ORDER_LIMITS = client.Timeouts(150.0, 500.0, 500.0)
 # Of the second sends for each first one; first sends are counted here as they
 # begin, and by the fleet's operators in windows that need not match.
 _RETRY_PART = 0.75
@@ -154,7 +154,7 @@
         source=store.make_source(
             outside,
             environment.parse_address(store_address),
-            client.TimeLimits(
+            client.Timeouts(
                 _STORE_CONNECT_MS, store_timeout_ms, _STORE_WHOLE_MS
             ),
         ),
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -276,7 +276,7 @@
                 is_new = not self._progress.is_begun
                 self._progress.is_begun = True
                 return is_new
-            case answers.WholeAnswer():
+            case answers.CompleteResponse():
                 self._has_answered = True
             case answers.StreamEvents():
                 self._has_answered = True
--- a/src/ruddergate/entry/relay_handler.py
+++ b/src/ruddergate/entry/relay_handler.py
@@ -78,7 +78,7 @@
             body = self._hand_on(request, events)
             return message.Response(first.status, {}, body, first.fields)
         await events.aclose()
-        if isinstance(first, answers.WholeAnswer):
+        if isinstance(first, answers.CompleteResponse):
             self._note_end(request, "finished", outcomes.Ran.RAN, "")
             return message.Response(first.status, {}, first.body, first.fields)
         self._note_end(request, first.reason.value, first.ran, first.detail)
--- a/src/ruddergate/entry/relay_progress.py
+++ b/src/ruddergate/entry/relay_progress.py
@@ -31,7 +31,7 @@
     unreachable: int = 0
     is_begun: bool = False
     excluded: frozenset[str] = frozenset()
-    answer: answers.WholeAnswer | None = None
+    answer: answers.CompleteResponse | None = None
     blamed: tuple[str, ...] = ()
     helpers_failed: int = 0
     pinned: str = ""
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -94,7 +94,7 @@
                     yield event
                 else:
                     ended = event
-        if isinstance(ended, answers.StreamEnd | answers.WholeAnswer):
+        if isinstance(ended, answers.StreamEnd | answers.CompleteResponse):
             tools.suspects.note_finished(request)
         if isinstance(ended, answers.StreamEnd):
             yield ended
@@ -113,7 +113,7 @@
     tools: tool_types.Tools,
 ) -> answers.Event | None:
     """Returns the final event, or None after the pause for a retry."""
-    if isinstance(ended, answers.WholeAnswer):
+    if isinstance(ended, answers.CompleteResponse):
         if ended.status < _SERVER_ERROR:
             return ended
         progress.answer = ended
@@ -200,7 +200,7 @@
 
 def _conclude(
     ended: outcomes.NotServed, progress: relay_progress.Progress
-) -> answers.WholeAnswer | outcomes.NotServed:
+) -> answers.CompleteResponse | outcomes.NotServed:
     """Tells of all attempts, or hands on what a target itself answered."""
     if progress.answer is not None and not progress.is_begun:
         return progress.answer
--- a/src/ruddergate/experiments/caller.py
+++ b/src/ruddergate/experiments/caller.py
@@ -141,7 +141,7 @@
         return
     buffer = b""
     while True:
-        part = await exchange.read_part()
+        part = await exchange.read_chunk()
         if isinstance(part, client.Fault) or not part:
             if not received.is_whole and received.error is None:
                 received.error = {"reason": "connection_lost", "ran": "unknown"}
--- a/src/ruddergate/http/client.py
+++ b/src/ruddergate/http/client.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TimeLimits:
+class Timeouts:
     """How long each part of an exchange may take, in milliseconds.
 
     Attributes:
@@ -42,12 +42,12 @@
     """
 
     connect_ms: float
-    silence_ms: float
-    whole_ms: float
+    read_ms: float
+    total_ms: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class CompleteResponse:
     """An answer read to its end.
 
     Attributes:
@@ -137,7 +137,7 @@
         self.headers = dict(self.fields)
         return None
 
-    async def read_part(self) -> bytes | Fault:
+    async def read_chunk(self) -> bytes | Fault:
         """Returns the next bytes of the body; empty at its proper end."""
         try:
             event = await self._next_event()
@@ -153,7 +153,7 @@
         """Returns the whole rest of the body."""
         body = bytearray()
         while True:
-            part = await self.read_part()
+            part = await self.read_chunk()
             if isinstance(part, Fault):
                 return part
             if not part:
@@ -175,27 +175,27 @@
 
 
 async def start(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     request: message.OutgoingRequest,
-    connect_timeout_ms: float,
+    connect_ms: float,
 ) -> Exchange | Fault:
     """Connects and sends the request; the answer is left to read."""
-    exchange = await connect(outside, address, connect_timeout_ms)
+    exchange = await connect(env, address, connect_ms)
     if isinstance(exchange, Fault):
         return exchange
     return exchange.try_send(address, request) or exchange
 
 
 async def connect(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
-    connect_timeout_ms: float,
+    connect_ms: float,
 ) -> Exchange | Fault:
     """Returns an exchange in which nothing was sent yet."""
     try:
-        async with asyncio.timeout(connect_timeout_ms / 1000.0):
-            reader, writer = await outside.connect(address)
+        async with asyncio.timeout(connect_ms / 1000.0):
+            reader, writer = await env.connect(address)
     except TimeoutError:
         return Fault(False, True, f"no connection to {address} in time")
     except OSError as error:
@@ -204,33 +204,33 @@
 
 
 async def fetch(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     request: message.OutgoingRequest,
     timeout_ms: float,
-) -> WholeAnswer | Fault:
+) -> CompleteResponse | Fault:
     """Sends the request and reads the whole answer within the timeout."""
-    limits = TimeLimits(timeout_ms, timeout_ms, timeout_ms)
-    return await fetch_within(outside, address, request, limits)
+    timeouts = Timeouts(timeout_ms, timeout_ms, timeout_ms)
+    return await fetch_within(env, address, request, timeouts)
 
 
 async def fetch_within(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     request: message.OutgoingRequest,
-    limits: TimeLimits,
-) -> WholeAnswer | Fault:
+    timeouts: Timeouts,
+) -> CompleteResponse | Fault:
     """Sends the request and reads the whole answer.
 
     An answer that keeps coming may take longer than the other side's silence
     is borne: a large one on a thin link does.
     """
-    began_ms = outside.now_ms()
-    exchange = await start(outside, address, request, limits.connect_ms)
+    began_ms = env.now_ms()
+    exchange = await start(env, address, request, timeouts.connect_ms)
     if isinstance(exchange, Fault):
         return exchange
-    left_ms = max(1.0, limits.whole_ms - (outside.now_ms() - began_ms))
-    silence_s = limits.silence_ms / 1000.0
+    left_ms = max(1.0, timeouts.total_ms - (env.now_ms() - began_ms))
+    silence_s = timeouts.read_ms / 1000.0
     try:
         async with asyncio.timeout(left_ms / 1000.0):
             async with asyncio.timeout(silence_s):
@@ -240,7 +240,7 @@
             body = bytearray()
             while True:
                 async with asyncio.timeout(silence_s):
-                    part = await exchange.read_part()
+                    part = await exchange.read_chunk()
                 if isinstance(part, Fault):
                     return part
                 if not part:
@@ -250,7 +250,7 @@
         return Fault(True, True, f"no answer from {address} in time")
     finally:
         exchange.close()
-    return WholeAnswer(
+    return CompleteResponse(
         exchange.status, exchange.headers, bytes(body), exchange.fields
     )
 
--- a/src/ruddergate/platform/orders.py
+++ b/src/ruddergate/platform/orders.py
@@ -17,8 +17,8 @@
 
 
 def make_orders(
-    outside: environment.Environment,
-    limits: client.TimeLimits,
+    env: environment.Environment,
+    timeouts: client.Timeouts,
     on_hints: hint_types.OnHints,
 ) -> orders.Orders:
     """Returns the orders.
@@ -31,12 +31,12 @@
 
     async def ask(
         target: targets.Target, request: message.OutgoingRequest
-    ) -> client.WholeAnswer | client.Fault:
-        sent_ms = outside.now_ms()
+    ) -> client.CompleteResponse | client.Fault:
+        sent_ms = env.now_ms()
         answer = await client.fetch_within(
-            outside, target.address, request, limits
+            env, target.address, request, timeouts
         )
-        if isinstance(answer, client.WholeAnswer):
+        if isinstance(answer, client.CompleteResponse):
             said = hints.read_hints(
                 target,
                 answer.status,
@@ -81,7 +81,7 @@
 
 
 def _read_sign(
-    target: targets.Target, answer: client.WholeAnswer
+    target: targets.Target, answer: client.CompleteResponse
 ) -> orders.ProbeResult:
     document = answer.json()
     said = hints.read_hints(target, answer.status, answer.fields, document)
@@ -97,7 +97,7 @@
 
 
 def _read_answer(
-    answer: client.WholeAnswer | client.Fault,
+    answer: client.CompleteResponse | client.Fault,
 ) -> orders.OrderResult:
     if isinstance(answer, client.Fault):
         if answer.sent:
--- a/src/ruddergate/platform/replicas.py
+++ b/src/ruddergate/platform/replicas.py
@@ -34,7 +34,7 @@
 
 
 def make_send(
-    outside: environment.Environment, on_hints: hint_types.OnHints
+    env: environment.Environment, on_hints: hint_types.OnHints
 ) -> upstream_requests.Send:
     """Returns the function that sends a call to a target.
 
@@ -47,7 +47,7 @@
         upstream_request: upstream_requests.UpstreamRequest,
     ) -> AsyncIterator[answers.Event]:
         exchange = await client.connect(
-            outside,
+            env,
             upstream_request.target.address,
             upstream_request.timeouts.connect_ms,
         )
@@ -55,13 +55,13 @@
             yield _make_lost(exchange)
             return
         try:
-            unsent = _send_now(outside, upstream_request, exchange)
+            unsent = _send_now(env, upstream_request, exchange)
             if unsent is not None:
                 yield unsent
                 return
-            sent_ms = outside.now_ms()
+            sent_ms = env.now_ms()
             async for event in _read(
-                outside, upstream_request, exchange, on_hints, sent_ms
+                env, upstream_request, exchange, on_hints, sent_ms
             ):
                 yield event
         finally:
@@ -71,7 +71,7 @@
 
 
 def _send_now(
-    outside: environment.Environment,
+    env: environment.Environment,
     upstream_request: upstream_requests.UpstreamRequest,
     exchange: client.Exchange,
 ) -> outcomes.NotServed | None:
@@ -79,7 +79,7 @@
     refusal = upstream_request.check_admission()
     if refusal is not None:
         return refusal
-    outgoing = _make_outgoing(upstream_request, outside.now_ms())
+    outgoing = _make_outgoing(upstream_request, env.now_ms())
     fault = exchange.try_send(upstream_request.target.address, outgoing)
     return None if fault is None else _make_lost(fault)
 
@@ -119,7 +119,7 @@
 
 
 async def _read(
-    outside: environment.Environment,
+    env: environment.Environment,
     upstream_request: upstream_requests.UpstreamRequest,
     exchange: client.Exchange,
     on_hints: hint_types.OnHints,
@@ -127,9 +127,9 @@
 ) -> AsyncIterator[answers.Event]:
     until_ms = min(
         upstream_request.deadline_ms,
-        outside.now_ms() + upstream_request.timeouts.first_ms,
+        env.now_ms() + upstream_request.timeouts.first_ms,
     )
-    fault = await _wait(exchange.read_head, outside, until_ms, upstream_request)
+    fault = await _wait(exchange.read_head, env, until_ms, upstream_request)
     if fault is not None:
         yield _make_lost(fault) if isinstance(fault, client.Fault) else fault
         return
@@ -145,17 +145,15 @@
         yield wrong
         return
     if not upstream_request.payload.route.is_stream or exchange.status != _OK:
-        yield await _read_whole(outside, upstream_request, exchange)
+        yield await _read_whole(env, upstream_request, exchange)
         return
-    async for event in _read_stream(
-        outside, upstream_request, exchange, until_ms
-    ):
+    async for event in _read_stream(env, upstream_request, exchange, until_ms):
         yield event
 
 
 async def _wait(
     read: Callable[[], Awaitable[T]],
-    outside: environment.Environment,
+    env: environment.Environment,
     until_ms: float,
     upstream_request: upstream_requests.UpstreamRequest,
 ) -> T | outcomes.NotServed:
@@ -164,21 +162,21 @@
     A process that was stopped meanwhile wakes after that time with the answer
     perhaps already there, so it looks once more before it blames the target.
     """
-    found = await _read_until(read, outside, until_ms)
-    late_ms = outside.now_ms() - until_ms
+    found = await _read_until(read, env, until_ms)
+    late_ms = env.now_ms() - until_ms
     if isinstance(found, _Nothing) and late_ms > _STOPPED_MS:
-        again_ms = outside.now_ms() + _LOOK_AGAIN_MS
-        found = await _read_until(read, outside, again_ms)
-    is_early = outside.now_ms() < upstream_request.deadline_ms
+        again_ms = env.now_ms() + _LOOK_AGAIN_MS
+        found = await _read_until(read, env, again_ms)
+    is_early = env.now_ms() < upstream_request.deadline_ms
     if (
         isinstance(found, _Nothing)
         and is_early
         and not await upstream_request.timeouts.may_give_up()
     ):
-        found = await _read_until(read, outside, upstream_request.deadline_ms)
+        found = await _read_until(read, env, upstream_request.deadline_ms)
     if not isinstance(found, _Nothing):
         return found
-    if outside.now_ms() >= upstream_request.deadline_ms:
+    if env.now_ms() >= upstream_request.deadline_ms:
         return _make_time_limit()
     return outcomes.NotServed(
         outcomes.Reason.TARGET_LOST,
@@ -202,10 +200,10 @@
 
 async def _read_until(
     read: Callable[[], Awaitable[T]],
-    outside: environment.Environment,
+    env: environment.Environment,
     until_ms: float,
 ) -> T | _Nothing:
-    left_ms = max(0.0, until_ms - outside.now_ms())
+    left_ms = max(0.0, until_ms - env.now_ms())
     try:
         async with asyncio.timeout(left_ms / 1000.0):
             return await read()
@@ -314,14 +312,14 @@
 
 
 async def _read_whole(
-    outside: environment.Environment,
+    env: environment.Environment,
     upstream_request: upstream_requests.UpstreamRequest,
     exchange: client.Exchange,
 ) -> answers.Event:
     # What was read of a body is gone when reading is given up, so this looks
     # only once.
     body = await _read_until(
-        exchange.read_all, outside, upstream_request.deadline_ms
+        exchange.read_all, env, upstream_request.deadline_ms
     )
     if isinstance(body, _Nothing):
         return _make_time_limit()
@@ -330,11 +328,11 @@
     fields = headers.select_for_caller(exchange.fields)
     if exchange.status in hints.REFUSALS:
         fields = headers.drop_retry_after(fields)
-    return answers.WholeAnswer(exchange.status, fields, body)
+    return answers.CompleteResponse(exchange.status, fields, body)
 
 
 async def _read_stream(
-    outside: environment.Environment,
+    env: environment.Environment,
     upstream_request: upstream_requests.UpstreamRequest,
     exchange: client.Exchange,
     until_ms: float,
@@ -342,9 +340,7 @@
     splitter = event_splitter.EventSplitter()
     is_begun = False
     while True:
-        part = await _wait(
-            exchange.read_part, outside, until_ms, upstream_request
-        )
+        part = await _wait(exchange.read_chunk, env, until_ms, upstream_request)
         if isinstance(part, client.Fault):
             yield _make_lost(part)
             return
@@ -364,7 +360,7 @@
         yield events
         until_ms = min(
             upstream_request.deadline_ms,
-            outside.now_ms() + upstream_request.timeouts.gap_ms,
+            env.now_ms() + upstream_request.timeouts.gap_ms,
         )
 
 
--- a/src/ruddergate/platform/store.py
+++ b/src/ruddergate/platform/store.py
@@ -30,9 +30,9 @@
 
 
 def make_source(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
-    limits: client.TimeLimits,
+    timeouts: client.Timeouts,
 ) -> published.Source:
     """Returns the calls of the store at `address`.
 
@@ -44,7 +44,7 @@
     read_catalog = configuration.make_reader()
 
     async def read_all() -> published.Changes | published.Unavailable:
-        return await _read_all(outside, address, limits, read_catalog)
+        return await _read_all(env, address, timeouts, read_catalog)
 
     async def read_changes(
         revision: int, wait_ms: float
@@ -55,11 +55,11 @@
             "wait-ms": round(wait_ms),
         }
         held = dataclasses.replace(
-            limits,
-            silence_ms=limits.silence_ms + wait_ms,
-            whole_ms=limits.whole_ms + wait_ms,
+            timeouts,
+            read_ms=timeouts.read_ms + wait_ms,
+            total_ms=timeouts.total_ms + wait_ms,
         )
-        answer = await _ask(outside, address, "/api/kv-watch", query, held)
+        answer = await _ask(env, address, "/api/kv-watch", query, held)
         if isinstance(answer, published.HistoryLost | published.Unavailable):
             return answer
         events = _private.get(answer.document, "events", list, None)
@@ -74,9 +74,9 @@
 
 
 async def _read_all(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
-    limits: client.TimeLimits,
+    timeouts: client.Timeouts,
     read_catalog: ReadCatalog,
 ) -> published.Changes | published.Unavailable:
     """Reads page by page; changes meanwhile follow from the first page on."""
@@ -84,7 +84,7 @@
     first: store_position.StorePosition | None = None
     query: dict[str, object] = {"path-prefix": ""}
     while True:
-        answer = await _ask(outside, address, "/api/kv-range", query, limits)
+        answer = await _ask(env, address, "/api/kv-range", query, timeouts)
         if isinstance(answer, published.HistoryLost):
             return published.Unavailable("a page of the store is gone")
         if isinstance(answer, published.Unavailable):
@@ -116,15 +116,15 @@
 
 
 async def _ask(
-    outside: environment.Environment,
+    env: environment.Environment,
     address: environment.Address,
     path: str,
     query: dict[str, object],
-    limits: client.TimeLimits,
+    timeouts: client.Timeouts,
 ) -> _Answer | published.HistoryLost | published.Unavailable:
     target = f"{path}?{urllib.parse.urlencode(query, safe='/')}"
     request = client.make_json_request("GET", target)
-    answer = await client.fetch_within(outside, address, request, limits)
+    answer = await client.fetch_within(env, address, request, timeouts)
     if isinstance(answer, client.Fault):
         return published.Unavailable(answer.detail)
     epoch = _read_epoch(answer.headers)
--- a/src/ruddergate/relay/answer.py
+++ b/src/ruddergate/relay/answer.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class CompleteResponse:
     """An answer read to its end, to be handed on as it is.
 
     Attributes:
@@ -72,7 +72,7 @@
 
 
 Event = (
-    WholeAnswer
+    CompleteResponse
     | StreamHead
     | StreamEvents
     | StreamEnd
--- a/standins/balancer.py
+++ b/standins/balancer.py
@@ -48,6 +48,6 @@
                 request,
                 _CHECK_TIMEOUT_MS,
             )
-            is_answer = isinstance(answer, client.WholeAnswer)
+            is_answer = isinstance(answer, client.CompleteResponse)
             self._ready[name] = is_answer and answer.status == 200
             await asyncio.sleep(_CHECK_MS / 1000.0)
--- a/standins/gateway_caller.py
+++ b/standins/gateway_caller.py
@@ -124,7 +124,7 @@
                 return
             found[0], found[1] = exchange.status, exchange.headers
             while True:
-                part = await exchange.read_part()
+                part = await exchange.read_chunk()
                 if isinstance(part, client.Fault):
                     return
                 if not part:
--- a/tests/test_engine_stream.py
+++ b/tests/test_engine_stream.py
@@ -16,7 +16,7 @@
     def __init__(self, *pieces: bytes) -> None:
         self._pieces = list(pieces)
 
-    async def read_part(self) -> bytes:
+    async def read_chunk(self) -> bytes:
         return self._pieces.pop(0) if self._pieces else b""
 
     def close(self) -> None:
@@ -108,7 +108,7 @@
         left_ms = [3_000.0, 2_000.0, 1_000.0, 0.0]
 
         class Endless(_Exchange):
-            async def read_part(self) -> bytes:
+            async def read_chunk(self) -> bytes:
                 await asyncio.sleep(0)
                 return b": alive\n\n"
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -318,7 +318,7 @@
             source = store.make_source(
                 network.make_environment(near, 1),
                 address,
-                client.TimeLimits(500.0, 500.0, 500.0),
+                client.Timeouts(500.0, 500.0, 500.0),
             )
             return await near.start(lambda: source.read_changes(5, 0.0))
 
