--- a/tests/test_replica_calls.py
+++ b/tests/test_replica_calls.py
@@ -126,7 +126,7 @@
             outside = dataclasses.replace(plain, connect=connect)
             send = replicas.make_send(outside, hint_types.ignore)
             upstream_request = dataclasses.replace(
-                _make_errand(outside.now_ms()), refuse=refuse
+                _make_errand(outside.now_ms()), check_admission=refuse
             )
 
             async def collect() -> list[answers.Event]:
