--- a/src/ruddergate/agent/target_task.py
+++ b/src/ruddergate/agent/target_task.py
@@ -78,7 +78,7 @@
             )
             if isinstance(account, loads.Account):
                 if account.events:
-                    after_event = account.events[-1].number
+                    after_event = account.events[-1].sequence
                 await self._feed.push_loads([account.report], account.events)
                 await self._orders.consider(target, account.loaded)
                 if sweeps:
--- a/src/ruddergate/decisions/estimate.py
+++ b/src/ruddergate/decisions/estimate.py
@@ -199,11 +199,11 @@
 
     def take_event(self, event: cache_event.CacheEvent) -> None:
         """Takes in a cache event; a gap makes the rest doubtful."""
-        if event.number <= self._event_number:
+        if event.sequence <= self._event_number:
             return
-        if event.number != self._event_number + 1:
+        if event.sequence != self._event_number + 1:
             self._forget_half()
-        self._event_number = event.number
+        self._event_number = event.sequence
         if event.tokens > 0:
             self.note_prefix(event.prefix, event.tokens)
         else:
--- a/src/ruddergate/decisions/peer_loads.py
+++ b/src/ruddergate/decisions/peer_loads.py
@@ -51,7 +51,7 @@
     place: peer_groups.Place
     heard_ms: float
     incarnation: str
-    number: int
+    sequence: int
     rows: dict[str, dispatched.Dispatched]
     lost: loss_report.LossReport = loss_report.EMPTY
     awaited_since_ms: float | None = None
@@ -106,12 +106,12 @@
             peer = _Peer(place, now_ms, "", -1, {})
             self._peers[digest.sender] = peer
         is_same_run = peer.incarnation == digest.incarnation
-        if is_same_run and digest.number <= peer.number:
+        if is_same_run and digest.sequence <= peer.sequence:
             return False
         peer.place = place
         peer.heard_ms = now_ms
         peer.incarnation = digest.incarnation
-        peer.number = digest.number
+        peer.sequence = digest.sequence
         self._replace_rows(digest.sender, peer, digest.rows)
         self._take_lost(peer, digest.losses)
         return True
--- a/src/ruddergate/entry/attempt_log.py
+++ b/src/ruddergate/entry/attempt_log.py
@@ -29,7 +29,7 @@
         prompt_tokens=request.prompt_tokens,
         helpers=[each.target.target_id for each in seats[1:]],
         believed=seat.believed,
-        resume_after=progress.last_id,
+        resume_after=progress.last_event_id,
         sent=progress.sent,
         waited_ms=round(now_ms - request.arrived_ms),
         left_ms=round(request.remaining_ms(now_ms)),
@@ -57,6 +57,6 @@
         route=request.payload.route.name,
         sent=progress.sent,
         blamed=progress.blamed,
-        last_event=progress.last_id,
+        last_event=progress.last_event_id,
         waited_ms=round(tools.outside.now_ms() - request.arrived_ms),
     )
--- a/src/ruddergate/entry/peer_exchange.py
+++ b/src/ruddergate/entry/peer_exchange.py
@@ -267,7 +267,7 @@
             hall=self._hall,
             link_mbps=self._config.link_mbps,
             incarnation=self._incarnation,
-            number=self._number,
+            sequence=self._number,
             rows=self._summarize(),
             losses=self._summarize_lost(),
             draining=self._summarize_leaving(),
--- a/src/ruddergate/entry/relay_admit.py
+++ b/src/ruddergate/entry/relay_admit.py
@@ -165,7 +165,7 @@
         target=incoming.target,
         fields=caller_request.fields,
         body=incoming.body,
-        last_event=caller_request.last_event,
+        last_event_id=caller_request.last_event_id,
     )
     return requests.Request(
         request_id=caller_request.request_id,
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -281,7 +281,7 @@
             case answers.StreamEvents():
                 self._has_answered = True
                 self._note_first()
-                self._progress.last_id = event.last_id
+                self._progress.last_event_id = event.last_event_id
             case outcomes.NotServed():
                 self._note_failure(event)
         return True
@@ -361,7 +361,7 @@
             workspace=request.workload.workspace,
             deadline_ms=request.deadline_ms,
             urgency=_find_urgency(request),
-            resume_after=self._progress.last_id,
+            resume_after=self._progress.last_event_id,
             helpers=tuple(
                 _make_helper(seat, reservations) for seat in self._seats[1:]
             ),
--- a/src/ruddergate/entry/relay_progress.py
+++ b/src/ruddergate/entry/relay_progress.py
@@ -24,7 +24,7 @@
         pinned: The target that it goes to again, or empty.
     """
 
-    last_id: str
+    last_event_id: str
     ran: outcomes.Ran = outcomes.Ran.NOT_RUN
     sent: int = 0
     sent_to: frozenset[str] = frozenset()
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -73,7 +73,7 @@
     tools: tool_types.Tools,
 ) -> AsyncIterator[answers.Event]:
     """Yields the answer in order, each event once; the last tells the end."""
-    progress = relay_progress.Progress(request.payload.last_event)
+    progress = relay_progress.Progress(request.payload.last_event_id)
     refusal = tools.suspects.refuse(request)
     if refusal is not None:
         yield refusal
--- a/src/ruddergate/fleet/cache_event.py
+++ b/src/ruddergate/fleet/cache_event.py
@@ -15,6 +15,6 @@
     """
 
     target_id: str
-    number: int
+    sequence: int
     prefix: str
     tokens: int
--- a/src/ruddergate/messages/load_digest.py
+++ b/src/ruddergate/messages/load_digest.py
@@ -28,7 +28,7 @@
     hall: str
     link_mbps: int
     incarnation: str
-    number: int
+    sequence: int
     rows: tuple[dispatched.Dispatched, ...]
     losses: loss_report.LossReport = loss_report.EMPTY
     draining: tuple[str, ...] = ()
--- a/src/ruddergate/payload.py
+++ b/src/ruddergate/payload.py
@@ -27,4 +27,4 @@
     target: str
     fields: message.Fields
     body: bytes
-    last_event: str
+    last_event_id: str
--- a/src/ruddergate/platform/callers.py
+++ b/src/ruddergate/platform/callers.py
@@ -44,7 +44,7 @@
         output_tokens_max=int(output_tokens or 0),
         prefix_name=prefix_name,
         prefix_tokens=prefix_tokens,
-        last_event=found.get(headers.LAST_EVENT, ""),
+        last_event_id=found.get(headers.LAST_EVENT, ""),
         fields=headers.select_for_target(incoming.fields),
     )
 
--- a/src/ruddergate/relay/answer.py
+++ b/src/ruddergate/relay/answer.py
@@ -45,7 +45,7 @@
     """
 
     data: bytes
-    last_id: str
+    last_event_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/ruddergate/relay/caller_protocol.py
+++ b/src/ruddergate/relay/caller_protocol.py
@@ -32,7 +32,7 @@
     output_tokens_max: int
     prefix_name: str
     prefix_tokens: int
-    last_event: str
+    last_event_id: str
     fields: message.Fields
 
 
--- a/tests/test_event_splitter.py
+++ b/tests/test_event_splitter.py
@@ -25,7 +25,9 @@
             if events is not None:
                 whole += events.data
                 self.assertTrue(events.data.endswith(b"\n\n"))
-                self.assertEqual(events.last_id, str(whole.count(b"\n\n")))
+                self.assertEqual(
+                    events.last_event_id, str(whole.count(b"\n\n"))
+                )
         self.assertEqual(whole, _EVENTS)
         self.assertTrue(splitter.is_between_events())
 
@@ -33,5 +35,5 @@
         splitter = event_splitter.EventSplitter()
         events = splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
         self.assertEqual(events.data, b"id: 1\ndata: a\n\n")
-        self.assertEqual(events.last_id, "1")
+        self.assertEqual(events.last_event_id, "1")
         self.assertFalse(splitter.is_between_events())
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -81,7 +81,7 @@
         self.assertEqual(caller_request.prompt_tokens, 1_460)
         self.assertEqual(caller_request.output_tokens_max, 80)
         self.assertEqual(caller_request.prefix_name, "5c1e")
-        self.assertEqual(caller_request.last_event, "12")
+        self.assertEqual(caller_request.last_event_id, "12")
 
     @hypothesis.given(
         strategies.dictionaries(
