--- a/src/ruddergate/fleet/__init__.py
+++ b/src/ruddergate/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The things the system deals with: VMs, targets, their list, their load."""
+"""The fleet: VMs, targets, their listing and their load."""
--- a/src/ruddergate/fleet/cache_event.py
+++ b/src/ruddergate/fleet/cache_event.py
@@ -5,13 +5,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """A prefix stored or evicted, as published late by an engine.
+    """A prefix that an engine stored or evicted; published with a delay.
 
     Attributes:
         target_id: The engine.
-        number: Position in the engine's stream of events; gaps show losses.
+        sequence: Position in the engine's event stream; a gap means that
+            events were lost.
         prefix: Name of the prefix.
-        tokens: Tokens of it now cached; 0 when evicted.
+        tokens: Number of its tokens that are cached now; 0 once evicted.
     """
 
     target_id: str
--- a/src/ruddergate/fleet/condition.py
+++ b/src/ruddergate/fleet/condition.py
@@ -1,4 +1,4 @@
-"""Whether a VM or target takes part."""
+"""Whether a VM or target is in service."""
 
 import enum
 
--- a/src/ruddergate/fleet/dispatched.py
+++ b/src/ruddergate/fleet/dispatched.py
@@ -1,20 +1,20 @@
-"""What one VM has running on one target."""
+"""The work that one VM has in flight on one target."""
 
 import msgspec
 
 
 class Dispatched(msgspec.Struct, frozen=True, array_like=True):
-    """Work that a VM has given to a target and not yet seen the end of.
+    """Work that a VM has sent to a target and that has not ended yet.
 
     Attributes:
         target_id: The target.
-        pending_tokens: Prompt tokens whose first token has not come yet, by
-            band of the prompt's length.
-        held_tokens: Memory that the work takes up, in tokens.
+        pending_tokens: Prompt tokens of requests that are still waiting for
+            their first output token, by prompt length band.
+        held_tokens: Memory that the work occupies, in tokens.
         streams: Requests in flight.
-        streams_by_pause: The requests by class of the pause that their
-            answers bear, see decisions/pause_class.py.
-        prefill_ms: Predicted rest of their prefills on the target.
+        streams_by_pause: The requests by class of the longest pause that their
+            responses tolerate, see decisions/pause_class.py.
+        prefill_ms: Predicted remaining prefill time on the target.
     """
 
     target_id: str
--- a/src/ruddergate/fleet/incarnation.py
+++ b/src/ruddergate/fleet/incarnation.py
@@ -1,20 +1,20 @@
-"""One life of a target, from a start to the next."""
+"""Identifies one run of a target, from its start to its end."""
 
 import dataclasses
 
-# Stands where a target does not tell when it started.
+# Start time of a target that does not report one.
 START_UNKNOWN = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Incarnation:
-    """What is learnt of a target holds for one life of it.
+    """One run of a target; what is learned about a target applies only to it.
 
     Attributes:
         target_id: The target. It may start again under the same name.
-        born_ms: When it started, in Unix milliseconds by its own clock;
-            BORN_UNKNOWN where targets do not tell. Then each start has
-            another name.
+        started_ms: When it started, in Unix milliseconds by its own clock;
+            START_UNKNOWN if targets do not report it. In that case every start
+            has a new name.
     """
 
     target_id: str
@@ -22,10 +22,10 @@
 
 
 def format_incarnation(incarnation: Incarnation) -> str:
-    """Returns a life as one word, in digests and logs.
+    """Returns an incarnation as one word, for digests and logs.
 
-    Where the start is unknown it is the target's name, which is all that VMs of
-    earlier releases tell and understand.
+    If the start time is unknown, the word is the target's name, which is all
+    that VMs of earlier releases send and understand.
     """
     if incarnation.started_ms == START_UNKNOWN:
         return incarnation.target_id
@@ -33,8 +33,8 @@
 
 
 def parse_incarnation(text: str) -> Incarnation:
-    """Returns the life that `format_incarnation` wrote as a word."""
-    target_id, separator, born = text.rpartition("@")
-    if not separator or not born.isdecimal():
+    """Returns the incarnation that `format_incarnation` wrote."""
+    target_id, separator, started = text.rpartition("@")
+    if not separator or not started.isdecimal():
         return Incarnation(text)
-    return Incarnation(target_id, int(born))
+    return Incarnation(target_id, int(started))
--- a/src/ruddergate/fleet/listing.py
+++ b/src/ruddergate/fleet/listing.py
@@ -1,4 +1,4 @@
-"""The platform's list of VMs and targets."""
+"""The platform's listing of VMs and targets."""
 
 import dataclasses
 
@@ -9,12 +9,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Listing:
-    """One published list.
+    """One published listing.
 
     Attributes:
-        version: Number of the list; a later list has a higher one.
-        vms: Entry VMs, live and leaving.
-        targets: Targets, live and leaving.
+        version: Version number; a later listing has a higher one.
+        vms: Entry VMs, live and draining.
+        targets: Targets, live and draining.
     """
 
     version: int
@@ -26,23 +26,23 @@
 
 
 def merge(current: Listing, offered: Listing) -> Listing:
-    """Returns the newer list, in which leaving is never undone.
+    """Returns the newer listing, in which draining is never undone.
 
-    A life of a target that the current list shows as leaving stays so for as
-    long as it is listed under the same address: an older or reverted list can't
-    bring it back to work.
+    An incarnation that the current listing shows as draining stays draining
+    while it is listed under the same address, so an older or reverted listing
+    can't put it back into service.
     """
     if offered.version < current.version:
         return current
-    gone = {
+    draining = {
         (each.incarnation, each.address)
         for each in current.targets
         if each.condition is condition.Condition.DRAINING
     }
-    kept = tuple(
+    merged = tuple(
         dataclasses.replace(each, condition=condition.Condition.DRAINING)
-        if (each.incarnation, each.address) in gone
+        if (each.incarnation, each.address) in draining
         else each
         for each in offered.targets
     )
-    return dataclasses.replace(offered, targets=kept)
+    return dataclasses.replace(offered, targets=merged)
--- a/src/ruddergate/fleet/load_report.py
+++ b/src/ruddergate/fleet/load_report.py
@@ -1,21 +1,22 @@
-"""A target's account of its own load."""
+"""Load as reported by a target itself."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Load as a target last told it.
+    """The load that a target last reported.
 
     Attributes:
         target_id: The target.
         generation: Incarnation of the target; changes when it restarts.
-        running: Streams or calls being worked on.
-        waiting_tokens: Prompt tokens taken in but not yet prefilled.
+        running: Streams or calls in progress.
+        waiting_tokens: Prompt tokens accepted but not yet prefilled.
         held_tokens: Memory in use, in tokens.
-        draining: Whether the target says that it takes no new work.
-        age_ms: How old the account was when it was read.
-        born_ms: The life that tells it, see `incarnation.Incarnation`.
+        draining: Whether the target reports that it accepts no new work.
+        age_ms: Age of the report when it was read.
+        started_ms: Start time of the reporting incarnation, see
+            `incarnation.Incarnation`.
     """
 
     target_id: str
--- a/src/ruddergate/fleet/loss_report.py
+++ b/src/ruddergate/fleet/loss_report.py
@@ -1,18 +1,19 @@
-"""What a VM has just found out of reach, as it tells its peers."""
+"""Targets and data halls that a VM has just found unreachable."""
 
 import msgspec
 
 
 class LossReport(msgspec.Struct, frozen=True, array_like=True):
-    """Hints for placing work; no promise rests on them.
+    """Losses that a VM reports to its peers.
 
-    Targets are named as `incarnation.format_incarnation` does it.
+    They are hints for placing requests; no guarantee depends on them. Targets
+    are named in the format of `incarnation.format_incarnation`.
 
     Attributes:
-        gone: Targets in whose place nobody or another one answered; that is so
-            for whoever asks.
-        silent: Targets from which nothing came back to this VM.
-        halls: Data halls that seem cut off from this VM.
+        terminated: Targets whose address refuses connections or is served by
+            another target, which is the case for every VM.
+        unresponsive: Targets from which this VM received nothing.
+        unreachable_halls: Data halls that appear to be cut off from this VM.
     """
 
     terminated: tuple[str, ...] = ()
--- a/src/ruddergate/fleet/target.py
+++ b/src/ruddergate/fleet/target.py
@@ -1,4 +1,4 @@
-"""A target as published by the platform."""
+"""A target as the platform publishes it."""
 
 import dataclasses
 
@@ -13,14 +13,14 @@
 
     Attributes:
         target_id: Name.
-        pool: Name of its pool in the settings tree.
+        pool: Name of its pool in the settings.
         hall: Data hall.
-        address: Where it serves requests.
-        condition: Live or leaving.
-        streams_max: Requests it works on at once; 0 when it does not tell.
-        born_ms: When it started, see `incarnation.Incarnation`.
-        sequence: Rises with each write of its entry within a life; it is no
-            part of what the entry says.
+        address: Where it accepts requests.
+        condition: Live or draining.
+        streams_max: Requests it processes at once; 0 if not reported.
+        started_ms: When it started, see `incarnation.Incarnation`.
+        sequence: Increases with each write of its entry within an
+            incarnation; not compared, as it carries no information itself.
     """
 
     target_id: str
@@ -34,5 +34,5 @@
 
     @property
     def incarnation(self) -> incarnations.Incarnation:
-        """The life that this entry is of."""
+        """The incarnation that this entry describes."""
         return incarnations.Incarnation(self.target_id, self.started_ms)
--- a/src/ruddergate/fleet/vm.py
+++ b/src/ruddergate/fleet/vm.py
@@ -1,4 +1,4 @@
-"""An entry VM as published by the platform."""
+"""An entry VM as the platform publishes it."""
 
 import dataclasses
 
@@ -11,12 +11,12 @@
     """An entry VM.
 
     Attributes:
-        vm_id: Name; a replacement in the same place has a new one or not.
+        vm_id: Name; a replacement in the same place may keep the name.
         hall: Data hall.
-        entry: Where its entry serves callers.
-        entry_peer: Where its entry serves other entries.
-        agent_peer: Where its agent serves other agents.
-        condition: Live or leaving.
+        entry: Address at which its entry serves callers.
+        entry_peer: Address at which its entry serves other entries.
+        agent_peer: Address at which its agent serves other agents.
+        condition: Live or draining.
     """
 
     vm_id: str
