--- a/src/ruddergate/messages/document_part.py
+++ b/src/ruddergate/messages/document_part.py
@@ -1,4 +1,4 @@
-"""Documents on their way from one gateway to another, part by part."""
+"""Transfer of large documents between gateways, one part per datagram."""
 
 import dataclasses
 
@@ -7,13 +7,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettingsRequest:
-    """Asks a peer for one part of its settings.
+    """Requests one part of a peer's settings.
 
     Attributes:
-        sender: Where the asking gateway takes datagrams (HOST:PORT).
-        question: Name of this question; the answer repeats it.
-        revision: Revision of the settings.
-        part: Which part, from 0.
+        sender: Address at which the requester receives datagrams (HOST:PORT).
+        correlation_id: Identifies the request; the reply repeats it.
+        revision: Requested revision of the settings.
+        part: Index of the part, from 0.
     """
 
     sender: str
@@ -24,14 +24,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetsRequest:
-    """Asks a peer for one part of its list of targets.
+    """Requests one part of a peer's list of targets.
 
     Attributes:
-        sender: Where the asking gateway takes datagrams (HOST:PORT).
-        question: Name of this question; the answer repeats it.
-        epoch: The store's epoch that the list is of.
-        revision: The store's revision that the list is of.
-        part: Which part, from 0.
+        sender: Address at which the requester receives datagrams (HOST:PORT).
+        correlation_id: Identifies the request; the reply repeats it.
+        epoch: The store's epoch of the requested list.
+        revision: The store's revision of the requested list.
+        part: Index of the part, from 0.
     """
 
     sender: str
@@ -43,12 +43,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DocumentPart:
-    """The answer to a question for a part.
+    """The reply to a `SettingsRequest` or a `TargetsRequest`.
 
     Attributes:
-        question: Name of the question.
-        parts: How many parts there are.
-        data: The part of the compressed document.
+        correlation_id: Identifies the request.
+        part_count: Number of parts of the document.
+        data: This part of the compressed document.
     """
 
     correlation_id: str
@@ -58,10 +58,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetsDocument:
-    """Everything that the store lists of targets at one position.
+    """The whole list of targets in the store at one position.
 
     Attributes:
-        listed: An entry of each target.
+        listed: One entry per target.
     """
 
     listed: tuple[targets.Target, ...]
--- a/src/ruddergate/messages/entry_hello.py
+++ b/src/ruddergate/messages/entry_hello.py
@@ -1,15 +1,15 @@
-"""First message of an entry to its agent."""
+"""The first message from an entry to its agent."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryHello:
-    """Tells a possibly fresh agent what the entry already has in force.
+    """Tells an agent, which may just have started, what the entry uses.
 
     Attributes:
         incarnation: Incarnation of the entry.
-        revision: Revision of the tree in force at the entry.
+        revision: Revision of the settings tree in force at the entry.
     """
 
     incarnation: str
--- a/src/ruddergate/messages/entry_load.py
+++ b/src/ruddergate/messages/entry_load.py
@@ -1,4 +1,4 @@
-"""What an entry tells its agent about its own work."""
+"""An entry's own load, as reported to its agent."""
 
 import dataclasses
 
@@ -7,11 +7,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """Recent demand of one workspaceon this VM.
+    """Recent demand of one workspace on this VM.
 
     Attributes:
         workspace: The workspace.
-        fraction: Part of the fleet's limit that its demand would take.
+        fraction: Share of the fleet-wide limit that the demand would use.
     """
 
     workspace: str
@@ -20,12 +20,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryLoad:
-    """An entry's work on targets and its demand by workspace.
+    """An entry's work in flight on targets and its demand by workspace.
 
     Attributes:
-        dispatched: Work given to targets.
-        demand: Recent demand; only workspaces with any.
-        stopping: Whether the entry is in a planned stop.
+        dispatched: Work in flight, by target.
+        demand: Recent demand; only workspaces that have any.
+        stopping: Whether the entry is shutting down as planned.
     """
 
     dispatched: tuple[dispatched.Dispatched, ...]
--- a/src/ruddergate/messages/fleet_view.py
+++ b/src/ruddergate/messages/fleet_view.py
@@ -1,4 +1,4 @@
-"""The fleet as an agent sees it, for its entry."""
+"""The fleet as an agent sees it."""
 
 import dataclasses
 
@@ -7,12 +7,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetView:
-    """The published list and how old it is.
+    """The published listing and its age.
 
     Attributes:
         listing: VMs and targets.
-        age_ms: Time since the list was last confirmed by the platform.
-        settled_ms: Time for which the listed VMs have been the same.
+        age_ms: Time since the platform last confirmed the listing.
+        settled_ms: Time since the set of listed VMs last changed.
     """
 
     listing: listing.Listing
--- a/src/ruddergate/messages/forward.py
+++ b/src/ruddergate/messages/forward.py
@@ -1,17 +1,17 @@
-"""A request passed from one entry to the VM that must decide it."""
+"""Forwarding of a request to the VM that owns its key or ticket."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Forward:
-    """A caller's request on its way to the home of its key or ticket.
+    """A caller's request, forwarded to the home VM of its key or ticket.
 
     Attributes:
-        path: HTTP path as the caller sent it.
+        path: HTTP path as sent by the caller.
         headers: The caller's headers.
         body: The caller's body.
-        time_limit_ms: What is left of its time limit.
+        time_limit_ms: Remaining time of the request.
     """
 
     path: str
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForwardHead:
-    """Status and headers of the home's answer."""
+    """Status and headers of the home VM's response."""
 
     status: int
     headers: dict[str, str]
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForwardPart:
-    """Bytes of the home's answer; `last` marks its proper end."""
+    """A chunk of the response body; `last` marks its regular end."""
 
     data: bytes
     last: bool
--- a/src/ruddergate/messages/gossip.py
+++ b/src/ruddergate/messages/gossip.py
@@ -1,4 +1,4 @@
-"""The digest that agents exchange."""
+"""The digest that agents gossip."""
 
 import dataclasses
 
@@ -7,17 +7,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemberRow:
-    """What the sender knows of one VM.
+    """What the sender knows about one VM.
 
     Attributes:
         vm_id: The VM.
         hall: Its hall.
-        incarnation: Incarnation of its agent; a later one is higher.
-        heartbeat: Counter that only that agent raises.
-        age_ms: Time since that agent raised it, as far as the sender knows.
-        leaving: Whether it said that it is in a planned stop.
-        revision: Revision in force there.
-        service_age_ms: Age of that agent's last answer from the
+        incarnation: Incarnation of its agent; increases with each start.
+        heartbeat: Counter that only that agent increments.
+        age_ms: Time since that agent incremented it, as far as the sender
+            knows.
+        draining: Whether it announced that it is shutting down as planned.
+        revision: Revision of the settings tree in force there.
+        service_age_ms: Time since that agent last got a response from the
             configuration service.
     """
 
@@ -33,16 +34,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Gossip:
-    """A digest of fixed greatest size; the answer to one is another.
+    """A digest of bounded size; the reply to a digest is another digest.
 
     Attributes:
-        sender: The sender's VM.
+        sender: The VM of the sender.
         hall: The sender's hall.
-        revision: Revision of the tree in force at the sender.
-        listing_version: Version of the sender's list.
-        listing_age_ms: Age of the platform's last word that it is current.
-        members: Rows of some VMs, the sender's own first.
-        dispatched: The sender's entry's work on targets.
+        revision: Revision of the settings tree in force at the sender.
+        listing_version: Version of the sender's listing.
+        listing_age_ms: Time since the platform last confirmed that listing.
+        members: Rows of some VMs; the sender's own row is first.
+        dispatched: Work in flight from the sender's entry, by target.
     """
 
     sender: str
--- a/src/ruddergate/messages/listing_request.py
+++ b/src/ruddergate/messages/listing_request.py
@@ -1,14 +1,14 @@
-"""Asks a peer for its list of VMs and targets."""
+"""Requests a peer's listing of VMs and targets."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListingRequest:
-    """A request for the list; the answer is a `FleetView`.
+    """A request for the listing; the reply is a `FleetView`.
 
     Attributes:
-        version: Version of the list at the sender.
+        version: Version of the listing at the sender.
     """
 
     version: int
--- a/src/ruddergate/messages/load_bundle.py
+++ b/src/ruddergate/messages/load_bundle.py
@@ -1,4 +1,4 @@
-"""Digests of several gateways in one datagram."""
+"""Load digests of several gateways in one datagram."""
 
 import msgspec
 
@@ -6,14 +6,14 @@
 
 
 class LoadBundle(msgspec.Struct, frozen=True, array_like=True):
-    """Digests on their way to peers.
+    """Load digests sent to a peer.
 
     Attributes:
-        sender: Where the sender of this datagram takes datagrams (HOST:PORT);
-            it may be none of those whose digests these are.
-        for_group: Whether the receiver is to pass them on to its group; else
+        sender: Address at which the sender receives datagrams (HOST:PORT);
+            the sender may relay digests without adding its own.
+        for_group: Whether the receiver is to relay them to its group; if not,
             they are for the receiver alone.
-        digests: The digests, at most one of a gateway.
+        digests: The digests, at most one per gateway.
     """
 
     sender: str
--- a/src/ruddergate/messages/load_digest.py
+++ b/src/ruddergate/messages/load_digest.py
@@ -1,4 +1,4 @@
-"""A gateway's own work on targets, as it tells its peers."""
+"""A gateway's own load on targets, as it gossips it to peers."""
 
 import msgspec
 
@@ -8,20 +8,22 @@
 
 
 class LoadDigest(msgspec.Struct, frozen=True, array_like=True):
-    """What one gateway has running, as it stood when this was made.
+    """A snapshot of one gateway's work in flight.
 
     Attributes:
-        sender: Where the gateway takes datagrams (HOST:PORT).
+        sender: Address at which the gateway receives datagrams (HOST:PORT).
         hall: Its data hall.
-        link_mbps: How fast its link is, in megabits a second.
-        incarnation: Name of this run of the gateway.
-        number: Rises with each digest of an incarnation.
-        rows: Its work on targets; targets without any are left out.
-        lost: What it has just found out of reach.
-        leaving: Lives of targets that have lately told it in answers that they
-            leave, as `incarnation.format_incarnation` writes them.
-        rate_limits: Limits that targets have lately named or ended.
-        settings_revision: Revision of the published settings in force there.
+        link_mbps: Speed of its network link, in megabits per second.
+        incarnation: Identifies this run of the gateway.
+        sequence: Increases with each digest of an incarnation.
+        rows: Its work in flight; targets without any are left out.
+        losses: What it has just found unreachable.
+        draining: Incarnations of targets that recently reported to it, in
+            their responses, that they are draining; in the format of
+            `incarnation.format_incarnation`.
+        rate_limits: Rate limits that targets recently reported or ended.
+        settings_revision: Revision of the published settings in force at the
+            gateway.
     """
 
     sender: str
--- a/src/ruddergate/messages/loads.py
+++ b/src/ruddergate/messages/loads.py
@@ -1,4 +1,4 @@
-"""Load of targets, from themselves and from peers."""
+"""Load of targets, as reported by targets and by peers."""
 
 import dataclasses
 
@@ -9,11 +9,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Loads:
-    """What an agent has learned about load since its last message.
+    """Load that an agent has learned of since its last message.
 
     Attributes:
-        reports: Accounts of targets.
-        peers: Work that other VMs have on targets, summed by target.
+        reports: Load reports of targets.
+        peers: Work in flight from other VMs, summed by target.
         events: Changes in prefix caches.
     """
 
--- a/src/ruddergate/messages/poison_reports.py
+++ b/src/ruddergate/messages/poison_reports.py
@@ -1,21 +1,21 @@
-"""What gateways tell each other of contents under which targets ended."""
+"""Requests that may crash targets, as gateways report them to each other."""
 
 import dataclasses
 
 from ruddergate.fleet import incarnation as incarnations
 
-# Age that stands for a content that never ran to its end.
+# Age of a request that has never completed.
 NEVER_FINISHED = -1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndedIncarnation:
-    """A life of a target that ended while it had a call of the content.
+    """An incarnation of a target that ended while it ran the request.
 
     Attributes:
-        life: The life.
-        age_ms: How long ago it ended.
-        weight: How much that counts, see `suspicion.find_weight`.
+        incarnation: The incarnation.
+        age_ms: Time since it ended.
+        weight: How much it counts as evidence, above 0 and at most 1.
     """
 
     incarnation: incarnations.Incarnation
@@ -25,13 +25,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoisonReport:
-    """What a gateway knows of one content.
+    """What a gateway knows about one request.
 
     Attributes:
-        content: Name of the content.
-        ended: Lives that ended under it.
-        finished_age_ms: How long ago a call of it last ran to its end;
-            NEVER_FINISHED for never.
+        fingerprint: Fingerprint of the request.
+        ended: Incarnations that ended while they ran it.
+        finished_age_ms: Time since the request last completed;
+            NEVER_FINISHED if it never has.
     """
 
     fingerprint: str
@@ -41,11 +41,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoisonReports:
-    """Contents that a gateway tells a peer of.
+    """Requests that a gateway reports to a peer.
 
     Attributes:
-        sender: Where the gateway takes datagrams (HOST:PORT).
-        rows: The contents.
+        sender: Address at which the gateway receives datagrams (HOST:PORT).
+        rows: The reports.
     """
 
     sender: str
--- a/src/ruddergate/messages/quota_loan.py
+++ b/src/ruddergate/messages/quota_loan.py
@@ -1,17 +1,17 @@
-"""Lending parts of limits between agents of a hall."""
+"""Loans of quota between agents of a hall."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuotaLoanRequest:
-    """Asks a peer to lend part of a workspace's limit.
+    """Asks a peer to lend a share of a workspace's limit.
 
     Attributes:
-        borrower: The asking VM.
+        borrower: The requesting VM.
         workspace: The workspace.
-        fraction: Part of the fleet's limit that is asked for.
-        valid_ms: Time from the asking for which it is wanted.
+        fraction: Requested share of the fleet-wide limit.
+        valid_ms: Requested duration of the loan, from the request on.
     """
 
     borrower: str
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuotaLoanReply:
-    """The answer: the part that the lender has given up, perhaps 0."""
+    """The reply: the share that the lender has given up, possibly 0."""
 
     workspace: str
     fraction: float
--- a/src/ruddergate/messages/retry_transfer.py
+++ b/src/ruddergate/messages/retry_transfer.py
@@ -1,17 +1,18 @@
-"""Second sends that gateways hand to each other."""
+"""Transfer of retry budget between gateways."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetryTransferRequest:
-    """Asks a peer for some of the second sends that it has saved up.
+    """Asks a peer for part of its unused retry budget.
 
     Attributes:
-        sender: Where the asking gateway takes datagrams (HOST:PORT).
-        question: Name of this question; the answer repeats it.
-        retries: Second sends that are asked for.
-        is_great: Whether they are for prompts that are worth many short ones.
+        sender: Address at which the requester receives datagrams (HOST:PORT).
+        correlation_id: Identifies the request; the reply repeats it.
+        retries: Number of retries requested.
+        is_large: Whether they are for large prompts, each of which counts as
+            much as many short ones.
     """
 
     sender: str
@@ -22,9 +23,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetryTransferReply:
-    """The answer: what the lender has given up, perhaps 0.
+    """The reply: the number of retries that the lender gave up, possibly 0.
 
-    It is given for good. One that gets lost is spent by nobody.
+    The transfer is final. If the reply gets lost, nobody spends these retries.
     """
 
     correlation_id: str
--- a/src/ruddergate/messages/shares.py
+++ b/src/ruddergate/messages/shares.py
@@ -1,16 +1,16 @@
-"""A VM's part of the fleet-wide limits."""
+"""A VM's share of the fleet-wide limits."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Share:
-    """Part of one workspace's limits that a VM may use.
+    """Share of one workspace's limits that a VM may use.
 
     Attributes:
         workspace: The workspace.
-        fraction: Part of the fleet's limit, from 0 to 1.
-        valid_ms: Time for which the part may be used from now.
+        fraction: Share of the fleet-wide limit, from 0 to 1.
+        valid_ms: Time for which the share may be used, from now.
     """
 
     workspace: str
@@ -20,11 +20,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shares:
-    """All parts of this VM.
+    """All shares of a VM.
 
     Attributes:
-        base_fraction: Part for workspaces that `shares` does not name.
-        shares: Parts that differ from the base.
+        base_fraction: Share for workspaces that `shares` does not list.
+        shares: Shares that differ from the base.
     """
 
     base_fraction: float
--- a/src/ruddergate/messages/store_changes.py
+++ b/src/ruddergate/messages/store_changes.py
@@ -1,4 +1,4 @@
-"""What one gateway tells another of the store, so that fewer ask the store."""
+"""Store changes passed on between gateways, so that fewer read the store."""
 
 import dataclasses
 
@@ -8,14 +8,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreChangesRequest:
-    """Asks a peer what the store has published since a position.
+    """Asks a peer for what the store has published since a position.
 
     Attributes:
-        sender: Where the asking gateway takes datagrams (HOST:PORT).
-        question: Name of this question; the answer repeats it.
-        position: The store's revision up to which the asker knows everything.
-        epoch: The store's epoch in which that is so; EPOCH_UNKNOWN of an
-            earlier release.
+        sender: Address at which the requester receives datagrams (HOST:PORT).
+        correlation_id: Identifies the request; the reply repeats it.
+        position: The store's revision up to which the requester is current.
+        epoch: The store's epoch of that revision; EPOCH_UNKNOWN from a VM of
+            an earlier release.
     """
 
     sender: str
@@ -26,21 +26,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreChangesReply:
-    """The answer to a `NewsWanted`.
+    """The reply to a `StoreChangesRequest`.
 
     Attributes:
-        question: Name of the question.
-        position: The store's revision up to which the answerer knows
-            everything.
-        age_ms: How long before this answer it was certain, by the answerer's
-            clock, that nothing newer was published.
-        is_whole: Whether this is all that has changed since the asker's
-            position; else the asker is to read the store.
-        settings_revision: Revision of the settings that the answerer goes by.
-        listed: Entries of targets in order, as in `published.Changes`.
-        gone: Names of targets that are not listed any more.
-        spoilt: Names whose entry is none of a target.
-        epoch: The store's epoch that `position` is of; EPOCH_UNKNOWN of an
+        correlation_id: Identifies the request.
+        position: The store's revision up to which the responder is current.
+        age_ms: How long before this reply the responder last knew for certain,
+            by its own clock, that nothing newer had been published.
+        is_complete: Whether this is everything that has changed since the
+            requester's position; if not, the requester fetches the
+            responder's whole list of targets or reads the store.
+        settings_revision: Revision of the settings in force at the responder.
+        listed: Target entries in order, as in `published.Changes`.
+        removed: Names of targets that are no longer listed.
+        malformed: Names whose entry is not a valid target entry.
+        epoch: The store's epoch of `position`; EPOCH_UNKNOWN from a VM of an
             earlier release.
     """
 
--- a/src/ruddergate/messages/tree_parts.py
+++ b/src/ruddergate/messages/tree_parts.py
@@ -7,11 +7,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TreeParts:
-    """A manifest with those of its shards that the receiver lacks.
+    """A manifest together with the shards that the receiver lacks.
 
     Attributes:
-        manifest: The revision and the digest of every shard.
-        shards: Bytes of shards by digest; the receiver has the others.
+        manifest: The revision and the digests of all its shards.
+        shards: Shards by digest; the receiver already has the others.
     """
 
     manifest: manifest.Manifest
--- a/src/ruddergate/messages/tree_request.py
+++ b/src/ruddergate/messages/tree_request.py
@@ -1,11 +1,11 @@
-"""Asks a peer for its revision of the settings tree."""
+"""Requests a peer's revision of the settings tree."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TreeRequest:
-    """A request for the parts of a tree that the sender lacks.
+    """A request for the shards of a tree that the sender lacks.
 
     Attributes:
         revision: Revision in force at the sender.
