--- a/src/ruddergate/platform/replicas.py
+++ b/src/ruddergate/platform/replicas.py
@@ -113,8 +113,8 @@
 
 
 def _name_helper(helper: upstream_requests.Helper) -> str:
-    if helper.ticket:
-        return f"{helper.address}/{helper.ticket}"
+    if helper.reservation_name:
+        return f"{helper.address}/{helper.reservation_name}"
     return str(helper.address)
 
 
--- a/src/ruddergate/relay/__init__.py
+++ b/src/ruddergate/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Calls that are passed on unchanged: what the parts tell each other."""
+"""Types shared by the parts that relay requests to targets unchanged."""
--- a/src/ruddergate/relay/answer.py
+++ b/src/ruddergate/relay/answer.py
@@ -1,4 +1,4 @@
-"""What a target's answer to a call that is passed on brings."""
+"""Events that make up a target's response to a relayed request."""
 
 import dataclasses
 
@@ -9,12 +9,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CompleteResponse:
-    """An answer read to its end, to be handed on as it is.
+    """A response that was read completely, to be relayed unchanged.
 
     Attributes:
         status: HTTP status.
-        fields: Header lines to hand on.
-        body: Whole body.
+        fields: Header lines to relay.
+        body: Complete body.
     """
 
     status: int
@@ -24,11 +24,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamHead:
-    """The beginning of a series of events; the first events follow it.
+    """The head of an event stream; the first events follow it.
 
     Attributes:
         status: HTTP status.
-        fields: Header lines to hand on.
+        fields: Header lines to relay.
     """
 
     status: int
@@ -37,11 +37,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamEvents:
-    """One or more whole events.
+    """One or more complete events.
 
     Attributes:
         data: Their bytes as received.
-        last_id: Id of the last of them.
+        last_event_id: Id of the last event.
     """
 
     data: bytes
@@ -50,22 +50,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamEnd:
-    """The proper end of a series of events."""
+    """The regular end of an event stream."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReported:
-    """A target told its load with an answer."""
+    """A target reported its load with a response."""
 
     report: load_report.LoadReport
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HelperFaultReported:
-    """A target told that another one was at fault, which helped it.
+    """A target reported that one of its helpers was at fault.
 
     Attributes:
-        target_id: The one at fault.
+        target_id: The helper at fault.
     """
 
     target_id: str
@@ -80,4 +80,4 @@
     | HelperFaultReported
     | outcomes.NotServed
 )
-"""The last event is a WholeAnswer, a StreamEnd or a NotServed."""
+"""The last event is a CompleteResponse, a StreamEnd or a NotServed."""
--- a/src/ruddergate/relay/caller_protocol.py
+++ b/src/ruddergate/relay/caller_protocol.py
@@ -1,4 +1,4 @@
-"""How callers of one platform are understood and answered."""
+"""The protocol that the callers of one platform speak."""
 
 from collections.abc import Callable
 import dataclasses
@@ -9,19 +9,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """A call before the settings are asked about it.
+    """A parsed request, before any settings are applied to it.
 
     Attributes:
-        request_id: The caller's name for it.
-        host: Host asked for.
-        key: The caller's key, or empty.
-        time_limit_ms: How long the caller waits, or None if it did not say.
-        prompt_tokens: Length of the prompt; 0 for a plain call.
-        output_tokens_max: Longest answer in tokens; 0 for a plain call.
-        prefix_name: Name of the part of the prompt that others share.
-        prefix_tokens: Its length.
-        last_event: Id of the last event that the caller has, or empty.
-        fields: Header lines that may be passed on.
+        request_id: The id that the caller gave it.
+        host: Host that the request is for.
+        key: The caller's API key, or empty.
+        time_limit_ms: How long the caller waits, or None if not specified.
+        prompt_tokens: Length of the prompt; 0 for a plain service.
+        output_tokens_max: Maximum output tokens; 0 for a plain service.
+        prefix_name: Name of the prefix that the prompt shares with others.
+        prefix_tokens: Length of that prefix.
+        last_event_id: Id of the last event that the caller received, or empty.
+        fields: Header lines that may be forwarded.
     """
 
     request_id: str
@@ -38,11 +38,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerProtocol:
-    """Translation between HTTP and the product, for one kind of caller.
+    """Translates between HTTP and the internal types, for one platform.
 
     Attributes:
-        read: Returns the call, or why it is none.
-        write_failure: Returns the answer for a call that was not served.
+        read: Parses a request, or returns why it is invalid.
+        write_failure: Returns the response to a request that was not served.
     """
 
     read: Callable[
--- a/src/ruddergate/relay/event_splitter.py
+++ b/src/ruddergate/relay/event_splitter.py
@@ -1,4 +1,4 @@
-"""Cuts a stream's bytes at the ends of its events."""
+"""Splits the bytes of an event stream at event boundaries."""
 
 import re
 
@@ -9,26 +9,26 @@
 
 
 class EventSplitter:
-    """Holds back the bytes of an event until the event is whole."""
+    """Buffers the bytes of an event until the event is complete."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
         self._last_id = ""
 
     def feed(self, data: bytes) -> answers.StreamEvents | None:
-        """Takes in bytes; returns the events that are whole now, if any."""
-        data = self._rest + data
+        """Adds bytes; returns the events that are now complete, if any."""
+        data = self._buffer + data
         end = data.rfind(_END)
         if end < 0:
-            self._rest = data
+            self._buffer = data
             return None
-        whole = data[: end + len(_END)]
-        self._rest = data[end + len(_END) :]
-        ids = _ID.findall(whole)
+        complete = data[: end + len(_END)]
+        self._buffer = data[end + len(_END) :]
+        ids = _ID.findall(complete)
         if ids:
             self._last_id = ids[-1].decode("latin-1").strip()
-        return answers.StreamEvents(whole, self._last_id)
+        return answers.StreamEvents(complete, self._last_id)
 
     def is_between_events(self) -> bool:
-        """Returns whether no part of an event is held back."""
-        return not self._rest.strip()
+        """Returns whether no partial event is buffered."""
+        return not self._buffer.strip()
--- a/src/ruddergate/relay/hints.py
+++ b/src/ruddergate/relay/hints.py
@@ -1,4 +1,4 @@
-"""What a target says of itself beside an answer's result."""
+"""Hints about itself that a target sends along with a response."""
 
 from collections.abc import Callable
 import dataclasses
@@ -9,23 +9,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hints:
-    """Said in one answer: to a call, an order or a question.
+    """The hints of one response, to a request, an order or a probe.
 
     Attributes:
-        life: The life that answered, as known when it was asked; where the
-            answer itself tells when the target started, the life it tells of.
-        is_leaving: Whether it takes no new work.
-        quiet_ms: For how long it wants no calls of this VM; None if it does
-            not say.
-        unread: What it said that has no meaning, a sentence each.
-        request_id: The call that it answered, or empty.
-        is_dated: Whether the answer itself tells when the target started.
-        rate_limit_per_s: Requests a second that it takes from all VMs together;
-            None if it names no limit.
-        is_unlimited: Whether it certainly names no limit; neither a limit nor
-            this where the limit it names is malformed.
-        is_call: Whether it answered a call, and no order or probe.
-        sent_ms: When the request was sent that it answered.
+        incarnation: The incarnation that responded, as known when the request
+            was sent; if the response itself contains a start time, the
+            incarnation with that start time.
+        is_draining: Whether the target accepts no new work.
+        backoff_ms: How long it wants this VM to send it no requests; None if
+            not specified.
+        problems: Hints that could not be parsed, one sentence each.
+        request_id: Id of the request that it responded to, or empty.
+        has_start_time: Whether the response itself contains a start time.
+        rate_limit_per_s: Requests per second that it accepts from all VMs
+            together; None if it specifies no limit.
+        is_unlimited: Whether it certainly specifies no limit. If its limit is
+            malformed, this is false and `rate_limit_per_s` is None.
+        is_call: Whether it responded to a caller's request, not to an order or
+            a probe.
+        sent_ms: When the request that it responded to was sent.
     """
 
     incarnation: incarnations.Incarnation
@@ -41,8 +43,8 @@
 
 
 OnHints: TypeAlias = Callable[[Hints], None]
-"""Takes a statement in; called before anyone sees the answer it came with."""
+"""Handles hints; called before anything else sees the response."""
 
 
-def ignore(said: Hints) -> None:
-    """Stands where nobody hears what targets say."""
+def ignore_hints(hints: Hints) -> None:
+    """Handler for use where hints don't matter."""
--- a/src/ruddergate/relay/orders.py
+++ b/src/ruddergate/relay/orders.py
@@ -1,4 +1,4 @@
-"""Setting memory of targets aside: what is asked and what comes back."""
+"""Orders to targets, such as memory reservations, and their results."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -11,12 +11,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reservation:
-    """Memory on one target under a name.
+    """A named memory reservation on one target.
 
     Attributes:
         target: The target.
-        name: Name of the memory there; unlike any other VM's.
-        tokens: How much of it, in tokens.
+        name: Name of the reservation; no other VM uses the same name.
+        tokens: Size in tokens.
     """
 
     target: targets.Target
@@ -25,10 +25,10 @@
 
 
 class OrderResult(enum.Enum):
-    """What became of an order.
+    """Result of an order.
 
-    After GONE (nobody listens there) and UNREACHABLE (nothing came back) it was
-    certainly not taken.
+    After NOT_LISTENING (the connection failed) and UNREACHABLE (connecting
+    timed out) the target has certainly not received the order.
     """
 
     DONE = "done"
@@ -39,10 +39,10 @@
 
 
 class ProbeStatus(enum.Enum):
-    """What came back from a target that was asked for a sign of life.
+    """What came back from a target that was probed.
 
-    GONE says that its machine is in reach and nobody listens there; SILENT that
-    nothing came back, as from behind a cut.
+    NOT_LISTENING means that its machine is reachable and nothing listens at the
+    address; NO_RESPONSE that nothing came back, as in a network partition.
     """
 
     ALIVE = "alive"
@@ -52,12 +52,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProbeResult:
-    """What a target told when it was asked for a sign of life.
+    """Result of a health probe.
 
     Attributes:
-        sign: What came back.
-        born_ms: When it started, as in `incarnation.Incarnation`, if it told.
-        is_staying: Whether it answered, and so that it certainly did not leave.
+        status: What came back.
+        started_ms: When the target started, as in `incarnation.Incarnation`, if
+            it reported that.
+        refutes_draining: Whether it responded, and in a way that rules out that
+            it is draining.
     """
 
     status: ProbeStatus
@@ -67,12 +69,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Orders:
-    """Orders that a platform's targets take.
+    """Orders that a platform's targets accept.
 
     Attributes:
-        reserve: Sets memory aside, or renews it, for so many milliseconds.
-        release: Gives memory back.
-        ask_sign: Asks a target for a sign of life.
+        reserve: Reserves memory, or renews a reservation, for a number of
+            milliseconds.
+        release: Releases a reservation.
+        probe: Sends a health probe to a target.
     """
 
     reserve: Callable[[Reservation, float], Awaitable[OrderResult]]
--- a/src/ruddergate/relay/published.py
+++ b/src/ruddergate/relay/published.py
@@ -1,4 +1,4 @@
-"""What a platform's store publishes, and how to ask it."""
+"""What a platform's store publishes, and how to read it."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -11,11 +11,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MalformedEntry:
-    """An entry of a target that is none: it names no target to be used.
+    """A target entry that is invalid and does not describe a usable target.
 
     Attributes:
-        target_id: The name under which it stands.
-        detail: What is wrong, a sentence for logs.
+        target_id: The name under which it is stored.
+        detail: What is wrong, as a sentence for logs.
     """
 
     target_id: str
@@ -24,17 +24,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """What the store holds, or what has changed in it.
+    """Contents of the store, or changes to them.
 
     Attributes:
-        position: The store's position up to which this is told.
-        catalog: The newest settings, or None if they are not in this.
-        targets: Every entry of a target in order, also those that others of
-            the same target have replaced since.
-        gone: Names of targets that are not listed any more.
-        problems: What could not be read of the settings, a sentence each.
-        document: The settings as published; empty if they are not in this.
-        spoilt: Entries that stand where targets' do and are none.
+        position: The store's position up to which this is current.
+        catalog: The newest settings, or None if not included.
+        targets: Every target entry in order, including entries that a later one
+            of the same target has replaced.
+        removed: Names of targets that are no longer listed.
+        problems: Errors in the settings, one sentence each.
+        document: The settings as published; empty if not included.
+        malformed: Invalid entries among those of targets.
     """
 
     position: store_position.StorePosition
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HistoryLost:
-    """The store can't tell the changes since then; all must be read anew.
+    """The store no longer has these changes; everything must be read again.
 
     Attributes:
         epoch: The store's epoch, as in `store_position.StorePosition`.
@@ -59,20 +59,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The store did not answer, or not with sense; `detail` is for logs."""
+    """The store sent no valid response; `detail` is for logs."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Source:
-    """Calls of a store.
+    """Operations of a store.
 
     Attributes:
         read_all: Returns everything that is published.
-        read_changes: Returns the changes behind a revision, waiting for at
-            most so many milliseconds when there are none.
-        read_settings: Reads settings as published, or says what is wrong.
+        read_changes: Returns the changes after a revision; if there are none,
+            waits for at most the given number of milliseconds.
+        read_settings: Parses published settings, or returns what is wrong.
     """
 
     read_all: Callable[[], Awaitable[Changes | Unavailable]]
--- a/src/ruddergate/relay/upstream_request.py
+++ b/src/ruddergate/relay/upstream_request.py
@@ -1,4 +1,4 @@
-"""One call as it is sent to one target."""
+"""A request as it is sent to one target."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Awaitable
@@ -15,60 +15,62 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Helper:
-    """An engine that reads part of the prompt.
+    """An engine that prefills part of the prompt.
 
     Attributes:
-        target_id: Its name.
-        address: Where it serves.
-        ticket: Name of the memory set aside there, or empty.
+        target_id: Name of the engine.
+        address: Address at which it serves.
+        reservation_name: Name of the memory reservation there, or empty.
     """
 
     target_id: str
     address: environment.Address
-    ticket: str = ""
+    reservation_name: str = ""
 
 
-async def _always() -> bool:
+async def _always_give_up() -> bool:
     return True
 
 
-def _refuse_nothing() -> outcomes.NotServed | None:
+def _admit() -> outcomes.NotServed | None:
     return None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timeouts:
-    """How long to wait for a target, in milliseconds.
+    """Timeouts for a target, in milliseconds.
 
     Attributes:
-        connect_ms: For a connection.
-        first_ms: For the first event, or a plain answer's head.
+        connect_ms: For connecting.
+        first_ms: For the first event, or for the response head of a plain
+            service.
         gap_ms: Between two events.
-        may_end: Asked when that is over: whether the target is to be given up,
-            or else waited for until the call's deadline.
+        may_give_up: Called when a timeout has expired; returns whether to give
+            up on the target. If not, it is waited for until the deadline.
     """
 
     connect_ms: float
     first_ms: float
     gap_ms: float
-    may_give_up: Callable[[], Awaitable[bool]] = _always
+    may_give_up: Callable[[], Awaitable[bool]] = _always_give_up
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamRequest:
-    """What to send to whom.
+    """What to send, and to which target.
 
     Attributes:
-        payload: The call.
-        target: Who is to run it.
-        workspace: Whose call it is; empty for an open route.
-        deadline_ms: Monotonic time at which it must have ended.
-        urgency: 0 to 9; the target lets lower ones in first.
-        resume_after: Id of the last event the caller has; empty for none.
-        helpers: Engines that read parts of the prompt.
-        patience: How long to wait.
-        refuse: Asked when all is ready, in the step that sends the first byte:
-            returns why the call is not to be sent after all, if so.
+        payload: The request to relay.
+        target: The target that is to run it.
+        workspace: The workspace of the caller; empty for an open route.
+        deadline_ms: Deadline, as monotonic time.
+        urgency: 0 to 9; the target admits lower values first.
+        resume_after: Id of the last event that the caller received, or empty.
+        helpers: Engines that prefill parts of the prompt.
+        timeouts: How long to wait for the target.
+        check_admission: Called once the connection is up, in the same step
+            that sends the first byte; returns a refusal if the request must
+            not be sent.
     """
 
     payload: payloads.Payload
@@ -79,8 +81,8 @@
     resume_after: str
     helpers: tuple[Helper, ...]
     timeouts: Timeouts
-    check_admission: Callable[[], outcomes.NotServed | None] = _refuse_nothing
+    check_admission: Callable[[], outcomes.NotServed | None] = _admit
 
 
 Send: TypeAlias = Callable[[UpstreamRequest], AsyncIterator[answers.Event]]
-"""Sends an errand; the caller closes the iterator to give it up."""
+"""Sends a request; closing the iterator abandons it."""
--- a/tests/test_replica_calls.py
+++ b/tests/test_replica_calls.py
@@ -77,7 +77,7 @@
         return passed + (stands_still_ms if passed > began_ms + 500.0 else 0.0)
 
     outside = dataclasses.replace(plain, now_ms=now_ms)
-    send = replicas.make_send(outside, hint_types.ignore)
+    send = replicas.make_send(outside, hint_types.ignore_hints)
 
     async def collect() -> list[answers.Event]:
         return [event async for event in send(_make_errand(now_ms()))]
@@ -124,7 +124,7 @@
                 return streams
 
             outside = dataclasses.replace(plain, connect=connect)
-            send = replicas.make_send(outside, hint_types.ignore)
+            send = replicas.make_send(outside, hint_types.ignore_hints)
             upstream_request = dataclasses.replace(
                 _make_errand(outside.now_ms()), check_admission=refuse
             )
