--- a/src/ruddergate/wire/__init__.py
+++ b/src/ruddergate/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What the system's own processes tell each other: messages and frames."""
+"""Encoding of messages between the system's own processes, and framing."""
--- a/src/ruddergate/wire/codec.py
+++ b/src/ruddergate/wire/codec.py
@@ -1,4 +1,4 @@
-"""Messages to bytes and back: msgpack of a tag and the fields in order."""
+"""Encodes and decodes messages, as msgpack of a tag and the ordered fields."""
 
 from collections.abc import Callable
 import dataclasses
@@ -55,8 +55,8 @@
     | tree_request.TreeRequest
 )
 
-# A tag never changes its meaning: processes of two releases talk to each
-# other while VMs are replaced.
+# A tag never changes its meaning, because processes of two releases exchange
+# messages during a rolling upgrade.
 _TAGS: dict[int, type] = {
     1: entry_hello.EntryHello,
     2: entry_load.EntryLoad,
@@ -72,7 +72,7 @@
     12: tree_parts.TreeParts,
     13: tree_request.TreeRequest,
     14: listing_request.ListingRequest,
-    # 15 was a digest that named peers.
+    # 15 is retired; it was a digest that listed peers.
     16: load_digest.LoadDigest,
     17: load_bundle.LoadBundle,
     18: store_changes.StoreChangesRequest,
@@ -86,12 +86,12 @@
     26: document_part.TargetsDocument,
 }
 _SCALARS = (str, int, float, bool, bytes)
-_TAG_OF = {type_: tag for tag, type_ in _TAGS.items()}
+_TAG_BY_TYPE = {type_: tag for tag, type_ in _TAGS.items()}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Malformed:
-    """Bytes that are no message; `detail` says why, for logs."""
+    """Bytes that are not a valid message; `detail` says why, for logs."""
 
     detail: str
 
@@ -100,10 +100,11 @@
     converter = cattrs.Converter(
         unstruct_strat=cattrs.UnstructureStrategy.AS_TUPLE
     )
-    # What cattrs does by itself looks every field's type up again for each
-    # value, which costs most of the time that a small message takes.
+    # The default hooks of cattrs look up every field's type again for each
+    # value, which takes most of the time for a small message.
     converter.register_structure_hook_factory(
-        dataclasses.is_dataclass, lambda type_: _make_taker(converter, type_)
+        dataclasses.is_dataclass,
+        lambda type_: _make_dataclass_hook(converter, type_),
     )
     converter.register_structure_hook_factory(
         _is_struct, lambda type_: msgspec.convert
@@ -112,41 +113,41 @@
         _is_struct, lambda type_: msgspec.to_builtins
     )
     converter.register_structure_hook_factory(
-        _is_series, lambda type_: _make_series_taker(converter, type_)
+        _is_variadic_tuple, lambda type_: _make_tuple_hook(converter, type_)
     )
     return converter
 
 
-def _make_taker(
+def _make_dataclass_hook(
     converter: cattrs.Converter, type_: type
 ) -> Callable[[object, type], object]:
-    """Returns a function that makes a data class of its fields in order."""
+    """Returns a hook that makes a data class from its fields in order."""
     hints = typing.get_type_hints(type_)
-    takers = [
-        (_find_taker(converter, hints[field.name]), hints[field.name])
+    hooks = [
+        (_find_hook(converter, hints[field.name]), hints[field.name])
         for field in dataclasses.fields(type_)
     ]
 
-    def take(value: object, _: type) -> object:
+    def structure(value: object, _: type) -> object:
         if not isinstance(value, list):
             raise TypeError(f"expected a list, found {value!r:.40}")
-        # A newer release may send more fields, an older one fewer.
-        pairs = zip(takers, value, strict=False)
-        return type_(*[taker(each, hint) for (taker, hint), each in pairs])
+        # A newer release may send more fields and an older one fewer.
+        pairs = zip(hooks, value, strict=False)
+        return type_(*[hook(each, hint) for (hook, hint), each in pairs])
 
-    return take
+    return structure
 
 
-def _find_taker(
+def _find_hook(
     converter: cattrs.Converter, type_: type
 ) -> Callable[[object, type], object]:
-    """Returns what takes a value of a type.
+    """Returns the hook for a type.
 
-    Scalars are told by identity: cattrs' own hooks for them go before any that
-    is registered for a set of types, and turn `"5"` into 5.
+    Scalars are handled here and not by a registered hook: the built-in hooks of
+    cattrs for them take precedence over hook factories, and turn `"5"` into 5.
     """
     if type_ in _SCALARS:
-        return _take_scalar
+        return _structure_scalar
     return converter.get_structure_hook(type_)
 
 
@@ -154,30 +155,30 @@
     return isinstance(type_, type) and issubclass(type_, msgspec.Struct)
 
 
-def _is_series(type_: object) -> bool:
-    """Returns whether a type is a tuple of any length."""
+def _is_variadic_tuple(type_: object) -> bool:
+    """Returns whether a type is a tuple of variable length."""
     arguments = typing.get_args(type_)
     is_tuple = typing.get_origin(type_) is tuple
     return is_tuple and len(arguments) == 2 and arguments[1] is Ellipsis
 
 
-def _make_series_taker(
+def _make_tuple_hook(
     converter: cattrs.Converter, type_: object
 ) -> Callable[[object, type], object]:
-    """Returns a function that makes a tuple of like values."""
+    """Returns a hook that makes a tuple of values of one type."""
     hint = typing.get_args(type_)[0]
-    taker = _find_taker(converter, hint)
+    hook = _find_hook(converter, hint)
 
-    def take(value: object, _: type) -> object:
+    def structure(value: object, _: type) -> object:
         if not isinstance(value, list):
             raise TypeError(f"expected a list, found {value!r:.40}")
-        return tuple([taker(each, hint) for each in value])
+        return tuple([hook(each, hint) for each in value])
 
-    return take
+    return structure
 
 
-def _take_scalar(value: object, type_: type) -> object:
-    """Takes a scalar as it is, and a whole number for a float."""
+def _structure_scalar(value: object, type_: type) -> object:
+    """Accepts a scalar unchanged, and an integer where a float is expected."""
     if type_ is float and type(value) is int:
         return float(value)
     if type(value) is not type_:
@@ -186,32 +187,33 @@
 
 
 _CONVERTER = _make_converter()
-# Messages that every VM hears of every other one are read into their types in
-# one pass: the larger the fleet, the more of a VM's time goes to reading them.
+# Messages that every VM receives from every other one are decoded directly into
+# their types: the time a VM spends on decoding them grows with the fleet.
 _STRUCT_DECODERS: dict[int, msgspec.msgpack.Decoder] = {
     tag: msgspec.msgpack.Decoder(tuple[int, type_])
     for tag, type_ in _TAGS.items()
     if _is_struct(type_)
 }
-# A message begins with a list of two, and a tag that is a byte of its own.
-_TAG_AT = 1
+# A message begins with the header of a list of two, followed by the tag, which
+# is a single byte.
+_TAG_OFFSET = 1
 
 
 def encode(message: Message) -> bytes:
-    """Returns the message as bytes."""
-    tag = _TAG_OF[type(message)]
+    """Encodes a message."""
+    tag = _TAG_BY_TYPE[type(message)]
     if tag in _STRUCT_DECODERS:
         return msgspec.msgpack.encode((tag, message))
     return msgpack.packb((tag, _CONVERTER.unstructure(message)))
 
 
 def decode(payload: bytes) -> Message | Malformed:
-    """Returns the message, or Malformed for anything else."""
-    decoder = _STRUCT_DECODERS.get(payload[_TAG_AT] if payload[1:] else -1)
+    """Decodes a message, or returns Malformed for anything else."""
+    decoder = _STRUCT_DECODERS.get(payload[_TAG_OFFSET] if payload[1:] else -1)
     try:
         if decoder is not None:
             return decoder.decode(payload)[1]
         tag, fields = msgpack.unpackb(payload, strict_map_key=False)
         return _CONVERTER.structure(fields, _TAGS[tag])
-    except Exception as error:  # These libraries raise many types.
+    except Exception as error:  # The libraries raise many types.
         return Malformed(f"malformed message: {type(error).__name__}")
