--- a/src/ruddergate/settings/__init__.py
+++ b/src/ruddergate/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The tree of settings that operators edit: schema, checks and inheritance."""
+"""The settings tree that operators edit: schema, validation, inheritance."""
--- a/src/ruddergate/settings/catalog.py
+++ b/src/ruddergate/settings/catalog.py
@@ -1,4 +1,4 @@
-"""One revision of routes, workspaces by key, and pools, ready for look-ups."""
+"""Lookup of routes, workspaces and pools in one revision of the settings."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -12,11 +12,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Workspace:
-    """Who a key belongs to.
+    """The owner of an API key.
 
     Attributes:
         name: The workspace.
-        rank: Its priority, which goes before that of routes; higher is first.
+        rank: Its priority, which takes precedence over that of routes; higher
+            ranks are served first.
     """
 
     name: str
@@ -24,13 +25,13 @@
 
 
 class Catalog:
-    """Look-ups in one revision; never changed once made.
+    """Lookups in one revision; immutable.
 
     Attributes:
-        revision: Its number; later ones are higher.
-        workspaces: Workspaces by key; empty where callers have none.
-        pools: Effective settings of pools by name.
-        limits: What one caller may send.
+        revision: Number of the revision; later ones are higher.
+        workspaces: Workspaces by API key; empty if callers have no keys.
+        pools: Effective settings of pools, by name.
+        limits: Limits on what one caller may send.
     """
 
     def __init__(
@@ -80,17 +81,17 @@
 def _find_pause_aims_ms(
     pool: str, routes_: Iterable[routes.Route]
 ) -> tuple[float, ...]:
-    """Returns the longest pauses that routes to a pool allow."""
+    """Returns the different pause limits of the routes to a pool, sorted."""
     aims_ms = {
         each.gap_aim_ms
         for each in routes_
-        if each.is_stream and any(part.pool == pool for part in each.shares)
+        if each.is_stream and any(share.pool == pool for share in each.shares)
     }
     return tuple(sorted(aims_ms))
 
 
 def _prefixes(path: str) -> Iterator[str]:
-    """Yields the parts of a path that end with a slash, longest first."""
+    """Yields the prefixes of a path that end with a slash, longest first."""
     end = len(path)
     while (end := path.rfind("/", 0, end)) >= 0:
         yield path[: end + 1]
--- a/src/ruddergate/settings/check.py
+++ b/src/ruddergate/settings/check.py
@@ -1,7 +1,7 @@
-"""Checks a tree as published; a pure function of the whole tree.
+"""Validates a published settings tree, as a pure function of the whole tree.
 
-Every VM that checks the same bytes comes to the same verdict, so a revision
-is in force on all of them or on none.
+Every VM that checks the same bytes gets the same result, so that a revision
+takes effect on all of them or on none.
 """
 
 from collections.abc import Iterable
@@ -26,14 +26,14 @@
 def parse_tree(
     revision: int, shards: Mapping[str, bytes]
 ) -> tree.Tree | tuple[problem.Problem, ...]:
-    """Joins the shards of one revision and checks the whole.
+    """Joins the shards of one revision and validates the tree.
 
     Args:
         revision: Number under which the platform published the shards.
         shards: JSON of each shard by its name.
 
     Returns:
-        The checked tree, or all problems found, in order of path.
+        The validated tree, or all problems found, sorted by path.
     """
     problems: list[problem.Problem] = []
     raw = _join_shards(shards, problems)
@@ -43,7 +43,7 @@
         if branch is not None:
             branches[name] = branch
     if not problems:
-        problems.extend(_check_whole(branches))
+        problems.extend(_check_tree(branches))
     if problems:
         return tuple(sorted(problems))
     return tree.Tree(revision, types.MappingProxyType(branches))
@@ -79,13 +79,15 @@
     branches = document.get("branches") if isinstance(document, dict) else None
     if not isinstance(branches, dict) or len(document) != 1:
         problems.append(
-            problem.Problem(path, "an object with only `branches`", _name(data))
+            problem.Problem(
+                path, "an object with the single key `branches`", _quote(data)
+            )
         )
         return
     yield from branches.items()
 
 
-def _name(data: bytes) -> str:
+def _quote(data: bytes) -> str:
     shown = data[:40].decode(errors="replace")
     return f"{shown!r}"
 
@@ -93,7 +95,7 @@
 def _parse_branch(
     name: str, raw: object, problems: list[problem.Problem]
 ) -> tree.Branch | None:
-    before = len(problems)
+    problem_count = len(problems)
     if not isinstance(raw, dict):
         problems.append(problem.Problem(name, "an object", repr(raw)))
         return None
@@ -110,11 +112,13 @@
         problems.append(
             problem.Problem(f"{name}: parent", "a branch's name", repr(parent))
         )
-    own = _parse_settings(name, raw.get("settings", {}), problems)
-    shares = _parse_shares(name, raw.get("hall_percent", {}), problems)
-    if len(problems) > before:
+    overrides = _parse_settings(name, raw.get("settings", {}), problems)
+    hall_percent = _parse_hall_percent(
+        name, raw.get("hall_percent", {}), problems
+    )
+    if len(problems) > problem_count:
         return None
-    return tree.Branch(name, kinds.Kind(kind), parent, own, shares)
+    return tree.Branch(name, kinds.Kind(kind), parent, overrides, hall_percent)
 
 
 def _parse_settings(
@@ -137,7 +141,7 @@
 ) -> problem.Problem | None:
     setting = schema.BY_NAME.get(key)
     if setting is None:
-        return problem.Problem(path, _closest(key), "an unknown key")
+        return problem.Problem(path, _suggest_key(key), "an unknown key")
     if not _has_type(value, setting.type_):
         return problem.Problem(path, _describe(setting), repr(value))
     if setting.choices and value not in setting.choices:
@@ -174,8 +178,8 @@
     return text
 
 
-def _closest(key: str) -> str:
-    """Names the known setting that differs only in its unit, if any."""
+def _suggest_key(key: str) -> str:
+    """Returns the known setting that differs only in its unit, if any."""
     stem = _strip_units(key)
     for name in schema.BY_NAME:
         if _strip_units(name) == stem:
@@ -190,38 +194,40 @@
     return "_".join(words)
 
 
-def _parse_shares(
+def _parse_hall_percent(
     name: str, raw: object, problems: list[problem.Problem]
 ) -> Mapping[str, float]:
     path = f"{name}: hall_percent"
     if not isinstance(raw, dict) or not all(
         _has_type(share, float) and 0 <= share <= 100 for share in raw.values()
     ):
-        expected = "percents from 0 to 100 by hall"
+        expected = "a percentage from 0 to 100 for each hall"
         problems.append(problem.Problem(path, expected, repr(raw)))
         return {}
     if sum(raw.values()) > 100:
         found = f"{sum(raw.values()):g}"
-        problems.append(problem.Problem(path, "at most 100 in all", found))
+        problems.append(problem.Problem(path, "at most 100 in total", found))
     return types.MappingProxyType(raw)
 
 
-def _check_whole(
+def _check_tree(
     branches: Mapping[str, tree.Branch],
 ) -> Iterable[problem.Problem]:
     yield from _check_roots(branches)
     for name, branch in branches.items():
         if branch.parent and branch.parent not in branches:
             yield problem.Problem(
-                f"{name}: parent", "a branch of the tree", repr(branch.parent)
+                f"{name}: parent",
+                "the name of an existing branch",
+                repr(branch.parent),
             )
-        elif _in_cycle(name, branches):
+        elif _is_in_cycle(name, branches):
             yield problem.Problem(
-                f"{name}: parent", "a line that ends at the root", "a cycle"
+                f"{name}: parent", "ancestors that end at the root", "a cycle"
             )
     for name, branch in branches.items():
         yield from _check_references(name, branch, branches)
-        if branch.kind is kinds.Kind.WORKLOAD and _is_sound(name, branches):
+        if branch.kind is kinds.Kind.WORKLOAD and _reaches_root(name, branches):
             yield from _check_workload(name, branches)
 
 
@@ -240,7 +246,7 @@
             )
 
 
-def _in_cycle(name: str, branches: Mapping[str, tree.Branch]) -> bool:
+def _is_in_cycle(name: str, branches: Mapping[str, tree.Branch]) -> bool:
     seen = set()
     while name in branches:
         if name in seen:
@@ -250,9 +256,9 @@
     return False
 
 
-def _is_sound(name: str, branches: Mapping[str, tree.Branch]) -> bool:
-    """Returns whether the line above a branch ends at a branch."""
-    if _in_cycle(name, branches):
+def _reaches_root(name: str, branches: Mapping[str, tree.Branch]) -> bool:
+    """Returns whether the ancestors of a branch end at one without a parent."""
+    if _is_in_cycle(name, branches):
         return False
     while name in branches:
         name = branches[name].parent
@@ -262,14 +268,16 @@
 def _check_references(
     name: str, branch: tree.Branch, branches: Mapping[str, tree.Branch]
 ) -> Iterable[problem.Problem]:
-    for key, value in branch.own.items():
-        wanted = schema.BY_NAME[key].refers_to
-        if wanted is None:
+    for key, value in branch.overrides.items():
+        required_kind = schema.BY_NAME[key].refers_to
+        if required_kind is None:
             continue
         target = branches.get(str(value))
-        if target is None or target.kind is not wanted:
+        if target is None or target.kind is not required_kind:
             yield problem.Problem(
-                f"{name}: {key}", f"a branch of kind {wanted}", repr(value)
+                f"{name}: {key}",
+                f"a branch of kind {required_kind}",
+                repr(value),
             )
 
 
@@ -278,7 +286,9 @@
 ) -> Iterable[problem.Problem]:
     lineage = list(tree.Tree(0, branches).lineage(name))
     for key in ("class", "pool"):
-        if not any(key in branch.own for branch in lineage):
+        if not any(key in branch.overrides for branch in lineage):
             yield problem.Problem(f"{name}: {key}", "a value", "none inherited")
     if not any(branch.kind is kinds.Kind.WORKSPACE for branch in lineage):
-        yield problem.Problem(f"{name}: parent", "a workspace above it", "none")
+        yield problem.Problem(
+            f"{name}: parent", "a workspace among its ancestors", "none"
+        )
--- a/src/ruddergate/settings/effective.py
+++ b/src/ruddergate/settings/effective.py
@@ -1,4 +1,4 @@
-"""Effective settings: what a branch inherits and what it overrides."""
+"""Effective settings: inherited values merged with overrides."""
 
 from collections.abc import Iterator
 from collections.abc import Mapping
@@ -12,12 +12,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ExplainedSetting:
-    """One effective value and where it comes from.
+    """An effective value and its origin.
 
     Attributes:
-        name: The setting.
+        name: Name of the setting.
         value: Its effective value.
-        branch: The branch that set it, or `default`.
+        branch: The branch that sets it, or `default`.
     """
 
     name: str
@@ -40,9 +40,10 @@
     """Effective settings of a pool of targets; see `schema` for each.
 
     Attributes:
-        pass_ms: Time of an engine's pass that reads nothing, where published.
-        pause_aims_ms: The longest pauses that routes to the pool allow between
-            two events, each once and in order, where published.
+        iteration_ms: Duration of an engine's batch iteration without prefill,
+            if published.
+        pause_aims_ms: Longest acceptable pauses between two events, over all
+            routes to the pool, without duplicates and sorted, if published.
     """
 
     name: str
@@ -67,12 +68,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limit:
-    """A fleet-wide limit, shared by all workloads below the branch.
+    """A fleet-wide limit, shared by all workloads below a branch.
 
     Attributes:
-        scope: Branch that sets it; at most the workspace.
-        requests_per_s_max: Rate; infinite without one.
-        concurrency_max: Requests at once; infinite without one.
+        scope: The branch that sets it: the workspace or one below it.
+        requests_per_s_max: Maximum rate; infinite if not limited.
+        concurrency_max: Maximum concurrent requests; infinite if not limited.
     """
 
     scope: str
@@ -99,10 +100,10 @@
 
 
 def explain(
-    whole: tree.Tree, name: str, used_by: kinds.Kind
+    settings_tree: tree.Tree, name: str, used_by: kinds.Kind
 ) -> tuple[ExplainedSetting, ...]:
     """Returns each setting used by a kind of branch, effective at `name`."""
-    lineage = tuple(whole.lineage(name))
+    lineage = tuple(settings_tree.lineage(name))
     rows = []
     for setting in schema.SETTINGS:
         if setting.used_by is used_by:
@@ -114,73 +115,82 @@
     setting: schema.Setting, lineage: tuple[tree.Branch, ...]
 ) -> ExplainedSetting:
     for branch in lineage:
-        if setting.name in branch.own:
-            value = branch.own[setting.name]
+        if setting.name in branch.overrides:
+            value = branch.overrides[setting.name]
             return ExplainedSetting(setting.name, value, branch.name)
     return ExplainedSetting(setting.name, setting.default, "default")
 
 
-def resolve_workload(whole: tree.Tree, name: str) -> Workload | None:
+def resolve_workload(settings_tree: tree.Tree, name: str) -> Workload | None:
     """Returns the effective settings of a workload, or None if unknown."""
-    if whole.find(name, kinds.Kind.WORKLOAD) is None:
+    if settings_tree.find(name, kinds.Kind.WORKLOAD) is None:
         return None
-    values = _values(whole, name, kinds.Kind.WORKLOAD)
+    values = _resolve_values(settings_tree, name, kinds.Kind.WORKLOAD)
     return Workload(
         name=name,
-        workspace=find_workspace(whole, name),
-        revision=whole.revision,
-        priority=resolve_class(whole, str(values["class"])),
-        pool=resolve_pool(whole, str(values["pool"])),
+        workspace=find_workspace(settings_tree, name),
+        revision=settings_tree.revision,
+        priority=resolve_class(settings_tree, str(values["class"])),
+        pool=resolve_pool(settings_tree, str(values["pool"])),
         time_limit_ms=float(values["time_limit_ms"]),
         repeatable=bool(values["repeatable"]),
         prompt_tokens_max=int(values["prompt_tokens_max"]),
         output_tokens_max=int(values["output_tokens_max"]),
         output_tokens_typical=int(values["output_tokens_typical"]),
         weight=float(values["weight"]),
-        limits=tuple(_find_limits(whole, name)),
+        limits=tuple(_find_limits(settings_tree, name)),
     )
 
 
-def resolve_class(whole: tree.Tree, name: str) -> PriorityClass:
+def resolve_class(settings_tree: tree.Tree, name: str) -> PriorityClass:
     """Returns the effective settings of a priority class."""
-    return PriorityClass(name=name, **_values(whole, name, kinds.Kind.CLASS))
+    return PriorityClass(
+        name=name, **_resolve_values(settings_tree, name, kinds.Kind.CLASS)
+    )
 
 
-def resolve_pool(whole: tree.Tree, name: str) -> Pool:
+def resolve_pool(settings_tree: tree.Tree, name: str) -> Pool:
     """Returns the effective settings of a pool."""
-    return Pool(name=name, **_values(whole, name, kinds.Kind.POOL))
+    return Pool(
+        name=name, **_resolve_values(settings_tree, name, kinds.Kind.POOL)
+    )
 
 
-def find_workspace(whole: tree.Tree, name: str) -> str:
+def find_workspace(settings_tree: tree.Tree, name: str) -> str:
     """Returns the nearest workspace above a branch, or an empty name."""
-    for branch in whole.lineage(name):
+    for branch in settings_tree.lineage(name):
         if branch.kind is kinds.Kind.WORKSPACE:
             return branch.name
     return ""
 
 
-def _find_limits(whole: tree.Tree, name: str) -> Iterator[Limit]:
+def _find_limits(settings_tree: tree.Tree, name: str) -> Iterator[Limit]:
     """Yields each limit at or below the workspace.
 
-    What is set above the workspace is each workspace's own limit.
+    A limit that is set above the workspace applies to each workspace
+    separately.
     """
-    for branch in whole.lineage(name):
-        own = branch.own
+    for branch in settings_tree.lineage(name):
+        overrides = branch.overrides
         if branch.kind is kinds.Kind.WORKSPACE:
-            own = {
+            overrides = {
                 row.name: row.value
-                for row in explain(whole, branch.name, kinds.Kind.WORKLOAD)
+                for row in explain(
+                    settings_tree, branch.name, kinds.Kind.WORKLOAD
+                )
                 if row.branch != "default"
             }
-        rate = float(own.get("requests_per_s_max", math.inf))
-        concurrency = float(own.get("concurrency_max", math.inf))
+        rate = float(overrides.get("requests_per_s_max", math.inf))
+        concurrency = float(overrides.get("concurrency_max", math.inf))
         if math.isfinite(rate) or math.isfinite(concurrency):
             yield Limit(branch.name, rate, concurrency)
         if branch.kind is kinds.Kind.WORKSPACE:
             return
 
 
-def _values(
-    whole: tree.Tree, name: str, used_by: kinds.Kind
+def _resolve_values(
+    settings_tree: tree.Tree, name: str, used_by: kinds.Kind
 ) -> Mapping[str, schema.SettingValue]:
-    return {row.name: row.value for row in explain(whole, name, used_by)}
+    return {
+        row.name: row.value for row in explain(settings_tree, name, used_by)
+    }
--- a/src/ruddergate/settings/index.py
+++ b/src/ruddergate/settings/index.py
@@ -1,4 +1,4 @@
-"""Finds workspaces by key and workloads by name, once for each revision."""
+"""Lookup of workspaces by key and of workloads and pools by name."""
 
 import hashlib
 import hmac
@@ -7,31 +7,31 @@
 from ruddergate.settings import kind as kinds
 from ruddergate.settings import tree
 
-# Digits of a digest that select a candidate; the whole is then compared in
-# constant time.
+# Number of leading digits of a key's digest that select a candidate. The whole
+# digest is then compared in constant time.
 _SELECTOR_DIGITS = 16
 
 
 class Index:
-    """Look-ups in one tree; effective settings are worked out once.
+    """Lookups in one tree; caches effective settings.
 
     Attributes:
         tree: The tree.
     """
 
-    def __init__(self, whole: tree.Tree) -> None:
-        self.tree = whole
+    def __init__(self, settings_tree: tree.Tree) -> None:
+        self.tree = settings_tree
         self._workloads: dict[str, effective.Workload | None] = {}
         self._pools: dict[str, effective.Pool] = {}
         self._by_selector: dict[str, tuple[str, str]] = {}
-        for branch in whole.of_kind(kinds.Kind.WORKSPACE):
-            digest = str(branch.own.get("key_sha256", ""))
+        for branch in settings_tree.of_kind(kinds.Kind.WORKSPACE):
+            digest = str(branch.overrides.get("key_sha256", ""))
             if digest:
                 selector = digest[:_SELECTOR_DIGITS]
                 self._by_selector[selector] = (digest, branch.name)
 
     def find_workspace(self, key: str) -> str | None:
-        """Returns the workspace whose key this is, or None."""
+        """Returns the workspace that the key belongs to, or None."""
         presented = hashlib.sha256(key.encode()).hexdigest()
         known = self._by_selector.get(presented[:_SELECTOR_DIGITS])
         if known is None or not hmac.compare_digest(known[0], presented):
@@ -41,7 +41,7 @@
     def find_workload(
         self, workspace: str, name: str
     ) -> effective.Workload | None:
-        """Returns a workload of that workspace, by full or short name."""
+        """Returns a workload of the workspace, by full or short name."""
         for candidate in (f"{workspace}/{name}", name):
             workload = self._resolve(candidate)
             if workload is not None and workload.workspace == workspace:
@@ -57,7 +57,7 @@
         return self._pools.get(name)
 
     def _resolve(self, name: str) -> effective.Workload | None:
-        # Names come from callers: only those in the tree are remembered.
+        # Names come from callers, so only those in the tree are cached.
         if name not in self.tree.branches:
             return None
         if name not in self._workloads:
--- a/src/ruddergate/settings/kind.py
+++ b/src/ruddergate/settings/kind.py
@@ -1,10 +1,10 @@
-"""What a branch of the settings tree describes."""
+"""Kinds of branches in the settings tree."""
 
 import enum
 
 
 class Kind(enum.StrEnum):
-    """The kinds of branch."""
+    """What a branch describes."""
 
     ROOT = "root"
     GROUP = "group"
--- a/src/ruddergate/settings/manifest.py
+++ b/src/ruddergate/settings/manifest.py
@@ -1,4 +1,4 @@
-"""A manifest makes one revision whole: the digest of each of its shards."""
+"""A manifest identifies one revision by the digests of all its shards."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shard:
-    """A shard as named by a manifest.
+    """A shard as listed in a manifest.
 
     Attributes:
         name: Name of the shard.
@@ -23,8 +23,8 @@
     """One revision of the tree.
 
     Attributes:
-        revision: Its number; only higher ones are ever adopted.
-        shards: The shards that make it up, in order of name.
+        revision: Number of the revision; only higher ones are ever adopted.
+        shards: Its shards, sorted by name.
     """
 
     revision: int
@@ -40,6 +40,6 @@
 
 
 def make_manifest(revision: int, shards: Mapping[str, bytes]) -> Manifest:
-    """Returns the manifest of a revision made of these shards."""
+    """Returns the manifest of a revision that consists of these shards."""
     named = [Shard(name, digest(shards[name])) for name in sorted(shards)]
     return Manifest(revision, tuple(named))
--- a/src/ruddergate/settings/problem.py
+++ b/src/ruddergate/settings/problem.py
@@ -1,16 +1,16 @@
-"""A fault found in a settings tree."""
+"""A validation error in a settings tree."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Problem:
-    """One thing wrong with a tree, in words for the operator.
+    """A validation error, described for operators.
 
     Attributes:
         path: Branch and key, such as `signal/repairs: time_limit_ms`.
-        expected: What would have been right.
-        found: What stands there.
+        expected: What would be valid.
+        found: What was found instead.
     """
 
     path: str
--- a/src/ruddergate/settings/route.py
+++ b/src/ruddergate/settings/route.py
@@ -1,15 +1,15 @@
-"""A published route: which calls it covers and how they are to be run."""
+"""A published route: which requests it matches and how to handle them."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Share:
-    """Part of a route's calls that goes to one pool.
+    """Share of a route's requests that goes to one pool.
 
     Attributes:
         pool: Name of the pool.
-        weight: Its part, relative to the other shares of the route.
+        weight: Weight relative to the other shares of the route.
     """
 
     pool: str
@@ -18,23 +18,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Calls of one host below one path, which are passed on unchanged.
+    """Requests to one host below one path, which are relayed unchanged.
 
     Attributes:
-        name: Name in logs.
-        host: Host that callers ask for, in lower case.
-        path_prefix: Beginning of the path, with a slash at both ends.
-        shares: The pools that its calls go to; never empty.
-        rank: Its priority; a higher one goes first.
-        time_limit_ms: Longest time that a call may be held.
-        aim_ms: Time to the whole answer, or to a stream's first event, within
-            which an answer is in time.
-        is_stream: Whether answers are series of events.
-        gap_aim_ms: Longest pause between events of a stream in time.
-        repeatable: Whether a second run does no harm.
-        is_resumable: Whether another target can go on with a broken stream.
-        targets_max: Most targets that one call may be sent to.
-        is_open: Whether callers need no key.
+        name: Name for logs.
+        host: Host name, in lower case.
+        path_prefix: Prefix of the path; begins and ends with a slash.
+        shares: The pools that its requests go to; never empty.
+        rank: Its priority; higher ranks are served first.
+        time_limit_ms: Maximum time that a request may take.
+        aim_ms: Latency objective: time to the complete response or, for a
+            stream, to the first event.
+        is_stream: Whether responses are event streams.
+        gap_aim_ms: Objective for the longest pause between events of a stream.
+        repeatable: Whether requests are idempotent, so that running one twice
+            does no harm.
+        is_resumable: Whether another target can resume an interrupted stream.
+        targets_max: Maximum number of targets that one request may be sent to.
+        is_open: Whether callers need no API key.
     """
 
     name: str
--- a/src/ruddergate/settings/schema.py
+++ b/src/ruddergate/settings/schema.py
@@ -1,7 +1,7 @@
-"""The published schema: every setting with its type, unit and bounds.
+"""The published schema: all settings with type, unit and bounds.
 
-A setting may stand on any branch; branches below inherit it. `used_by` names
-the kinds of branch whose behaviour it changes.
+A setting may be set on any branch and is inherited by the branches below it.
+`used_by` is the kind of branch whose behavior it changes.
 """
 
 import dataclasses
@@ -20,21 +20,21 @@
 
     Attributes:
         name: Key in the tree; a unit is its suffix.
-        type_: Type of its value; int is taken where float is asked.
+        type_: Type of its value; an int is accepted for a float.
         default: Value when no branch sets it.
         used_by: Kind of branch that it configures.
-        meaning: One line for operators.
-        minimum: Least value, for numbers.
-        maximum: Greatest value, for numbers.
-        choices: Allowed values, for text with a fixed set.
-        refers_to: Kind of branch that the value must name, if any.
+        description: One line for operators.
+        minimum: Minimum value, for numbers.
+        maximum: Maximum value, for numbers.
+        choices: Allowed values, for enumerations.
+        refers_to: Kind of branch that the value must be the name of, if any.
     """
 
     name: str
     type_: type
     default: SettingValue
     used_by: kinds.Kind
-    meaning: str
+    description: str
     minimum: float | None = None
     maximum: float | None = None
     choices: tuple[str, ...] = ()
@@ -42,102 +42,132 @@
 
 
 def _workload(
-    name: str, default: SettingValue, meaning: str, *bounds: float
+    name: str, default: SettingValue, description: str, *bounds: float
 ) -> Setting:
-    return _setting(name, default, kinds.Kind.WORKLOAD, meaning, bounds)
+    return _setting(name, default, kinds.Kind.WORKLOAD, description, bounds)
 
 
 def _pool(
-    name: str, default: SettingValue, meaning: str, *bounds: float
+    name: str, default: SettingValue, description: str, *bounds: float
 ) -> Setting:
-    return _setting(name, default, kinds.Kind.POOL, meaning, bounds)
+    return _setting(name, default, kinds.Kind.POOL, description, bounds)
 
 
 def _class(
-    name: str, default: SettingValue, meaning: str, *bounds: float
+    name: str, default: SettingValue, description: str, *bounds: float
 ) -> Setting:
-    return _setting(name, default, kinds.Kind.CLASS, meaning, bounds)
+    return _setting(name, default, kinds.Kind.CLASS, description, bounds)
 
 
 def _setting(
     name: str,
     default: SettingValue,
     used_by: kinds.Kind,
-    meaning: str,
+    description: str,
     bounds: tuple[float, ...],
 ) -> Setting:
     minimum, maximum = bounds if bounds else (None, None)
     return Setting(
-        name, type(default), default, used_by, meaning, minimum, maximum
+        name, type(default), default, used_by, description, minimum, maximum
     )
 
 
-def _reference(name: str, target: kinds.Kind, meaning: str) -> Setting:
+def _reference(name: str, target: kinds.Kind, description: str) -> Setting:
     return Setting(
-        name, str, "", kinds.Kind.WORKLOAD, meaning, refers_to=target
+        name, str, "", kinds.Kind.WORKLOAD, description, refers_to=target
     )
 
 
 SETTINGS: tuple[Setting, ...] = (
     _reference("class", kinds.Kind.CLASS, "priority class, " + _ANY_CLASS),
     _reference("pool", kinds.Kind.POOL, "where it runs, " + _ANY_TARGET),
-    _workload("time_limit_ms", 60_000, "whole time limit", 10, 3_600_000),
-    _workload("repeatable", True, "whether a second run does no harm"),
-    _workload("prompt_tokens_max", 1_000_000, "longest prompt", 1, 4_000_000),
-    _workload("output_tokens_max", 4_096, "longest answer", 1, 1_000_000),
+    _workload("time_limit_ms", 60_000, "total time limit", 10, 3_600_000),
+    _workload(
+        "repeatable", True, "whether requests are idempotent and may run twice"
+    ),
+    _workload(
+        "prompt_tokens_max", 1_000_000, "maximum prompt length", 1, 4_000_000
+    ),
+    _workload(
+        "output_tokens_max", 4_096, "maximum output length", 1, 1_000_000
+    ),
     _workload(
         "output_tokens_typical",
         256,
-        "answer when no limit is told",
+        "output length assumed if the request sets no limit",
+        1,
+        1_000_000,
+    ),
+    _workload("weight", 1.0, "weight within its class", 0.01, 1_000.0),
+    _workload(
+        "requests_per_s_max", 1_000_000.0, "fleet-wide rate limit", 0.01, 1e6
+    ),
+    _workload(
+        "concurrency_max",
+        1_000_000,
+        "fleet-wide concurrency limit",
         1,
         1_000_000,
     ),
-    _workload("weight", 1.0, "share inside its class", 0.01, 1_000.0),
-    _workload("requests_per_s_max", 1_000_000.0, "fleet-wide rate", 0.01, 1e6),
-    _workload("concurrency_max", 1_000_000, "fleet-wide running", 1, 1_000_000),
-    _workload("key_sha256", "", "digest of the workspace's key, in hex"),
-    _class("rank", 0, "higher goes first", 0, 9),
-    _class("floor_percent", 0.0, "share kept under overload", 0.0, 50.0),
+    _workload("key_sha256", "", "SHA-256 of the workspace's API key, in hex"),
+    _class("rank", 0, "higher ranks are served first", 0, 9),
+    _class("floor_percent", 0.0, "share guaranteed under overload", 0.0, 50.0),
     _class(
-        "queue_cost_ms_max", 20_000.0, "bound of a VM's queue", 1.0, 3_600_000.0
+        "queue_cost_ms_max",
+        20_000.0,
+        "maximum total cost of a VM's queue",
+        1.0,
+        3_600_000.0,
     ),
     Setting(
         "pool_kind",
         str,
         "engine",
         kinds.Kind.POOL,
-        "what its targets are",
+        "kind of its targets",
         choices=("engine", "service"),
     ),
     _pool("model", "", "model that its engines serve"),
-    _pool("model_version", "", "version that its engines are to load"),
-    _pool("adapters", "", "adapters to load, separated by commas"),
-    _pool("role", "both", "role ordered of its engines"),
+    _pool("model_version", "", "version that its engines should load"),
+    _pool("adapters", "", "adapters to load, comma-separated"),
+    _pool("role", "both", "role assigned to its engines"),
     _pool("memory_tokens", 400_000, "memory of one engine", 1_000, 100_000_000),
     _pool(
         "prefill_tokens_per_s",
         20_000.0,
-        "rate of one engine",
+        "prefill rate of one engine",
         1.0,
         10_000_000.0,
     ),
     _pool(
         "attention_ms_per_m_pairs",
         0.0,
-        "prefill time for a million pairs of a token and one before it",
+        "prefill time per million pairs of a token and an earlier token",
         0.0,
         1_000_000.0,
     ),
     _pool("decode_ms_per_token", 30.0, "time between tokens", 0.01, 10_000.0),
-    _pool("service_concurrency", 8, "calls at once to one service", 1, 100_000),
+    _pool(
+        "service_concurrency",
+        8,
+        "concurrent requests to one service",
+        1,
+        100_000,
+    ),
     _pool("exports_kv", True, "engines can export and import KV cache"),
-    _pool("checks_fence", True, "engines refuse orders with an old fence"),
-    _pool("checks_key", False, "targets refuse a key seen before"),
-    _pool("gang_engines_max", 4, "engines that one prompt may span", 1, 64),
+    _pool(
+        "checks_fence", True, "engines reject orders with an old fencing token"
+    ),
+    _pool(
+        "checks_key",
+        False,
+        "targets reject an idempotency key that they have seen before",
+    ),
+    _pool("gang_engines_max", 4, "maximum engines per prompt", 1, 64),
     _pool(
         "weight_reads_per_s_max",
         0.5,
-        "rate of the weight store",
+        "read rate limit of the weight store",
         0.001,
         1_000.0,
     ),
--- a/src/ruddergate/settings/tree.py
+++ b/src/ruddergate/settings/tree.py
@@ -1,4 +1,4 @@
-"""The settings tree as checked data."""
+"""The settings tree, after validation."""
 
 from collections.abc import Iterator
 from collections.abc import Mapping
@@ -11,38 +11,38 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Branch:
-    """One branch: what it overrides and where it inherits the rest.
+    """A branch: what it overrides and where it inherits the rest.
 
     Attributes:
-        name: Unique path such as `signal/repairs`.
+        name: Unique path, such as `signal/repairs`.
         kind: What it describes.
-        parent: Name of the branch it inherits from; empty for the root.
-        own: The settings it overrides itself.
-        hall_percent: A workspace's limit divided among halls, in percent;
-            empty means equal parts.
+        parent: Name of the branch that it inherits from; empty for the root.
+        overrides: The settings that it sets itself.
+        hall_percent: Percentage of a workspace's limit for each hall; empty
+            means equal shares.
     """
 
     name: str
     kind: kinds.Kind
     parent: str
-    own: Mapping[str, schema.SettingValue]
+    overrides: Mapping[str, schema.SettingValue]
     hall_percent: Mapping[str, float]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tree:
-    """A whole tree that has passed every check.
+    """A complete tree that has passed validation.
 
     Attributes:
         revision: Number under which the platform published it.
-        branches: Branches by name.
+        branches: Branches, by name.
     """
 
     revision: int
     branches: Mapping[str, Branch]
 
     def find(self, name: str, kind: kinds.Kind) -> Branch | None:
-        """Returns the branch of that name and kind, or None."""
+        """Returns the branch of this name and kind, or None."""
         branch = self.branches.get(name)
         if branch is None or branch.kind is not kind:
             return None
@@ -56,7 +56,7 @@
             name = branch.parent
 
     def of_kind(self, kind: kinds.Kind) -> Iterator[Branch]:
-        """Yields the branches of one kind in order of name."""
+        """Yields the branches of one kind, sorted by name."""
         for name in sorted(self.branches):
             if self.branches[name].kind is kind:
                 yield self.branches[name]
--- a/standins/replay.py
+++ b/standins/replay.py
@@ -193,7 +193,7 @@
         sys.exit("\n".join(str(each) for each in checked))
     names = {"engine": layout.engine_pool, "service": layout.service_pool}
     for branch in checked.of_kind(kinds.Kind.POOL):
-        names[str(branch.own.get("pool_kind", "engine"))] = branch.name
+        names[str(branch.overrides.get("pool_kind", "engine"))] = branch.name
     return dataclasses.replace(
         layout, engine_pool=names["engine"], service_pool=names["service"]
     )
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -110,7 +110,9 @@
             await asyncio.sleep(_WITHIN_S)
             self.assertEqual(_revisions(cluster), {3})
             weights = {
-                node.agent.knowledge.in_force.tree.branches["w"].own["weight"]
+                node.agent.knowledge.in_force.tree.branches["w"].overrides[
+                    "weight"
+                ]
                 for node in cluster.vms.values()
             }
             self.assertEqual(weights, {3.0})
