--- a/src/ruddergate/platform/__init__.py
+++ b/src/ruddergate/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The users' platform: its names, formats and calls, decoded once.
+"""The users' platform: translates its names, formats and calls.
 
-Nothing here decides anything; everything else knows only the types that these
+Nothing here makes decisions, and all other code knows only the types that these
 modules return. docs/GLOSSARY.md maps the platform's names to the product's.
 """
--- a/src/ruddergate/platform/callers.py
+++ b/src/ruddergate/platform/callers.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests and writes the answers that are not a target's."""
+"""Parses callers' requests and writes error responses."""
 
 from collections.abc import Mapping
 import math
@@ -13,14 +13,15 @@
     outcomes.Reason.UNKNOWN_KEY: 401,
     outcomes.Reason.UNKNOWN_WORKLOAD: 404,
 }
-# These statuses promise callers that a call did not run and never will.
+# This status and those above guarantee callers that the request did not run and
+# never will.
 _NOT_RUN_STATUS = 503
 _TIME_STATUS = 504
 _OTHER_STATUS = 502
 
 
 def make_caller_protocol() -> caller_protocols.CallerProtocol:
-    """Returns the door of the platform's callers."""
+    """Returns the protocol of the platform's callers."""
     return caller_protocols.CallerProtocol(_read, _write_failure)
 
 
@@ -32,7 +33,7 @@
     tokens = found.get(headers.TOKENS, "").split(",")
     prompt_tokens = _read_number(tokens[0])
     output_tokens = _read_number(tokens[-1]) if len(tokens) > 1 else None
-    prefix_name, prefix_tokens = _read_shared_part(
+    prefix_name, prefix_tokens = _read_shared_prefix(
         found.get(headers.PREFIX, "")
     )
     return caller_protocols.CallerRequest(
@@ -50,7 +51,7 @@
 
 
 def _read_number(text: str) -> float | None:
-    """Returns a finite number that is not negative, or None."""
+    """Returns a finite, non-negative number, or None."""
     try:
         number = float(text)
     except ValueError:
@@ -58,8 +59,8 @@
     return number if math.isfinite(number) and number >= 0.0 else None
 
 
-def _read_shared_part(text: str) -> tuple[str, int]:
-    """Returns the first part of a prompt, which other prompts share."""
+def _read_shared_prefix(text: str) -> tuple[str, int]:
+    """Returns name and length of the first part of a prompt."""
     name, _, tokens = text.partition(",")[0].partition(":")
     return name, int(_read_number(tokens) or 0)
 
--- a/src/ruddergate/platform/configuration.py
+++ b/src/ruddergate/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Reads the published configuration into a catalog."""
+"""Parses the published configuration into a catalog."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -10,18 +10,19 @@
 from ruddergate.settings import effective
 from ruddergate.settings import route as routes
 
-# Where the configuration lies in the store.
+# Key of the configuration in the store.
 KEY = "op/config"
 
-# Here 0 is the most urgent; the product's ranks go the other way.
-_LEAST_URGENT = 9
-_STREAMS = "streaming"
-_REPEATABLE = "safe"
-# Engines that may read one prompt: the one that answers and 16 helpers.
-_ENGINES_MAX = 17
-# A service that publishes no engine figures is no engine; calls are sent to
-# it at once, however many it has.
-_SERVICE_CALLS_MAX = 1_000_000
+# The platform's most urgent priority is 0, while higher ranks are served first
+# here. This is the lowest priority.
+_LOWEST_PRIORITY = 9
+_STREAM_TYPE = "streaming"
+_IDEMPOTENT_TYPE = "safe"
+# Maximum engines for one prompt: the one that responds and 16 helpers.
+_MAX_GANG_ENGINES = 17
+# Concurrency of a plain service, which is not limited here. A service that
+# publishes no engine parameters is a plain service.
+_SERVICE_CONCURRENCY = 1_000_000
 _MS_PER_S = 1_000.0
 
 
@@ -29,29 +30,29 @@
 
 
 def make_reader() -> Callable[[object], catalogs.Catalog | str]:
-    """Returns a `read_catalog` that reads anew only routes that have changed.
+    """Returns a `read_catalog` that parses only routes that have changed.
 
-    Nearly all routes stay as they are from revision to revision. With 1,500
-    routes a revision takes 2.6 ms of a core in place of 12.4 ms (process time),
-    in which the VM answers nobody.
+    Nearly all routes are the same in consecutive revisions. With 1,500 routes,
+    parsing all of them would block the event loop for 12.4 ms; parsing only
+    the changed ones takes 2.6 ms.
     """
-    known: dict[str, tuple[object, routes.Route]] = {}
+    cache: dict[str, tuple[object, routes.Route]] = {}
 
     def read_route(document: object) -> routes.Route | str:
         name = _private.get(document, "name", str, "")
-        before = known.get(name)
-        if before is not None and before[0] == document:
-            return before[1]
+        cached = cache.get(name)
+        if cached is not None and cached[0] == document:
+            return cached[1]
         route = _read_route(document)
         if isinstance(route, routes.Route):
-            known[name] = (document, route)
+            cache[name] = (document, route)
         return route
 
     def read(document: object) -> catalogs.Catalog | str:
         catalog = read_catalog(document, read_route)
         if isinstance(catalog, catalogs.Catalog):
-            for name in known.keys() - catalog.route_names():
-                del known[name]
+            for name in cache.keys() - catalog.route_names():
+                del cache[name]
         return catalog
 
     return read
@@ -64,7 +65,7 @@
 
     Args:
         document: The published configuration.
-        read_route: Reads one route.
+        read_route: Parses one route.
     """
     read_route = read_route or _read_route
     revision = _private.get(document, "config-version", int, 0)
@@ -98,13 +99,13 @@
     prefix = _private.get(document, "path-prefix", str, "")
     shares = tuple(_read_shares(document))
     if not prefix.endswith("/"):
-        return f"route {name} has no path that ends with a slash"
+        return f"route {name} has no path prefix that ends with a slash"
     if not shares:
-        return f"route {name} names no service"
+        return f"route {name} has no service"
     kind = _private.get(document, "route-type", str, "")
-    is_stream = kind == _STREAMS
+    is_stream = kind == _STREAM_TYPE
     is_resumable = _private.get(document, "resumable", bool, False)
-    repeatable = kind == _REPEATABLE or (is_stream and is_resumable)
+    repeatable = kind == _IDEMPOTENT_TYPE or (is_stream and is_resumable)
     route = routes.Route(
         name=name,
         host=_private.get(document, "hostname", str, "").lower(),
@@ -121,8 +122,8 @@
         is_open=_private.get(document, "allow-anonymous", bool, False),
     )
     if route.time_limit_ms <= 0.0 or min(route.aim_ms, route.gap_aim_ms) < 0.0:
-        # By such times every call of the route would be refused.
-        return f"route {name} has a time that is none"
+        # With such times, every request of the route would be refused.
+        return f"route {name} has an invalid timeout or latency"
     return route
 
 
@@ -138,8 +139,8 @@
 
 
 def _read_rank(document: object) -> int:
-    return _LEAST_URGENT - _private.get(
-        document, "priority", int, _LEAST_URGENT
+    return _LOWEST_PRIORITY - _private.get(
+        document, "priority", int, _LOWEST_PRIORITY
     )
 
 
@@ -172,11 +173,11 @@
             engine, "pairs_per_m", float, 0.0
         ),
         decode_ms_per_token=_private.get(engine, "step_ms", float, 1.0),
-        service_concurrency=_SERVICE_CALLS_MAX,
+        service_concurrency=_SERVICE_CONCURRENCY,
         exports_kv=False,
         checks_fence=False,
         checks_key=False,
-        gang_engines_max=_ENGINES_MAX if "hop_ms" in engine else 1,
+        gang_engines_max=_MAX_GANG_ENGINES if "hop_ms" in engine else 1,
         weight_reads_per_s_max=0.0,
         iteration_ms=_private.get(engine, "stride", int, 1)
         * _private.get(engine, "step_ms", float, 0.0),
--- a/src/ruddergate/platform/headers.py
+++ b/src/ruddergate/platform/headers.py
@@ -4,45 +4,46 @@
 
 from ruddergate.http import message
 
-# A caller's own name for one try of a call; each try has another.
+# The caller's id for one attempt at a request; each attempt has its own.
 REQUEST_ID = "x-attempt-id"
-# Milliseconds that are left for the call.
+# Remaining time of the request, in milliseconds.
 TIME_LEFT = "x-deadline-ms"
 API_KEY = "x-api-key"
-# Prompt tokens and most output tokens, separated by a comma.
+# Prompt tokens and maximum output tokens, separated by a comma.
 TOKENS = "x-token-usage"
 # Parts of the prompt as name:tokens, in order, separated by commas.
 PREFIX = "x-prefix-hash"
 LAST_EVENT = "last-event-id"
-# The workspace, as told to targets.
+# The workspace, as sent to targets.
 WORKSPACE = "x-tenant-id"
-# The incarnation that is to run the call; others refuse it.
+# The incarnation that is to run the request; others reject it.
 EXPECTED_TARGET = "x-expect-replica"
-# Engines that read parts of the prompt, as address or address/ticket.
+# Engines that prefill parts of the prompt, as ADDRESS or ADDRESS/RESERVATION.
 HELPERS = "helpers"
-# 0 to 9, lower ones are let in first.
+# 0 to 9, lower values are admitted first.
 URGENCY = "priority"
 EXPECTED_VERSION = "expect-version"
-# Proof that an answer is a target's own.
+# Proves that a response comes from the target itself.
 SIGNATURE = "x-replica-signature"
-# The target says that it did not run the call.
+# Sent by a target that did not run the request.
 NOT_RUN = "x-not-executed"
-# Beside a refusal: the target whose fault it was. A helper is named by the
-# address at which it was asked to help, as HOST:PORT, not by its id.
+# Sent with a rejection: the target at fault. A helper is identified by the
+# address at which it was contacted, as HOST:PORT, not by its id.
 AT_FAULT = "at-server"
-# Calls running, calls waiting, places, separated by commas.
+# Requests running, requests waiting and slots, separated by commas.
 LOAD = "x-replica-load"
-# In a target's refusal: seconds for which it wants nothing from this VM.
+# In a target's rejection: seconds for which this VM should send it nothing.
 RETRY_AFTER = "retry-after"
-# In all answers of a target that takes no new work any more: 1.
+# In all responses of a draining target: 1.
 DRAINING = "server-leaving"
-# In the answers of a target in need: requests a second that it takes from all
-# VMs together.
+# In the responses of an overloaded target: requests per second that it accepts
+# from all VMs together.
 RATE_LIMIT = "server-limit"
-# In all answers of the store: rises by one when it is restored from a copy.
+# In all responses of the store: increases by one when it is restored from a
+# copy.
 STORE_EPOCH = "store-era"
 
-_ONE_HOP = frozenset(
+_HOP_BY_HOP = frozenset(
     {
         "connection",
         "keep-alive",
@@ -55,7 +56,7 @@
         "upgrade",
     }
 )
-_SET_HERE = frozenset(
+_SET_BY_GATEWAY = frozenset(
     {
         "host",
         "content-length",
@@ -72,34 +73,39 @@
 
 
 def select_for_target(fields: message.Fields) -> message.Fields:
-    """Returns a caller's header lines that a target is to see."""
-    return _select(fields, _ONE_HOP | _SET_HERE | _named_in(fields))
+    """Returns the header lines of a caller to forward to a target."""
+    return _select(
+        fields, _HOP_BY_HOP | _SET_BY_GATEWAY | _find_connection_options(fields)
+    )
 
 
 def select_for_caller(fields: message.Fields) -> message.Fields:
-    """Returns a target's header lines that a caller is to see."""
+    """Returns the header lines of a target to forward to a caller."""
     length = {"content-length"}
-    return _select(fields, _ONE_HOP | length | _named_in(fields))
+    return _select(
+        fields, _HOP_BY_HOP | length | _find_connection_options(fields)
+    )
 
 
 def drop_retry_after(fields: message.Fields) -> message.Fields:
-    """Returns a refusal's header lines without the time to come back.
+    """Returns the header lines of a rejection without Retry-After.
 
-    That is said to this VM, of one target; others may serve the caller at once.
+    Its value is meant for this VM and one target; another target may be able to
+    serve the caller immediately.
     """
     return _select(fields, {RETRY_AFTER})
 
 
-def _select(fields: message.Fields, left_out: Iterable[str]) -> message.Fields:
+def _select(fields: message.Fields, excluded: Iterable[str]) -> message.Fields:
     return tuple(
-        (name, value) for name, value in fields if name.lower() not in left_out
+        (name, value) for name, value in fields if name.lower() not in excluded
     )
 
 
-def _named_in(fields: message.Fields) -> frozenset[str]:
-    """Returns the names that a Connection header limits to one hop."""
-    named: set[str] = set()
+def _find_connection_options(fields: message.Fields) -> frozenset[str]:
+    """Returns the hop-by-hop headers that a Connection header lists."""
+    options: set[str] = set()
     for name, value in fields:
         if name.lower() == "connection":
-            named.update(each.strip().lower() for each in value.split(","))
-    return frozenset(named)
+            options.update(each.strip().lower() for each in value.split(","))
+    return frozenset(options)
--- a/src/ruddergate/platform/hints.py
+++ b/src/ruddergate/platform/hints.py
@@ -1,4 +1,4 @@
-"""Reads what a target says of itself in the head of any answer."""
+"""Reads the hints that a target sends in the headers of any response."""
 
 import re
 
@@ -9,17 +9,18 @@
 from ruddergate.platform import targets as target_entries
 from ruddergate.relay import hints as hint_types
 
-# Another target serves at that address; what it says is not of the one asked.
+# Another target serves at this address; its hints are not those of the target
+# that the request was meant for.
 _MISDIRECTED = 421
-# Statuses with which a target turns work away.
+# Statuses with which a target rejects work.
 REFUSALS = frozenset({429, 503})
-_LEAVES = "1"
-_STAYS = "0"
-# Seconds, fractions too; dates and signs are no number of seconds.
+_DRAINING = "1"
+_NOT_DRAINING = "0"
+# Seconds, possibly with a fraction. Dates and signed numbers are not accepted.
 _SECONDS = re.compile(r"\d{1,12}(\.\d{1,12})?", re.ASCII)
 _RATE = re.compile(r"\d{1,12}(\.\d{1,12})?([eE][+-]?\d{1,2})?", re.ASCII)
-# The longest time for which a target is believed to want no calls: an hour. One
-# that says a year is asked again after it, rather than lost to this VM.
+# Longest backoff that is honored: one hour. A target that asks for a year is
+# tried again after this time rather than lost to this VM.
 MAX_BACKOFF_MS = 3_600_000.0
 
 
@@ -32,31 +33,34 @@
     is_call: bool = False,
     sent_ms: float = 0.0,
 ) -> hint_types.Hints:
-    """Returns what the target says of itself.
+    """Returns the hints in a response.
 
     Args:
-        target: Who was asked, as it was known then.
-        status: HTTP status of the answer.
-        fields: Header lines of the answer, names in lower case.
-        document: The answer's body, where it is read as JSON.
-        request_id: The call that was answered, or empty.
-        is_call: Whether a call was answered, and no order or probe.
+        target: The target that the request was sent to, as known then.
+        status: HTTP status of the response.
+        fields: Header lines of the response, names in lower case.
+        document: The body of the response, if it was parsed as JSON.
+        request_id: Id of the request that it responds to, or empty.
+        is_call: Whether it responds to a caller's request, not to an order or
+            a probe.
         sent_ms: When the request was sent.
     """
     started_ms = target_entries.read_started_ms(document)
-    incarnation = _find_life(target, started_ms)
+    incarnation = _find_incarnation(target, started_ms)
     if status == _MISDIRECTED:
         return hint_types.Hints(incarnation)
-    is_draining, wrong_word = _read_leaving(
-        _find_words(fields, headers.DRAINING)
+    is_draining, draining_problem = _read_draining(
+        _find_values(fields, headers.DRAINING)
     )
-    backoff_ms, wrong_time = None, ""
+    backoff_ms, backoff_problem = None, ""
     if status in REFUSALS:
-        times = _find_words(fields, headers.RETRY_AFTER, separator="")
-        backoff_ms, wrong_time = _read_quiet_ms(times)
-    rates = _find_words(fields, headers.RATE_LIMIT)
-    rate_limit_per_s, wrong_rate = _read_rate_limit(rates)
-    problems = tuple(filter(None, (wrong_word, wrong_time, wrong_rate)))
+        times = _find_values(fields, headers.RETRY_AFTER, separator="")
+        backoff_ms, backoff_problem = _read_backoff_ms(times)
+    rates = _find_values(fields, headers.RATE_LIMIT)
+    rate_limit_per_s, rate_problem = _read_rate_limit(rates)
+    problems = tuple(
+        filter(None, (draining_problem, backoff_problem, rate_problem))
+    )
     return hint_types.Hints(
         incarnation,
         is_draining,
@@ -71,61 +75,64 @@
     )
 
 
-def refutes_draining(said: hint_types.Hints, status: int) -> bool:
-    """Returns whether an answer is proof that its target does not leave.
+def refutes_draining(hints: hint_types.Hints, status: int) -> bool:
+    """Returns whether a response proves that its target is not draining.
 
-    One that leaves says so in each of its answers, and a word without a meaning
-    does not.
+    A draining target says so in each of its responses, and a malformed value
+    does not say so.
     """
-    return status != _MISDIRECTED and not said.is_draining
+    return status != _MISDIRECTED and not hints.is_draining
 
 
-def _find_life(
+def _find_incarnation(
     target: targets.Target, started_ms: int
 ) -> incarnations.Incarnation:
-    """Returns whose statement it is.
+    """Returns the incarnation that sent the response.
 
-    An answer that tells another start than was known comes from another life;
-    where starts were not known, the name stands for the life.
+    A response with a start time other than the known one comes from another
+    incarnation. If either start time is unknown, the target's name identifies
+    the incarnation.
     """
     if incarnations.START_UNKNOWN in (started_ms, target.started_ms):
         return target.incarnation
     return incarnations.Incarnation(target.target_id, started_ms)
 
 
-def _find_words(
+def _find_values(
     fields: message.Fields, name: str, separator: str = ","
 ) -> list[str]:
-    """Returns all values of a header, which may stand more than once."""
+    """Returns all values of a header, which may occur more than once."""
     values = [value for found, value in fields if found == name]
     if separator:
-        values = [word for each in values for word in each.split(separator)]
+        values = [item for each in values for item in each.split(separator)]
     return [each.strip() for each in values]
 
 
-def _read_leaving(words: list[str]) -> tuple[bool, str]:
-    """Returns whether it leaves, and what is wrong with what it says."""
-    wrong = [word for word in words if word not in (_LEAVES, _STAYS)]
-    detail = f"leaving is {wrong[0]!r:.40}" if wrong else ""
-    return _LEAVES in words, detail
+def _read_draining(values: list[str]) -> tuple[bool, str]:
+    """Returns whether the target is draining, and what is malformed."""
+    invalid = [
+        value for value in values if value not in (_DRAINING, _NOT_DRAINING)
+    ]
+    detail = f"malformed draining value {invalid[0]!r:.40}" if invalid else ""
+    return _DRAINING in values, detail
 
 
 def _read_rate_limit(rates: list[str]) -> tuple[float | None, str]:
-    """Returns the lowest limit named, and what is wrong with the others."""
-    sound = [float(each) for each in rates if _RATE.fullmatch(each)]
-    wrong = [each for each in rates if not _RATE.fullmatch(each)]
-    detail = f"a rate limit is {wrong[0]!r:.40}" if wrong else ""
-    return min(sound, default=None), detail
-
-
-def _read_quiet_ms(times: list[str]) -> tuple[float | None, str]:
-    """Returns the longest time told, and what is wrong with what is told."""
-    sound = [float(each) for each in times if _SECONDS.fullmatch(each)]
-    wrong = [each for each in times if not _SECONDS.fullmatch(each)]
-    detail = f"a time to wait is {wrong[0]!r:.40}" if wrong else ""
-    told_ms = max(sound, default=0.0) * 1_000.0
-    if told_ms > MAX_BACKOFF_MS:
-        detail = f"a time to wait is {told_ms / 1_000.0:.0f} s"
-    if not sound:
+    """Returns the lowest rate limit, and what is malformed."""
+    valid = [float(each) for each in rates if _RATE.fullmatch(each)]
+    invalid = [each for each in rates if not _RATE.fullmatch(each)]
+    detail = f"malformed rate limit {invalid[0]!r:.40}" if invalid else ""
+    return min(valid, default=None), detail
+
+
+def _read_backoff_ms(times: list[str]) -> tuple[float | None, str]:
+    """Returns the longest backoff time, and what is malformed."""
+    valid = [float(each) for each in times if _SECONDS.fullmatch(each)]
+    invalid = [each for each in times if not _SECONDS.fullmatch(each)]
+    detail = f"malformed backoff time {invalid[0]!r:.40}" if invalid else ""
+    longest_ms = max(valid, default=0.0) * 1_000.0
+    if longest_ms > MAX_BACKOFF_MS:
+        detail = f"excessive backoff time of {longest_ms / 1_000.0:.0f} s"
+    if not valid:
         return None, detail
-    return min(told_ms, MAX_BACKOFF_MS), detail
+    return min(longest_ms, MAX_BACKOFF_MS), detail
--- a/src/ruddergate/platform/orders.py
+++ b/src/ruddergate/platform/orders.py
@@ -1,4 +1,4 @@
-"""Orders to targets: memory that is set aside for a time."""
+"""Sends orders to targets: memory reservations and health probes."""
 
 from ruddergate import environment
 from ruddergate.fleet import target as targets
@@ -12,7 +12,7 @@
 _PATH = "/api/order"
 _REPORT_PATH = "/api/report"
 _OK = 200
-# Statuses that say that a target will not do what was asked.
+# Statuses with which a target rejects an order.
 _REFUSALS = frozenset({400, 409, 412, 421})
 
 
@@ -21,74 +21,81 @@
     timeouts: client.Timeouts,
     on_hints: hint_types.OnHints,
 ) -> orders.Orders:
-    """Returns the orders.
+    """Returns the orders that targets accept.
 
     Args:
-        outside: Clock and streams.
-        limits: After these times an order is given up.
-        hear: Takes what targets say of themselves in their answers.
+        env: Clock and streams.
+        timeouts: Timeouts of an order.
+        on_hints: Handles the hints in the responses of targets.
     """
 
     async def ask(
         target: targets.Target, request: message.OutgoingRequest
     ) -> client.CompleteResponse | client.Fault:
         sent_ms = env.now_ms()
-        answer = await client.fetch_within(
+        response = await client.fetch_within(
             env, target.address, request, timeouts
         )
-        if isinstance(answer, client.CompleteResponse):
-            said = hints.read_hints(
+        if isinstance(response, client.CompleteResponse):
+            response_hints = hints.read_hints(
                 target,
-                answer.status,
-                answer.fields,
-                answer.json(),
+                response.status,
+                response.fields,
+                response.json(),
                 sent_ms=sent_ms,
             )
-            on_hints(said)
-        return answer
+            on_hints(response_hints)
+        return response
 
     async def reserve(
-        wanted: orders.Reservation, hold_ms: float
+        reservation: orders.Reservation, hold_ms: float
     ) -> orders.OrderResult:
         document = {
             "op": "reserve",
-            "id": wanted.name,
-            "token-count": wanted.tokens,
+            "id": reservation.name,
+            "token-count": reservation.tokens,
             "hold-ms": round(hold_ms),
         }
-        return _read_answer(await ask(wanted.target, _make_order(document)))
+        return _read_result(
+            await ask(reservation.target, _make_order(document))
+        )
 
-    async def release(held: orders.Reservation) -> orders.OrderResult:
-        document = {"op": "release", "id": held.name}
-        return _read_answer(await ask(held.target, _make_order(document)))
+    async def release(reservation: orders.Reservation) -> orders.OrderResult:
+        document = {"op": "release", "id": reservation.name}
+        return _read_result(
+            await ask(reservation.target, _make_order(document))
+        )
 
     async def probe(target: targets.Target) -> orders.ProbeResult:
         request = client.make_json_request("GET", _REPORT_PATH)
-        answer = await ask(target, request)
-        if not isinstance(answer, client.Fault):
-            return _read_sign(target, answer)
-        if answer.timed_out:
+        response = await ask(target, request)
+        if not isinstance(response, client.Fault):
+            return _read_probe(target, response)
+        if response.timed_out:
             return orders.ProbeResult(orders.ProbeStatus.NO_RESPONSE)
-        # A target with too many connections resets more of them.
-        is_there = answer.sent
+        # A target with too many connections resets new ones after accepting
+        # them, so a request that was sent shows that it is listening.
+        is_listening = response.sent
         return orders.ProbeResult(
             orders.ProbeStatus.ALIVE
-            if is_there
+            if is_listening
             else orders.ProbeStatus.NOT_LISTENING
         )
 
     return orders.Orders(reserve, release, probe)
 
 
-def _read_sign(
-    target: targets.Target, answer: client.CompleteResponse
+def _read_probe(
+    target: targets.Target, response: client.CompleteResponse
 ) -> orders.ProbeResult:
-    document = answer.json()
-    said = hints.read_hints(target, answer.status, answer.fields, document)
+    document = response.json()
+    response_hints = hints.read_hints(
+        target, response.status, response.fields, document
+    )
     return orders.ProbeResult(
         orders.ProbeStatus.ALIVE,
         target_entries.read_started_ms(document),
-        hints.refutes_draining(said, answer.status),
+        hints.refutes_draining(response_hints, response.status),
     )
 
 
@@ -96,17 +103,17 @@
     return client.make_json_request("POST", _PATH, document)
 
 
-def _read_answer(
-    answer: client.CompleteResponse | client.Fault,
+def _read_result(
+    response: client.CompleteResponse | client.Fault,
 ) -> orders.OrderResult:
-    if isinstance(answer, client.Fault):
-        if answer.sent:
+    if isinstance(response, client.Fault):
+        if response.sent:
             return orders.OrderResult.UNKNOWN
-        if answer.timed_out:
+        if response.timed_out:
             return orders.OrderResult.UNREACHABLE
         return orders.OrderResult.NOT_LISTENING
-    if answer.status == _OK:
+    if response.status == _OK:
         return orders.OrderResult.DONE
-    if answer.status in _REFUSALS:
+    if response.status in _REFUSALS:
         return orders.OrderResult.REFUSED
     return orders.OrderResult.UNKNOWN
--- a/src/ruddergate/platform/replicas.py
+++ b/src/ruddergate/platform/replicas.py
@@ -1,4 +1,4 @@
-"""Sends calls to targets and reads their answers."""
+"""Sends requests to targets and reads their responses."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -23,12 +23,12 @@
 _REDIRECTION = 300
 _OK = 200
 
-# When a target had no room, another or the same one soon has.
+# Retry delay after a rejection; the same or another target soon has capacity.
 _RETRY_MS = 200.0
-# A timer this late means that the process did not run meanwhile.
-_STOPPED_MS = 150.0
-# Time for what has arrived meanwhile to be read.
-_LOOK_AGAIN_MS = 100.0
+# A timer that fires this late means that the process was suspended.
+_SUSPENDED_MS = 150.0
+# Time to read what arrived while the process was suspended.
+_REREAD_MS = 100.0
 
 T = TypeVar("T")
 
@@ -36,11 +36,11 @@
 def make_send(
     env: environment.Environment, on_hints: hint_types.OnHints
 ) -> upstream_requests.Send:
-    """Returns the function that sends a call to a target.
+    """Returns the function that sends a request to a target.
 
     Args:
-        outside: Clock and streams.
-        hear: Takes what targets say of themselves in their answers.
+        env: Clock and streams.
+        on_hints: Handles the hints in the responses of targets.
     """
 
     async def send(
@@ -52,12 +52,12 @@
             upstream_request.timeouts.connect_ms,
         )
         if isinstance(exchange, client.Fault):
-            yield _make_lost(exchange)
+            yield _make_target_lost(exchange)
             return
         try:
-            unsent = _send_now(env, upstream_request, exchange)
-            if unsent is not None:
-                yield unsent
+            refusal = _send_now(env, upstream_request, exchange)
+            if refusal is not None:
+                yield refusal
                 return
             sent_ms = env.now_ms()
             async for event in _read(
@@ -75,37 +75,37 @@
     upstream_request: upstream_requests.UpstreamRequest,
     exchange: client.Exchange,
 ) -> outcomes.NotServed | None:
-    """Sends the call unless it is refused; nothing may come between the two."""
+    """Sends the request if admitted; nothing may run between check and send."""
     refusal = upstream_request.check_admission()
     if refusal is not None:
         return refusal
     outgoing = _make_outgoing(upstream_request, env.now_ms())
     fault = exchange.try_send(upstream_request.target.address, outgoing)
-    return None if fault is None else _make_lost(fault)
+    return None if fault is None else _make_target_lost(fault)
 
 
 def _make_outgoing(
     upstream_request: upstream_requests.UpstreamRequest, now_ms: float
 ) -> message.OutgoingRequest:
-    left_ms = max(1.0, upstream_request.deadline_ms - now_ms)
-    set_here = {
-        headers.TIME_LEFT: str(int(left_ms)),
+    remaining_ms = max(1.0, upstream_request.deadline_ms - now_ms)
+    own_headers = {
+        headers.TIME_LEFT: str(int(remaining_ms)),
         headers.EXPECTED_TARGET: upstream_request.target.target_id,
         headers.URGENCY: str(upstream_request.urgency),
     }
     if upstream_request.workspace:
-        set_here[headers.WORKSPACE] = upstream_request.workspace
+        own_headers[headers.WORKSPACE] = upstream_request.workspace
     if upstream_request.resume_after:
-        set_here[headers.LAST_EVENT] = upstream_request.resume_after
+        own_headers[headers.LAST_EVENT] = upstream_request.resume_after
     if upstream_request.helpers:
-        set_here[headers.HELPERS] = ",".join(
+        own_headers[headers.HELPERS] = ",".join(
             map(_name_helper, upstream_request.helpers)
         )
     payload = upstream_request.payload
     return message.OutgoingRequest(
         payload.method,
         payload.target,
-        set_here,
+        own_headers,
         payload.body,
         payload.host,
         payload.fields,
@@ -131,18 +131,22 @@
     )
     fault = await _wait(exchange.read_head, env, until_ms, upstream_request)
     if fault is not None:
-        yield _make_lost(fault) if isinstance(fault, client.Fault) else fault
+        yield (
+            _make_target_lost(fault)
+            if isinstance(fault, client.Fault)
+            else fault
+        )
         return
-    on_hints(_read_statement(upstream_request, exchange, sent_ms))
-    told = _read_load(upstream_request, exchange)
-    if told is not None:
-        yield told
+    on_hints(_read_hints(upstream_request, exchange, sent_ms))
+    load = _read_load(upstream_request, exchange)
+    if load is not None:
+        yield load
     at_fault = _find_helper_at_fault(upstream_request, exchange)
     if at_fault is not None:
         yield answers.HelperFaultReported(at_fault)
-    wrong = _check_head(upstream_request, exchange)
-    if wrong is not None:
-        yield wrong
+    failure = _check_head(upstream_request, exchange)
+    if failure is not None:
+        yield failure
         return
     if not upstream_request.payload.route.is_stream or exchange.status != _OK:
         yield await _read_whole(env, upstream_request, exchange)
@@ -157,31 +161,31 @@
     until_ms: float,
     upstream_request: upstream_requests.UpstreamRequest,
 ) -> T | outcomes.NotServed:
-    """Waits until a time; tells a deadline from a target's silence.
+    """Waits until a time; distinguishes the deadline from a silent target.
 
-    A process that was stopped meanwhile wakes after that time with the answer
-    perhaps already there, so it looks once more before it blames the target.
+    A process that was suspended may wake up after that time while the response
+    has already arrived, so it reads once more before it reports a lost target.
     """
     found = await _read_until(read, env, until_ms)
     late_ms = env.now_ms() - until_ms
-    if isinstance(found, _Nothing) and late_ms > _STOPPED_MS:
-        again_ms = env.now_ms() + _LOOK_AGAIN_MS
-        found = await _read_until(read, env, again_ms)
-    is_early = env.now_ms() < upstream_request.deadline_ms
+    if isinstance(found, _TimedOut) and late_ms > _SUSPENDED_MS:
+        reread_until_ms = env.now_ms() + _REREAD_MS
+        found = await _read_until(read, env, reread_until_ms)
+    is_before_deadline = env.now_ms() < upstream_request.deadline_ms
     if (
-        isinstance(found, _Nothing)
-        and is_early
+        isinstance(found, _TimedOut)
+        and is_before_deadline
         and not await upstream_request.timeouts.may_give_up()
     ):
         found = await _read_until(read, env, upstream_request.deadline_ms)
-    if not isinstance(found, _Nothing):
+    if not isinstance(found, _TimedOut):
         return found
     if env.now_ms() >= upstream_request.deadline_ms:
         return _make_time_limit()
     return outcomes.NotServed(
         outcomes.Reason.TARGET_LOST,
         outcomes.Ran.UNKNOWN,
-        "the target was silent for too long",
+        "the target did not respond in time",
     )
 
 
@@ -189,29 +193,29 @@
     return outcomes.NotServed(
         outcomes.Reason.TIME_LIMIT,
         outcomes.Ran.UNKNOWN,
-        "time was up before the answer was whole",
+        "the deadline passed before the response was complete",
     )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Nothing:
-    """Nothing came in time."""
+class _TimedOut:
+    """Nothing was received in time."""
 
 
 async def _read_until(
     read: Callable[[], Awaitable[T]],
     env: environment.Environment,
     until_ms: float,
-) -> T | _Nothing:
-    left_ms = max(0.0, until_ms - env.now_ms())
+) -> T | _TimedOut:
+    remaining_ms = max(0.0, until_ms - env.now_ms())
     try:
-        async with asyncio.timeout(left_ms / 1000.0):
+        async with asyncio.timeout(remaining_ms / 1000.0):
             return await read()
     except TimeoutError:
-        return _Nothing()
+        return _TimedOut()
 
 
-def _make_lost(fault: client.Fault) -> outcomes.NotServed:
+def _make_target_lost(fault: client.Fault) -> outcomes.NotServed:
     if not fault.sent:
         reason = outcomes.Reason.TARGET_GONE
         if fault.timed_out:
@@ -222,7 +226,7 @@
     )
 
 
-def _read_statement(
+def _read_hints(
     upstream_request: upstream_requests.UpstreamRequest,
     exchange: client.Exchange,
     sent_ms: float,
@@ -269,7 +273,7 @@
     upstream_request: upstream_requests.UpstreamRequest,
     exchange: client.Exchange,
 ) -> str | None:
-    """Returns the helper that the target blames, by whichever name it does."""
+    """Returns the helper that the target reports at fault, by id or address."""
     named = exchange.headers.get(headers.AT_FAULT, "")
     for helper in upstream_request.helpers:
         if named in (helper.target_id, str(helper.address)):
@@ -281,31 +285,31 @@
     upstream_request: upstream_requests.UpstreamRequest,
     exchange: client.Exchange,
 ) -> outcomes.NotServed | None:
-    """Returns why the answer can't be this call's own, if so."""
+    """Returns a failure if the response can't be one to this request."""
     found = exchange.headers
     if exchange.status == _MISDIRECTED:
         return outcomes.refuse(
             outcomes.Reason.TARGET_REPLACED,
-            f"another target serves there ({exchange.status})",
+            f"another target serves at this address ({exchange.status})",
             _RETRY_MS,
         )
     if headers.NOT_RUN in found:
         return outcomes.refuse(
             outcomes.Reason.TARGET_REFUSED,
-            f"the target refused with {exchange.status}",
+            f"the target rejected the request with {exchange.status}",
             _RETRY_MS,
         )
     sent_id = _find_request_id(upstream_request)
     echoed_id = found.get(headers.REQUEST_ID)
     if echoed_id is not None and echoed_id != sent_id:
-        return _make_broken("the answer belongs to another call")
+        return _make_protocol_error("the response belongs to another request")
     is_success = _OK <= exchange.status < _REDIRECTION
     if is_success and headers.SIGNATURE not in found:
-        return _make_broken("the answer has no signature")
+        return _make_protocol_error("the response has no signature")
     return None
 
 
-def _make_broken(detail: str) -> outcomes.NotServed:
+def _make_protocol_error(detail: str) -> outcomes.NotServed:
     return outcomes.NotServed(
         outcomes.Reason.TARGET_BROKE_PROTOCOL, outcomes.Ran.UNKNOWN, detail
     )
@@ -316,15 +320,15 @@
     upstream_request: upstream_requests.UpstreamRequest,
     exchange: client.Exchange,
 ) -> answers.Event:
-    # What was read of a body is gone when reading is given up, so this looks
-    # only once.
+    # What was read of a body is lost when reading times out, so there is no
+    # second read as in `_wait`.
     body = await _read_until(
         exchange.read_all, env, upstream_request.deadline_ms
     )
-    if isinstance(body, _Nothing):
+    if isinstance(body, _TimedOut):
         return _make_time_limit()
     if isinstance(body, client.Fault):
-        return _make_lost(body)
+        return _make_target_lost(body)
     fields = headers.select_for_caller(exchange.fields)
     if exchange.status in hints.REFUSALS:
         fields = headers.drop_retry_after(fields)
@@ -338,20 +342,22 @@
     until_ms: float,
 ) -> AsyncIterator[answers.Event]:
     splitter = event_splitter.EventSplitter()
-    is_begun = False
+    has_begun = False
     while True:
-        part = await _wait(exchange.read_chunk, env, until_ms, upstream_request)
-        if isinstance(part, client.Fault):
-            yield _make_lost(part)
+        chunk = await _wait(
+            exchange.read_chunk, env, until_ms, upstream_request
+        )
+        if isinstance(chunk, client.Fault):
+            yield _make_target_lost(chunk)
             return
-        if isinstance(part, outcomes.NotServed):
-            yield part
+        if isinstance(chunk, outcomes.NotServed):
+            yield chunk
             return
-        events = splitter.feed(part) if part else None
-        if part and events is None:
+        events = splitter.feed(chunk) if chunk else None
+        if chunk and events is None:
             continue
-        if not is_begun:
-            is_begun = True
+        if not has_begun:
+            has_begun = True
             fields = headers.select_for_caller(exchange.fields)
             yield answers.StreamHead(exchange.status, fields)
         if events is None:
--- a/src/ruddergate/platform/store.py
+++ b/src/ruddergate/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's store, which is only read."""
+"""Reads the platform's store; nothing is written to it."""
 
 import base64
 import binascii
@@ -24,9 +24,9 @@
 
 ReadCatalog: TypeAlias = Callable[[object], catalogs.Catalog | str]
 _OK = 200
-_HISTORY_GONE = 410
-# Peers are told an epoch as an integer of 64 bits.
-_EPOCH_DIGITS_MOST = 18
+_HISTORY_LOST = 410
+# Peers are sent the epoch as a 64-bit integer.
+_MAX_EPOCH_DIGITS = 18
 
 
 def make_source(
@@ -34,12 +34,12 @@
     address: environment.Address,
     timeouts: client.Timeouts,
 ) -> published.Source:
-    """Returns the calls of the store at `address`.
+    """Returns the operations of the store at `address`.
 
     Args:
-        outside: Clock and streams.
-        address: Where the store serves.
-        limits: Of a call that the store does not hold for changes.
+        env: Clock and streams.
+        address: Address of the store.
+        timeouts: Timeouts of a request that does not wait for changes.
     """
     read_catalog = configuration.make_reader()
 
@@ -54,18 +54,20 @@
             "since-rev": revision,
             "wait-ms": round(wait_ms),
         }
-        held = dataclasses.replace(
+        watch_timeouts = dataclasses.replace(
             timeouts,
             read_ms=timeouts.read_ms + wait_ms,
             total_ms=timeouts.total_ms + wait_ms,
         )
-        answer = await _ask(env, address, "/api/kv-watch", query, held)
-        if isinstance(answer, published.HistoryLost | published.Unavailable):
-            return answer
-        events = _private.get(answer.document, "events", list, None)
-        if events is None or answer.position is None:
-            return published.Unavailable("malformed changes")
-        return _read_items(events, answer.position, read_catalog)
+        response = await _ask(
+            env, address, "/api/kv-watch", query, watch_timeouts
+        )
+        if isinstance(response, published.HistoryLost | published.Unavailable):
+            return response
+        events = _private.get(response.document, "events", list, None)
+        if events is None or response.position is None:
+            return published.Unavailable("malformed response with changes")
+        return _read_items(events, response.position, read_catalog)
 
     def read_settings(document: bytes) -> catalogs.Catalog | str:
         return _read_document(document, read_catalog)
@@ -79,36 +81,47 @@
     timeouts: client.Timeouts,
     read_catalog: ReadCatalog,
 ) -> published.Changes | published.Unavailable:
-    """Reads page by page; changes meanwhile follow from the first page on."""
+    """Reads all pages.
+
+    The result has the position of the first page, so that changes made while
+    the later pages are read are read again after it.
+    """
     items: list[object] = []
-    first: store_position.StorePosition | None = None
+    first_position: store_position.StorePosition | None = None
     query: dict[str, object] = {"path-prefix": ""}
     while True:
-        answer = await _ask(env, address, "/api/kv-range", query, timeouts)
-        if isinstance(answer, published.HistoryLost):
-            return published.Unavailable("a page of the store is gone")
-        if isinstance(answer, published.Unavailable):
-            return answer
-        page = _private.get(answer.document, "items", list, None)
-        if page is None or answer.position is None:
-            return published.Unavailable("a malformed page")
-        first = first or answer.position
-        if answer.position < first or answer.position.epoch != first.epoch:
-            return published.Unavailable("restored between two pages")
+        response = await _ask(env, address, "/api/kv-range", query, timeouts)
+        if isinstance(response, published.HistoryLost):
+            return published.Unavailable(
+                "a page of the store is no longer available"
+            )
+        if isinstance(response, published.Unavailable):
+            return response
+        page = _private.get(response.document, "items", list, None)
+        if page is None or response.position is None:
+            return published.Unavailable("malformed page")
+        first_position = first_position or response.position
+        if (
+            response.position < first_position
+            or response.position.epoch != first_position.epoch
+        ):
+            return published.Unavailable(
+                "the store was restored between two pages"
+            )
         items.extend(page)
-        if not page or not _private.get(answer.document, "more", bool, False):
-            return _read_items(items, first, read_catalog)
-        # A page begins behind the key that is named here.
+        if not page or not _private.get(response.document, "more", bool, False):
+            return _read_items(items, first_position, read_catalog)
+        # The next page begins after this key.
         query["since-rev"] = _private.get(page[-1], "key", str, "")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Answer:
-    """A successful answer of the store.
+class _Response:
+    """A successful response of the store.
 
     Attributes:
-        document: Its body.
-        position: The store's position as it answered, if it names one.
+        document: The parsed body.
+        position: The store's position when it responded, if specified.
     """
 
     document: object
@@ -121,50 +134,53 @@
     path: str,
     query: dict[str, object],
     timeouts: client.Timeouts,
-) -> _Answer | published.HistoryLost | published.Unavailable:
+) -> _Response | published.HistoryLost | published.Unavailable:
     target = f"{path}?{urllib.parse.urlencode(query, safe='/')}"
     request = client.make_json_request("GET", target)
-    answer = await client.fetch_within(env, address, request, timeouts)
-    if isinstance(answer, client.Fault):
-        return published.Unavailable(answer.detail)
-    epoch = _read_epoch(answer.headers)
-    if answer.status == _HISTORY_GONE:
+    response = await client.fetch_within(env, address, request, timeouts)
+    if isinstance(response, client.Fault):
+        return published.Unavailable(response.detail)
+    epoch = _read_epoch(response.headers)
+    if response.status == _HISTORY_LOST:
         return published.HistoryLost(epoch)
-    if answer.status != _OK:
-        return published.Unavailable(f"The store answered {answer.status}.")
-    document = answer.json()
+    if response.status != _OK:
+        return published.Unavailable(
+            f"The store responded with status {response.status}."
+        )
+    document = response.json()
     if document is None:
-        return published.Unavailable("The store's answer is no JSON.")
+        return published.Unavailable("The store's response is not JSON.")
     revision = _private.get(document, "at", int, None)
     if revision is None:
-        return _Answer(document, None)
-    return _Answer(document, store_position.StorePosition(epoch, revision))
+        return _Response(document, None)
+    return _Response(document, store_position.StorePosition(epoch, revision))
 
 
 def _read_epoch(fields: Mapping[str, str]) -> int:
-    """Returns the epoch that an answer names, or EPOCH_UNKNOWN."""
+    """Returns the epoch in the headers of a response, or EPOCH_UNKNOWN."""
     text = fields.get(headers.STORE_EPOCH, "")
     is_number = text.isascii() and text.isdecimal()
-    is_number = is_number and len(text) <= _EPOCH_DIGITS_MOST
+    is_number = is_number and len(text) <= _MAX_EPOCH_DIGITS
     return int(text) if is_number else store_position.EPOCH_UNKNOWN
 
 
 @dataclasses.dataclass(slots=True)
 class _Entries:
-    """Entries of targets, read in order.
+    """Target entries, parsed in order.
 
     Attributes:
-        listed: Every sound one.
-        gone: Names whose entry was removed last.
-        spoilt: Names whose last entry is none of a target, with the reason.
+        listed: All valid entries.
+        removed: Names whose last change was a removal.
+        malformed: Names whose last entry is not a valid target entry, with the
+            reason.
     """
 
     listed: list[targets.Target] = dataclasses.field(default_factory=list)
     removed: dict[str, None] = dataclasses.field(default_factory=dict)
     malformed: dict[str, str] = dataclasses.field(default_factory=dict)
 
-    def take(self, target_id: str, item: object) -> None:
-        """Reads the next item; what it replaces says nothing any more."""
+    def add(self, target_id: str, item: object) -> None:
+        """Parses the next item, which replaces earlier ones of the target."""
         self.removed.pop(target_id, None)
         self.malformed.pop(target_id, None)
         if _private.get(item, "gone", bool, False):
@@ -184,7 +200,7 @@
     position: store_position.StorePosition,
     read_catalog: ReadCatalog,
 ) -> published.Changes:
-    """Reads items in order of revision; the last of a key stands."""
+    """Parses items in order of revision; the last one of each key counts."""
     configurations: list[object] = []
     entries = _Entries()
     problems: list[str] = []
@@ -193,8 +209,10 @@
         if key == configuration.KEY:
             configurations.append(item)
         elif key.startswith(target_entries.PREFIX):
-            entries.take(key.removeprefix(target_entries.PREFIX), item)
-    catalog, document = _read_newest(configurations, read_catalog, problems)
+            entries.add(key.removeprefix(target_entries.PREFIX), item)
+    catalog, document = _read_newest_catalog(
+        configurations, read_catalog, problems
+    )
     return published.Changes(
         position,
         catalog,
@@ -209,15 +227,15 @@
     )
 
 
-def _read_newest(
+def _read_newest_catalog(
     configurations: list[object],
     read_catalog: ReadCatalog,
     problems: list[str],
 ) -> tuple[catalogs.Catalog | None, bytes]:
-    """Reads the last configuration that can be read, and none before it.
+    """Parses the last valid configuration and skips those before it.
 
-    Several come at once when they change faster than the store is asked; each
-    takes a VM's processor for some milliseconds.
+    There are several if the configuration changes faster than the store is
+    read, and parsing each one takes some milliseconds of CPU time.
     """
     for item in reversed(configurations):
         document = _decode_value(item)
@@ -233,7 +251,7 @@
 
 
 def _read_value(item: object, read: Callable[[object], object]) -> object:
-    """Decodes an item's value and reads it, or says what is wrong."""
+    """Decodes and parses an item's value, or returns what is wrong."""
     document = _decode_value(item)
     if isinstance(document, str):
         return document
@@ -241,16 +259,16 @@
 
 
 def _decode_value(item: object) -> bytes | str:
-    """Returns an item's value as it was written, or says what is wrong."""
+    """Returns an item's raw value, or what is wrong with it."""
     text = _private.get(item, "value", str, "")
     try:
         return base64.b64decode(text, validate=True)
     except (binascii.Error, ValueError) as error:
-        return f"an item's value can't be read: {error}"
+        return f"the value of an item is malformed: {error}"
 
 
 def _read_document(document: bytes, read: Callable[[object], object]) -> object:
     try:
         return read(orjson.loads(document))
     except orjson.JSONDecodeError as error:
-        return f"an item's value can't be read: {error}"
+        return f"the value of an item is malformed: {error}"
--- a/src/ruddergate/platform/targets.py
+++ b/src/ruddergate/platform/targets.py
@@ -1,4 +1,4 @@
-"""Reads entries of targets as the store holds them."""
+"""Parses target entries in the store."""
 
 from collections.abc import Mapping
 
@@ -8,16 +8,16 @@
 from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
 
-# Entries stand under this prefix and the target's incarnation.
+# Key prefix of target entries; the rest of the key is the target's id.
 PREFIX = "servers/"
-_BORN = "born"
+_START_TIME = "born"
 _SEQUENCE = "sequence"
 _CONDITIONS: Mapping[object, condition.Condition] = {
     "ready": condition.Condition.LIVE,
     "draining": condition.Condition.DRAINING,
 }
-# The fields that are gone by, and those that tell a target's own entries from
-# what others write; with the types that they may have.
+# The fields that are used, and those that distinguish entries of targets from
+# entries written by other clients, with the types that they may have.
 _FIELDS: Mapping[str, tuple[type, ...]] = {
     "service": (str,),
     "address": (str,),
@@ -26,55 +26,58 @@
     "state": (str,),
     _SEQUENCE: (int,),
     "cold-remaining-ms": (int, float),
-    _BORN: (int,),
+    _START_TIME: (int,),
 }
-# Targets that were started before these were told go without.
-_OPTIONAL = frozenset({_SEQUENCE, "cold-remaining-ms", _BORN})
+# Missing from entries of targets that were started before these fields existed.
+_OPTIONAL_FIELDS = frozenset({_SEQUENCE, "cold-remaining-ms", _START_TIME})
 
 
 def read_started_ms(document: object) -> int:
-    """Returns when a target started, as it says in whatever it publishes."""
-    started_ms = _private.get(document, _BORN, int, incarnations.START_UNKNOWN)
+    """Returns the start time in any document that a target publishes."""
+    started_ms = _private.get(
+        document, _START_TIME, int, incarnations.START_UNKNOWN
+    )
     return max(incarnations.START_UNKNOWN, started_ms)
 
 
 def read_target(target_id: str, document: object) -> targets.Target | str:
     """Returns the target, or a sentence that says what is wrong.
 
-    Others write where targets do. What lacks a field, or has one of another
-    type or meaning, is no target's own entry, and names none to be used.
+    Other clients write under the same prefix. An entry in which a field is
+    missing or has an unexpected type or value was not written by a target, and
+    does not describe a usable one.
     """
     if not isinstance(document, dict):
-        return f"target {target_id}: the entry is no object"
+        return f"target {target_id}: the entry is not an object"
     for name, types in _FIELDS.items():
-        fault = _find_fault(document, name, types)
-        if fault:
-            return f"target {target_id}: {fault}"
+        problem = _find_problem(document, name, types)
+        if problem:
+            return f"target {target_id}: {problem}"
     state = _CONDITIONS.get(document["state"])
     if state is None:
         return f"target {target_id}: unknown state {document['state']!r:.40}"
     try:
-        where = environment.parse_address(document["address"])
+        address = environment.parse_address(document["address"])
     except ValueError as error:
         return f"target {target_id}: {error}"
     return targets.Target(
         target_id=target_id,
         pool=document["service"],
         hall=document["zone"],
-        address=where,
+        address=address,
         condition=state,
         streams_max=document["slots"],
-        started_ms=document.get(_BORN, incarnations.START_UNKNOWN),
+        started_ms=document.get(_START_TIME, incarnations.START_UNKNOWN),
         sequence=document.get(_SEQUENCE, 0),
     )
 
 
-def _find_fault(
+def _find_problem(
     document: dict[str, object], name: str, types: tuple[type, ...]
 ) -> str:
-    """Returns what is wrong with a field, or an empty text."""
+    """Returns what is wrong with a field, or an empty string."""
     if name not in document:
-        return "" if name in _OPTIONAL else f"no field {name}"
+        return "" if name in _OPTIONAL_FIELDS else f"field {name} is missing"
     value = document[name]
     if type(value) not in types:
         return f"{name} is {value!r:.40}"
