--- a/src/ruddergate/cli/gateway.py
+++ b/src/ruddergate/cli/gateway.py
@@ -18,8 +18,8 @@
 from ruddergate.http import server
 from ruddergate.platform import callers
 from ruddergate.platform import orders
-from ruddergate.platform import replicas
 from ruddergate.platform import store
+from ruddergate.platform import upstream
 from ruddergate.telemetry import logs
 from ruddergate.telemetry import traces
 
@@ -147,7 +147,7 @@
     )
     platform = gateways.Platform(
         caller_protocol=callers.make_caller_protocol(),
-        make_send=lambda on_hints: replicas.make_send(outside, on_hints),
+        make_send=lambda on_hints: upstream.make_send(outside, on_hints),
         make_orders=lambda on_hints: orders.make_orders(
             outside, _ORDER_LIMITS, on_hints
         ),
--- a/standins/gateway_cluster.py
+++ b/standins/gateway_cluster.py
@@ -13,8 +13,8 @@
 from ruddergate.http import server
 from ruddergate.platform import callers
 from ruddergate.platform import orders
-from ruddergate.platform import replicas
 from ruddergate.platform import store as stores
+from ruddergate.platform import upstream
 from ruddergate.telemetry import traces
 from standins import pass_engine
 from standins import platform_replica
@@ -368,7 +368,7 @@
 def _make_platform(outside: environment.Environment) -> gateways.Platform:
     return gateways.Platform(
         caller_protocol=callers.make_caller_protocol(),
-        make_send=lambda on_hints: replicas.make_send(outside, on_hints),
+        make_send=lambda on_hints: upstream.make_send(outside, on_hints),
         make_orders=lambda on_hints: orders.make_orders(
             outside, _ORDER_LIMITS, on_hints
         ),
--- a/tests/test_replica_calls.py
+++ b/tests/test_replica_calls.py
@@ -11,7 +11,7 @@
 from ruddergate.fleet import target as targets
 from ruddergate.http import message
 from ruddergate.http import server
-from ruddergate.platform import replicas
+from ruddergate.platform import upstream
 from ruddergate.relay import answer as answers
 from ruddergate.relay import hints as hint_types
 from ruddergate.relay import upstream_request as upstream_requests
@@ -77,7 +77,7 @@
         return passed + (stands_still_ms if passed > began_ms + 500.0 else 0.0)
 
     outside = dataclasses.replace(plain, now_ms=now_ms)
-    send = replicas.make_send(outside, hint_types.ignore_hints)
+    send = upstream.make_send(outside, hint_types.ignore_hints)
 
     async def collect() -> list[answers.Event]:
         return [event async for event in send(_make_errand(now_ms()))]
@@ -124,7 +124,7 @@
                 return streams
 
             outside = dataclasses.replace(plain, connect=connect)
-            send = replicas.make_send(outside, hint_types.ignore_hints)
+            send = upstream.make_send(outside, hint_types.ignore_hints)
             upstream_request = dataclasses.replace(
                 _make_errand(outside.now_ms()), check_admission=refuse
             )
