--- a/src/ruddergate/platform/targets.py
+++ b/src/ruddergate/platform/targets.py
@@ -77,7 +77,7 @@
 ) -> str:
     """Returns what is wrong with a field, or an empty string."""
     if name not in document:
-        return "" if name in _OPTIONAL_FIELDS else f"field {name} is missing"
+        return "" if name in _OPTIONAL_FIELDS else f"missing field {name}"
     value = document[name]
     if type(value) not in types:
         return f"{name} is {value!r:.40}"
