--- a/src/ruddergate/decisions/pause_class.py
+++ b/src/ruddergate/decisions/pause_class.py
@@ -32,15 +32,15 @@
     It is what the shortest of the class's pauses leaves beside a pass that
     reads nothing.
     """
-    return _bears_ms(pool.pause_aims_ms, pool.iteration_ms)
+    return _bears_ms(pool.pause_slos_ms, pool.iteration_ms)
 
 
 @functools.lru_cache(maxsize=64)
 def _bears_ms(
-    pause_aims_ms: tuple[float, ...], iteration_ms: float
+    pause_slos_ms: tuple[float, ...], iteration_ms: float
 ) -> tuple[float, ...]:
     found = list(BEARS_MS)
-    for aim_ms in sorted(pause_aims_ms, reverse=True):
+    for aim_ms in sorted(pause_slos_ms, reverse=True):
         left_ms = aim_ms * _PAUSE_PART - iteration_ms - _ON_THE_WAY_MS
         found[find_class(aim_ms)] = max(0.0, left_ms)
     return tuple(found)
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -380,8 +380,8 @@
             )
         return upstream_requests.Timeouts(
             CONNECT_TIMEOUT_MS,
-            max(SILENCE_LEAST_MS, SILENCE_AIMS * route.aim_ms),
-            max(SILENCE_LEAST_MS, SILENCE_AIMS * route.gap_aim_ms),
+            max(SILENCE_LEAST_MS, SILENCE_AIMS * route.latency_slo_ms),
+            max(SILENCE_LEAST_MS, SILENCE_AIMS * route.gap_slo_ms),
             self._may_another_take_over,
         )
 
--- a/src/ruddergate/entry/relay_handler.py
+++ b/src/ruddergate/entry/relay_handler.py
@@ -172,8 +172,8 @@
             revision=request.workload.revision,
             prompt_tokens=request.prompt_tokens,
             took_ms=round(took_ms),
-            aim_ms=request.payload.route.aim_ms,
-            gap_aim_ms=request.payload.route.gap_aim_ms,
+            aim_ms=request.payload.route.latency_slo_ms,
+            gap_aim_ms=request.payload.route.gap_slo_ms,
             first_ms=round(pauses.first_ms) if pauses else None,
             longest_pause_ms=round(pauses.longest_ms) if pauses else None,
         )
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -249,7 +249,7 @@
     tools: tool_types.Tools,
 ) -> tuple[tuple[bool, float], ...]:
     """Returns how long to wait as a call in time, and then as a late one."""
-    aim_ms = request.payload.route.aim_ms
+    aim_ms = request.payload.route.latency_slo_ms
     on_time_ms = ON_TIME_WAIT_AIMS * aim_ms
     if not progress.is_begun:
         on_time_ms -= tools.outside.now_ms() - request.arrived_ms
@@ -293,8 +293,8 @@
             prefix_tokens=0,
             is_long=band >= length_band.LONG_BAND,
             waited_ms=request.arrived_ms,
-            aim_ms=route.aim_ms,
-            pause_aim_ms=route.gap_aim_ms if route.is_stream else math.inf,
+            aim_ms=route.latency_slo_ms,
+            pause_aim_ms=route.gap_slo_ms if route.is_stream else math.inf,
             home_hall=tools.config.hall,
             pinned_target=progress.pinned,
             is_suspect=tools.suspects.is_suspect(request),
--- a/src/ruddergate/platform/configuration.py
+++ b/src/ruddergate/platform/configuration.py
@@ -113,15 +113,20 @@
         shares=shares,
         rank=_read_rank(document),
         time_limit_ms=_private.get(document, "timeout-ms", float, 60_000.0),
-        aim_ms=_private.get(document, "target-latency-ms", float, 1_000.0),
+        latency_slo_ms=_private.get(
+            document, "target-latency-ms", float, 1_000.0
+        ),
         is_stream=is_stream,
-        gap_aim_ms=_private.get(document, "gap_aim_ms", float, 1_000.0),
+        gap_slo_ms=_private.get(document, "gap_aim_ms", float, 1_000.0),
         repeatable=repeatable,
         is_resumable=is_stream and is_resumable,
         targets_max=max(1, _private.get(document, "max-attempts", int, 1)),
         is_open=_private.get(document, "allow-anonymous", bool, False),
     )
-    if route.time_limit_ms <= 0.0 or min(route.aim_ms, route.gap_aim_ms) < 0.0:
+    if (
+        route.time_limit_ms <= 0.0
+        or min(route.latency_slo_ms, route.gap_slo_ms) < 0.0
+    ):
         # With such times, every request of the route would be refused.
         return f"route {name} has an invalid timeout or latency"
     return route
--- a/src/ruddergate/settings/catalog.py
+++ b/src/ruddergate/settings/catalog.py
@@ -47,7 +47,7 @@
         routes_ = tuple(routes_)
         self.pools = {
             name: dataclasses.replace(
-                pool, pause_aims_ms=_find_pause_aims_ms(name, routes_)
+                pool, pause_slos_ms=_find_pause_slos_ms(name, routes_)
             )
             for name, pool in pools.items()
         }
@@ -78,16 +78,16 @@
 EMPTY = Catalog(0, (), {}, {})
 
 
-def _find_pause_aims_ms(
+def _find_pause_slos_ms(
     pool: str, routes_: Iterable[routes.Route]
 ) -> tuple[float, ...]:
     """Returns the different pause limits of the routes to a pool, sorted."""
-    aims_ms = {
-        each.gap_aim_ms
+    slos_ms = {
+        each.gap_slo_ms
         for each in routes_
         if each.is_stream and any(share.pool == pool for share in each.shares)
     }
-    return tuple(sorted(aims_ms))
+    return tuple(sorted(slos_ms))
 
 
 def _prefixes(path: str) -> Iterator[str]:
--- a/src/ruddergate/settings/effective.py
+++ b/src/ruddergate/settings/effective.py
@@ -42,7 +42,7 @@
     Attributes:
         iteration_ms: Duration of an engine's batch iteration without prefill,
             if published.
-        pause_aims_ms: Longest acceptable pauses between two events, over all
+        pause_slos_ms: Longest acceptable pauses between two events, over all
             routes to the pool, without duplicates and sorted, if published.
     """
 
@@ -63,7 +63,7 @@
     gang_engines_max: int
     weight_reads_per_s_max: float
     iteration_ms: float = 0.0
-    pause_aims_ms: tuple[float, ...] = ()
+    pause_slos_ms: tuple[float, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/ruddergate/settings/route.py
+++ b/src/ruddergate/settings/route.py
@@ -27,10 +27,10 @@
         shares: The pools that its requests go to; never empty.
         rank: Its priority; higher ranks are served first.
         time_limit_ms: Maximum time that a request may take.
-        aim_ms: Latency objective: time to the complete response or, for a
-            stream, to the first event.
+        latency_slo_ms: Latency objective for the complete response or, for a
+            stream, for the first event.
         is_stream: Whether responses are event streams.
-        gap_aim_ms: Objective for the longest pause between events of a stream.
+        gap_slo_ms: Objective for the longest pause between events of a stream.
         repeatable: Whether requests are idempotent, so that running one twice
             does no harm.
         is_resumable: Whether another target can resume an interrupted stream.
@@ -44,9 +44,9 @@
     shares: tuple[Share, ...]
     rank: int
     time_limit_ms: float
-    aim_ms: float
+    latency_slo_ms: float
     is_stream: bool
-    gap_aim_ms: float
+    gap_slo_ms: float
     repeatable: bool
     is_resumable: bool
     targets_max: int
--- a/tests/test_foreign_settings.py
+++ b/tests/test_foreign_settings.py
@@ -71,8 +71,8 @@
 
     def _check_route(self, route: routes.Route) -> None:
         self.assertGreater(route.time_limit_ms, 0.0)
-        self.assertGreaterEqual(route.aim_ms, 0.0)
-        self.assertGreaterEqual(route.gap_aim_ms, 0.0)
+        self.assertGreaterEqual(route.latency_slo_ms, 0.0)
+        self.assertGreaterEqual(route.gap_slo_ms, 0.0)
         self.assertGreaterEqual(route.targets_max, 1)
         self.assertGreater(len(route.shares), 0)
 
