--- a/src/ruddergate/http/__init__.py
+++ b/src/ruddergate/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over streams with h11, on both sides."""
+"""HTTP/1.1 client and server, on streams and h11."""
--- a/src/ruddergate/http/client.py
+++ b/src/ruddergate/http/client.py
@@ -1,7 +1,7 @@
-"""Sends one HTTP/1.1 request and reads its answer piece by piece.
+"""Sends one HTTP/1.1 request and reads the response incrementally.
 
-Faults come back as values that say whether any byte of the request may have
-left this process; that is what `ran: not_run` rests on.
+Errors are returned as values that say whether any byte of the request may have
+left this process. The outcome `ran: not_run` relies on this.
 """
 
 import asyncio
@@ -18,11 +18,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """An exchange that broke.
+    """A failed exchange.
 
     Attributes:
         sent: Whether any byte of the request may have left this process.
-        timed_out: Whether it was given up because of time.
+        timed_out: Whether it failed because of a timeout.
         detail: One sentence for logs.
     """
 
@@ -33,12 +33,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timeouts:
-    """How long each part of an exchange may take, in milliseconds.
+    """Timeouts of an exchange, in milliseconds.
 
     Attributes:
-        connect_ms: Until the connection is up.
-        silence_ms: Without a byte of the answer.
-        whole_ms: From the beginning to the answer's end.
+        connect_ms: For connecting.
+        read_ms: Between bytes of the response.
+        total_ms: From the start to the end of the response.
     """
 
     connect_ms: float
@@ -48,12 +48,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CompleteResponse:
-    """An answer read to its end.
+    """A response that was read completely.
 
     Attributes:
         status: HTTP status.
         headers: Values by lower-case name; the last of equal names.
-        body: Whole body.
+        body: Complete body.
         fields: Every header line in order, names in lower case.
     """
 
@@ -63,7 +63,7 @@
     fields: message.Fields = ()
 
     def json(self) -> object | None:
-        """Returns the body as JSON, or None if it is not JSON."""
+        """Returns the body parsed as JSON, or None if it is not JSON."""
         try:
             return orjson.loads(self.body)
         except orjson.JSONDecodeError:
@@ -74,9 +74,9 @@
     """One request in flight; owns its stream.
 
     Attributes:
-        status: HTTP status of the answer.
-        headers: Headers of the answer by lower-case name.
-        fields: The answer's header lines in order.
+        status: HTTP status of the response.
+        headers: Headers of the response by lower-case name.
+        fields: Header lines of the response in order.
     """
 
     def __init__(
@@ -92,10 +92,10 @@
     def send(
         self, address: environment.Address, request: message.OutgoingRequest
     ) -> None:
-        """Hands the whole request to the stream, without waiting for it.
+        """Writes the whole request to the stream, without waiting.
 
-        An answer may come before the other side has read a long body, so the
-        reading must not wait for the sending.
+        The response may arrive before the server has read a long body, so
+        reading must not wait until everything is sent.
         """
         headers = [("host", request.host or str(address))]
         headers.extend(request.headers.items())
@@ -113,22 +113,24 @@
     def try_send(
         self, address: environment.Address, request: message.OutgoingRequest
     ) -> Fault | None:
-        """Sends the whole request; where that breaks off, closes the stream."""
+        """Sends the whole request; closes the stream if that fails."""
         try:
             self.send(address, request)
         except OSError as error:
             self.close()
-            return Fault(True, False, f"sending broke off: {error}")
+            return Fault(True, False, f"sending failed: {error}")
         return None
 
     async def read_head(self) -> Fault | None:
-        """Reads status and headers; returns a fault if they don't come."""
+        """Reads status and headers; returns a fault if that fails."""
         try:
             event = await self._next_event()
         except (OSError, h11.RemoteProtocolError) as error:
-            return Fault(True, False, f"no answer: {error}")
+            return Fault(True, False, f"no response: {error}")
         if not isinstance(event, h11.Response):
-            return Fault(True, False, "the connection ended before an answer")
+            return Fault(
+                True, False, "the connection was closed before a response"
+            )
         self.status = event.status_code
         self.fields = tuple(
             (name.decode("latin-1"), value.decode("latin-1"))
@@ -138,30 +140,30 @@
         return None
 
     async def read_chunk(self) -> bytes | Fault:
-        """Returns the next bytes of the body; empty at its proper end."""
+        """Returns the next bytes of the body; empty at its regular end."""
         try:
             event = await self._next_event()
         except (OSError, h11.RemoteProtocolError) as error:
-            return Fault(True, False, f"the answer broke off: {error}")
+            return Fault(True, False, f"the response was cut off: {error}")
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return b""
-        return Fault(True, False, "the answer broke off")
+        return Fault(True, False, "the response was cut off")
 
     async def read_all(self) -> bytes | Fault:
-        """Returns the whole rest of the body."""
+        """Returns the rest of the body."""
         body = bytearray()
         while True:
-            part = await self.read_chunk()
-            if isinstance(part, Fault):
-                return part
-            if not part:
+            chunk = await self.read_chunk()
+            if isinstance(chunk, Fault):
+                return chunk
+            if not chunk:
                 return bytes(body)
-            body += part
+            body += chunk
 
     def close(self) -> None:
-        """Closes the stream; the answer's rest is dropped."""
+        """Closes the stream and drops the rest of the response."""
         self._writer.close()
 
     async def _next_event(self) -> object:
@@ -180,7 +182,7 @@
     request: message.OutgoingRequest,
     connect_ms: float,
 ) -> Exchange | Fault:
-    """Connects and sends the request; the answer is left to read."""
+    """Connects and sends the request, without reading the response."""
     exchange = await connect(env, address, connect_ms)
     if isinstance(exchange, Fault):
         return exchange
@@ -192,14 +194,14 @@
     address: environment.Address,
     connect_ms: float,
 ) -> Exchange | Fault:
-    """Returns an exchange in which nothing was sent yet."""
+    """Connects; nothing is sent yet."""
     try:
         async with asyncio.timeout(connect_ms / 1000.0):
             reader, writer = await env.connect(address)
     except TimeoutError:
-        return Fault(False, True, f"no connection to {address} in time")
+        return Fault(False, True, f"connecting to {address} timed out")
     except OSError as error:
-        return Fault(False, False, f"no connection to {address}: {error}")
+        return Fault(False, False, f"connecting to {address} failed: {error}")
     return Exchange(reader, writer)
 
 
@@ -209,7 +211,7 @@
     request: message.OutgoingRequest,
     timeout_ms: float,
 ) -> CompleteResponse | Fault:
-    """Sends the request and reads the whole answer within the timeout."""
+    """Sends the request and reads the whole response within the timeout."""
     timeouts = Timeouts(timeout_ms, timeout_ms, timeout_ms)
     return await fetch_within(env, address, request, timeouts)
 
@@ -220,34 +222,34 @@
     request: message.OutgoingRequest,
     timeouts: Timeouts,
 ) -> CompleteResponse | Fault:
-    """Sends the request and reads the whole answer.
+    """Sends the request and reads the whole response.
 
-    An answer that keeps coming may take longer than the other side's silence
-    is borne: a large one on a thin link does.
+    A response that keeps arriving may take longer than the read timeout, as a
+    large one does on a slow link.
     """
-    began_ms = env.now_ms()
+    started_ms = env.now_ms()
     exchange = await start(env, address, request, timeouts.connect_ms)
     if isinstance(exchange, Fault):
         return exchange
-    left_ms = max(1.0, timeouts.total_ms - (env.now_ms() - began_ms))
-    silence_s = timeouts.read_ms / 1000.0
+    remaining_ms = max(1.0, timeouts.total_ms - (env.now_ms() - started_ms))
+    read_timeout_s = timeouts.read_ms / 1000.0
     try:
-        async with asyncio.timeout(left_ms / 1000.0):
-            async with asyncio.timeout(silence_s):
+        async with asyncio.timeout(remaining_ms / 1000.0):
+            async with asyncio.timeout(read_timeout_s):
                 fault = await exchange.read_head()
             if fault is not None:
                 return fault
             body = bytearray()
             while True:
-                async with asyncio.timeout(silence_s):
-                    part = await exchange.read_chunk()
-                if isinstance(part, Fault):
-                    return part
-                if not part:
+                async with asyncio.timeout(read_timeout_s):
+                    chunk = await exchange.read_chunk()
+                if isinstance(chunk, Fault):
+                    return chunk
+                if not chunk:
                     break
-                body += part
+                body += chunk
     except TimeoutError:
-        return Fault(True, True, f"no answer from {address} in time")
+        return Fault(True, True, f"no response from {address} in time")
     finally:
         exchange.close()
     return CompleteResponse(
--- a/src/ruddergate/http/message.py
+++ b/src/ruddergate/http/message.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-# Header lines in order; a name may stand more than once.
+# Header lines in order; a name may occur more than once.
 Fields: TypeAlias = tuple[tuple[str, str], ...]
 
 JSON_TYPE = "application/json"
@@ -21,11 +21,11 @@
     Attributes:
         method: Upper-case method.
         path: Target without its query.
-        query: Text behind the question mark, or empty.
+        query: Text after the question mark, or empty.
         headers: Values by lower-case name; the last of equal names.
-        body: Whole body.
+        body: Complete body.
         target: Path and query exactly as received.
-        fields: Every header line in order, names as received.
+        fields: All header lines in order, names as received.
     """
 
     method: str
@@ -44,10 +44,10 @@
     Attributes:
         method: Upper-case method.
         target: Path and query.
-        headers: Values by lower-case name, without host and length.
-        body: Whole body.
-        host: The `Host` to send; the address connected to if empty.
-        fields: Header lines sent besides, in this order.
+        headers: Values by lower-case name, except host and content-length.
+        body: Complete body.
+        host: The `Host` header; if empty, the address of the connection.
+        fields: Additional header lines, in this order.
     """
 
     method: str
@@ -64,10 +64,11 @@
 
     Attributes:
         status: HTTP status.
-        headers: Values by name, without length and encoding.
-        body: Whole body, or an iterator of its parts; an OSError raised by it
-            breaks the connection off, so that the answer looks incomplete.
-        fields: Header lines sent besides, in this order.
+        headers: Values by name, except content-length and transfer-encoding.
+        body: Complete body, or an iterator of its chunks. If the iterator
+            raises OSError, the connection is closed, so that the response is
+            visibly incomplete.
+        fields: Additional header lines, in this order.
     """
 
     status: int
--- a/src/ruddergate/http/server.py
+++ b/src/ruddergate/http/server.py
@@ -1,7 +1,8 @@
-"""Serves one HTTP/1.1 connection after another.
+"""Serves HTTP/1.1 connections.
 
-Bad input gets a clear 4xx and closes its own connection only. When the caller
-goes away, the handler is cancelled, so that work for it can be given back.
+Invalid input is answered with a 4xx status and closes only its own connection.
+When the caller disconnects, the handler is cancelled, so that its resources can
+be released.
 """
 
 import asyncio
@@ -26,14 +27,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """What one caller may take up.
+    """Limits on what callers may use.
 
     Attributes:
-        header_bytes_max: Longest request line and headers.
-        body_bytes_max: Longest body.
-        read_timeout_ms: Time for a whole request to arrive.
-        idle_timeout_ms: Time a connection may rest between requests.
-        connections_max: Connections open at once.
+        header_bytes_max: Maximum size of the request line and headers.
+        body_bytes_max: Maximum size of the body.
+        read_timeout_ms: Time in which a whole request must arrive.
+        idle_timeout_ms: Time that a connection may be idle between requests.
+        connections_max: Maximum number of open connections.
     """
 
     header_bytes_max: int = 16_384
@@ -44,13 +45,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _BadInput:
+class _InvalidInput:
     status: int
     detail: str
 
 
 class Connections:
-    """The open connections of one server, by whether a request is under way."""
+    """Tracks the open connections of a server and which of them are idle."""
 
     def __init__(self) -> None:
         self._idle: set[asyncio.StreamWriter] = set()
@@ -60,25 +61,25 @@
         return self._count
 
     def note_open(self, writer: asyncio.StreamWriter) -> None:
-        """Notes a new connection."""
+        """Records a new connection."""
         self._count += 1
         self._idle.add(writer)
 
     def note_busy(self, writer: asyncio.StreamWriter) -> None:
-        """Notes that bytes of a request have arrived."""
+        """Records that bytes of a request have arrived."""
         self._idle.discard(writer)
 
     def note_idle(self, writer: asyncio.StreamWriter) -> None:
-        """Notes that the last request has been answered."""
+        """Records that the last request has been answered."""
         self._idle.add(writer)
 
     def note_closed(self, writer: asyncio.StreamWriter) -> None:
-        """Notes that a connection is gone."""
+        """Records that a connection is closed."""
         self._count -= 1
         self._idle.discard(writer)
 
     def close_idle(self) -> None:
-        """Closes the connections on which no request is under way."""
+        """Closes the connections without a request in progress."""
         for writer in self._idle:
             writer.close()
 
@@ -92,28 +93,30 @@
     """Returns a stream handler that serves HTTP requests with `handle`.
 
     Args:
-        handle: Answers one request; must not raise.
-        limits: What one caller may take up.
-        is_closing: Whether to close connections after their next answer.
+        handle: Handles one request; must not raise.
+        limits: Limits on what callers may use.
+        is_closing: Whether to close connections after their next response.
         connections: Is kept up to date with the open connections.
     """
-    known = connections if connections is not None else Connections()
+    open_connections = connections if connections is not None else Connections()
 
     async def serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        known.note_open(writer)
+        open_connections.note_open(writer)
         try:
-            if len(known) > limits.connections_max:
-                await _reject(writer, _BadInput(503, "too many connections"))
+            if len(open_connections) > limits.connections_max:
+                await _reject(
+                    writer, _InvalidInput(503, "too many connections")
+                )
                 return
             await _serve_connection(
-                reader, writer, handle, limits, is_closing, known
+                reader, writer, handle, limits, is_closing, open_connections
             )
         except (ConnectionError, OSError, TimeoutError):
-            pass  # The peer is gone; there is nobody to tell.
+            pass  # The peer has disconnected, so the error can't be reported.
         finally:
-            known.note_closed(writer)
+            open_connections.note_closed(writer)
             writer.close()
 
     return serve
@@ -125,25 +128,28 @@
     handle: Handler,
     limits: Limits,
     is_closing: Callable[[], bool],
-    known: Connections,
+    open_connections: Connections,
 ) -> None:
     connection = h11.Connection(
         h11.SERVER, max_incomplete_event_size=limits.header_bytes_max
     )
     while True:
-        known.note_idle(writer)
+        open_connections.note_idle(writer)
         incoming = await _read_request(
-            reader, connection, limits, lambda: known.note_busy(writer)
+            reader,
+            connection,
+            limits,
+            lambda: open_connections.note_busy(writer),
         )
         if incoming is None:
             return
-        if isinstance(incoming, _BadInput):
+        if isinstance(incoming, _InvalidInput):
             await _reject(writer, incoming)
             return
-        left = await _answer(
+        is_disconnected = await _handle_request(
             reader, writer, connection, handle, incoming, is_closing
         )
-        if left or connection.our_state is not h11.DONE:
+        if is_disconnected or connection.our_state is not h11.DONE:
             return
         if connection.their_state is not h11.DONE:
             return
@@ -154,8 +160,8 @@
     reader: asyncio.StreamReader,
     connection: h11.Connection,
     limits: Limits,
-    note_begun: Callable[[], None],
-) -> message.IncomingRequest | _BadInput | None:
+    on_first_bytes: Callable[[], None],
+) -> message.IncomingRequest | _InvalidInput | None:
     try:
         async with asyncio.timeout(limits.idle_timeout_ms / 1000.0):
             if connection.trailing_data[0] == b"":
@@ -165,19 +171,21 @@
                 connection.receive_data(data)
     except TimeoutError:
         return None
-    note_begun()
+    on_first_bytes()
     try:
         async with asyncio.timeout(limits.read_timeout_ms / 1000.0):
             return await _collect_request(reader, connection, limits)
     except TimeoutError:
-        return _BadInput(408, "the request arrived too slowly")
+        return _InvalidInput(408, "the request arrived too slowly")
     except h11.RemoteProtocolError as error:
-        return _BadInput(error.error_status_hint, f"malformed HTTP: {error}")
+        return _InvalidInput(
+            error.error_status_hint, f"malformed HTTP: {error}"
+        )
 
 
 async def _collect_request(
     reader: asyncio.StreamReader, connection: h11.Connection, limits: Limits
-) -> message.IncomingRequest | _BadInput | None:
+) -> message.IncomingRequest | _InvalidInput | None:
     head: h11.Request | None = None
     body = bytearray()
     while True:
@@ -189,7 +197,7 @@
         elif isinstance(event, h11.Data):
             body += event.data
             if len(body) > limits.body_bytes_max:
-                return _BadInput(413, "the body is too long")
+                return _InvalidInput(413, "the body is too long")
         elif isinstance(event, h11.EndOfMessage):
             return _make_incoming(head, bytes(body))
         else:
@@ -213,7 +221,7 @@
     )
 
 
-async def _answer(
+async def _handle_request(
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
     connection: h11.Connection,
@@ -221,29 +229,29 @@
     incoming: message.IncomingRequest,
     is_closing: Callable[[], bool],
 ) -> bool:
-    """Sends the answer; returns whether the caller left before its end."""
-    answering = asyncio.ensure_future(
+    """Responds; returns whether the caller disconnected before the end."""
+    response_task = asyncio.ensure_future(
         _respond(writer, connection, handle, incoming, is_closing)
     )
-    watching = asyncio.ensure_future(reader.read(_READ_BYTES))
+    read_task = asyncio.ensure_future(reader.read(_READ_BYTES))
     try:
         await asyncio.wait(
-            {answering, watching}, return_when=asyncio.FIRST_COMPLETED
+            {response_task, read_task}, return_when=asyncio.FIRST_COMPLETED
         )
-        if watching.done() and not answering.done():
-            data = b"" if watching.exception() else watching.result()
+        if read_task.done() and not response_task.done():
+            data = b"" if read_task.exception() else read_task.result()
             if not data:
                 return True
             connection.receive_data(data)
-            await answering
+            await response_task
             return False
-        answering.result()
-        if watching.done() and not watching.exception():
-            connection.receive_data(watching.result())
+        response_task.result()
+        if read_task.done() and not read_task.exception():
+            connection.receive_data(read_task.result())
         return False
     finally:
-        await _stop(watching)
-        await _stop(answering)
+        await _stop(read_task)
+        await _stop(response_task)
 
 
 async def _stop(task: asyncio.Future) -> None:
@@ -273,19 +281,20 @@
         await writer.drain()
         return
     head = h11.Response(status_code=response.status, headers=headers)
-    # The head goes with the first part: one write, and the iterator has begun
-    # before anything can fail, so closing it always runs its clean-up.
+    # The head is sent with the first chunk, in one write. This also starts the
+    # iterator before anything can fail, so that closing it always runs its
+    # cleanup.
     pending = connection.send(head)
-    async with contextlib.aclosing(response.body) as parts:
-        async for part in parts:
-            writer.write(pending + connection.send(h11.Data(data=part)))
+    async with contextlib.aclosing(response.body) as chunks:
+        async for chunk in chunks:
+            writer.write(pending + connection.send(h11.Data(data=chunk)))
             pending = b""
             await writer.drain()
     writer.write(pending + connection.send(h11.EndOfMessage()))
     await writer.drain()
 
 
-async def _reject(writer: asyncio.StreamWriter, fault: _BadInput) -> None:
+async def _reject(writer: asyncio.StreamWriter, fault: _InvalidInput) -> None:
     connection = h11.Connection(h11.SERVER)
     body = orjson.dumps(
         {"reason": "bad_request", "ran": "not_run", "detail": fault.detail}
