--- a/src/ruddergate/entry/first_event.py
+++ b/src/ruddergate/entry/first_event.py
@@ -6,13 +6,13 @@
 from collections.abc import Sequence
 
 from ruddergate import outcomes
-from ruddergate.relay import answer as answers
+from ruddergate.relay import response_event as response_events
 
 
 async def await_first(
-    events: AsyncIterator[answers.Event],
+    events: AsyncIterator[response_events.Event],
     hopeless: Sequence[Awaitable[outcomes.NotServed]],
-) -> answers.Event:
+) -> response_events.Event:
     """Returns the first event, or how the attempt ends without one.
 
     Args:
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -16,8 +16,8 @@
 from ruddergate.entry import reservation_keeper
 from ruddergate.entry import suspects
 from ruddergate.entry import tools as tool_types
-from ruddergate.relay import answer as answers
 from ruddergate.relay import orders
+from ruddergate.relay import response_event as response_events
 from ruddergate.relay import upstream_request as upstream_requests
 
 # A connection to a target in reach is up in a few milliseconds; packets lost
@@ -92,7 +92,7 @@
         self._has_first = False
         self._has_answered = False
 
-    async def run(self) -> AsyncIterator[answers.Event]:
+    async def run(self) -> AsyncIterator[response_events.Event]:
         """Yields what the caller is to get, and at last how it ended."""
         reservations = self._make_reservations()
         self._progress.blamed = ()
@@ -184,7 +184,7 @@
         self,
         upstream_request: upstream_requests.UpstreamRequest,
         is_watched: bool,
-    ) -> AsyncIterator[answers.Event]:
+    ) -> AsyncIterator[response_events.Event]:
         """Yields the answer; a watched target must show that it lives.
 
         It is watched until its first events; from then on their gaps tell. So
@@ -227,7 +227,7 @@
         may_again = request.payload.route.repeatable
         if not may_again or not await self._tools.secure_retry(is_large):
             await asyncio.Event().wait()
-        self._note(answers.HelperFaultReported(incarnation.target_id))
+        self._note(response_events.HelperFaultReported(incarnation.target_id))
         self._gone.add(incarnation.target_id)
         # A content that ends several engines at once must not be cleared by
         # that: the one that was to answer may have ended, too.
@@ -261,24 +261,24 @@
             _NO_MEMORY_RETRY_MS,
         )
 
-    def _note(self, event: answers.Event) -> bool:
+    def _note(self, event: response_events.Event) -> bool:
         """Takes an event in; returns whether it is to be handed on."""
         match event:
-            case answers.LoadReported():
+            case response_events.LoadReported():
                 self._tools.scheduler.post(placement.Reported(event.report))
                 return False
-            case answers.HelperFaultReported():
+            case response_events.HelperFaultReported():
                 self._at_fault.add(event.target_id)
                 self._progress.excluded |= {event.target_id}
                 self._progress.blamed += (event.target_id,)
                 return False
-            case answers.StreamHead():
+            case response_events.StreamHead():
                 is_new = not self._progress.is_begun
                 self._progress.is_begun = True
                 return is_new
-            case answers.CompleteResponse():
+            case response_events.CompleteResponse():
                 self._has_answered = True
-            case answers.StreamEvents():
+            case response_events.StreamEvents():
                 self._has_answered = True
                 self._note_first()
                 self._progress.last_event_id = event.last_event_id
--- a/src/ruddergate/entry/relay_handler.py
+++ b/src/ruddergate/entry/relay_handler.py
@@ -11,8 +11,8 @@
 from ruddergate.entry import reservation_keeper
 from ruddergate.entry import tools as tool_types
 from ruddergate.http import message
-from ruddergate.relay import answer as answers
 from ruddergate.relay import caller_protocol as caller_protocols
+from ruddergate.relay import response_event as response_events
 from ruddergate.relay import upstream_request as upstream_requests
 from ruddergate.telemetry import logs
 
@@ -74,11 +74,11 @@
             await events.aclose()
             self._note_left(request, None)
             raise
-        if isinstance(first, answers.StreamHead):
+        if isinstance(first, response_events.StreamHead):
             body = self._hand_on(request, events)
             return message.Response(first.status, {}, body, first.fields)
         await events.aclose()
-        if isinstance(first, answers.CompleteResponse):
+        if isinstance(first, response_events.CompleteResponse):
             self._note_end(request, "finished", outcomes.Ran.RAN, "")
             return message.Response(first.status, {}, first.body, first.fields)
         self._note_end(request, first.reason.value, first.ran, first.detail)
@@ -98,13 +98,13 @@
     async def _hand_on(
         self,
         request: requests.Request,
-        events: AsyncIterator[answers.Event],
+        events: AsyncIterator[response_events.Event],
     ) -> AsyncIterator[bytes]:
         pauses = _Pauses(request.arrived_ms)
         try:
             async with contextlib.aclosing(events):
                 async for event in events:
-                    if isinstance(event, answers.StreamEvents):
+                    if isinstance(event, response_events.StreamEvents):
                         pauses.note_event(self._tools.outside.now_ms())
                         yield event.data
                     elif isinstance(event, outcomes.NotServed):
--- a/src/ruddergate/entry/relay_progress.py
+++ b/src/ruddergate/entry/relay_progress.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from ruddergate import outcomes
-from ruddergate.relay import answer as answers
+from ruddergate.relay import response_event as response_events
 
 
 @dataclasses.dataclass(slots=True)
@@ -31,7 +31,7 @@
     unreachable: int = 0
     is_begun: bool = False
     excluded: frozenset[str] = frozenset()
-    answer: answers.CompleteResponse | None = None
+    answer: response_events.CompleteResponse | None = None
     blamed: tuple[str, ...] = ()
     helpers_failed: int = 0
     pinned: str = ""
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -20,7 +20,7 @@
 from ruddergate.entry import relay_progress
 from ruddergate.entry import reservation_keeper
 from ruddergate.entry import tools as tool_types
-from ruddergate.relay import answer as answers
+from ruddergate.relay import response_event as response_events
 from ruddergate.relay import upstream_request as upstream_requests
 
 # Targets tried for a connection, besides those that were sent the call.
@@ -71,7 +71,7 @@
     send: upstream_requests.Send,
     keeper: reservation_keeper.ReservationKeeper,
     tools: tool_types.Tools,
-) -> AsyncIterator[answers.Event]:
+) -> AsyncIterator[response_events.Event]:
     """Yields the answer in order, each event once; the last tells the end."""
     progress = relay_progress.Progress(request.payload.last_event_id)
     refusal = tools.suspects.refuse(request)
@@ -84,19 +84,24 @@
         if isinstance(placed, outcomes.NotServed):
             yield _conclude(placed, progress)
             return
-        ended: answers.Event | None = None
+        ended: response_events.Event | None = None
         attempt = relay_attempt.RelayAttempt(
             request, placed, progress, send, keeper, tools
         )
         async with contextlib.aclosing(attempt.run()) as events:
             async for event in events:
-                if isinstance(event, answers.StreamHead | answers.StreamEvents):
+                if isinstance(
+                    event,
+                    response_events.StreamHead | response_events.StreamEvents,
+                ):
                     yield event
                 else:
                     ended = event
-        if isinstance(ended, answers.StreamEnd | answers.CompleteResponse):
+        if isinstance(
+            ended, response_events.StreamEnd | response_events.CompleteResponse
+        ):
             tools.suspects.note_finished(request)
-        if isinstance(ended, answers.StreamEnd):
+        if isinstance(ended, response_events.StreamEnd):
             yield ended
             return
         final = await _decide(request, placed, ended, progress, tools)
@@ -108,12 +113,12 @@
 async def _decide(
     request: requests.Request,
     placed: placement.Placed,
-    ended: answers.Event | None,
+    ended: response_events.Event | None,
     progress: relay_progress.Progress,
     tools: tool_types.Tools,
-) -> answers.Event | None:
+) -> response_events.Event | None:
     """Returns the final event, or None after the pause for a retry."""
-    if isinstance(ended, answers.CompleteResponse):
+    if isinstance(ended, response_events.CompleteResponse):
         if ended.status < _SERVER_ERROR:
             return ended
         progress.answer = ended
@@ -152,7 +157,7 @@
 
 def _conclude_unsent(
     ended: outcomes.NotServed, progress: relay_progress.Progress
-) -> answers.Event | None:
+) -> response_events.Event | None:
     """Returns None for another try, which counts against no limit of sends."""
     progress.unreachable += 1
     is_quarantined = ended.reason is outcomes.Reason.QUARANTINED
@@ -179,7 +184,7 @@
     ended: outcomes.NotServed,
     progress: relay_progress.Progress,
     tools: tool_types.Tools,
-) -> answers.Event | None:
+) -> response_events.Event | None:
     """Returns None after a pause, or the outcome if no try is left."""
     if retries.may_run_again(ended, request.repeatable):
         await tools.secure_retry(length_band.is_long(request.prompt_tokens))
@@ -200,7 +205,7 @@
 
 def _conclude(
     ended: outcomes.NotServed, progress: relay_progress.Progress
-) -> answers.CompleteResponse | outcomes.NotServed:
+) -> response_events.CompleteResponse | outcomes.NotServed:
     """Tells of all attempts, or hands on what a target itself answered."""
     if progress.answer is not None and not progress.is_begun:
         return progress.answer
--- a/src/ruddergate/platform/callers.py
+++ b/src/ruddergate/platform/callers.py
@@ -28,24 +28,24 @@
 def _read(
     incoming: message.IncomingRequest,
 ) -> caller_protocols.CallerRequest | outcomes.NotServed:
-    found = incoming.headers
-    time_limit_ms = _read_number(found.get(headers.TIME_LEFT, ""))
-    tokens = found.get(headers.TOKENS, "").split(",")
+    request_headers = incoming.headers
+    time_limit_ms = _read_number(request_headers.get(headers.TIME_LEFT, ""))
+    tokens = request_headers.get(headers.TOKENS, "").split(",")
     prompt_tokens = _read_number(tokens[0])
     output_tokens = _read_number(tokens[-1]) if len(tokens) > 1 else None
     prefix_name, prefix_tokens = _read_shared_prefix(
-        found.get(headers.PREFIX, "")
+        request_headers.get(headers.PREFIX, "")
     )
     return caller_protocols.CallerRequest(
-        request_id=found.get(headers.REQUEST_ID, ""),
-        host=found.get("host", ""),
-        key=found.get(headers.API_KEY, ""),
+        request_id=request_headers.get(headers.REQUEST_ID, ""),
+        host=request_headers.get("host", ""),
+        key=request_headers.get(headers.API_KEY, ""),
         time_limit_ms=time_limit_ms,
         prompt_tokens=int(prompt_tokens or 0),
         output_tokens_max=int(output_tokens or 0),
         prefix_name=prefix_name,
         prefix_tokens=prefix_tokens,
-        last_event_id=found.get(headers.LAST_EVENT, ""),
+        last_event_id=request_headers.get(headers.LAST_EVENT, ""),
         fields=headers.select_for_target(incoming.fields),
     )
 
--- a/src/ruddergate/platform/configuration.py
+++ b/src/ruddergate/platform/configuration.py
@@ -13,8 +13,8 @@
 # Key of the configuration in the store.
 KEY = "op/config"
 
-# The platform's most urgent priority is 0, while higher ranks are served first
-# here. This is the lowest priority.
+# The platform's priorities go from 0, the most urgent, to this. Ranks go the
+# other way: higher ones are served first.
 _LOWEST_PRIORITY = 9
 _STREAM_TYPE = "streaming"
 _IDEMPOTENT_TYPE = "safe"
@@ -71,9 +71,9 @@
     revision = _private.get(document, "config-version", int, 0)
     if revision <= 0:
         return "the configuration has no version"
-    listed = _private.get(document, "routes", list, [])
+    route_documents = _private.get(document, "routes", list, [])
     found = []
-    for each in listed:
+    for each in route_documents:
         route = read_route(each)
         if isinstance(route, str):
             return f"configuration {revision}: {route}"
--- a/src/ruddergate/platform/hints.py
+++ b/src/ruddergate/platform/hints.py
@@ -102,7 +102,7 @@
     fields: message.Fields, name: str, separator: str = ","
 ) -> list[str]:
     """Returns all values of a header, which may occur more than once."""
-    values = [value for found, value in fields if found == name]
+    values = [value for field, value in fields if field == name]
     if separator:
         values = [item for each in values for item in each.split(separator)]
     return [each.strip() for each in values]
--- a/src/ruddergate/platform/upstream.py
+++ b/src/ruddergate/platform/upstream.py
@@ -14,9 +14,9 @@
 from ruddergate.http import message
 from ruddergate.platform import headers
 from ruddergate.platform import hints
-from ruddergate.relay import answer as answers
 from ruddergate.relay import event_splitter
 from ruddergate.relay import hints as hint_types
+from ruddergate.relay import response_event as response_events
 from ruddergate.relay import upstream_request as upstream_requests
 
 _MISDIRECTED = 421
@@ -45,7 +45,7 @@
 
     async def send(
         upstream_request: upstream_requests.UpstreamRequest,
-    ) -> AsyncIterator[answers.Event]:
+    ) -> AsyncIterator[response_events.Event]:
         exchange = await client.connect(
             env,
             upstream_request.target.address,
@@ -124,7 +124,7 @@
     exchange: client.Exchange,
     on_hints: hint_types.OnHints,
     sent_ms: float,
-) -> AsyncIterator[answers.Event]:
+) -> AsyncIterator[response_events.Event]:
     until_ms = min(
         upstream_request.deadline_ms,
         env.now_ms() + upstream_request.timeouts.first_ms,
@@ -143,7 +143,7 @@
         yield load
     at_fault = _find_helper_at_fault(upstream_request, exchange)
     if at_fault is not None:
-        yield answers.HelperFaultReported(at_fault)
+        yield response_events.HelperFaultReported(at_fault)
     failure = _check_head(upstream_request, exchange)
     if failure is not None:
         yield failure
@@ -250,12 +250,12 @@
 def _read_load(
     upstream_request: upstream_requests.UpstreamRequest,
     exchange: client.Exchange,
-) -> answers.LoadReported | None:
+) -> response_events.LoadReported | None:
     parts = exchange.headers.get(headers.LOAD, "").split(",")
     if len(parts) < 2 or not (parts[0].isdigit() and parts[1].isdigit()):
         return None
     target_id = upstream_request.target.target_id
-    return answers.LoadReported(
+    return response_events.LoadReported(
         load_report.LoadReport(
             target_id=target_id,
             generation=target_id,
@@ -286,25 +286,25 @@
     exchange: client.Exchange,
 ) -> outcomes.NotServed | None:
     """Returns a failure if the response can't be one to this request."""
-    found = exchange.headers
+    response_headers = exchange.headers
     if exchange.status == _MISDIRECTED:
         return outcomes.refuse(
             outcomes.Reason.TARGET_REPLACED,
             f"another target serves at this address ({exchange.status})",
             _RETRY_MS,
         )
-    if headers.NOT_RUN in found:
+    if headers.NOT_RUN in response_headers:
         return outcomes.refuse(
             outcomes.Reason.TARGET_REFUSED,
             f"the target rejected the request with {exchange.status}",
             _RETRY_MS,
         )
     sent_id = _find_request_id(upstream_request)
-    echoed_id = found.get(headers.REQUEST_ID)
+    echoed_id = response_headers.get(headers.REQUEST_ID)
     if echoed_id is not None and echoed_id != sent_id:
         return _make_protocol_error("the response belongs to another request")
     is_success = _OK <= exchange.status < _REDIRECTION
-    if is_success and headers.SIGNATURE not in found:
+    if is_success and headers.SIGNATURE not in response_headers:
         return _make_protocol_error("the response has no signature")
     return None
 
@@ -319,7 +319,7 @@
     env: environment.Environment,
     upstream_request: upstream_requests.UpstreamRequest,
     exchange: client.Exchange,
-) -> answers.Event:
+) -> response_events.Event:
     # What was read of a body is lost when reading times out, so there is no
     # second read as in `_wait`.
     body = await _read_until(
@@ -332,7 +332,7 @@
     fields = headers.select_for_caller(exchange.fields)
     if exchange.status in hints.REFUSALS:
         fields = headers.drop_retry_after(fields)
-    return answers.CompleteResponse(exchange.status, fields, body)
+    return response_events.CompleteResponse(exchange.status, fields, body)
 
 
 async def _read_stream(
@@ -340,7 +340,7 @@
     upstream_request: upstream_requests.UpstreamRequest,
     exchange: client.Exchange,
     until_ms: float,
-) -> AsyncIterator[answers.Event]:
+) -> AsyncIterator[response_events.Event]:
     splitter = event_splitter.EventSplitter()
     has_begun = False
     while True:
@@ -359,7 +359,7 @@
         if not has_begun:
             has_begun = True
             fields = headers.select_for_caller(exchange.fields)
-            yield answers.StreamHead(exchange.status, fields)
+            yield response_events.StreamHead(exchange.status, fields)
         if events is None:
             yield _end_stream(splitter)
             return
@@ -372,9 +372,9 @@
 
 def _end_stream(
     splitter: event_splitter.EventSplitter,
-) -> answers.StreamEnd | outcomes.NotServed:
+) -> response_events.StreamEnd | outcomes.NotServed:
     if splitter.is_between_events():
-        return answers.StreamEnd()
+        return response_events.StreamEnd()
     return outcomes.NotServed(
         outcomes.Reason.TARGET_LOST,
         outcomes.Ran.UNKNOWN,
--- a/src/ruddergate/relay/event_splitter.py
+++ b/src/ruddergate/relay/event_splitter.py
@@ -2,7 +2,7 @@
 
 import re
 
-from ruddergate.relay import answer as answers
+from ruddergate.relay import response_event as response_events
 
 _END = b"\n\n"
 _ID = re.compile(rb"^id: ?(.*)$", re.MULTILINE)
@@ -15,7 +15,7 @@
         self._buffer = b""
         self._last_id = ""
 
-    def feed(self, data: bytes) -> answers.StreamEvents | None:
+    def feed(self, data: bytes) -> response_events.StreamEvents | None:
         """Adds bytes; returns the events that are now complete, if any."""
         data = self._buffer + data
         end = data.rfind(_END)
@@ -27,7 +27,7 @@
         ids = _ID.findall(complete)
         if ids:
             self._last_id = ids[-1].decode("latin-1").strip()
-        return answers.StreamEvents(complete, self._last_id)
+        return response_events.StreamEvents(complete, self._last_id)
 
     def is_between_events(self) -> bool:
         """Returns whether no partial event is buffered."""
--- a/src/ruddergate/relay/upstream_request.py
+++ b/src/ruddergate/relay/upstream_request.py
@@ -10,7 +10,7 @@
 from ruddergate import outcomes
 from ruddergate import payload as payloads
 from ruddergate.fleet import target as targets
-from ruddergate.relay import answer as answers
+from ruddergate.relay import response_event as response_events
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -84,5 +84,7 @@
     check_admission: Callable[[], outcomes.NotServed | None] = _admit
 
 
-Send: TypeAlias = Callable[[UpstreamRequest], AsyncIterator[answers.Event]]
+Send: TypeAlias = Callable[
+    [UpstreamRequest], AsyncIterator[response_events.Event]
+]
 """Sends a request; closing the iterator abandons it."""
--- a/tests/test_replica_calls.py
+++ b/tests/test_replica_calls.py
@@ -12,8 +12,8 @@
 from ruddergate.http import message
 from ruddergate.http import server
 from ruddergate.platform import upstream
-from ruddergate.relay import answer as answers
 from ruddergate.relay import hints as hint_types
+from ruddergate.relay import response_event as response_events
 from ruddergate.relay import upstream_request as upstream_requests
 from ruddergate.settings import route as routes
 from standins import virtual_network
@@ -55,7 +55,7 @@
     )
 
 
-async def _play(stands_still_ms: float) -> list[answers.Event]:
+async def _play(stands_still_ms: float) -> list[response_events.Event]:
     """Sends a call that is answered shortly after its patience has ended."""
     network = virtual_network.VirtualNetwork(1, virtual_network.Latency())
     far = virtual_process.VirtualProcess("target", "h")
@@ -79,7 +79,7 @@
     outside = dataclasses.replace(plain, now_ms=now_ms)
     send = upstream.make_send(outside, hint_types.ignore_hints)
 
-    async def collect() -> list[answers.Event]:
+    async def collect() -> list[response_events.Event]:
         return [event async for event in send(_make_errand(now_ms()))]
 
     return await near.start(collect)
@@ -101,7 +101,7 @@
             came.append(incoming)
             return message.Response(200, {"x-replica-signature": "s"}, b"ok")
 
-        async def run() -> list[answers.Event]:
+        async def run() -> list[response_events.Event]:
             network = virtual_network.VirtualNetwork(
                 1, virtual_network.Latency()
             )
@@ -129,7 +129,7 @@
                 _make_errand(outside.now_ms()), check_admission=refuse
             )
 
-            async def collect() -> list[answers.Event]:
+            async def collect() -> list[response_events.Event]:
                 return [event async for event in send(upstream_request)]
 
             return await near.start(collect)
