--- a/src/ruddergate/cli/gateway.py
+++ b/src/ruddergate/cli/gateway.py
@@ -18,8 +18,8 @@
 from ruddergate.http import server
 from ruddergate.platform import callers
 from ruddergate.platform import orders
-from ruddergate.platform import replicas
 from ruddergate.platform import store
+from ruddergate.platform import upstream
 from ruddergate.telemetry import logs
 from ruddergate.telemetry import traces
 
@@ -35,7 +35,7 @@
 _READY_PART = 0.5
 # Answers to orders come in a few milliseconds, and connections are as soon up;
 # renewals come every 800 ms.
-_ORDER_LIMITS = client.TimeLimits(150.0, 500.0, 500.0)
+_ORDER_LIMITS = client.Timeouts(150.0, 500.0, 500.0)
 # Of the second sends for each first one; first sends are counted here as they
 # begin, and by the fleet's operators in windows that need not match.
 _RETRY_PART = 0.75
@@ -146,13 +146,15 @@
         ),
     )
     platform = gateways.Platform(
-        caller_protocol=callers.make_door(),
-        make_send=lambda hear: replicas.make_send(env, hear),
-        make_orders=lambda hear: orders.make_orders(env, _ORDER_LIMITS, hear),
+        caller_protocol=callers.make_caller_protocol(),
+        make_send=lambda on_hints: upstream.make_send(env, on_hints),
+        make_orders=lambda on_hints: orders.make_orders(
+            env, _ORDER_LIMITS, on_hints
+        ),
         source=store.make_source(
             env,
             environment.parse_address(store_address),
-            client.TimeLimits(
+            client.Timeouts(
                 _STORE_CONNECT_MS, store_timeout_ms, _STORE_WHOLE_MS
             ),
         ),
--- a/src/ruddergate/decisions/drain_suspects.py
+++ b/src/ruddergate/decisions/drain_suspects.py
@@ -10,7 +10,7 @@
 from collections.abc import Collection
 import dataclasses
 
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 
 # Time from a peer's gossip to the first probe. In most cases the list shows the
 # drain before, so a draining target is not probed by the whole fleet.
@@ -45,18 +45,23 @@
     """Incarnations suspected of draining; owned by a `draining.DrainState`."""
 
     def __init__(self) -> None:
-        self._suspicions: dict[lives.Life, _Suspicion] = {}
+        self._suspicions: dict[incarnations.Incarnation, _Suspicion] = {}
         # By incarnation and peer: until when the peer's gossip is ignored.
-        self._refuted_until_ms: dict[tuple[lives.Life, str], float] = {}
+        self._refuted_until_ms: dict[
+            tuple[incarnations.Incarnation, str], float
+        ] = {}
 
-    def __contains__(self, incarnation: lives.Life) -> bool:
+    def __contains__(self, incarnation: incarnations.Incarnation) -> bool:
         return incarnation in self._suspicions
 
     def __len__(self) -> int:
         return len(self._suspicions)
 
     def add(
-        self, incarnation: lives.Life, due_ms: float, peer: str = ""
+        self,
+        incarnation: incarnations.Incarnation,
+        due_ms: float,
+        peer: str = "",
     ) -> bool:
         """Suspects an incarnation of draining.
 
@@ -74,7 +79,7 @@
         return True
 
     def is_refuted(
-        self, incarnation: lives.Life, peer: str, now_ms: float
+        self, incarnation: incarnations.Incarnation, peer: str, now_ms: float
     ) -> bool:
         """Returns whether a peer's gossip was refuted less than REFUTED_MS ago.
 
@@ -85,7 +90,7 @@
         """
         return self._refuted_until_ms.get((incarnation, peer), now_ms) > now_ms
 
-    def find_due(self, now_ms: float) -> list[lives.Life]:
+    def find_due(self, now_ms: float) -> list[incarnations.Incarnation]:
         """Returns the incarnations to probe now."""
         return [
             incarnation
@@ -98,7 +103,9 @@
         due_ms = (suspicion.due_ms for suspicion in self._suspicions.values())
         return min(due_ms, default=float("inf"))
 
-    def postpone(self, incarnation: lives.Life, now_ms: float) -> None:
+    def postpone(
+        self, incarnation: incarnations.Incarnation, now_ms: float
+    ) -> None:
         """Schedules the next probe after one that got no answer."""
         suspicion = self._suspicions.get(incarnation)
         if suspicion is None:
@@ -111,11 +118,13 @@
             ),
         )
 
-    def discard(self, incarnation: lives.Life) -> bool:
+    def discard(self, incarnation: incarnations.Incarnation) -> bool:
         """Stops suspecting an incarnation; returns whether it was suspected."""
         return self._suspicions.pop(incarnation, None) is not None
 
-    def refute(self, incarnation: lives.Life, now_ms: float) -> bool:
+    def refute(
+        self, incarnation: incarnations.Incarnation, now_ms: float
+    ) -> bool:
         """Notes that an incarnation is not draining.
 
         Returns:
@@ -132,7 +141,9 @@
             del self._refuted_until_ms[next(iter(self._refuted_until_ms))]
         return True
 
-    def forget_unlisted(self, listed: Collection[lives.Life]) -> None:
+    def forget_unlisted(
+        self, listed: Collection[incarnations.Incarnation]
+    ) -> None:
         """Drops incarnations that are not listed any more."""
         for incarnation in self._suspicions.keys() - set(listed):
             del self._suspicions[incarnation]
--- a/src/ruddergate/decisions/draining.py
+++ b/src/ruddergate/decisions/draining.py
@@ -17,7 +17,7 @@
 import dataclasses
 
 from ruddergate.decisions import drain_suspects
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 
 # Draining incarnations that are remembered; the oldest are dropped first. This
 # is enough for 12,000 replicas, each of which is replaced once by a release.
@@ -57,20 +57,22 @@
 
     def __init__(self) -> None:
         self.suspects = drain_suspects.DrainSuspects()
-        self._draining: dict[lives.Life, None] = {}
+        self._draining: dict[incarnations.Incarnation, None] = {}
         # Drains to announce to peers, with the time of the hint.
-        self._announced_since_ms: dict[lives.Life, float] = {}
+        self._announced_since_ms: dict[incarnations.Incarnation, float] = {}
         # Drains that responses have shown and the list has not.
-        self._unpublished: dict[lives.Life, None] = {}
-        self._backoff_until_ms: dict[lives.Life, float] = {}
+        self._unpublished: dict[incarnations.Incarnation, None] = {}
+        self._backoff_until_ms: dict[incarnations.Incarnation, float] = {}
         # By target: backoffs that may be of any incarnation of it.
         self._unattributed_backoffs: dict[str, _UnattributedBackoff] = {}
         # The incarnation under which each target is listed.
-        self._listed: dict[str, lives.Life] = {}
+        self._listed: dict[str, incarnations.Incarnation] = {}
         # Targets with a drain hint that did not name their incarnation.
         self._unattributed_drains: dict[str, None] = {}
 
-    def note_listed(self, incarnation: lives.Life, now_ms: float) -> None:
+    def note_listed(
+        self, incarnation: incarnations.Incarnation, now_ms: float
+    ) -> None:
         """Notes under which incarnation a target is listed.
 
         Earlier hints that named no incarnation may have come from this one.
@@ -85,7 +87,9 @@
         self._unpublished.pop(incarnation, None)
         self.suspects.forget_unlisted(self._listed.values())
 
-    def note_published_drain(self, incarnation: lives.Life) -> None:
+    def note_published_drain(
+        self, incarnation: incarnations.Incarnation
+    ) -> None:
         """Notes that the list shows a target as draining.
 
         Peers read the list as well, so the drain is not announced any longer.
@@ -96,7 +100,7 @@
 
     def note_drain_hint(
         self,
-        incarnation: lives.Life,
+        incarnation: incarnations.Incarnation,
         now_ms: float,
         has_incarnation: bool = True,
     ) -> bool:
@@ -128,7 +132,11 @@
         return is_new or is_other_suspected
 
     def merge_gossip(
-        self, gossiped: lives.Life, peer: str, now_ms: float, due_ms: float
+        self,
+        gossiped: incarnations.Incarnation,
+        peer: str,
+        now_ms: float,
+        due_ms: float,
     ) -> bool:
         """Suspects a target of draining because a peer says so.
 
@@ -151,7 +159,9 @@
             return False
         return self.suspects.add(listed, due_ms, peer)
 
-    def note_refuted(self, incarnation: lives.Life, now_ms: float) -> bool:
+    def note_refuted(
+        self, incarnation: incarnations.Incarnation, now_ms: float
+    ) -> bool:
         """Notes that a probed incarnation is not draining.
 
         Returns:
@@ -165,7 +175,7 @@
 
     def note_backoff(
         self,
-        incarnation: lives.Life,
+        incarnation: incarnations.Incarnation,
         until_ms: float,
         hinted_wall_ms: float | None = None,
     ) -> bool:
@@ -197,7 +207,7 @@
         return is_longer
 
     def _apply_unattributed_backoff(
-        self, incarnation: lives.Life, now_ms: float
+        self, incarnation: incarnations.Incarnation, now_ms: float
     ) -> None:
         """Applies a backoff that this incarnation may have asked for."""
         unattributed = self._unattributed_backoffs.get(incarnation.target_id)
@@ -205,13 +215,15 @@
             return
         if (
             unattributed.until_ms <= now_ms
-            or incarnation.born_ms > unattributed.hinted_wall_ms
+            or incarnation.started_ms > unattributed.hinted_wall_ms
         ):
             del self._unattributed_backoffs[incarnation.target_id]
             return
         self._set_backoff(incarnation, unattributed.until_ms)
 
-    def _set_backoff(self, incarnation: lives.Life, until_ms: float) -> bool:
+    def _set_backoff(
+        self, incarnation: incarnations.Incarnation, until_ms: float
+    ) -> bool:
         if until_ms <= self._backoff_until_ms.get(incarnation, 0.0):
             return False
         self._backoff_until_ms.pop(incarnation, None)
@@ -219,7 +231,9 @@
         _drop_oldest(self._backoff_until_ms, MAX_BACKOFFS)
         return True
 
-    def note_success(self, incarnation: lives.Life, now_ms: float) -> None:
+    def note_success(
+        self, incarnation: incarnations.Incarnation, now_ms: float
+    ) -> None:
         """Notes that a target has served a request.
 
         Ignored during a backoff: a request that was sent before the backoff
@@ -228,12 +242,12 @@
         if self._backoff_until_ms.get(incarnation, _NEVER_MS) <= now_ms:
             del self._backoff_until_ms[incarnation]
 
-    def may_be_draining(self, incarnation: lives.Life) -> bool:
+    def may_be_draining(self, incarnation: incarnations.Incarnation) -> bool:
         """Returns whether an incarnation is draining, or suspected of it."""
         return incarnation in self._draining or incarnation in self.suspects
 
     def find_available_ms(
-        self, incarnation: lives.Life, now_ms: float
+        self, incarnation: incarnations.Incarnation, now_ms: float
     ) -> float:
         """Returns when a target accepts requests again.
 
@@ -245,7 +259,9 @@
             return _NEVER_MS
         return self._backoff_until_ms.get(incarnation, now_ms)
 
-    def accepts_requests(self, incarnation: lives.Life, now_ms: float) -> bool:
+    def accepts_requests(
+        self, incarnation: incarnations.Incarnation, now_ms: float
+    ) -> bool:
         """Returns whether a target may be sent requests now."""
         return self.find_available_ms(incarnation, now_ms) <= now_ms
 
@@ -254,14 +270,14 @@
         return bool(self._backoff_until_ms)
 
     def forget_expired_backoffs(
-        self, listed: Collection[lives.Life], now_ms: float
+        self, listed: Collection[incarnations.Incarnation], now_ms: float
     ) -> None:
         """Drops expired backoffs of incarnations that are not listed."""
         for incarnation, until_ms in list(self._backoff_until_ms.items()):
             if until_ms <= now_ms and incarnation not in listed:
                 del self._backoff_until_ms[incarnation]
 
-    def is_half_open(self, incarnation: lives.Life) -> bool:
+    def is_half_open(self, incarnation: incarnations.Incarnation) -> bool:
         """Returns whether a target asked to back off and has not served since.
 
         It was overloaded; the requests that waited for it must not all be sent
@@ -279,7 +295,7 @@
             if now_ms - since_ms > ANNOUNCE_DURATION_MS:
                 del self._announced_since_ms[incarnation]
         latest = list(self._announced_since_ms)[-MAX_ANNOUNCED:]
-        return tuple(map(lives.format_life, latest))
+        return tuple(map(incarnations.format_incarnation, latest))
 
     def reannounce(self, now_ms: float) -> bool:
         """Announces again the drains of targets that the list shows as ready.
@@ -297,7 +313,7 @@
             self._announced_since_ms[incarnation] = now_ms
         return bool(unpublished)
 
-    def _note_draining(self, incarnation: lives.Life) -> bool:
+    def _note_draining(self, incarnation: incarnations.Incarnation) -> bool:
         self.suspects.discard(incarnation)
         if incarnation in self._draining:
             return False
@@ -306,7 +322,7 @@
         return True
 
     def _note_unattributed_drain(
-        self, incarnation: lives.Life, now_ms: float
+        self, incarnation: incarnations.Incarnation, now_ms: float
     ) -> bool:
         """Notes a drain hint that may be of another incarnation.
 
@@ -322,7 +338,7 @@
         return listed is not None and self._suspect_if_hinted(listed, now_ms)
 
     def _suspect_if_hinted(
-        self, incarnation: lives.Life, now_ms: float
+        self, incarnation: incarnations.Incarnation, now_ms: float
     ) -> bool:
         """Suspects an incarnation if a drain hint may have come from it."""
         if (
@@ -333,9 +349,14 @@
         return self.suspects.add(incarnation, now_ms)
 
 
-def _may_be_same(one: lives.Life, other: lives.Life) -> bool:
+def _may_be_same(
+    one: incarnations.Incarnation, other: incarnations.Incarnation
+) -> bool:
     """Returns whether two incarnations of a target may be the same one."""
-    return one == other or lives.BORN_UNKNOWN in (one.born_ms, other.born_ms)
+    return one == other or incarnations.START_UNKNOWN in (
+        one.started_ms,
+        other.started_ms,
+    )
 
 
 def _drop_oldest(entries: dict, max_entries: int) -> None:
--- a/src/ruddergate/decisions/estimate.py
+++ b/src/ruddergate/decisions/estimate.py
@@ -225,11 +225,11 @@
         A gap in the numbers means that events were lost, evictions perhaps
         among them, so the older half of the known prefixes is dropped.
         """
-        if event.number <= self._event_number:
+        if event.sequence <= self._event_number:
             return
-        if event.number != self._event_number + 1:
+        if event.sequence != self._event_number + 1:
             self._drop_older_half()
-        self._event_number = event.number
+        self._event_number = event.sequence
         if event.tokens > 0:
             self.note_prefix(event.prefix, event.tokens)
         else:
--- a/src/ruddergate/decisions/gap_class.py
+++ b/src/ruddergate/decisions/gap_class.py
@@ -32,15 +32,17 @@
     It is what the shortest gap SLO of the class leaves beside an iteration
     without any prefill.
     """
-    return _compute_prefill_budgets_ms(pool.pause_aims_ms, pool.pass_ms)
+    return _compute_prefill_budgets_ms(pool.pause_slos_ms, pool.iteration_ms)
 
 
 @functools.lru_cache(maxsize=64)
 def _compute_prefill_budgets_ms(
-    pause_aims_ms: tuple[float, ...], pass_ms: float
+    pause_slos_ms: tuple[float, ...], iteration_ms: float
 ) -> tuple[float, ...]:
     budgets_ms = list(DEFAULT_PREFILL_BUDGETS_MS)
-    for gap_slo_ms in sorted(pause_aims_ms, reverse=True):
-        remaining_ms = gap_slo_ms * _USABLE_GAP_SHARE - pass_ms - _DELIVERY_MS
+    for gap_slo_ms in sorted(pause_slos_ms, reverse=True):
+        remaining_ms = (
+            gap_slo_ms * _USABLE_GAP_SHARE - iteration_ms - _DELIVERY_MS
+        )
         budgets_ms[find_class(gap_slo_ms)] = max(0.0, remaining_ms)
     return tuple(budgets_ms)
--- a/src/ruddergate/decisions/loss_reports.py
+++ b/src/ruddergate/decisions/loss_reports.py
@@ -11,8 +11,8 @@
 
 from collections.abc import Iterable
 
-from ruddergate.fleet import bad_news
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
+from ruddergate.fleet import loss_report
 
 # How long a loss is reported. Two rounds of digests miss it at most once, and
 # what was found while a hall was cut off is dropped soon after.
@@ -31,13 +31,13 @@
     """Losses that this VM has found; owned by the scheduler task."""
 
     def __init__(self) -> None:
-        self._gone: dict[lives.Life, float] = {}
-        self._silent: dict[lives.Life, float] = {}
+        self._gone: dict[incarnations.Incarnation, float] = {}
+        self._silent: dict[incarnations.Incarnation, float] = {}
         self._halls: dict[str, float] = {}
         self._reached_ms: dict[str, float] = {}
 
     def note_reached(
-        self, hall: str, incarnation: lives.Life, now_ms: float
+        self, hall: str, incarnation: incarnations.Incarnation, now_ms: float
     ) -> None:
         """Notes that a target has responded."""
         self._reached_ms[hall] = now_ms
@@ -48,7 +48,7 @@
     def note_unreachable(
         self,
         hall: str,
-        incarnation: lives.Life,
+        incarnation: incarnations.Incarnation,
         is_silent: bool,
         now_ms: float,
     ) -> bool:
@@ -75,17 +75,17 @@
         """Notes a hall that seems cut off."""
         self._halls[hall] = now_ms
 
-    def summarize(self, now_ms: float) -> bad_news.BadNews:
+    def summarize(self, now_ms: float) -> loss_report.LossReport:
         """Returns the losses to report to peers now."""
         for losses in (self._gone, self._silent, self._halls):
             _drop_expired(losses, now_ms)
         if not self._gone and not self._silent and not self._halls:
-            return bad_news.NOTHING
+            return loss_report.EMPTY
         if len(self._gone) + len(self._silent) > MAX_REPORTED:
-            return bad_news.NOTHING
-        return bad_news.BadNews(
-            tuple(map(lives.format_life, self._gone)),
-            tuple(map(lives.format_life, self._silent)),
+            return loss_report.EMPTY
+        return loss_report.LossReport(
+            tuple(map(incarnations.format_incarnation, self._gone)),
+            tuple(map(incarnations.format_incarnation, self._silent)),
             tuple(self._halls),
         )
 
@@ -97,38 +97,40 @@
 
 
 def select_applicable(
-    report: bad_news.BadNews, is_same_hall: bool
-) -> bad_news.BadNews:
+    report: loss_report.LossReport, is_same_hall: bool
+) -> loss_report.LossReport:
     """Returns the part of a peer's report that applies to this VM.
 
     A target that did not respond to a VM of another hall may respond here.
     """
     if is_same_hall:
         return report
-    return bad_news.BadNews(gone=report.gone)
+    return loss_report.LossReport(terminated=report.terminated)
 
 
 def find_new(
-    report: bad_news.BadNews, previous: bad_news.BadNews
-) -> bad_news.BadNews:
+    report: loss_report.LossReport, previous: loss_report.LossReport
+) -> loss_report.LossReport:
     """Returns what a peer's report adds to that of its previous digest."""
-    return bad_news.BadNews(
-        _without(report.gone, previous.gone),
-        _without(report.silent, previous.silent),
-        _without(report.halls, previous.halls),
+    return loss_report.LossReport(
+        _without(report.terminated, previous.terminated),
+        _without(report.unresponsive, previous.unresponsive),
+        _without(report.unreachable_halls, previous.unreachable_halls),
     )
 
 
-def merge(reports: Iterable[bad_news.BadNews]) -> bad_news.BadNews:
+def merge(reports: Iterable[loss_report.LossReport]) -> loss_report.LossReport:
     """Returns the reports of several peers as one, each name once."""
-    gone: dict[str, None] = {}
-    silent: dict[str, None] = {}
+    terminated: dict[str, None] = {}
+    unresponsive: dict[str, None] = {}
     halls: dict[str, None] = {}
     for each in reports:
-        gone.update(dict.fromkeys(each.gone))
-        silent.update(dict.fromkeys(each.silent))
-        halls.update(dict.fromkeys(each.halls))
-    return bad_news.BadNews(tuple(gone), tuple(silent), tuple(halls))
+        terminated.update(dict.fromkeys(each.terminated))
+        unresponsive.update(dict.fromkeys(each.unresponsive))
+        halls.update(dict.fromkeys(each.unreachable_halls))
+    return loss_report.LossReport(
+        tuple(terminated), tuple(unresponsive), tuple(halls)
+    )
 
 
 def _without(
--- a/src/ruddergate/decisions/peer_loads.py
+++ b/src/ruddergate/decisions/peer_loads.py
@@ -9,8 +9,8 @@
 from ruddergate.decisions import length_band
 from ruddergate.decisions import loss_reports
 from ruddergate.decisions import peer_groups
-from ruddergate.fleet import bad_news
 from ruddergate.fleet import dispatched
+from ruddergate.fleet import loss_report
 from ruddergate.messages import load_digest
 
 # How long a peer's digest counts. A VM publishes its load once a second, so two
@@ -51,9 +51,9 @@
     attributes: peer_groups.VmAttributes
     heard_ms: float
     incarnation: str
-    number: int
+    sequence: int
     rows: dict[str, dispatched.Dispatched]
-    losses: bad_news.BadNews = bad_news.NOTHING
+    losses: loss_report.LossReport = loss_report.EMPTY
     awaiting_since_ms: float | None = None
 
 
@@ -71,7 +71,7 @@
         self._peers: dict[str, _Peer] = {}
         self._by_target: dict[str, dict[str, dispatched.Dispatched]] = {}
         self._changed_targets: set[str] = set()
-        self._losses: list[bad_news.BadNews] = []
+        self._losses: list[loss_report.LossReport] = []
         self._groups: tuple[peer_groups.Group, ...] | None = None
         # VMs of this hall by rank; None when the known VMs have changed.
         self._ranked_hall: tuple[str, ...] | None = None
@@ -107,17 +107,19 @@
             peer = _Peer(attributes, now_ms, "", -1, {})
             self._peers[digest.sender] = peer
         is_same_run = peer.incarnation == digest.incarnation
-        if is_same_run and digest.number <= peer.number:
+        if is_same_run and digest.sequence <= peer.sequence:
             return False
         peer.attributes = attributes
         peer.heard_ms = now_ms
         peer.incarnation = digest.incarnation
-        peer.number = digest.number
+        peer.sequence = digest.sequence
         self._replace_rows(digest.sender, peer, digest.rows)
-        self._merge_losses(peer, digest.lost)
+        self._merge_losses(peer, digest.losses)
         return True
 
-    def _merge_losses(self, peer: _Peer, reported: bad_news.BadNews) -> None:
+    def _merge_losses(
+        self, peer: _Peer, reported: loss_report.LossReport
+    ) -> None:
         if reported != peer.losses:
             is_same_hall = peer.attributes.hall == self._attributes.hall
             new = loss_reports.find_new(reported, peer.losses)
@@ -126,10 +128,10 @@
             )
             peer.losses = reported
 
-    def collect_losses(self) -> bad_news.BadNews:
+    def collect_losses(self) -> loss_report.LossReport:
         """Returns the losses that peers reported since the last call."""
         if not self._losses:
-            return bad_news.NOTHING
+            return loss_report.EMPTY
         merged = loss_reports.merge(self._losses)
         self._losses.clear()
         return merged
--- a/src/ruddergate/decisions/poison_requests.py
+++ b/src/ruddergate/decisions/poison_requests.py
@@ -25,8 +25,8 @@
 import math
 from typing import TypeAlias
 
-from ruddergate.fleet import life as lives
-from ruddergate.messages import suspects as messages
+from ruddergate.fleet import incarnation as incarnations
+from ruddergate.messages import poison_reports as messages
 
 # Sum of weights from which a fingerprint is quarantined. Callers try twice, and
 # each try is sent to two targets at most, so a harmless request rarely has as
@@ -60,7 +60,7 @@
 # the same completion on forever.
 COMPLETION_SLACK_MS = 500.0
 
-Rows: TypeAlias = tuple[messages.Suspect, ...]
+Rows: TypeAlias = tuple[messages.PoisonReport, ...]
 
 
 @dataclasses.dataclass(slots=True)
@@ -81,7 +81,9 @@
         completed_ms: When a request with it last completed.
     """
 
-    crashes: dict[lives.Life, _Crash] = dataclasses.field(default_factory=dict)
+    crashes: dict[incarnations.Incarnation, _Crash] = dataclasses.field(
+        default_factory=dict
+    )
     completed_ms: float = -math.inf
 
     def sum_weights(self) -> float:
@@ -103,7 +105,7 @@
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
         # Fingerprints that were running in each crash.
-        self._by_incarnation: dict[lives.Life, set[str]] = {}
+        self._by_incarnation: dict[incarnations.Incarnation, set[str]] = {}
 
     def __len__(self) -> int:
         return len(self._records)
@@ -111,7 +113,7 @@
     def note_crash(
         self,
         fingerprint: str,
-        incarnation: lives.Life,
+        incarnation: incarnations.Incarnation,
         weight: float,
         now_ms: float,
     ) -> bool:
@@ -165,7 +167,7 @@
         ]
 
     def merge(
-        self, rows: Iterable[messages.Suspect], now_ms: float
+        self, rows: Iterable[messages.PoisonReport], now_ms: float
     ) -> set[str]:
         """Merges what a peer knows.
 
@@ -176,13 +178,15 @@
         Returns:
             The fingerprints of which anything was new.
         """
-        changed = {row.content for row in rows if self._merge_row(row, now_ms)}
+        changed = {
+            row.fingerprint for row in rows if self._merge_row(row, now_ms)
+        }
         self._drop_excess(now_ms)
         return changed
 
     def describe(
         self, fingerprint: str, now_ms: float
-    ) -> messages.Suspect | None:
+    ) -> messages.PoisonReport | None:
         """Returns what is known of a fingerprint, as a row for peers."""
         self._drop_if_expired(fingerprint, now_ms)
         record = self._records.get(fingerprint)
@@ -192,10 +196,12 @@
         if math.isinf(completed_age_ms):
             completed_age_ms = messages.NEVER_FINISHED
         crashes = tuple(
-            messages.EndedLife(incarnation, now_ms - each.at_ms, each.weight)
+            messages.EndedIncarnation(
+                incarnation, now_ms - each.at_ms, each.weight
+            )
             for incarnation, each in record.crashes.items()
         )
-        return messages.Suspect(fingerprint, crashes, completed_age_ms)
+        return messages.PoisonReport(fingerprint, crashes, completed_age_ms)
 
     def rank(self, now_ms: float) -> list[str]:
         """Returns all fingerprints, those with most crashes first."""
@@ -210,7 +216,7 @@
     def _add_crash(
         self,
         fingerprint: str,
-        incarnation: lives.Life,
+        incarnation: incarnations.Incarnation,
         at_ms: float,
         weight: float,
     ) -> bool:
@@ -237,7 +243,10 @@
                 self._remove_crash(fingerprint, record, incarnation)
 
     def _remove_crash(
-        self, fingerprint: str, record: _Record, incarnation: lives.Life
+        self,
+        fingerprint: str,
+        record: _Record,
+        incarnation: incarnations.Incarnation,
     ) -> None:
         del record.crashes[incarnation]
         sharers = self._by_incarnation[incarnation]
@@ -245,25 +254,27 @@
         if not sharers:
             del self._by_incarnation[incarnation]
 
-    def _merge_row(self, row: messages.Suspect, now_ms: float) -> bool:
+    def _merge_row(self, row: messages.PoisonReport, now_ms: float) -> bool:
         is_new = False
         if row.finished_age_ms != messages.NEVER_FINISHED:
             is_new = self._merge_completion(row, now_ms)
         for each in row.ended:
             at_ms = now_ms - each.age_ms
             is_new |= self._add_crash(
-                row.content, each.life, at_ms, each.weight
+                row.fingerprint, each.incarnation, at_ms, each.weight
             )
         return is_new
 
-    def _merge_completion(self, row: messages.Suspect, now_ms: float) -> bool:
+    def _merge_completion(
+        self, row: messages.PoisonReport, now_ms: float
+    ) -> bool:
         completed_ms = now_ms - row.finished_age_ms
         if now_ms - completed_ms >= SUSPECT_MS:
             return False
-        record = self._records.setdefault(row.content, _Record())
+        record = self._records.setdefault(row.fingerprint, _Record())
         if completed_ms <= record.completed_ms + COMPLETION_SLACK_MS:
             return False
-        self._clear_crashes(row.content, record, completed_ms)
+        self._clear_crashes(row.fingerprint, record, completed_ms)
         return True
 
     def _find_unexplained_weights(self, fingerprint: str) -> list[float]:
@@ -342,7 +353,7 @@
     return ""
 
 
-def _find_row_error(row: messages.Suspect) -> str:
+def _find_row_error(row: messages.PoisonReport) -> str:
     if len(row.ended) > MAX_CRASHES:
         return f"{len(row.ended)} crashes of one fingerprint"
     completed_ms = row.finished_age_ms
--- a/src/ruddergate/decisions/tombstones.py
+++ b/src/ruddergate/decisions/tombstones.py
@@ -20,14 +20,14 @@
     """A target that was removed.
 
     Attributes:
-        born_ms: Start time of the incarnation that was listed last.
+        started_ms: Start time of the incarnation that was listed last.
         is_binding: Whether the store was restored since, so that its entry may
             be the copy's.
         copied_sequence: Sequence number of its entry in the copy; None until
             that is read.
     """
 
-    born_ms: int
+    started_ms: int
     is_binding: bool = False
     copied_sequence: int | None = None
 
@@ -41,14 +41,14 @@
     def note_removed(self, target: targets.Target) -> None:
         """Notes that a target went off the list."""
         self._tombstones.pop(target.target_id, None)
-        self._tombstones[target.target_id] = _Tombstone(target.born_ms)
+        self._tombstones[target.target_id] = _Tombstone(target.started_ms)
         if len(self._tombstones) > MAX_TOMBSTONES:
             del self._tombstones[next(iter(self._tombstones))]
 
     def note_store_restored(self) -> None:
         """Makes all tombstones binding, as the store may have lost removals."""
         for target_id, tombstone in self._tombstones.items():
-            self._tombstones[target_id] = _Tombstone(tombstone.born_ms, True)
+            self._tombstones[target_id] = _Tombstone(tombstone.started_ms, True)
 
     def accept_entry(self, target: targets.Target, is_full_list: bool) -> bool:
         """Returns whether an entry was written by a live target.
@@ -66,7 +66,7 @@
         tombstone = self._tombstones.get(name)
         if tombstone is None:
             return True
-        is_younger = target.born_ms > tombstone.born_ms
+        is_younger = target.started_ms > tombstone.started_ms
         if is_younger or not (tombstone.is_binding and is_full_list):
             del self._tombstones[name]
             return True
--- a/src/ruddergate/entry/crash_detector.py
+++ b/src/ruddergate/entry/crash_detector.py
@@ -11,7 +11,7 @@
 import dataclasses
 
 from ruddergate.entry import lost_call
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
 from ruddergate.relay import orders
 from ruddergate.telemetry import logs
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        probe: Callable[[targets.Target], Awaitable[orders.Told]],
+        probe: Callable[[targets.Target], Awaitable[orders.ProbeResult]],
         on_crash: Callable[[lost_call.LostCall], None],
         on_target_ended: Callable[[targets.Target], None],
         metrics: metric_types.EntryMetrics,
@@ -52,12 +52,12 @@
         self._on_crash = on_crash
         self._on_target_ended = on_target_ended
         self._metrics = metrics
-        self._probes: dict[lives.Life, _Probe] = {}
+        self._probes: dict[incarnations.Incarnation, _Probe] = {}
         self._log = logs.make_logger("attempt")
 
     def on_lost_call(self, lost: lost_call.LostCall) -> None:
         """Starts to find out whether the target of a lost request has ended."""
-        incarnation = lost.target.life
+        incarnation = lost.target.incarnation
         probe = self._probes.get(incarnation)
         if probe is not None:
             probe.lost.append(lost)
@@ -67,8 +67,8 @@
 
     async def _probe_target(self, target: targets.Target) -> None:
         result = await self._probe_repeatedly(target)
-        probe = self._probes.pop(target.life)
-        if not _has_ended(target.life, result):
+        probe = self._probes.pop(target.incarnation)
+        if not _has_ended(target.incarnation, result):
             return
         self._metrics.targets_ended.inc({})
         self._on_target_ended(target)
@@ -80,27 +80,33 @@
                 target.target_id,
                 request_id=each.request_id,
                 content=each.fingerprint,
-                born_ms=target.born_ms,
+                born_ms=target.started_ms,
                 streams=streams,
                 there_ms=round(each.since_sent_ms),
                 hall=target.hall,
             )
             self._on_crash(each)
 
-    async def _probe_repeatedly(self, target: targets.Target) -> orders.Told:
+    async def _probe_repeatedly(
+        self, target: targets.Target
+    ) -> orders.ProbeResult:
         """Probes a few times at most, until the target responds."""
         result = await self._probe(target)
         for pause_ms in _REPROBE_PAUSES_MS:
-            if result.sign is not orders.Sign.SILENT:
+            if result.status is not orders.ProbeStatus.NO_RESPONSE:
                 break
             await asyncio.sleep(pause_ms / 1000.0)
             result = await self._probe(target)
         return result
 
 
-def _has_ended(incarnation: lives.Life, result: orders.Told) -> bool:
+def _has_ended(
+    incarnation: incarnations.Incarnation, result: orders.ProbeResult
+) -> bool:
     """Returns whether an incarnation has certainly ended."""
-    if result.sign is orders.Sign.GONE:
+    if result.status is orders.ProbeStatus.NOT_LISTENING:
         return True
-    is_later = result.born_ms > incarnation.born_ms > lives.BORN_UNKNOWN
-    return result.sign is orders.Sign.ALIVE and is_later
+    is_later = (
+        result.started_ms > incarnation.started_ms > incarnations.START_UNKNOWN
+    )
+    return result.status is orders.ProbeStatus.ALIVE and is_later
--- a/src/ruddergate/entry/digest_relay.py
+++ b/src/ruddergate/entry/digest_relay.py
@@ -12,7 +12,7 @@
 
 from ruddergate import environment
 from ruddergate.decisions import peer_loads
-from ruddergate.fleet import bad_news
+from ruddergate.fleet import loss_report
 from ruddergate.messages import load_bundle
 from ruddergate.messages import load_digest
 
@@ -119,4 +119,4 @@
 
 def _is_urgent(digest: load_digest.LoadDigest) -> bool:
     """Returns whether a digest contains more than its VM's load."""
-    return bool(digest.leaving) or digest.lost != bad_news.NOTHING
+    return bool(digest.draining) or digest.losses != loss_report.EMPTY
--- a/src/ruddergate/entry/document_exchange.py
+++ b/src/ruddergate/entry/document_exchange.py
@@ -64,10 +64,10 @@
         parts: list[bytes] = []
         while True:
             reply = await self._request_part(peer, version, len(parts))
-            if reply is None or reply.parts > document_parts.MAX_PARTS:
+            if reply is None or reply.part_count > document_parts.MAX_PARTS:
                 return None
             parts.append(reply.data)
-            if len(parts) >= reply.parts:
+            if len(parts) >= reply.part_count:
                 return document_parts.join(parts)
 
     async def _request_part(
--- a/src/ruddergate/entry/drain_check.py
+++ b/src/ruddergate/entry/drain_check.py
@@ -12,7 +12,7 @@
 from ruddergate import environment
 from ruddergate.decisions import draining
 from ruddergate.entry import view as views
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
 from ruddergate.relay import orders
 from ruddergate.telemetry import logs
@@ -43,7 +43,7 @@
         env: environment.Environment,
         drain_state: draining.DrainState,
         view: views.View,
-        probe: Callable[[targets.Target], Awaitable[orders.Told]],
+        probe: Callable[[targets.Target], Awaitable[orders.ProbeResult]],
         on_refuted: Callable[[], None],
         metrics: metric_types.EntryMetrics,
     ) -> None:
@@ -79,7 +79,7 @@
 
     async def _probe_due(self) -> None:
         due = self._drain_state.suspects.find_due(self._env.now_ms())
-        listed = {each.life: each for each in self._view.listing.targets}
+        listed = {each.incarnation: each for each in self._view.listing.targets}
         probed = [
             listed[incarnation] for incarnation in due if incarnation in listed
         ]
@@ -92,19 +92,19 @@
     async def _probe_target(self, target: targets.Target) -> bool:
         """Probes a target; returns whether that refuted the suspicion."""
         result = await self._probe(target)
-        is_same_incarnation = result.born_ms in (
-            lives.BORN_UNKNOWN,
-            target.born_ms,
+        is_same_incarnation = result.started_ms in (
+            incarnations.START_UNKNOWN,
+            target.started_ms,
         )
-        if not result.is_staying or not is_same_incarnation:
+        if not result.refutes_draining or not is_same_incarnation:
             return False
         now_ms = self._env.now_ms()
-        if not self._drain_state.note_refuted(target.life, now_ms):
+        if not self._drain_state.note_refuted(target.incarnation, now_ms):
             return False
         self._metrics.leavings_denied.inc({})
         self._log.info(
             "Target {} is not draining, as a probe shows.",
             target.target_id,
-            born_ms=target.born_ms,
+            born_ms=target.started_ms,
         )
         return True
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -42,13 +42,13 @@
 from ruddergate.http import message
 from ruddergate.http import server as http_server
 from ruddergate.messages import document_part
-from ruddergate.messages import news
-from ruddergate.messages import retry_loan
-from ruddergate.relay import door as doors
-from ruddergate.relay import errand as errands
+from ruddergate.messages import retry_transfer
+from ruddergate.messages import store_changes
+from ruddergate.relay import caller_protocol as caller_protocols
+from ruddergate.relay import hints as hint_types
 from ruddergate.relay import orders
 from ruddergate.relay import published
-from ruddergate.relay import statement as statements
+from ruddergate.relay import upstream_request as upstream_requests
 from ruddergate.telemetry import logs
 from ruddergate.telemetry import metrics as metric_types
 from ruddergate.telemetry import traces
@@ -104,9 +104,9 @@
         source: Calls to the store.
     """
 
-    caller_protocol: doors.Door
-    make_send: Callable[[statements.Hear], errands.Send]
-    make_orders: Callable[[statements.Hear], orders.Orders]
+    caller_protocol: caller_protocols.CallerProtocol
+    make_send: Callable[[hint_types.OnHints], upstream_requests.Send]
+    make_orders: Callable[[hint_types.OnHints], orders.Orders]
     source: published.Source
 
 
@@ -263,7 +263,7 @@
             self._drain_check.wake,
         )
 
-    def _on_hints(self, hints: statements.Statement) -> None:
+    def _on_hints(self, hints: hint_types.Hints) -> None:
         """Applies the hints in a target's response."""
         self._availability.on_hints(hints)
         self._rate_limiter.observe(hints)
@@ -280,24 +280,26 @@
     ) -> peer_rpc.Reply | None:
         """Returns the reply to a peer's request, if there is one."""
         match request:
-            case news.NewsWanted():
+            case store_changes.StoreChangesRequest():
                 return self._sync.answer_changes_request(request)
-            case document_part.SettingsWanted():
+            case document_part.SettingsRequest():
                 return self._sync.settings.answer(
-                    request.question, request.revision, request.part
+                    request.correlation_id, request.revision, request.part
                 )
-            case document_part.TargetsWanted():
+            case document_part.TargetsRequest():
                 position = store_position.StorePosition(
                     request.epoch, request.revision
                 )
                 return self._sync.targets.answer(
-                    request.question, position, request.part
+                    request.correlation_id, position, request.part
                 )
-            case retry_loan.RetriesWanted():
+            case retry_transfer.RetryTransferRequest():
                 transferred = self.context.budget.transfer_out(
-                    request.retries, request.is_great
+                    request.retries, request.is_large
+                )
+                return retry_transfer.RetryTransferReply(
+                    request.correlation_id, transferred
                 )
-                return retry_loan.RetriesLent(request.question, transferred)
 
     def note_newer_settings(self, peer: str, revision: int) -> None:
         """Records that a peer uses a later settings revision than this VM."""
@@ -329,9 +331,7 @@
             asyncio.ensure_future(self._peers.run()),
             asyncio.ensure_future(self._quarantine_gossip.run()),
             asyncio.ensure_future(self._drain_check.run()),
-            asyncio.ensure_future(
-                self._rate_limiter.run(self._orders.ask_sign)
-            ),
+            asyncio.ensure_future(self._rate_limiter.run(self._orders.probe)),
         ]
         servers = [
             await self._serve(
--- a/src/ruddergate/entry/peer_gossip.py
+++ b/src/ruddergate/entry/peer_gossip.py
@@ -18,12 +18,12 @@
 from ruddergate.decisions import peer_loads
 from ruddergate.entry import digest_relay
 from ruddergate.entry import peer_rpc
-from ruddergate.fleet import bad_news
 from ruddergate.fleet import dispatched
+from ruddergate.fleet import loss_report
 from ruddergate.fleet import rate_limit
 from ruddergate.messages import load_bundle
 from ruddergate.messages import load_digest
-from ruddergate.messages import suspects as suspect_messages
+from ruddergate.messages import poison_reports
 from ruddergate.telemetry import logs
 from ruddergate.wire import codec
 
@@ -109,11 +109,11 @@
         summarize: Callable[[], tuple[dispatched.Dispatched, ...]],
         on_peer_count: Callable[[int], None] = lambda count: None,
         handle_request: RequestHandler | None = None,
-        summarize_losses: Callable[[], bad_news.BadNews] = lambda: (
-            bad_news.NOTHING
+        summarize_losses: Callable[[], loss_report.LossReport] = lambda: (
+            loss_report.EMPTY
         ),
         merge_evidence: Callable[
-            [suspect_messages.Suspects], None
+            [poison_reports.PoisonReports], None
         ] = lambda evidence: None,
         on_peer_started: Callable[[str], None] = lambda peer: None,
         summarize_draining: Callable[[], tuple[str, ...]] = lambda: (),
@@ -268,10 +268,10 @@
             hall=self._hall,
             link_mbps=self._config.link_mbps,
             incarnation=self._incarnation,
-            number=self._sequence_number,
+            sequence=self._sequence_number,
             rows=self._summarize(),
-            lost=self._summarize_losses(),
-            leaving=self._summarize_draining(),
+            losses=self._summarize_losses(),
+            draining=self._summarize_draining(),
             rate_limits=self._summarize_rate_limits(),
             settings_revision=self._find_settings_revision(),
         )
@@ -317,7 +317,7 @@
                 )
                 self._merge_digests(message.digests, forward)
                 self.loads.note_received_from(message.sender)
-            case suspect_messages.Suspects():
+            case poison_reports.PoisonReports():
                 self._merge_evidence(message)
             case _ if isinstance(message, peer_rpc.REQUESTS + peer_rpc.REPLIES):
                 self.rpc.receive(message)
@@ -341,8 +341,8 @@
                 continue
             if is_new_run:
                 self._on_peer_started(digest.sender)
-            if digest.leaving:
-                self._merge_draining(digest.leaving, digest.sender)
+            if digest.draining:
+                self._merge_draining(digest.draining, digest.sender)
             if digest.rate_limits:
                 self._merge_rate_limits(digest.rate_limits, digest.sender)
             if digest.settings_revision > own_revision:
@@ -369,7 +369,7 @@
         | load_bundle.LoadBundle
         | peer_rpc.Request
         | peer_rpc.Reply
-        | suspect_messages.Suspects,
+        | poison_reports.PoisonReports,
         receivers: Iterable[str],
     ) -> None:
         if self._port is None:
@@ -380,7 +380,7 @@
                 self._port.send(data, environment.parse_address(name))
 
     def send_evidence(
-        self, evidence: suspect_messages.Suspects, receivers: Iterable[str]
+        self, evidence: poison_reports.PoisonReports, receivers: Iterable[str]
     ) -> None:
         """Sends evidence against poison requests to peers."""
         self._send(evidence, receivers)
--- a/src/ruddergate/entry/peer_reader.py
+++ b/src/ruddergate/entry/peer_reader.py
@@ -9,7 +9,7 @@
 from ruddergate.fleet import store_position
 from ruddergate.fleet import target as targets
 from ruddergate.messages import document_part
-from ruddergate.messages import news
+from ruddergate.messages import store_changes
 from ruddergate.relay import published
 from ruddergate.settings import catalog as catalogs
 from ruddergate.telemetry import logs
@@ -74,12 +74,15 @@
 
     async def request_changes(
         self, peer: str, position: store_position.StorePosition
-    ) -> news.News | None:
+    ) -> store_changes.StoreChangesReply | None:
         """Returns a peer's changes since a position; None without a reply."""
         return await self._peers.request_changes(peer, position)
 
     async def complete(
-        self, peer: str, reply: news.News, own_revision: int
+        self,
+        peer: str,
+        reply: store_changes.StoreChangesReply,
+        own_revision: int,
     ) -> published.Changes | None:
         """Completes a peer's reply with what did not fit into the datagram.
 
@@ -95,7 +98,7 @@
             The changes, or None if the store has to be read instead.
         """
         listed = reply.listed
-        if not reply.is_whole:
+        if not reply.is_complete:
             listed = await self._fetch_targets(peer, reply)
         if listed is None:
             return None
@@ -109,12 +112,14 @@
             store_position.StorePosition(reply.epoch, reply.position),
             catalog,
             listed,
-            reply.gone,
+            reply.removed,
             (),
             document,
             tuple(
-                published.Spoilt(each, f"a peer could not read it: {peer}")
-                for each in reply.spoilt
+                published.MalformedEntry(
+                    each, f"a peer could not read it: {peer}"
+                )
+                for each in reply.malformed
             ),
         )
 
@@ -132,7 +137,7 @@
         return catalog, document
 
     async def _fetch_targets(
-        self, peer: str, reply: news.News
+        self, peer: str, reply: store_changes.StoreChangesReply
     ) -> tuple[targets.Target, ...] | None:
         """Fetches all of a peer's targets."""
         position = store_position.StorePosition(reply.epoch, reply.position)
--- a/src/ruddergate/entry/peer_rpc.py
+++ b/src/ruddergate/entry/peer_rpc.py
@@ -10,26 +10,32 @@
 from ruddergate import environment
 from ruddergate.fleet import store_position
 from ruddergate.messages import document_part
-from ruddergate.messages import news
-from ruddergate.messages import retry_loan
+from ruddergate.messages import retry_transfer
+from ruddergate.messages import store_changes
 from ruddergate.telemetry import logs
 
 Request: TypeAlias = (
-    news.NewsWanted
-    | retry_loan.RetriesWanted
-    | document_part.SettingsWanted
-    | document_part.TargetsWanted
+    store_changes.StoreChangesRequest
+    | retry_transfer.RetryTransferRequest
+    | document_part.SettingsRequest
+    | document_part.TargetsRequest
 )
 Reply: TypeAlias = (
-    news.News | retry_loan.RetriesLent | document_part.DocumentPart
+    store_changes.StoreChangesReply
+    | retry_transfer.RetryTransferReply
+    | document_part.DocumentPart
 )
 REQUESTS = (
-    news.NewsWanted,
-    retry_loan.RetriesWanted,
-    document_part.SettingsWanted,
-    document_part.TargetsWanted,
+    store_changes.StoreChangesRequest,
+    retry_transfer.RetryTransferRequest,
+    document_part.SettingsRequest,
+    document_part.TargetsRequest,
+)
+REPLIES = (
+    store_changes.StoreChangesReply,
+    retry_transfer.RetryTransferReply,
+    document_part.DocumentPart,
 )
-REPLIES = (news.News, retry_loan.RetriesLent, document_part.DocumentPart)
 # Peers in the same hall reply within a few milliseconds, a busy one within some
 # tens of milliseconds.
 REPLY_TIMEOUT_MS = 120.0
@@ -61,22 +67,26 @@
 
     async def request_changes(
         self, peer: str, position: store_position.StorePosition
-    ) -> news.News | None:
+    ) -> store_changes.StoreChangesReply | None:
         """Returns a peer's changes of the store, or None without a reply."""
-        request = news.NewsWanted(
+        request = store_changes.StoreChangesRequest(
             self._own,
             self._make_request_id(),
             position.revision,
             position.epoch,
         )
         reply = await self._call(request, peer)
-        return reply if isinstance(reply, news.News) else None
+        return (
+            reply
+            if isinstance(reply, store_changes.StoreChangesReply)
+            else None
+        )
 
     async def request_settings(
         self, peer: str, revision: int, part: int
     ) -> document_part.DocumentPart | None:
         """Returns a part of a peer's settings, or None without a reply."""
-        request = document_part.SettingsWanted(
+        request = document_part.SettingsRequest(
             self._own, self._make_request_id(), revision, part
         )
         return await self._request_part(request, peer)
@@ -85,7 +95,7 @@
         self, peer: str, position: store_position.StorePosition, part: int
     ) -> document_part.DocumentPart | None:
         """Returns a part of a peer's targets, or None without a reply."""
-        request = document_part.TargetsWanted(
+        request = document_part.TargetsRequest(
             self._own,
             self._make_request_id(),
             position.epoch,
@@ -101,16 +111,16 @@
         return reply if isinstance(reply, document_part.DocumentPart) else None
 
     async def request_retries(
-        self, peer: str, retries: float, is_great: bool
+        self, peer: str, retries: float, is_large: bool
     ) -> float:
         """Returns the retry budget that a peer transferred to this VM."""
         reply = await self._call(
-            retry_loan.RetriesWanted(
-                self._own, self._make_request_id(), retries, is_great
+            retry_transfer.RetryTransferRequest(
+                self._own, self._make_request_id(), retries, is_large
             ),
             peer,
         )
-        if not isinstance(reply, retry_loan.RetriesLent):
+        if not isinstance(reply, retry_transfer.RetryTransferReply):
             return 0.0
         if not 0.0 <= reply.retries <= retries:
             self._log.warning(
@@ -124,7 +134,7 @@
         if isinstance(message, REQUESTS):
             self._send_reply(message)
             return
-        pending = self._pending.pop(message.question, None)
+        pending = self._pending.pop(message.correlation_id, None)
         if pending is not None and not pending.done():
             pending.set_result(message)
 
--- a/src/ruddergate/entry/quarantine.py
+++ b/src/ruddergate/entry/quarantine.py
@@ -12,7 +12,7 @@
 from ruddergate.decisions import poison_requests
 from ruddergate.decisions import request_fingerprint
 from ruddergate.entry import lost_call
-from ruddergate.messages import suspects as messages
+from ruddergate.messages import poison_reports as messages
 from ruddergate.telemetry import logs
 
 
@@ -43,7 +43,7 @@
     def on_target_ended(self, lost: lost_call.LostCall) -> None:
         """Records that a target ended while it served a request."""
         now_ms = self._env.now_ms()
-        incarnation = lost.target.life
+        incarnation = lost.target.incarnation
         weight = poison_requests.weigh_crash(
             lost.since_sent_ms, lost.prefill_ms
         )
@@ -94,7 +94,7 @@
             left_ms,
         )
 
-    def merge_gossip(self, message: messages.Suspects) -> set[str]:
+    def merge_gossip(self, message: messages.PoisonReports) -> set[str]:
         """Merges a peer's evidence; returns the fingerprints that changed."""
         problem = poison_requests.find_error(message.rows)
         if problem:
@@ -110,7 +110,7 @@
 
     def list_evidence(
         self, fingerprints: list[str]
-    ) -> tuple[messages.Suspect, ...]:
+    ) -> tuple[messages.PoisonReport, ...]:
         """Returns the evidence on fingerprints, to be sent to peers."""
         now_ms = self._env.now_ms()
         rows = [self._evidence.describe(each, now_ms) for each in fingerprints]
@@ -148,7 +148,8 @@
             peer=peer,
             left_ms=round(left_ms),
             ended=[
-                f"{each.life.target_id} started at {each.life.born_ms}, "
+                f"{each.incarnation.target_id} started at "
+                f"{each.incarnation.started_ms}, "
                 f"{each.age_ms:.0f} ms ago, weight {each.weight}"
                 for each in (row.ended if row else ())
             ],
--- a/src/ruddergate/entry/quarantine_gossip.py
+++ b/src/ruddergate/entry/quarantine_gossip.py
@@ -13,7 +13,7 @@
 from ruddergate import environment
 from ruddergate.decisions import poison_requests
 from ruddergate.entry import quarantine as quarantines
-from ruddergate.messages import suspects as messages
+from ruddergate.messages import poison_reports as messages
 
 # New evidence within this time goes into one datagram: requests that shared a
 # target are lost together.
@@ -49,7 +49,7 @@
         env: environment.Environment,
         own: environment.Address,
         list_peers: Callable[[], list[str]],
-        send: Callable[[messages.Suspects, Iterable[str]], None],
+        send: Callable[[messages.PoisonReports, Iterable[str]], None],
     ) -> None:
         self._env = env
         self._own = str(own)
@@ -71,7 +71,7 @@
                 self._next_round_ms = self._env.now_ms() + ROUND_INTERVAL_MS
                 self._send_ranked(self._draw_peers(ROUND_PEERS))
 
-    def merge_gossip(self, message: messages.Suspects) -> None:
+    def merge_gossip(self, message: messages.PoisonReports) -> None:
         """Merges a peer's evidence, and forwards what is new."""
         changed = self.table.merge_gossip(message)
         self._changed.set()
@@ -127,7 +127,7 @@
     def _send_evidence(self, fingerprints: list[str], peers: list[str]) -> None:
         rows = self.table.list_evidence(fingerprints)
         if rows and peers:
-            self._send(messages.Suspects(self._own, rows), peers)
+            self._send(messages.PoisonReports(self._own, rows), peers)
 
     def _draw_peers(self, count: int) -> list[str]:
         peers = self._list_peers()
--- a/src/ruddergate/entry/rate_limiter.py
+++ b/src/ruddergate/entry/rate_limiter.py
@@ -21,8 +21,8 @@
 from ruddergate.decisions import rate_limits
 from ruddergate.fleet import rate_limit
 from ruddergate.fleet import target as targets
+from ruddergate.relay import hints as hint_types
 from ruddergate.relay import orders
-from ruddergate.relay import statement as statements
 from ruddergate.telemetry import logs
 from ruddergate.telemetry import metrics as metric_types
 
@@ -109,10 +109,10 @@
             lambda: len(self._members),
         )
 
-    def observe(self, hints: statements.Statement) -> None:
+    def observe(self, hints: hint_types.Hints) -> None:
         """Applies the rate limit in a target's response, or its absence."""
         now_ms = self._env.now_ms()
-        target_id = hints.life.target_id
+        target_id = hints.incarnation.target_id
         if hints.rate_limit_per_s is not None:
             is_new = self.limits.observe_limit(
                 target_id, hints.rate_limit_per_s, hints.sent_ms, now_ms
@@ -182,22 +182,22 @@
 
         async def reserve(
             wanted: orders.Reservation, hold_ms: float
-        ) -> orders.Answer:
+        ) -> orders.OrderResult:
             charge(wanted.target)
             return await inner.reserve(wanted, hold_ms)
 
-        async def release(held: orders.Reservation) -> orders.Answer:
+        async def release(held: orders.Reservation) -> orders.OrderResult:
             charge(held.target)
             return await inner.release(held)
 
-        async def ask_sign(target: targets.Target) -> orders.Told:
+        async def probe(target: targets.Target) -> orders.ProbeResult:
             charge(target)
-            return await inner.ask_sign(target)
+            return await inner.probe(target)
 
-        return orders.Orders(reserve, release, ask_sign)
+        return orders.Orders(reserve, release, probe)
 
     async def run(
-        self, probe: Callable[[targets.Target], Awaitable[orders.Told]]
+        self, probe: Callable[[targets.Target], Awaitable[orders.ProbeResult]]
     ) -> None:
         """Probes limited targets until cancelled.
 
@@ -228,7 +228,7 @@
 
     async def _probe(
         self,
-        probe: Callable[[targets.Target], Awaitable[orders.Told]],
+        probe: Callable[[targets.Target], Awaitable[orders.ProbeResult]],
         target: targets.Target,
     ) -> None:
         with contextlib.suppress(TimeoutError):
--- a/src/ruddergate/entry/relay_admit.py
+++ b/src/ruddergate/entry/relay_admit.py
@@ -8,7 +8,7 @@
 from ruddergate import request as requests
 from ruddergate.entry import context as contexts
 from ruddergate.http import message
-from ruddergate.relay import door as doors
+from ruddergate.relay import caller_protocol as caller_protocols
 from ruddergate.settings import catalog as catalogs
 from ruddergate.settings import effective
 from ruddergate.settings import route as routes
@@ -42,7 +42,7 @@
 
 def admit(
     incoming: message.IncomingRequest,
-    caller_request: doors.Inquiry,
+    caller_request: caller_protocols.CallerRequest,
     arrived_ms: float,
     context: contexts.EntryContext,
     age_limits: SettingsAgeLimits,
@@ -133,7 +133,7 @@
 
 def _make_request(
     incoming: message.IncomingRequest,
-    caller_request: doors.Inquiry,
+    caller_request: caller_protocols.CallerRequest,
     arrived_ms: float,
     route: routes.Route,
     workspace: catalogs.Workspace,
@@ -167,7 +167,7 @@
         target=incoming.target,
         fields=caller_request.fields,
         body=incoming.body,
-        last_event=caller_request.last_event,
+        last_event_id=caller_request.last_event_id,
     )
     return requests.Request(
         request_id=caller_request.request_id,
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -16,9 +16,9 @@
 from ruddergate.entry import relay_progress
 from ruddergate.entry import reservation_keeper
 from ruddergate.entry import scheduler_messages
-from ruddergate.relay import answer as answers
-from ruddergate.relay import errand as errands
 from ruddergate.relay import orders
+from ruddergate.relay import response_event as response_events
+from ruddergate.relay import upstream_request as upstream_requests
 
 # A reachable target accepts a connection within a few milliseconds. A lost
 # packet is retransmitted only after a second, which is too long to wait. With
@@ -75,7 +75,7 @@
         request: requests.Request,
         grant: scheduler_messages.PlacementGrant,
         progress: relay_progress.Progress,
-        send: errands.Send,
+        send: upstream_requests.Send,
         keeper: reservation_keeper.ReservationKeeper,
         context: contexts.EntryContext,
     ) -> None:
@@ -96,7 +96,7 @@
         self._has_first_event = False
         self._has_answered = False
 
-    async def run(self) -> AsyncIterator[answers.Event]:
+    async def run(self) -> AsyncIterator[response_events.Event]:
         """Yields what the caller is to get, and last the outcome."""
         reservations = self._make_reservations()
         self._progress.faulted_helpers = ()
@@ -105,7 +105,7 @@
         )
         try:
             probes = await self._probe_targets()
-            if any(probe is not orders.Sign.ALIVE for probe in probes):
+            if any(probe is not orders.ProbeStatus.ALIVE for probe in probes):
                 yield self._fail_probes(probes)
                 return
             refusal = self._check_admission()
@@ -151,7 +151,7 @@
             [placement.target for placement in self._placements]
         )
 
-    async def _probe_targets(self) -> tuple[orders.Sign, ...]:
+    async def _probe_targets(self) -> tuple[orders.ProbeStatus, ...]:
         """Probes the target and its helpers if a helper has failed before.
 
         Engines die together, but each refusal names only one of them. Without
@@ -168,24 +168,24 @@
         )
 
     def _fail_probes(
-        self, probes: tuple[orders.Sign, ...]
+        self, probes: tuple[orders.ProbeStatus, ...]
     ) -> outcomes.NotServed:
         """Records failed probes; returns the outcome, with nothing sent."""
         missing = tuple(
             placement.target.target_id
             for placement, probe in zip(self._placements, probes, strict=True)
-            if probe is not orders.Sign.ALIVE
+            if probe is not orders.ProbeStatus.ALIVE
         )
         self._unreachable |= {
             placement.target.target_id
             for placement, probe in zip(self._placements, probes, strict=True)
-            if probe is orders.Sign.SILENT
+            if probe is orders.ProbeStatus.NO_RESPONSE
         }
         self._exited |= set(missing) - self._unreachable
         self._progress.excluded |= set(missing)
         self._faulted |= set(missing)
         reason = outcomes.Reason.HELPER_UNREACHABLE
-        if probes[0] is not orders.Sign.ALIVE:
+        if probes[0] is not orders.ProbeStatus.ALIVE:
             reason = outcomes.Reason.TARGET_UNREACHABLE
         return outcomes.refuse(
             reason,
@@ -194,8 +194,10 @@
         )
 
     async def _read_answer(
-        self, upstream_request: errands.Errand, is_watched: bool
-    ) -> AsyncIterator[answers.Event]:
+        self,
+        upstream_request: upstream_requests.UpstreamRequest,
+        is_watched: bool,
+    ) -> AsyncIterator[response_events.Event]:
         """Yields the answer, or a failure that is found before its first event.
 
         A watched target is probed until its first event; after that, gaps
@@ -242,17 +244,21 @@
         may not be sent again, this never returns and the attempt waits as long
         as the target does.
         """
-        helpers = [placement.target.life for placement in self._placements[1:]]
-        life = await self._context.scheduler.incarnation_ends.wait_for_any(
-            helpers
+        helpers = [
+            placement.target.incarnation for placement in self._placements[1:]
+        ]
+        incarnation = (
+            await self._context.scheduler.incarnation_ends.wait_for_any(helpers)
         )
         request = self._request
         is_large = length_band.is_long(request.prompt_tokens)
         is_repeatable = request.payload.route.repeatable
         if not is_repeatable or not await self._context.ensure_retry(is_large):
             await asyncio.Event().wait()
-        self._process_event(answers.FaultTold(life.target_id))
-        self._exited.add(life.target_id)
+        self._process_event(
+            response_events.HelperFaultReported(incarnation.target_id)
+        )
+        self._exited.add(incarnation.target_id)
         # A poison request can end several engines at once. Report the target as
         # well, since it may have ended too; otherwise the request would count
         # as harmless.
@@ -260,7 +266,7 @@
         return outcomes.NotServed(
             outcomes.Reason.HELPER_ENDED,
             outcomes.Ran.UNKNOWN,
-            f"helper {life.target_id} has ended",
+            f"helper {incarnation.target_id} has ended",
         )
 
     def _fail_reservations(
@@ -272,13 +278,16 @@
         """
         target_ids = [each.reservation.target.target_id for each in missing]
         self._progress.excluded |= set(target_ids)
-        lost_answers = (orders.Answer.GONE, orders.Answer.UNREACHABLE)
+        lost_answers = (
+            orders.OrderResult.NOT_LISTENING,
+            orders.OrderResult.UNREACHABLE,
+        )
         for target_id, each in zip(target_ids, missing, strict=True):
             if each.answer in lost_answers:
                 self._faulted.add(target_id)
-            if each.answer is orders.Answer.UNREACHABLE:
+            if each.answer is orders.OrderResult.UNREACHABLE:
                 self._unreachable.add(target_id)
-            if each.answer is orders.Answer.GONE:
+            if each.answer is orders.OrderResult.NOT_LISTENING:
                 self._exited.add(target_id)
         return outcomes.refuse(
             outcomes.Reason.NO_MEMORY,
@@ -286,29 +295,29 @@
             _NO_MEMORY_RETRY_MS,
         )
 
-    def _process_event(self, event: answers.Event) -> bool:
+    def _process_event(self, event: response_events.Event) -> bool:
         """Processes an event; returns whether the caller is to get it."""
         match event:
-            case answers.LoadTold():
+            case response_events.LoadReported():
                 self._context.scheduler.post(
                     scheduler_messages.LoadReported(event.report)
                 )
                 return False
-            case answers.FaultTold():
+            case response_events.HelperFaultReported():
                 self._faulted.add(event.target_id)
                 self._progress.excluded |= {event.target_id}
                 self._progress.faulted_helpers += (event.target_id,)
                 return False
-            case answers.StreamHead():
+            case response_events.StreamHead():
                 is_new = not self._progress.has_head
                 self._progress.has_head = True
                 return is_new
-            case answers.WholeAnswer():
+            case response_events.CompleteResponse():
                 self._has_answered = True
-            case answers.StreamEvents():
+            case response_events.StreamEvents():
                 self._has_answered = True
                 self._record_first_event()
-                self._progress.last_event_id = event.last_id
+                self._progress.last_event_id = event.last_event_id
             case outcomes.NotServed():
                 self._record_failure(event)
         return True
@@ -386,9 +395,9 @@
 
     def _make_upstream_request(
         self, reservations: dict[str, orders.Reservation]
-    ) -> errands.Errand:
+    ) -> upstream_requests.UpstreamRequest:
         request = self._request
-        return errands.Errand(
+        return upstream_requests.UpstreamRequest(
             payload=request.payload,
             target=self._placements[0].target,
             workspace=request.workload.workspace,
@@ -399,22 +408,27 @@
                 _make_helper(placement, reservations)
                 for placement in self._placements[1:]
             ),
-            patience=self._find_timeouts(),
-            refuse=self._check_before_send,
+            timeouts=self._find_timeouts(),
+            check_admission=self._check_before_send,
         )
 
-    def _find_timeouts(self) -> errands.Patience:
+    def _find_timeouts(self) -> upstream_requests.Timeouts:
         """Returns the timeouts; for what must not run twice, the deadline."""
         request = self._request
         route = request.payload.route
         left_ms = request.remaining_ms(self._context.env.now_ms())
         if not route.repeatable:
-            return errands.Patience(CONNECT_TIMEOUT_MS, left_ms, left_ms)
-        return errands.Patience(
+            return upstream_requests.Timeouts(
+                CONNECT_TIMEOUT_MS, left_ms, left_ms
+            )
+        return upstream_requests.Timeouts(
             CONNECT_TIMEOUT_MS,
-            max(MIN_SILENCE_TIMEOUT_MS, SILENCE_TIMEOUT_AIMS * route.aim_ms),
             max(
-                MIN_SILENCE_TIMEOUT_MS, SILENCE_TIMEOUT_AIMS * route.gap_aim_ms
+                MIN_SILENCE_TIMEOUT_MS,
+                SILENCE_TIMEOUT_AIMS * route.latency_slo_ms,
+            ),
+            max(
+                MIN_SILENCE_TIMEOUT_MS, SILENCE_TIMEOUT_AIMS * route.gap_slo_ms
             ),
             self._can_fail_over,
         )
@@ -437,9 +451,9 @@
 def _make_helper(
     placement: scheduler_messages.Placement,
     reservations: dict[str, orders.Reservation],
-) -> errands.Helper:
+) -> upstream_requests.Helper:
     reservation = reservations.get(placement.target.target_id)
-    return errands.Helper(
+    return upstream_requests.Helper(
         placement.target.target_id,
         placement.target.address,
         reservation.name if reservation else "",
--- a/src/ruddergate/entry/relay_handler.py
+++ b/src/ruddergate/entry/relay_handler.py
@@ -11,9 +11,9 @@
 from ruddergate.entry import relay_run
 from ruddergate.entry import reservation_keeper
 from ruddergate.http import message
-from ruddergate.relay import answer as answers
-from ruddergate.relay import door as doors
-from ruddergate.relay import errand as errands
+from ruddergate.relay import caller_protocol as caller_protocols
+from ruddergate.relay import response_event as response_events
+from ruddergate.relay import upstream_request as upstream_requests
 from ruddergate.telemetry import logs
 
 # Outcome in logs and metrics when the caller did not wait for the answer.
@@ -41,8 +41,8 @@
     def __init__(
         self,
         context: contexts.EntryContext,
-        protocol: doors.Door,
-        send: errands.Send,
+        protocol: caller_protocols.CallerProtocol,
+        send: upstream_requests.Send,
         keeper: reservation_keeper.ReservationKeeper,
         age_limits: relay_admit.SettingsAgeLimits,
     ) -> None:
@@ -79,11 +79,11 @@
             await events.aclose()
             self._log_caller_left(request, None)
             raise
-        if isinstance(first, answers.StreamHead):
+        if isinstance(first, response_events.StreamHead):
             body = self._stream_body(request, events)
             return message.Response(first.status, {}, body, first.fields)
         await events.aclose()
-        if isinstance(first, answers.WholeAnswer):
+        if isinstance(first, response_events.CompleteResponse):
             self._log_end(request, "finished", outcomes.Ran.RAN, "")
             return message.Response(first.status, {}, first.body, first.fields)
         self._log_end(request, first.reason.value, first.ran, first.detail)
@@ -105,13 +105,13 @@
     async def _stream_body(
         self,
         request: requests.Request,
-        events: AsyncIterator[answers.Event],
+        events: AsyncIterator[response_events.Event],
     ) -> AsyncIterator[bytes]:
         pauses = _EventPauses(request.arrived_ms)
         try:
             async with contextlib.aclosing(events):
                 async for event in events:
-                    if isinstance(event, answers.StreamEvents):
+                    if isinstance(event, response_events.StreamEvents):
                         pauses.note_event(self._context.env.now_ms())
                         yield event.data
                     elif isinstance(event, outcomes.NotServed):
@@ -180,8 +180,8 @@
             revision=request.workload.revision,
             prompt_tokens=request.prompt_tokens,
             took_ms=round(took_ms),
-            aim_ms=request.payload.route.aim_ms,
-            gap_aim_ms=request.payload.route.gap_aim_ms,
+            aim_ms=request.payload.route.latency_slo_ms,
+            gap_aim_ms=request.payload.route.gap_slo_ms,
             first_ms=round(pauses.first_ms) if pauses else None,
             longest_pause_ms=round(pauses.longest_ms) if pauses else None,
         )
--- a/src/ruddergate/entry/relay_progress.py
+++ b/src/ruddergate/entry/relay_progress.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from ruddergate import outcomes
-from ruddergate.relay import answer as answers
+from ruddergate.relay import response_event as response_events
 
 
 @dataclasses.dataclass(slots=True)
@@ -34,7 +34,7 @@
     unsent_attempts: int = 0
     has_head: bool = False
     excluded: frozenset[str] = frozenset()
-    failed_answer: answers.WholeAnswer | None = None
+    failed_answer: response_events.CompleteResponse | None = None
     faulted_helpers: tuple[str, ...] = ()
     helper_failures: int = 0
     pinned_target_id: str = ""
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -20,8 +20,8 @@
 from ruddergate.entry import relay_progress
 from ruddergate.entry import reservation_keeper
 from ruddergate.entry import scheduler_messages
-from ruddergate.relay import answer as answers
-from ruddergate.relay import errand as errands
+from ruddergate.relay import response_event as response_events
+from ruddergate.relay import upstream_request as upstream_requests
 
 # Largest number of attempts that end before the request is sent; those after
 # which it was sent are limited by the route.
@@ -75,12 +75,12 @@
 
 async def run(
     request: requests.Request,
-    send: errands.Send,
+    send: upstream_requests.Send,
     keeper: reservation_keeper.ReservationKeeper,
     context: contexts.EntryContext,
-) -> AsyncIterator[answers.Event]:
+) -> AsyncIterator[response_events.Event]:
     """Yields the answer's events in order, each once, and last the outcome."""
-    progress = relay_progress.Progress(request.payload.last_event)
+    progress = relay_progress.Progress(request.payload.last_event_id)
     refusal = context.quarantine.check_admission(request)
     if refusal is not None:
         yield refusal
@@ -91,19 +91,25 @@
         if isinstance(grant, outcomes.NotServed):
             yield _conclude(grant, progress)
             return
-        outcome: answers.Event | None = None
+        outcome: response_events.Event | None = None
         attempt = relay_attempt.RelayAttempt(
             request, grant, progress, send, keeper, context
         )
         async with contextlib.aclosing(attempt.run()) as events:
             async for event in events:
-                if isinstance(event, answers.StreamHead | answers.StreamEvents):
+                if isinstance(
+                    event,
+                    response_events.StreamHead | response_events.StreamEvents,
+                ):
                     yield event
                 else:
                     outcome = event
-        if isinstance(outcome, answers.StreamEnd | answers.WholeAnswer):
+        if isinstance(
+            outcome,
+            response_events.StreamEnd | response_events.CompleteResponse,
+        ):
             context.quarantine.on_request_finished(request)
-        if isinstance(outcome, answers.StreamEnd):
+        if isinstance(outcome, response_events.StreamEnd):
             yield outcome
             return
         final = await _conclude_or_retry(
@@ -117,12 +123,12 @@
 async def _conclude_or_retry(
     request: requests.Request,
     grant: scheduler_messages.PlacementGrant,
-    outcome: answers.Event | None,
+    outcome: response_events.Event | None,
     progress: relay_progress.Progress,
     context: contexts.EntryContext,
-) -> answers.Event | None:
+) -> response_events.Event | None:
     """Returns the final event, or None after the delay before a retry."""
-    if isinstance(outcome, answers.WholeAnswer):
+    if isinstance(outcome, response_events.CompleteResponse):
         if outcome.status < _MIN_SERVER_ERROR_STATUS:
             return outcome
         progress.failed_answer = outcome
@@ -161,7 +167,7 @@
 
 def _conclude_unsent(
     outcome: outcomes.NotServed, progress: relay_progress.Progress
-) -> answers.Event | None:
+) -> response_events.Event | None:
     """Returns the outcome, or None to try again.
 
     Nothing was sent, so the attempt counts neither against the number of
@@ -195,7 +201,7 @@
     outcome: outcomes.NotServed,
     progress: relay_progress.Progress,
     context: contexts.EntryContext,
-) -> answers.Event | None:
+) -> response_events.Event | None:
     """Returns None after the delay, or the outcome if no retry is allowed."""
     if retries.is_safe_to_retry(outcome, request.repeatable):
         await context.ensure_retry(length_band.is_long(request.prompt_tokens))
@@ -216,7 +222,7 @@
 
 def _conclude(
     outcome: outcomes.NotServed, progress: relay_progress.Progress
-) -> answers.WholeAnswer | outcomes.NotServed:
+) -> response_events.CompleteResponse | outcomes.NotServed:
     """Returns the outcome of all attempts.
 
     That is a target's own error answer, if there was one and the caller has no
@@ -275,7 +281,7 @@
     Returns:
         Whether the request is late, and the wait in milliseconds, for each.
     """
-    aim_ms = request.payload.route.aim_ms
+    aim_ms = request.payload.route.latency_slo_ms
     on_time_ms = ON_TIME_WAIT_AIMS * aim_ms
     if not progress.has_head:
         on_time_ms -= context.env.now_ms() - request.arrived_ms
@@ -319,8 +325,8 @@
             prefix_tokens=0,
             is_long=band >= length_band.LONG_BAND,
             waited_ms=request.arrived_ms,
-            ttft_slo_ms=route.aim_ms,
-            gap_slo_ms=route.gap_aim_ms if route.is_stream else math.inf,
+            ttft_slo_ms=route.latency_slo_ms,
+            gap_slo_ms=route.gap_slo_ms if route.is_stream else math.inf,
             local_hall=context.config.hall,
             pinned_target_id=progress.pinned_target_id,
             may_be_poison=context.quarantine.is_suspected(request),
--- a/src/ruddergate/entry/reservation_keeper.py
+++ b/src/ruddergate/entry/reservation_keeper.py
@@ -11,7 +11,7 @@
 import dataclasses
 
 from ruddergate import environment
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
 from ruddergate.relay import orders
 from ruddergate.telemetry import logs
@@ -43,7 +43,7 @@
     """A reservation that was not made, and what the target answered."""
 
     reservation: orders.Reservation
-    answer: orders.Answer
+    answer: orders.OrderResult
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -69,7 +69,9 @@
         self,
         env: environment.Environment,
         target_orders: orders.Orders,
-        has_ended: Callable[[lives.Life], bool] = lambda life: False,
+        has_ended: Callable[
+            [incarnations.Incarnation], bool
+        ] = lambda incarnation: False,
         on_ended: Callable[[targets.Target], None] = lambda target: None,
         is_rate_limited: Callable[[str], bool] = lambda target_id: False,
     ) -> None:
@@ -96,7 +98,7 @@
         )
         failed: list[FailedReservation] = []
         for each, answer in zip(reservations, answers, strict=True):
-            if answer is orders.Answer.DONE:
+            if answer is orders.OrderResult.DONE:
                 self._start_renewal(each)
                 continue
             failed.append(FailedReservation(each, answer))
@@ -107,7 +109,7 @@
                 request_id=request_id,
                 tokens=each.tokens,
             )
-            if answer is orders.Answer.UNKNOWN:
+            if answer is orders.OrderResult.UNKNOWN:
                 # It may have been reserved nevertheless.
                 self._start_renewal(each)
         if failed:
@@ -136,18 +138,18 @@
 
     async def probe_all(
         self, asked: Sequence[targets.Target]
-    ) -> tuple[orders.Sign, ...]:
+    ) -> tuple[orders.ProbeStatus, ...]:
         """Probes targets at once; returns their signs of life, in order."""
         results = await asyncio.gather(*map(self.probe, asked))
-        return tuple(each.sign for each in results)
+        return tuple(each.status for each in results)
 
-    async def probe(self, target: targets.Target) -> orders.Told:
+    async def probe(self, target: targets.Target) -> orders.ProbeResult:
         """Probes a target with a short timeout."""
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_MS / 1000.0):
-                return await self._orders.ask_sign(target)
+                return await self._orders.probe(target)
         except TimeoutError:
-            return orders.Told(orders.Sign.SILENT)
+            return orders.ProbeResult(orders.ProbeStatus.NO_RESPONSE)
 
     async def wait_until_unresponsive(self, target: targets.Target) -> None:
         """Returns once a target does not answer probes any more.
@@ -161,8 +163,10 @@
             if self._is_rate_limited(target.target_id):
                 delay_ms = REPROBE_MS if missed else PROBE_RATE_LIMITED_MS
             await asyncio.sleep(delay_ms / 1000.0)
-            result = await self._orders.ask_sign(target)
-            missed = 0 if result.sign is orders.Sign.ALIVE else missed + 1
+            result = await self._orders.probe(target)
+            missed = (
+                0 if result.status is orders.ProbeStatus.ALIVE else missed + 1
+            )
         self._log.warning("Target {} does not answer.", target.target_id)
 
     def _start_renewal(self, held: orders.Reservation) -> None:
@@ -181,26 +185,26 @@
         """
         delay_ms = RENEW_INTERVAL_MS
         while not await _is_set_within(released, delay_ms):
-            if self._has_ended(held.target.life):
+            if self._has_ended(held.target.incarnation):
                 # The next incarnation has no reservation: renewing there would
                 # reserve memory that nothing uses.
                 return
             is_rate_limited = self._is_rate_limited(held.target.target_id)
             hold_ms = LEASE_RATE_LIMITED_MS if is_rate_limited else LEASE_MS
             answer = await self._orders.reserve(held, hold_ms)
-            is_relaxed = is_rate_limited and answer is orders.Answer.DONE
+            is_relaxed = is_rate_limited and answer is orders.OrderResult.DONE
             delay_ms = (
                 RENEW_RATE_LIMITED_MS if is_relaxed else RENEW_INTERVAL_MS
             )
-            if answer is orders.Answer.GONE:
+            if answer is orders.OrderResult.NOT_LISTENING:
                 self._on_ended(held.target)
-            if answer is orders.Answer.REFUSED:
+            if answer is orders.OrderResult.REFUSED:
                 self._log.warning(
                     "Memory reservation lost at {}.", held.target.target_id
                 )
                 return
         answer = await self._orders.release(held)
-        if answer is not orders.Answer.DONE:
+        if answer is not orders.OrderResult.DONE:
             self._log.info(
                 "Memory at {} was not released and will expire: {}.",
                 held.target.target_id,
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -23,9 +23,9 @@
 from ruddergate.entry import target_losses
 from ruddergate.entry import target_table
 from ruddergate.entry import view as views
-from ruddergate.fleet import bad_news
 from ruddergate.fleet import dispatched
 from ruddergate.fleet import load_report
+from ruddergate.fleet import loss_report
 from ruddergate.fleet import target as targets
 from ruddergate.messages import loads as load_messages
 from ruddergate.telemetry import logs
@@ -79,8 +79,8 @@
             [], Sequence[dispatched.Dispatched]
         ] = lambda: (),
         lacks_peer_loads: Callable[[], bool] = lambda: False,
-        collect_loss_report: Callable[[], bad_news.BadNews] = lambda: (
-            bad_news.NOTHING
+        collect_loss_report: Callable[[], loss_report.LossReport] = lambda: (
+            loss_report.EMPTY
         ),
         drain_state: draining.DrainState | None = None,
         limits: rate_limits.RateLimits | None = None,
@@ -161,7 +161,7 @@
             if estimate.own_streams()
         )
 
-    def make_loss_report(self) -> bad_news.BadNews:
+    def make_loss_report(self) -> loss_report.LossReport:
         """Returns what this VM has just found to be unreachable, for peers."""
         return self._losses.summarize(self._env.now_ms())
 
@@ -317,7 +317,7 @@
         estimate = self._table.find(message.placement.target)
         if estimate is None:
             return
-        self._drain_state.note_success(estimate.target.life, now_ms)
+        self._drain_state.note_success(estimate.target.incarnation, now_ms)
         if estimate.note_first_token(message.placement.attempt_id, now_ms):
             self._on_own_load_change()
         if message.prefix:
@@ -341,7 +341,7 @@
         if message.is_target_fault:
             estimate.note_fault(now_ms)
         elif message.has_answered:
-            self._drain_state.note_success(target.life, now_ms)
+            self._drain_state.note_success(target.incarnation, now_ms)
             self._losses.note_answered(target, now_ms)
             estimate.answered_ms = now_ms
         self._on_own_load_change()
@@ -355,8 +355,8 @@
             self._losses.note_ended(target, now_ms)
             self._on_own_load_change()
 
-    def _merge_loss_report(self, report: bad_news.BadNews) -> None:
-        if report is not bad_news.NOTHING:
+    def _merge_loss_report(self, report: loss_report.LossReport) -> None:
+        if report is not loss_report.EMPTY:
             now_ms = self._env.now_ms()
             self._losses.merge_gossip(report, self._table.find_reported, now_ms)
 
@@ -364,7 +364,7 @@
         self, report: load_report.LoadReport, now_ms: float
     ) -> None:
         estimate = self._table.find_by_id(report.target_id)
-        if estimate is None or report.born_ms != estimate.target.born_ms:
+        if estimate is None or report.started_ms != estimate.target.started_ms:
             return
         estimate.apply_report(report, now_ms)
 
@@ -464,7 +464,7 @@
     def _has_restricted_intake(self, target: targets.Target) -> bool:
         """Returns whether a target may accept no further request after one."""
         return self._drain_state.is_half_open(
-            target.life
+            target.incarnation
         ) or self._limits.is_limited(target.target_id)
 
     def _refuse_unservable(
--- a/src/ruddergate/entry/store_peers.py
+++ b/src/ruddergate/entry/store_peers.py
@@ -7,7 +7,7 @@
 
 from ruddergate.entry import document_exchange
 from ruddergate.fleet import store_position
-from ruddergate.messages import news
+from ruddergate.messages import store_changes
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -27,7 +27,8 @@
     rank_hall: Callable[[], Sequence[str]]
     own: str
     request_changes: Callable[
-        [str, store_position.StorePosition], Awaitable[news.News | None]
+        [str, store_position.StorePosition],
+        Awaitable[store_changes.StoreChangesReply | None],
     ]
     request_settings: document_exchange.RequestPart[int]
     request_targets: document_exchange.RequestPart[store_position.StorePosition]
--- a/src/ruddergate/entry/store_sync.py
+++ b/src/ruddergate/entry/store_sync.py
@@ -28,7 +28,7 @@
 from ruddergate.entry import view as views
 from ruddergate.fleet import store_position
 from ruddergate.messages import document_part
-from ruddergate.messages import news
+from ruddergate.messages import store_changes
 from ruddergate.relay import published
 from ruddergate.settings import catalog as catalogs
 from ruddergate.telemetry import logs
@@ -125,8 +125,8 @@
         self._claims.note(peer, revision, self._env.now_ms())
 
     def answer_changes_request(
-        self, request: news.NewsWanted
-    ) -> news.News | None:
+        self, request: store_changes.StoreChangesRequest
+    ) -> store_changes.StoreChangesReply | None:
         """Returns the changes that this VM knows, for a peer that follows."""
         position = self._position
         if position is None:
@@ -136,8 +136,8 @@
         step = None
         if request.epoch == position.epoch:
             step = self._changes.find_since(request.position, position.revision)
-        reply = news.News(
-            request.question,
+        reply = store_changes.StoreChangesReply(
+            request.correlation_id,
             position.revision,
             self._find_age_ms(),
             False,
@@ -148,10 +148,10 @@
             return reply
         return dataclasses.replace(
             reply,
-            is_whole=True,
+            is_complete=True,
             listed=step.listed,
-            gone=step.removed,
-            spoilt=step.malformed,
+            removed=step.removed,
+            malformed=step.malformed,
         )
 
     def _find_settings(self, revision: int) -> bytes | None:
@@ -253,7 +253,7 @@
             )
             if changes is None or self._lacks_incarnation(changes):
                 return False
-            is_delta = reply.is_whole and reply.epoch == position.epoch
+            is_delta = reply.is_complete and reply.epoch == position.epoch
             self._apply(changes, proven_ms, position if is_delta else None)
             if self._is_fresh():
                 return True
@@ -366,8 +366,8 @@
                 changes.position.revision,
                 bool(changes.problems),
                 changes.targets,
-                changes.gone,
-                tuple(each.target_id for each in changes.spoilt),
+                changes.removed,
+                tuple(each.target_id for each in changes.malformed),
             )
         )
 
@@ -456,7 +456,8 @@
 
 
 def _is_behind(
-    reply: news.News, position: store_position.StorePosition
+    reply: store_changes.StoreChangesReply,
+    position: store_position.StorePosition,
 ) -> bool:
     """Returns whether a peer is at a lower revision of the same epoch."""
     is_same = reply.epoch == position.epoch
--- a/src/ruddergate/entry/target_availability.py
+++ b/src/ruddergate/entry/target_availability.py
@@ -14,9 +14,9 @@
 from ruddergate.decisions import drain_suspects
 from ruddergate.decisions import draining
 from ruddergate.decisions import peer_groups
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
-from ruddergate.relay import statement as statements
+from ruddergate.relay import hints as statements
 from ruddergate.telemetry import logs
 from ruddergate.telemetry import metrics as metric_types
 from ruddergate.telemetry import told_once
@@ -63,13 +63,13 @@
         self._logged = told_once.ToldOnce()
         self._log = logs.make_logger("target")
 
-    def on_hints(self, hints: statements.Statement) -> None:
+    def on_hints(self, hints: statements.Hints) -> None:
         """Applies the hints in a target's response."""
-        if hints.is_leaving:
+        if hints.is_draining:
             self._apply_draining(hints)
-        if hints.quiet_ms is not None:
-            self._apply_backoff(hints, hints.quiet_ms)
-        for detail in hints.unread:
+        if hints.backoff_ms is not None:
+            self._apply_backoff(hints, hints.backoff_ms)
+        for detail in hints.problems:
             self._report_unreadable(hints, detail)
 
     def merge_gossip(self, names: Iterable[str], peer: str) -> None:
@@ -85,7 +85,7 @@
                     "Ignoring draining target: its name is too long.", peer=peer
                 )
                 continue
-            incarnation = lives.parse_life(name)
+            incarnation = incarnations.parse_incarnation(name)
             jitter_ms = self._env.random.uniform(0.0, _CONFIRM_JITTER_MS)
             due_ms = now_ms + drain_suspects.CONFIRM_DELAY_MS + jitter_ms
             if self._drain_state.merge_gossip(
@@ -96,7 +96,7 @@
                 self._log.info(
                     "Target {} is draining, according to a peer.",
                     incarnation.target_id,
-                    born_ms=incarnation.born_ms,
+                    born_ms=incarnation.started_ms,
                     peer=peer,
                 )
         if is_new:
@@ -112,9 +112,9 @@
         """
         now_ms = self._env.now_ms()
         for number, target in enumerate(chosen):
-            if self._drain_state.accepts_requests(target.life, now_ms):
+            if self._drain_state.accepts_requests(target.incarnation, now_ms):
                 continue
-            is_leaving = self._drain_state.may_be_draining(target.life)
+            is_leaving = self._drain_state.may_be_draining(target.incarnation)
             self._metrics.sends_withheld.inc(
                 {
                     "reason": "leaving" if is_leaving else "quiet",
@@ -127,7 +127,9 @@
                     f"target {target.target_id} is draining",
                     _DRAINING_RETRY_MS,
                 )
-            until_ms = self._drain_state.find_available_ms(target.life, now_ms)
+            until_ms = self._drain_state.find_available_ms(
+                target.incarnation, now_ms
+            )
             return outcomes.refuse(
                 outcomes.Reason.TARGET_QUIET,
                 f"target {target.target_id} has asked for a backoff",
@@ -156,52 +158,48 @@
         """Returns how many targets have asked this VM to back off now."""
         return self._drain_state.count_backing_off(self._env.now_ms())
 
-    def _apply_draining(self, hints: statements.Statement) -> None:
+    def _apply_draining(self, hints: statements.Hints) -> None:
         now_ms = self._env.now_ms()
         is_new = self._drain_state.note_drain_hint(
-            hints.life, now_ms, hints.is_dated
+            hints.incarnation, now_ms, hints.has_start_time
         )
         if not is_new:
             return
         self._metrics.leavings_heard.inc({"from": "answer"})
         self._log.info(
             "Target {} reports that it is draining.",
-            hints.life.target_id,
+            hints.incarnation.target_id,
             request_id=hints.request_id,
-            born_ms=hints.life.born_ms,
+            born_ms=hints.incarnation.started_ms,
         )
         self._on_draining()
 
-    def _apply_backoff(
-        self, hints: statements.Statement, quiet_ms: float
-    ) -> None:
+    def _apply_backoff(self, hints: statements.Hints, quiet_ms: float) -> None:
         jitter_ms = min(
             _MAX_BACKOFF_JITTER_MS, _BACKOFF_JITTER_SHARE * quiet_ms
         )
         jitter_ms = self._env.random.uniform(0.0, jitter_ms)
         until_ms = self._env.now_ms() + quiet_ms + jitter_ms
-        received_wall_ms = None if hints.is_dated else self._env.wall_ms()
+        received_wall_ms = None if hints.has_start_time else self._env.wall_ms()
         if self._drain_state.note_backoff(
-            hints.life, until_ms, received_wall_ms
+            hints.incarnation, until_ms, received_wall_ms
         ):
             self._log.info(
                 "Target {} asks for a backoff of {:.0f} ms.",
-                hints.life.target_id,
+                hints.incarnation.target_id,
                 quiet_ms,
                 request_id=hints.request_id,
-                born_ms=hints.life.born_ms,
+                born_ms=hints.incarnation.started_ms,
             )
 
-    def _report_unreadable(
-        self, hints: statements.Statement, detail: str
-    ) -> None:
+    def _report_unreadable(self, hints: statements.Hints, detail: str) -> None:
         self._metrics.statements_unread.inc({})
-        name = lives.format_life(hints.life)
+        name = incarnations.format_incarnation(hints.incarnation)
         if self._logged.is_new(name, detail):
             self._log.warning(
                 "Target {} sent an unreadable hint: {}.",
-                hints.life.target_id,
+                hints.incarnation.target_id,
                 detail,
                 request_id=hints.request_id,
-                born_ms=hints.life.born_ms,
+                born_ms=hints.incarnation.started_ms,
             )
--- a/src/ruddergate/entry/target_list.py
+++ b/src/ruddergate/entry/target_list.py
@@ -16,7 +16,7 @@
 from ruddergate.decisions import draining
 from ruddergate.decisions import tombstones
 from ruddergate.fleet import condition
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
 from ruddergate.relay import published
 from ruddergate.telemetry import logs
@@ -97,10 +97,10 @@
             now_ms: Current time.
             grace: Until when targets without a valid entry are kept.
         """
-        removed = set(changes.gone)
-        malformed = {each.target_id for each in changes.spoilt}
+        removed = set(changes.removed)
+        malformed = {each.target_id for each in changes.malformed}
         listed = self._find_latest(changes.targets)
-        for each in changes.spoilt:
+        for each in changes.malformed:
             self._log_malformed(each)
         if is_full:
             removed |= self._targets.keys() - listed.keys() - malformed
@@ -130,7 +130,7 @@
 
         A peer of an earlier release passes entries on without it.
         """
-        is_unknown = target.born_ms == lives.BORN_UNKNOWN
+        is_unknown = target.started_ms == incarnations.START_UNKNOWN
         return is_unknown and self._started_ms.get(target.target_id, 0) > 0
 
     def drop_expired(self, now_ms: float) -> None:
@@ -150,14 +150,14 @@
         latest: dict[str, targets.Target] = {}
         for each in found:
             name = each.target_id
-            if each.born_ms < self._started_ms.get(name, each.born_ms):
+            if each.started_ms < self._started_ms.get(name, each.started_ms):
                 self._log_once(
                     name, f"Target {name}: ignoring an older incarnation."
                 )
                 continue
-            self._started_ms[name] = each.born_ms
-            if each.condition is condition.Condition.LEAVING:
-                self._drain_state.note_published_drain(each.life)
+            self._started_ms[name] = each.started_ms
+            if each.condition is condition.Condition.DRAINING:
+                self._drain_state.note_published_drain(each.incarnation)
             latest[name] = each
         return latest
 
@@ -173,7 +173,7 @@
         self._stale.pop(name, None)
         self._kept_until_ms.pop(name, None)
         self._logged.forget(name)
-        self._drain_state.note_listed(target.life, now_ms)
+        self._drain_state.note_listed(target.incarnation, now_ms)
         if self._targets.get(name) != target:
             self._log.info(
                 "Target {} is {}.",
@@ -182,16 +182,16 @@
                 pool=target.pool,
                 hall=target.hall,
                 address=str(target.address),
-                born_ms=target.born_ms,
+                born_ms=target.started_ms,
             )
         self._targets[name] = target
 
     def _mark_draining(self, target: targets.Target) -> targets.Target:
         """Returns a target, marked if its incarnation ever began to drain."""
-        if not self._drain_state.may_be_draining(target.life):
+        if not self._drain_state.may_be_draining(target.incarnation):
             return target
         return dataclasses.replace(
-            target, condition=condition.Condition.LEAVING
+            target, condition=condition.Condition.DRAINING
         )
 
     def _keep(self, target_id: str, until_ms: float, now_ms: float) -> None:
@@ -206,7 +206,7 @@
         self._drain_state.note_unlisted(target_id)
         self._log.info("Target {} was removed from the list.", target_id)
 
-    def _log_malformed(self, entry: published.Spoilt) -> None:
+    def _log_malformed(self, entry: published.MalformedEntry) -> None:
         self.refused += 1
         self._log_once(entry.target_id, f"Rejected entry. {entry.detail}")
 
--- a/src/ruddergate/entry/target_table.py
+++ b/src/ruddergate/entry/target_table.py
@@ -4,7 +4,7 @@
 from ruddergate.decisions import estimate as estimates
 from ruddergate.decisions import rate_limits
 from ruddergate.entry import view as views
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
 
 _NEVER_MS = float("inf")
@@ -50,12 +50,15 @@
         of its previous incarnation say nothing about it.
         """
         estimate = self._by_name.get(target.target_id)
-        if estimate is None or estimate.target.life != target.life:
+        if (
+            estimate is None
+            or estimate.target.incarnation != target.incarnation
+        ):
             return None
         return estimate
 
     def find_reported(
-        self, incarnation: lives.Life
+        self, incarnation: incarnations.Incarnation
     ) -> estimates.Estimate | None:
         """Returns the estimate of a target that a peer has reported.
 
@@ -64,15 +67,15 @@
         estimate = self._by_name.get(incarnation.target_id)
         if estimate is None:
             return None
-        is_same = incarnation.born_ms in (
-            lives.BORN_UNKNOWN,
-            estimate.target.born_ms,
+        is_same = incarnation.started_ms in (
+            incarnations.START_UNKNOWN,
+            estimate.target.started_ms,
         )
         return estimate if is_same else None
 
     def refresh(self, now_ms: float) -> None:
         """Applies the current list of targets and settings."""
-        listed = {each.life: each for each in self._view.listing.targets}
+        listed = {each.incarnation: each for each in self._view.listing.targets}
         names = {incarnation.target_id for incarnation in listed}
         for target_id in self._by_name.keys() - names:
             del self._by_name[target_id]
@@ -128,7 +131,7 @@
             # Draining targets are marked in the list. Looking up 150 targets
             # took 0.7 ms of CPU time (mean of 200) in each scheduler turn.
             return True
-        incarnation = each.target.life
+        incarnation = each.target.incarnation
         is_busy = (
             self._drain_state.is_half_open(incarnation)
             and each.own_streams() > 0
@@ -155,7 +158,7 @@
             (
                 max(
                     self._drain_state.find_available_ms(
-                        each.target.life, now_ms
+                        each.target.incarnation, now_ms
                     ),
                     self._limits.find_token_ms(each.target.target_id, now_ms),
                 )
@@ -174,7 +177,9 @@
             self._limits.find_share(each.target.target_id, now_ms)[1]
             for each in self._by_pool.get(pool, [])
             if each.accepts_requests()
-            and self._drain_state.accepts_requests(each.target.life, now_ms)
+            and self._drain_state.accepts_requests(
+                each.target.incarnation, now_ms
+            )
         ]
         return sum(shares)
 
@@ -205,4 +210,4 @@
 
 def _is_same(one: targets.Target, other: targets.Target) -> bool:
     """Returns whether two entries have the same incarnation and address."""
-    return one.life == other.life and one.address == other.address
+    return one.incarnation == other.incarnation and one.address == other.address
--- a/src/ruddergate/entry/view.py
+++ b/src/ruddergate/entry/view.py
@@ -6,7 +6,7 @@
 
 from ruddergate.decisions import adoption
 from ruddergate.fleet import condition
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import listing as listings
 from ruddergate.fleet import store_position
 from ruddergate.fleet import target as targets
@@ -89,11 +89,11 @@
         self.listing = listings.Listing(version, self.listing.vms, tuple(found))
         self._confirmed_ms = max(self._confirmed_ms, asked_ms)
 
-    def is_superseded(self, incarnation: lives.Life) -> bool:
+    def is_superseded(self, incarnation: incarnations.Incarnation) -> bool:
         """Returns whether a later incarnation of the target is listed."""
         return any(
             each.target_id == incarnation.target_id
-            and each.born_ms > incarnation.born_ms
+            and each.started_ms > incarnation.started_ms
             for each in self.listing.targets
         )
 
--- a/src/ruddergate/fleet/condition.py
+++ b/src/ruddergate/fleet/condition.py
@@ -1,4 +1,4 @@
-"""Whether a VM or target takes part."""
+"""Whether a VM or target is in service."""
 
 import enum
 
@@ -7,4 +7,4 @@
     """Condition as published by the platform."""
 
     LIVE = "live"
-    LEAVING = "leaving"
+    DRAINING = "leaving"
--- a/src/ruddergate/fleet/target.py
+++ b/src/ruddergate/fleet/target.py
@@ -1,10 +1,10 @@
-"""A target as published by the platform."""
+"""A target as the platform publishes it."""
 
 import dataclasses
 
 from ruddergate import environment
 from ruddergate.fleet import condition
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -13,14 +13,14 @@
 
     Attributes:
         target_id: Name.
-        pool: Name of its pool in the settings tree.
+        pool: Name of its pool in the settings.
         hall: Data hall.
-        address: Where it serves requests.
-        condition: Live or leaving.
-        streams_max: Requests it works on at once; 0 when it does not tell.
-        born_ms: When it started, see `life.Life`.
-        sequence: Rises with each write of its entry within a life; it is no
-            part of what the entry says.
+        address: Where it accepts requests.
+        condition: Live or draining.
+        streams_max: Requests it processes at once; 0 if not reported.
+        started_ms: When it started, see `incarnation.Incarnation`.
+        sequence: Increases with each write of its entry within an
+            incarnation; not compared, as it carries no information itself.
     """
 
     target_id: str
@@ -29,10 +29,10 @@
     address: environment.Address
     condition: condition.Condition
     streams_max: int = 0
-    born_ms: int = lives.BORN_UNKNOWN
+    started_ms: int = incarnations.START_UNKNOWN
     sequence: int = dataclasses.field(default=0, compare=False)
 
     @property
-    def life(self) -> lives.Life:
-        """The life that this entry is of."""
-        return lives.Life(self.target_id, self.born_ms)
+    def incarnation(self) -> incarnations.Incarnation:
+        """The incarnation that this entry describes."""
+        return incarnations.Incarnation(self.target_id, self.started_ms)
--- a/src/ruddergate/platform/callers.py
+++ b/src/ruddergate/platform/callers.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests and writes the answers that are not a target's."""
+"""Parses callers' requests and writes error responses."""
 
 from collections.abc import Mapping
 import math
@@ -6,51 +6,52 @@
 from ruddergate import outcomes
 from ruddergate.http import message
 from ruddergate.platform import headers
-from ruddergate.relay import door as doors
+from ruddergate.relay import caller_protocol as caller_protocols
 
 _STATUS: Mapping[outcomes.Reason, int] = {
     outcomes.Reason.BAD_REQUEST: 400,
     outcomes.Reason.UNKNOWN_KEY: 401,
     outcomes.Reason.UNKNOWN_WORKLOAD: 404,
 }
-# These statuses promise callers that a call did not run and never will.
+# This status and those above guarantee callers that the request did not run and
+# never will.
 _NOT_RUN_STATUS = 503
 _TIME_STATUS = 504
 _OTHER_STATUS = 502
 
 
-def make_door() -> doors.Door:
-    """Returns the door of the platform's callers."""
-    return doors.Door(_read, _write_failure)
+def make_caller_protocol() -> caller_protocols.CallerProtocol:
+    """Returns the protocol of the platform's callers."""
+    return caller_protocols.CallerProtocol(_read, _write_failure)
 
 
 def _read(
     incoming: message.IncomingRequest,
-) -> doors.Inquiry | outcomes.NotServed:
-    found = incoming.headers
-    time_limit_ms = _read_number(found.get(headers.TIME_LEFT, ""))
-    tokens = found.get(headers.TOKENS, "").split(",")
+) -> caller_protocols.CallerRequest | outcomes.NotServed:
+    request_headers = incoming.headers
+    time_limit_ms = _read_number(request_headers.get(headers.TIME_LEFT, ""))
+    tokens = request_headers.get(headers.TOKENS, "").split(",")
     prompt_tokens = _read_number(tokens[0])
     output_tokens = _read_number(tokens[-1]) if len(tokens) > 1 else None
-    prefix_name, prefix_tokens = _read_shared_part(
-        found.get(headers.PREFIX, "")
+    prefix_name, prefix_tokens = _read_shared_prefix(
+        request_headers.get(headers.PREFIX, "")
     )
-    return doors.Inquiry(
-        request_id=found.get(headers.REQUEST_ID, ""),
-        host=found.get("host", ""),
-        key=found.get(headers.API_KEY, ""),
+    return caller_protocols.CallerRequest(
+        request_id=request_headers.get(headers.REQUEST_ID, ""),
+        host=request_headers.get("host", ""),
+        key=request_headers.get(headers.API_KEY, ""),
         time_limit_ms=time_limit_ms,
         prompt_tokens=int(prompt_tokens or 0),
         output_tokens_max=int(output_tokens or 0),
         prefix_name=prefix_name,
         prefix_tokens=prefix_tokens,
-        last_event=found.get(headers.LAST_EVENT, ""),
+        last_event_id=request_headers.get(headers.LAST_EVENT, ""),
         fields=headers.select_for_target(incoming.fields),
     )
 
 
 def _read_number(text: str) -> float | None:
-    """Returns a finite number that is not negative, or None."""
+    """Returns a finite, non-negative number, or None."""
     try:
         number = float(text)
     except ValueError:
@@ -58,8 +59,8 @@
     return number if math.isfinite(number) and number >= 0.0 else None
 
 
-def _read_shared_part(text: str) -> tuple[str, int]:
-    """Returns the first part of a prompt, which other prompts share."""
+def _read_shared_prefix(text: str) -> tuple[str, int]:
+    """Returns name and length of the first part of a prompt."""
     name, _, tokens = text.partition(",")[0].partition(":")
     return name, int(_read_number(tokens) or 0)
 
--- a/src/ruddergate/relay/answer.py
+++ b/src/ruddergate/relay/response_event.py
@@ -1,4 +1,4 @@
-"""What a target's answer to a call that is passed on brings."""
+"""Events that make up a target's response to a relayed request."""
 
 import dataclasses
 
@@ -8,13 +8,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WholeAnswer:
-    """An answer read to its end, to be handed on as it is.
+class CompleteResponse:
+    """A response that was read completely, to be relayed unchanged.
 
     Attributes:
         status: HTTP status.
-        fields: Header lines to hand on.
-        body: Whole body.
+        fields: Header lines to relay.
+        body: Complete body.
     """
 
     status: int
@@ -24,11 +24,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamHead:
-    """The beginning of a series of events; the first events follow it.
+    """The head of an event stream; the first events follow it.
 
     Attributes:
         status: HTTP status.
-        fields: Header lines to hand on.
+        fields: Header lines to relay.
     """
 
     status: int
@@ -37,47 +37,47 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamEvents:
-    """One or more whole events.
+    """One or more complete events.
 
     Attributes:
         data: Their bytes as received.
-        last_id: Id of the last of them.
+        last_event_id: Id of the last event.
     """
 
     data: bytes
-    last_id: str
+    last_event_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamEnd:
-    """The proper end of a series of events."""
+    """The regular end of an event stream."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LoadTold:
-    """A target told its load with an answer."""
+class LoadReported:
+    """A target reported its load with a response."""
 
     report: load_report.LoadReport
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class FaultTold:
-    """A target told that another one was at fault, which helped it.
+class HelperFaultReported:
+    """A target reported that one of its helpers was at fault.
 
     Attributes:
-        target_id: The one at fault.
+        target_id: The helper at fault.
     """
 
     target_id: str
 
 
 Event = (
-    WholeAnswer
+    CompleteResponse
     | StreamHead
     | StreamEvents
     | StreamEnd
-    | LoadTold
-    | FaultTold
+    | LoadReported
+    | HelperFaultReported
     | outcomes.NotServed
 )
-"""The last event is a WholeAnswer, a StreamEnd or a NotServed."""
+"""The last event is a CompleteResponse, a StreamEnd or a NotServed."""
--- a/standins/gateway_cluster.py
+++ b/standins/gateway_cluster.py
@@ -13,8 +13,8 @@
 from ruddergate.http import server
 from ruddergate.platform import callers
 from ruddergate.platform import orders
-from ruddergate.platform import replicas
 from ruddergate.platform import store as stores
+from ruddergate.platform import upstream
 from ruddergate.telemetry import traces
 from standins import pass_engine
 from standins import platform_replica
@@ -29,8 +29,8 @@
 _REPLICA_PORT = 90
 STORE_NAME = "store"
 _STORE = environment.Address(STORE_NAME, 70)
-_ORDER_LIMITS = client.TimeLimits(150.0, 500.0, 500.0)
-_STORE_LIMITS = client.TimeLimits(500.0, 1_500.0, 15_000.0)
+_ORDER_LIMITS = client.Timeouts(150.0, 500.0, 500.0)
+_STORE_LIMITS = client.Timeouts(500.0, 1_500.0, 15_000.0)
 HOST = "app.example"
 KEY = "key-of-w1"
 REVOKE_MS = 5_000.0
@@ -262,7 +262,7 @@
         replica = platform_replica.PlatformReplica(
             f"{node.name}.{start}", env, figures, self._engines
         )
-        replica.born_ms = int(env.wall_ms()) if keeps_name else 0
+        replica.started_ms = int(env.wall_ms()) if keeps_name else 0
         replica.fatal = self.fatal
         replica.crash = lambda: self.crash_target(node)
         node.replica = replica
@@ -365,9 +365,11 @@
 
 def _make_platform(env: environment.Environment) -> gateways.Platform:
     return gateways.Platform(
-        caller_protocol=callers.make_door(),
-        make_send=lambda hear: replicas.make_send(env, hear),
-        make_orders=lambda hear: orders.make_orders(env, _ORDER_LIMITS, hear),
+        caller_protocol=callers.make_caller_protocol(),
+        make_send=lambda on_hints: upstream.make_send(env, on_hints),
+        make_orders=lambda on_hints: orders.make_orders(
+            env, _ORDER_LIMITS, on_hints
+        ),
         source=stores.make_source(env, _STORE, _STORE_LIMITS),
     )
 
--- a/standins/rate_limit_fleet.py
+++ b/standins/rate_limit_fleet.py
@@ -22,10 +22,10 @@
 from ruddergate.entry import peer_gossip
 from ruddergate.entry import rate_limiter
 from ruddergate.fleet import condition
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
+from ruddergate.relay import hints as hint_types
 from ruddergate.relay import orders
-from ruddergate.relay import statement as statements
 from ruddergate.telemetry import metrics
 from standins import gateway_cluster
 from standins import platform_replica
@@ -237,8 +237,8 @@
         if not is_unlimited:
             vm.passed_on_s.setdefault(each.name, loop.time())
         vm.limiter.observe(
-            statements.Statement(
-                lives.Life(each.name),
+            hint_types.Hints(
+                incarnations.Incarnation(each.name),
                 rate_limit_per_s=None if is_unlimited else rate_per_s,
                 is_unlimited=is_unlimited,
                 is_call=True,
@@ -247,7 +247,7 @@
         )
 
     def _make_probe(self, name: str) -> Callable:
-        async def probe(target: targets.Target) -> orders.Told:
+        async def probe(target: targets.Target) -> orders.ProbeResult:
             vm = self.vms[name]
             each = self.found[target.target_id]
             sent_ms = vm.env.now_ms()
@@ -257,14 +257,14 @@
             await asyncio.sleep(0.002)
             is_unlimited = rate_per_s == float("inf")
             vm.limiter.observe(
-                statements.Statement(
-                    lives.Life(each.name),
+                hint_types.Hints(
+                    incarnations.Incarnation(each.name),
                     rate_limit_per_s=None if is_unlimited else rate_per_s,
                     is_unlimited=is_unlimited,
                     sent_ms=sent_ms,
                 )
             )
-            return orders.Told(orders.Sign.ALIVE)
+            return orders.ProbeResult(orders.ProbeStatus.ALIVE)
 
         return probe
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -14,7 +14,7 @@
 from ruddergate.adapters.vm_list import client as vm_list
 from ruddergate.http import message
 from ruddergate.http import server
-from ruddergate.messages import tree_wanted
+from ruddergate.messages import tree_request
 from ruddergate.wire import codec
 from ruddergate.wire import frames
 from standins import virtual_network
@@ -188,7 +188,7 @@
             reader, writer = await env.connect(_ADDRESS)
             stream = frames.FrameStream(reader, writer, key)
             await stream.greet()
-            await stream.send(tree_wanted.TreeWanted(3, ("a",)))
+            await stream.send(tree_request.TreeRequest(3, ("a",)))
             for data in sent:
                 writer.write(data)
             await asyncio.sleep(1.0)
@@ -200,15 +200,15 @@
 
     def test_peer_with_the_key_is_heard(self) -> None:
         received = self.receive(self.KEY)
-        self.assertEqual(received[0], tree_wanted.TreeWanted(3, ("a",)))
+        self.assertEqual(received[0], tree_request.TreeRequest(3, ("a",)))
 
     def test_peer_without_the_key_is_refused(self) -> None:
         received = self.receive(b"another key of 16")
-        self.assertIn("not from a peer", received[0].detail)
+        self.assertIn("MAC of a frame is wrong", received[0].detail)
 
     def test_garbage_is_refused(self) -> None:
         received = self.receive(self.KEY, b"\x00\x00\x00\x05" + b"x" * 40)
-        self.assertIn("not from a peer", received[-1].detail)
+        self.assertIn("MAC of a frame is wrong", received[-1].detail)
 
     def test_oversized_frame_is_refused_unread(self) -> None:
         received = self.receive(self.KEY, b"\xff" * 24)
--- a/tests/test_foreign_settings.py
+++ b/tests/test_foreign_settings.py
@@ -71,8 +71,8 @@
 
     def _check_route(self, route: routes.Route) -> None:
         self.assertGreater(route.time_limit_ms, 0.0)
-        self.assertGreaterEqual(route.aim_ms, 0.0)
-        self.assertGreaterEqual(route.gap_aim_ms, 0.0)
+        self.assertGreaterEqual(route.latency_slo_ms, 0.0)
+        self.assertGreaterEqual(route.gap_slo_ms, 0.0)
         self.assertGreaterEqual(route.targets_max, 1)
         self.assertGreater(len(route.shares), 0)
 
@@ -87,6 +87,6 @@
     @hypothesis.given(_JSON)
     @hypothesis.settings(max_examples=200, deadline=None, derandomize=True)
     def test_a_start_is_a_whole_number_or_unknown(self, document) -> None:
-        born_ms = targets.read_born_ms(document)
-        self.assertIs(type(born_ms), int)
-        self.assertGreaterEqual(born_ms, 0)
+        started_ms = targets.read_started_ms(document)
+        self.assertIs(type(started_ms), int)
+        self.assertGreaterEqual(started_ms, 0)
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -19,10 +19,10 @@
 from ruddergate.entry import scheduler_messages
 from ruddergate.entry import target_list
 from ruddergate.entry import view as views
-from ruddergate.fleet import bad_news
 from ruddergate.fleet import condition
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import load_report
+from ruddergate.fleet import loss_report
 from ruddergate.fleet import store_position
 from ruddergate.fleet import target as targets
 from ruddergate.relay import orders
@@ -39,7 +39,7 @@
 
 
 def _make_target(
-    born_ms: int, state: condition.Condition = condition.Condition.LIVE
+    started_ms: int, state: condition.Condition = condition.Condition.LIVE
 ) -> targets.Target:
     return targets.Target(
         "engine-1",
@@ -48,21 +48,31 @@
         environment.Address("engine-1", 1),
         state,
         8,
-        born_ms,
+        started_ms,
     )
 
 
 class LifeTest(unittest.TestCase):
     def test_words_of_lives_are_read_back(self) -> None:
-        for life in (lives.Life("a"), lives.Life("a@b", 7), lives.Life("a", 7)):
-            if life.target_id == "a@b" and not life.born_ms:
+        for incarnation in (
+            incarnations.Incarnation("a"),
+            incarnations.Incarnation("a@b", 7),
+            incarnations.Incarnation("a", 7),
+        ):
+            if incarnation.target_id == "a@b" and not incarnation.started_ms:
                 continue
-            text = lives.format_life(life)
-            self.assertEqual(lives.parse_life(text), life)
+            text = incarnations.format_incarnation(incarnation)
+            self.assertEqual(incarnations.parse_incarnation(text), incarnation)
 
     def test_word_of_an_earlier_release_is_a_name(self) -> None:
-        self.assertEqual(lives.parse_life("i-5"), lives.Life("i-5"))
-        self.assertEqual(lives.parse_life("i@x"), lives.Life("i@x"))
+        self.assertEqual(
+            incarnations.parse_incarnation("i-5"),
+            incarnations.Incarnation("i-5"),
+        )
+        self.assertEqual(
+            incarnations.parse_incarnation("i@x"),
+            incarnations.Incarnation("i@x"),
+        )
 
 
 class TargetListTest(unittest.TestCase):
@@ -81,16 +91,16 @@
         return next(iter(self.list.list_targets()), None)
 
     def test_leaving_binds_the_life_that_left(self) -> None:
-        leaving = _make_target(5, condition.Condition.LEAVING)
+        leaving = _make_target(5, condition.Condition.DRAINING)
         self._take(_make_target(5))
         self._take(leaving, _make_target(5))
-        self.assertIs(self._find().condition, condition.Condition.LEAVING)
+        self.assertIs(self._find().condition, condition.Condition.DRAINING)
         self._take(_make_target(6))
         self.assertIs(self._find().condition, condition.Condition.LIVE)
 
     def test_late_news_of_the_older_life_changes_nothing(self) -> None:
         self._take(_make_target(6))
-        self._take(_make_target(5, condition.Condition.LEAVING))
+        self._take(_make_target(5, condition.Condition.DRAINING))
         self.assertEqual(self._find(), _make_target(6))
         self._take(gone=("engine-1",))
         self._take(_make_target(5))
@@ -109,7 +119,7 @@
 
     def _play(self, *messages: object, lost: str = "") -> bool:
         """Returns whether the new life may be used after late news."""
-        told: list[bad_news.BadNews] = []
+        told: list[loss_report.LossReport] = []
 
         async def run() -> bool:
             network = virtual_network.VirtualNetwork(
@@ -123,15 +133,17 @@
                 configs.EntryConfig("vm", "h", environment.Address("vm", 1)),
                 view,
                 collect_loss_report=lambda: (
-                    told.pop() if told else bad_news.NOTHING
+                    told.pop() if told else loss_report.EMPTY
                 ),
             )
             process.start(scheduler.run)
-            for born_ms in (5, 6):
-                view.apply_targets((_make_target(born_ms),), env.now_ms())
+            for started_ms in (5, 6):
+                view.apply_targets((_make_target(started_ms),), env.now_ms())
                 scheduler.post(schedulers.ViewChanged())
                 await asyncio.sleep(0.1)
-            told.extend([bad_news.BadNews(gone=(lost,))] if lost else [])
+            told.extend(
+                [loss_report.LossReport(terminated=(lost,))] if lost else []
+            )
             for message in messages:
                 scheduler.post(message)
             await asyncio.sleep(0.55)
@@ -141,9 +153,9 @@
         return virtual_process.run(run)
 
     def test_failures_of_the_former_life(self) -> None:
-        for born_ms, is_used in ((5, True), (6, False)):
+        for started_ms, is_used in ((5, True), (6, False)):
             seat = scheduler_messages.Placement(
-                _make_target(born_ms), "attempt", 0
+                _make_target(started_ms), "attempt", 0
             )
             ended = scheduler_messages.AttemptEnded(
                 seat, is_target_fault=True, has_answered=False
@@ -151,9 +163,9 @@
             self.assertIs(self._play(*[ended] * 4), is_used)
 
     def test_reports_of_the_former_life(self) -> None:
-        for born_ms, is_used in ((5, True), (6, False)):
+        for started_ms, is_used in ((5, True), (6, False)):
             report = load_report.LoadReport(
-                "engine-1", "g", 0, 0, 0, True, 0.0, born_ms
+                "engine-1", "g", 0, 0, 0, True, 0.0, started_ms
             )
             self.assertIs(
                 self._play(scheduler_messages.LoadReported(report)), is_used
@@ -170,9 +182,9 @@
     def test_memory_is_not_set_aside_anew_in_the_next_life(self) -> None:
         given: list[str] = []
 
-        async def note(name: str) -> orders.Answer:
+        async def note(name: str) -> orders.OrderResult:
             given.append(name)
-            return orders.Answer.DONE
+            return orders.OrderResult.DONE
 
         async def run() -> None:
             network = virtual_network.VirtualNetwork(
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -15,7 +15,7 @@
 from ruddergate.fleet import condition
 from ruddergate.fleet import target as targets
 from ruddergate.messages import document_part
-from ruddergate.messages import news
+from ruddergate.messages import store_changes
 from standins import epoch_model
 from standins import explore
 from standins import gateway_cluster
@@ -98,7 +98,7 @@
     def setUp(self) -> None:
         self.log = change_log.ChangeLog()
         self.live = _make_target("t", condition.Condition.LIVE)
-        self.leaving = _make_target("t", condition.Condition.LEAVING)
+        self.leaving = _make_target("t", condition.Condition.DRAINING)
 
     def test_changes_since_a_position(self) -> None:
         self.log.note(change_log.Step(1, 5, False, (self.live,)))
@@ -197,7 +197,7 @@
                     for each in view.listing.targets
                     if each.target_id == node.replica.name
                 ]
-                self.assertIs(found.condition, condition.Condition.LEAVING)
+                self.assertIs(found.condition, condition.Condition.DRAINING)
 
         self.play(scene)
 
@@ -332,8 +332,10 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             for node in scene.cluster.vms.values():
                 sync = node.gateway._sync
-                sync.answer_changes_request = lambda wanted: news.News(
-                    wanted.question, 9_999, -5_000.0, True
+                sync.answer_changes_request = lambda wanted: (
+                    store_changes.StoreChangesReply(
+                        wanted.correlation_id, 9_999, -5_000.0, True
+                    )
                 )
             scene.cluster.keys = {"w1": ["another"]}
             scene.cluster.publish()
--- a/tests/test_replica_calls.py
+++ b/tests/test_replica_calls.py
@@ -11,10 +11,10 @@
 from ruddergate.fleet import target as targets
 from ruddergate.http import message
 from ruddergate.http import server
-from ruddergate.platform import replicas
-from ruddergate.relay import answer as answers
-from ruddergate.relay import errand as errands
-from ruddergate.relay import statement as statements
+from ruddergate.platform import upstream
+from ruddergate.relay import hints as hint_types
+from ruddergate.relay import response_event as response_events
+from ruddergate.relay import upstream_request as upstream_requests
 from ruddergate.settings import route as routes
 from standins import virtual_network
 from standins import virtual_process
@@ -39,7 +39,7 @@
 _FIRST_MS = 900.0
 
 
-def _make_errand(now_ms: float) -> errands.Errand:
+def _make_errand(now_ms: float) -> upstream_requests.UpstreamRequest:
     payload = payloads.Payload(
         _ROUTE,
         "POST",
@@ -49,13 +49,13 @@
         b"",
         "",
     )
-    patience = errands.Patience(250.0, _FIRST_MS, _FIRST_MS)
-    return errands.Errand(
-        payload, _TARGET, "w", now_ms + 10_000.0, 3, "", (), patience
+    timeouts = upstream_requests.Timeouts(250.0, _FIRST_MS, _FIRST_MS)
+    return upstream_requests.UpstreamRequest(
+        payload, _TARGET, "w", now_ms + 10_000.0, 3, "", (), timeouts
     )
 
 
-async def _play(stands_still_ms: float) -> list[answers.Event]:
+async def _play(stands_still_ms: float) -> list[response_events.Event]:
     """Sends a call that is answered shortly after its patience has ended."""
     network = virtual_network.VirtualNetwork(1, virtual_network.Latency())
     far = virtual_process.VirtualProcess("target", "h")
@@ -77,9 +77,9 @@
         return passed + (stands_still_ms if passed > began_ms + 500.0 else 0.0)
 
     env = dataclasses.replace(plain, now_ms=now_ms)
-    send = replicas.make_send(env, statements.ignore)
+    send = upstream.make_send(env, hint_types.ignore_hints)
 
-    async def collect() -> list[answers.Event]:
+    async def collect() -> list[response_events.Event]:
         return [event async for event in send(_make_errand(now_ms()))]
 
     return await near.start(collect)
@@ -101,7 +101,7 @@
             came.append(incoming)
             return message.Response(200, {"x-replica-signature": "s"}, b"ok")
 
-        async def run() -> list[answers.Event]:
+        async def run() -> list[response_events.Event]:
             network = virtual_network.VirtualNetwork(
                 1, virtual_network.Latency()
             )
@@ -124,13 +124,13 @@
                 return streams
 
             env = dataclasses.replace(plain, connect=connect)
-            send = replicas.make_send(env, statements.ignore)
-            errand = dataclasses.replace(
-                _make_errand(env.now_ms()), refuse=refuse
+            send = upstream.make_send(env, hint_types.ignore_hints)
+            upstream_request = dataclasses.replace(
+                _make_errand(env.now_ms()), check_admission=refuse
             )
 
-            async def collect() -> list[answers.Event]:
-                return [event async for event in send(errand)]
+            async def collect() -> list[response_events.Event]:
+                return [event async for event in send(upstream_request)]
 
             return await near.start(collect)
 
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -19,7 +19,7 @@
 from ruddergate.entry import store_epochs
 from ruddergate.fleet import condition
 from ruddergate.fleet import store_position
-from ruddergate.messages import news
+from ruddergate.messages import store_changes
 from ruddergate.relay import published
 from standins import gateway_cluster
 from standins import virtual_network
@@ -56,7 +56,7 @@
         await asyncio.sleep(_APPLY_S)
         for vm in scene.cluster.vms:
             found = scene.find_condition(vm, node)
-            self.assertIs(found, condition.Condition.LEAVING, vm)
+            self.assertIs(found, condition.Condition.DRAINING, vm)
             self.assertEqual(
                 await scene.count_arrivals(node.replica, "open", vm), 0, vm
             )
@@ -100,7 +100,7 @@
             await asyncio.sleep(_APPLY_S)
             for vm in scene.cluster.vms:
                 found = scene.find_condition(vm, node)
-                self.assertIs(found, condition.Condition.LEAVING, vm)
+                self.assertIs(found, condition.Condition.DRAINING, vm)
 
         gateway_scene.play(scene, vms=9, halls=1)
 
@@ -182,7 +182,7 @@
             await asyncio.sleep(5.0)
             for name in names:
                 found = scene.find_condition(name, node)
-                self.assertIs(found, condition.Condition.LEAVING, name)
+                self.assertIs(found, condition.Condition.DRAINING, name)
                 self.assertEqual((await scene.call("unsafe", name)).status, 200)
 
         gateway_scene.play(scene, vms=9, halls=1)
@@ -222,7 +222,7 @@
             await asyncio.sleep(_APPLY_S)
             for vm in cluster.vms:
                 found = scene.find_condition(vm, node)
-                self.assertIs(found, condition.Condition.LEAVING, vm)
+                self.assertIs(found, condition.Condition.DRAINING, vm)
 
         gateway_scene.play(scene, vms=5, halls=1)
 
@@ -235,7 +235,7 @@
         sync._find_targets,
     )
     sync.answer_changes_request = lambda wanted: dataclasses.replace(
-        answer_changes_request(wanted), epoch=10**9, is_whole=False
+        answer_changes_request(wanted), epoch=10**9, is_complete=False
     )
     sync.targets._find = lambda position: find_targets(
         dataclasses.replace(position, epoch=1)
@@ -249,14 +249,14 @@
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def _ask(self, epoch: int, ahead: int) -> news.News:
+    def _ask(self, epoch: int, ahead: int) -> store_changes.StoreChangesReply:
         """Returns a VM's answer to a question from a position."""
         told = []
 
         async def scene(scene: gateway_scene.Scene) -> None:
             gateway = scene.cluster.vms["vm-0"].gateway
             position = gateway.context.view.store_position
-            question = news.NewsWanted(
+            question = store_changes.StoreChangesRequest(
                 "vm-1:83", "q", position.revision + ahead, epoch
             )
             told.append(gateway.handle_peer_request(question))
@@ -265,18 +265,18 @@
         return told[0]
 
     def test_nothing_is_told_across_epochs(self) -> None:
-        self.assertTrue(self._ask(1, 0).is_whole)
+        self.assertTrue(self._ask(1, 0).is_complete)
         for epoch in (0, 2, 10**9):
-            self.assertFalse(self._ask(epoch, 0).is_whole)
+            self.assertFalse(self._ask(epoch, 0).is_complete)
 
     def test_nothing_is_told_to_a_vm_that_is_ahead(self) -> None:
-        self.assertFalse(self._ask(1, 1).is_whole)
+        self.assertFalse(self._ask(1, 1).is_complete)
 
     def test_peer_that_makes_up_an_epoch_costs_a_read(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             gateway = scene.cluster.vms["vm-0"].gateway
             gateway.handle_peer_request(
-                news.NewsWanted("vm-1:83", "q", 5, 10**9)
+                store_changes.StoreChangesRequest("vm-1:83", "q", 5, 10**9)
             )
             await asyncio.sleep(_APPLY_S)
             self.assertEqual(gateway.context.view.store_position.epoch, 1)
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -10,24 +10,29 @@
 from hypothesis import strategies
 
 from ruddergate.decisions import poison_requests
-from ruddergate.fleet import life as lives
-from ruddergate.messages import suspects as messages
+from ruddergate.fleet import incarnation as incarnations
+from ruddergate.messages import poison_reports as messages
 from ruddergate.wire import codec
 
 _NOW_MS = 1_000_000.0
 
 
-def _life(number: int) -> lives.Life:
-    return lives.Life(f"engine-{number}", 1_700_000_000_000 + number)
+def _life(number: int) -> incarnations.Incarnation:
+    return incarnations.Incarnation(
+        f"engine-{number}", 1_700_000_000_000 + number
+    )
 
 
-def _row(content: str, *numbers: int, finished_age_ms=None) -> messages.Suspect:
+def _row(
+    content: str, *numbers: int, finished_age_ms=None
+) -> messages.PoisonReport:
     ended = tuple(
-        messages.EndedLife(_life(number), 100.0, 1.0) for number in numbers
+        messages.EndedIncarnation(_life(number), 100.0, 1.0)
+        for number in numbers
     )
     if finished_age_ms is None:
-        return messages.Suspect(content, ended)
-    return messages.Suspect(content, ended, finished_age_ms)
+        return messages.PoisonReport(content, ended)
+    return messages.PoisonReport(content, ended, finished_age_ms)
 
 
 class VerdictTest(unittest.TestCase):
@@ -70,9 +75,9 @@
         self.assertFalse(self._is_quarantined("a"))
 
     def test_two_starts_under_one_name_are_two_lives(self) -> None:
-        for born_ms in (5, 6, 7):
-            life = lives.Life("engine-0", born_ms)
-            self.known.note_crash("a", life, 1.0, _NOW_MS)
+        for started_ms in (5, 6, 7):
+            incarnation = incarnations.Incarnation("engine-0", started_ms)
+            self.known.note_crash("a", incarnation, 1.0, _NOW_MS)
         self.assertTrue(self._is_quarantined("a"))
 
     def test_content_that_ran_to_its_end_is_cleared(self) -> None:
@@ -158,7 +163,7 @@
         self.assertEqual(known.count_crashes("a", _NOW_MS + 50.0), 0)
 
     def test_rows_survive_the_wire(self) -> None:
-        told = messages.Suspects(
+        told = messages.PoisonReports(
             "10.0.0.1:83", (_row("a", 0, 1, finished_age_ms=5.0), _row("b", 2))
         )
         self.assertEqual(codec.decode(codec.encode(told)), told)
@@ -168,11 +173,11 @@
             _row(f"{number:032x}", number, number + 1, number + 2)
             for number in range(poison_requests.MAX_ROWS_PER_DATAGRAM)
         )
-        data = codec.encode(messages.Suspects("10.0.0.1:83", rows))
+        data = codec.encode(messages.PoisonReports("10.0.0.1:83", rows))
         self.assertLess(len(data), 3_000)
 
     def test_rows_that_can_not_be_true_are_refused(self) -> None:
-        ended = messages.EndedLife(_life(0), 1.0, 1.0)
+        ended = messages.EndedIncarnation(_life(0), 1.0, 1.0)
         wrong = [
             dataclasses.replace(ended, age_ms=-1.0),
             dataclasses.replace(ended, age_ms=math.nan),
@@ -182,14 +187,14 @@
             dataclasses.replace(ended, weight=math.nan),
         ]
         for each in wrong:
-            rows = (messages.Suspect("a", (each,)),)
+            rows = (messages.PoisonReport("a", (each,)),)
             self.assertNotEqual(poison_requests.find_error(rows), "")
         for age_ms in (-5.0, math.inf):
-            rows = (messages.Suspect("a", (ended,), age_ms),)
+            rows = (messages.PoisonReport("a", (ended,), age_ms),)
             self.assertNotEqual(poison_requests.find_error(rows), "")
         many = (ended,) * (poison_requests.MAX_CRASHES + 1)
         self.assertNotEqual(
-            poison_requests.find_error((messages.Suspect("a", many),)), ""
+            poison_requests.find_error((messages.PoisonReport("a", many),)), ""
         )
         rows = (_row("a", 0),) * (poison_requests.MAX_ROWS_PER_DATAGRAM + 1)
         self.assertNotEqual(poison_requests.find_error(rows), "")
--- a/tests/test_withdrawals.py
+++ b/tests/test_withdrawals.py
@@ -4,10 +4,10 @@
 
 from ruddergate.decisions import drain_suspects
 from ruddergate.decisions import draining
-from ruddergate.fleet import life as lives
+from ruddergate.fleet import incarnation as incarnations
 
-_OLD = lives.Life("i-1", 5)
-_YOUNG = lives.Life("i-1", 6)
+_OLD = incarnations.Incarnation("i-1", 5)
+_YOUNG = incarnations.Incarnation("i-1", 6)
 
 
 class LeavingTest(unittest.TestCase):
@@ -53,7 +53,7 @@
         )
 
     def test_peers_word_counts_for_the_listed_life_only(self) -> None:
-        unknown = lives.Life("i-1")
+        unknown = incarnations.Incarnation("i-1")
         self.assertFalse(self.withdrawn.merge_gossip(_OLD, "peer", 0.0, 9.0))
         self.withdrawn.note_listed(_YOUNG, 0.0)
         self.assertFalse(self.withdrawn.merge_gossip(_OLD, "peer", 0.0, 9.0))
@@ -116,7 +116,7 @@
         self.withdrawn.note_listed(_YOUNG, 0.0)
         self.withdrawn.merge_gossip(_YOUNG, "peer", 0.0, 9.0)
         self.withdrawn.note_drain_hint(_YOUNG, 0.5)
-        self.withdrawn.note_published_drain(lives.Life("i-2", 1))
+        self.withdrawn.note_published_drain(incarnations.Incarnation("i-2", 1))
         self.assertEqual(self.withdrawn.summarize(1.0), ("i-1@5",))
         late_ms = draining.ANNOUNCE_DURATION_MS + 1.0
         self.assertEqual(self.withdrawn.summarize(late_ms), ())
@@ -128,12 +128,18 @@
 
     def test_what_is_kept_and_told_is_bounded(self) -> None:
         for number in range(draining.MAX_DRAINING + 10):
-            self.withdrawn.note_drain_hint(lives.Life(f"i-{number}"), 0.0)
+            self.withdrawn.note_drain_hint(
+                incarnations.Incarnation(f"i-{number}"), 0.0
+            )
         told = self.withdrawn.summarize(0.0)
         self.assertEqual(len(told), draining.MAX_ANNOUNCED)
         self.assertEqual(told[-1], f"i-{draining.MAX_DRAINING + 9}")
-        self.assertFalse(self.withdrawn.may_be_draining(lives.Life("i-9")))
-        self.assertTrue(self.withdrawn.may_be_draining(lives.Life("i-10")))
+        self.assertFalse(
+            self.withdrawn.may_be_draining(incarnations.Incarnation("i-9"))
+        )
+        self.assertTrue(
+            self.withdrawn.may_be_draining(incarnations.Incarnation("i-10"))
+        )
 
 
 class QuietTest(unittest.TestCase):
@@ -169,7 +175,9 @@
 
     def test_what_is_kept_is_bounded(self) -> None:
         for number in range(draining.MAX_BACKOFFS + 1):
-            self.withdrawn.note_backoff(lives.Life(f"i-{number}"), 100.0)
+            self.withdrawn.note_backoff(
+                incarnations.Incarnation(f"i-{number}"), 100.0
+            )
         most = draining.MAX_BACKOFFS
         self.assertEqual(self.withdrawn.count_backing_off(0.0), most)
         self.assertEqual(self.withdrawn.count_backing_off(100.0), 0)
@@ -201,7 +209,7 @@
 
     def test_it_does_not_hold_for_one_that_started_later(self) -> None:
         self.withdrawn.note_backoff(_OLD, 100.0, hinted_wall_ms=50.0)
-        later = lives.Life("i-1", 51)
+        later = incarnations.Incarnation("i-1", 51)
         self.withdrawn.note_listed(later, 60.0)
         self.assertTrue(self.withdrawn.accepts_requests(later, 60.0))
 
