--- a/src/ruddergate/entry/peer_rpc.py
+++ b/src/ruddergate/entry/peer_rpc.py
@@ -142,7 +142,7 @@
         try:
             environment.parse_address(request.sender)
         except ValueError:
-            self._log.warning("Request dropped, its sender is no address.")
+            self._log.warning("Ignoring request: sender is not an address.")
             return
         reply = self._handle_request(request)
         if reply is not None:
@@ -157,7 +157,7 @@
 
     async def _call(self, request: Request, peer: str) -> Reply | None:
         loop = asyncio.get_running_loop()
-        pending = self._pending[request.question] = loop.create_future()
+        pending = self._pending[request.correlation_id] = loop.create_future()
         self._send(request, peer)
         try:
             async with asyncio.timeout(REPLY_TIMEOUT_MS / 1000.0):
@@ -165,4 +165,4 @@
         except TimeoutError:
             return None
         finally:
-            self._pending.pop(request.question, None)
+            self._pending.pop(request.correlation_id, None)
