--- a/tests/gateway_scene.py
+++ b/tests/gateway_fixture.py
@@ -16,7 +16,7 @@
 _CALLS = 8
 
 
-class Scene:
+class Fixture:
     """A cluster that has started, and a caller outside of it."""
 
     def __init__(self, cluster: gateway_cluster.GatewayCluster) -> None:
@@ -34,7 +34,7 @@
         call = gateway_caller.Call(f"r{self._count}", route, vm, **fields)
         return await self.caller.send(call)
 
-    def runs(self, got: gateway_caller.Got) -> list[platform_replica.Run]:
+    def find_runs(self, got: gateway_caller.Got) -> list[platform_replica.Run]:
         """Returns what ran of a call."""
         return [
             run
@@ -43,7 +43,7 @@
             if run.request_id == got.call.request_id
         ]
 
-    async def call_until_told(
+    async def call_until_draining_hint(
         self, replica: platform_replica.PlatformReplica, route: str
     ) -> None:
         """Has vm-0 pass on an answer of a replica that says that it leaves."""
@@ -65,7 +65,7 @@
             await self.call(route, vm)
         return len(replica.arrivals) - before
 
-    def find_condition(
+    def find_listed_condition(
         self, vm: str, node: gateway_cluster.Node
     ) -> condition.Condition | None:
         """Returns what a VM believes of a target; None if it is not listed."""
@@ -79,7 +79,9 @@
             None,
         )
 
-    def spoil(self, prefix: str, count: int | None = None, **wrong) -> None:
+    def inject_faults(
+        self, prefix: str, count: int | None = None, **wrong
+    ) -> None:
         """Has the replicas of a name misbehave."""
         names = sorted(self.cluster.targets)
         chosen = [name for name in names if name.startswith(prefix)][:count]
@@ -88,8 +90,8 @@
                 setattr(self.cluster.targets[name].replica.wrong, field, value)
 
 
-def play(
-    scene: Callable[[Scene], Awaitable[None]], **sizes: int
+def run_scenario(
+    scene: Callable[[Fixture], Awaitable[None]], **sizes: int
 ) -> gateway_cluster.GatewayCluster:
     """Plays a scene in virtual time."""
 
@@ -98,7 +100,7 @@
             gateway_cluster.Layout(**sizes)
         )
         await cluster.start()
-        await scene(Scene(cluster))
+        await scene(Fixture(cluster))
         return cluster
 
     return virtual_process.run(run)
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_requests.py
@@ -9,7 +9,7 @@
 from standins import gateway_caller
 from standins import gateway_cluster
 from standins import gateway_promises
-from tests import gateway_scene
+from tests import gateway_fixture
 
 _FATAL = b"a prompt that ends engines"
 # Engines that such a call may end before it is known for what it is.
@@ -38,55 +38,57 @@
         loguru.logger.remove()
 
     def test_call_that_ended_three_engines_is_sent_no_more(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            scene.cluster.fatal.add(_FATAL)
-            vms = len(scene.cluster.vms)
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            fixture.cluster.fatal.add(_FATAL)
+            vms = len(fixture.cluster.vms)
             for number in range(12):
-                got = await scene.call(
+                got = await fixture.call(
                     "short", f"vm-{number % vms}", body=_FATAL
                 )
                 self.assertIn(got.status, (502, 503))
                 await asyncio.sleep(0.3 if number % _TRIES else 3.0)
-            sends = scene.cluster.list_runs(_FATAL)
+            sends = fixture.cluster.list_runs(_FATAL)
             self.assertLessEqual(len(sends), _ENDED_MOST)
 
-        gateway_scene.play(scene, vms=6, engines=12)
+        gateway_fixture.run_scenario(scenario, vms=6, engines=12)
 
     def test_replicas_that_keep_their_names_count_life_by_life(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            scene.cluster.fatal.add(_FATAL)
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            fixture.cluster.fatal.add(_FATAL)
             for number in range(10):
-                await scene.call("short", f"vm-{number % 3}", body=_FATAL)
+                await fixture.call("short", f"vm-{number % 3}", body=_FATAL)
                 await asyncio.sleep(3.0)
-            sends = scene.cluster.list_runs(_FATAL)
+            sends = fixture.cluster.list_runs(_FATAL)
             self.assertLessEqual(len(sends), _ENDED_MOST)
 
-        gateway_scene.play(scene, engines=2, halls=1, keeps_names=True)
+        gateway_fixture.run_scenario(
+            scenario, engines=2, halls=1, keeps_names=True
+        )
 
     def test_tries_at_many_vms_at_once_end_soon(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            scene.cluster.fatal.add(_FATAL)
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            fixture.cluster.fatal.add(_FATAL)
             for _ in range(3):
                 await asyncio.gather(
                     *(
-                        scene.call("short", vm, body=_FATAL)
-                        for vm in scene.cluster.vms
+                        fixture.call("short", vm, body=_FATAL)
+                        for vm in fixture.cluster.vms
                     )
                 )
                 await asyncio.sleep(_HEARD_S)
-            sends = scene.cluster.list_runs(_FATAL)
+            sends = fixture.cluster.list_runs(_FATAL)
             late = [run for run in sends if run.at_s > sends[2].at_s + _HEARD_S]
             self.assertEqual(late, [])
-            self.assertLessEqual(len(sends), 2 * len(scene.cluster.vms))
+            self.assertLessEqual(len(sends), 2 * len(fixture.cluster.vms))
 
-        gateway_scene.play(scene, vms=6, engines=16)
+        gateway_fixture.run_scenario(scenario, vms=6, engines=16)
 
     def test_calls_beside_it_are_served(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            scene.cluster.fatal.add(_FATAL)
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            fixture.cluster.fatal.add(_FATAL)
             beside = [
                 asyncio.ensure_future(
-                    scene.call(
+                    fixture.call(
                         "short",
                         f"vm-{number % 6}",
                         body=b"beside %d" % number,
@@ -97,19 +99,19 @@
             ]
             await asyncio.sleep(0.1)
             for number in range(4):
-                await scene.call("short", f"vm-{number}", body=_FATAL)
+                await fixture.call("short", f"vm-{number}", body=_FATAL)
             got = await asyncio.gather(*beside)
             failed = [each for each in got if not each.is_whole]
             self.assertEqual(failed, [])
             self.assertEqual(
-                gateway_promises.find_broken(scene.cluster, got), []
+                gateway_promises.find_broken(fixture.cluster, got), []
             )
             # Nor is any of them held to have ended an engine.
             for number in range(24):
-                again = await scene.call("short", body=b"beside %d" % number)
+                again = await fixture.call("short", body=b"beside %d" % number)
                 self.assertEqual(again.status, 200)
 
-        gateway_scene.play(scene, vms=6, engines=12)
+        gateway_fixture.run_scenario(scenario, vms=6, engines=12)
 
 
 class KnowledgeTest(unittest.TestCase):
@@ -127,51 +129,51 @@
         self._play_restarts(("vm-0", "vm-1"), 1.2)
 
     def _play_restarts(self, restarted: tuple[str, ...], wait_s: float) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            scene.cluster.fatal.add(_FATAL)
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            fixture.cluster.fatal.add(_FATAL)
             for vm in ("vm-0", "vm-1"):
-                await scene.call("short", vm, body=_FATAL)
-            known = len(scene.cluster.list_runs(_FATAL))
+                await fixture.call("short", vm, body=_FATAL)
+            known = len(fixture.cluster.list_runs(_FATAL))
             for vm in restarted:
-                node = scene.cluster.vms[vm]
-                scene.cluster.kill(node)
-                scene.cluster.start_vm(node)
+                node = fixture.cluster.vms[vm]
+                fixture.cluster.kill(node)
+                fixture.cluster.start_vm(node)
             await asyncio.sleep(wait_s)
-            for vm in scene.cluster.vms:
-                got = await scene.call("short", vm, body=_FATAL)
+            for vm in fixture.cluster.vms:
+                got = await fixture.call("short", vm, body=_FATAL)
                 self.assertEqual(got.status, 503)
                 self.assertIn("retry-after", got.headers)
-            sends = scene.cluster.list_runs(_FATAL)
+            sends = fixture.cluster.list_runs(_FATAL)
             self.assertEqual(len(sends), known)
 
-        gateway_scene.play(scene, vms=4, engines=12)
+        gateway_fixture.run_scenario(scenario, vms=4, engines=12)
 
     def test_hall_that_was_cut_off_hears_of_it(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            cluster = scene.cluster
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            cluster = fixture.cluster
             cluster.fatal.add(_FATAL)
             cut = gateway_cluster.virtual_network.Cut("hall-2", "")
             cluster.network.cuts.append(cut)
             for vm in ("vm-0", "vm-1"):
-                await scene.call("short", vm, body=_FATAL)
+                await fixture.call("short", vm, body=_FATAL)
             known = len(cluster.list_runs(_FATAL))
             await asyncio.sleep(3.0)
             cluster.network.cuts.remove(cut)
             await asyncio.sleep(_HEARD_S)
             for vm, node in cluster.vms.items():
                 if node.hall == "hall-2":
-                    got = await scene.call("short", vm, body=_FATAL)
+                    got = await fixture.call("short", vm, body=_FATAL)
                     self.assertEqual(got.status, 503)
             self.assertEqual(len(cluster.list_runs(_FATAL)), known)
 
-        gateway_scene.play(scene, vms=6, engines=12)
+        gateway_fixture.run_scenario(scenario, vms=6, engines=12)
 
     def test_large_fleet_hears_of_it_in_time(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            cluster = scene.cluster
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            cluster = fixture.cluster
             cluster.fatal.add(_FATAL)
             for vm in ("vm-0", "vm-1"):
-                await scene.call("short", vm, body=_FATAL)
+                await fixture.call("short", vm, body=_FATAL)
             await asyncio.sleep(1.0)
             knowing = [
                 node.name
@@ -180,7 +182,7 @@
             ]
             self.assertEqual(len(knowing), len(cluster.vms))
 
-        gateway_scene.play(scene, vms=40, engines=12)
+        gateway_fixture.run_scenario(scenario, vms=40, engines=12)
 
 
 class InnocentTest(unittest.TestCase):
@@ -191,11 +193,11 @@
         loguru.logger.remove()
 
     def test_random_crashes_blame_nobody(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
             chance = random.Random(7)
             calls = []
             for number in range(300):
-                call = scene.call(
+                call = fixture.call(
                     chance.choice(("short", "short", "safe")),
                     f"vm-{number % 6}",
                     body=b"%d" % (number % 100),
@@ -204,52 +206,54 @@
                 await asyncio.sleep(0.05)
                 if number % 25 == 0:
                     for name in chance.sample(_ENGINES, 3):
-                        node = scene.cluster.targets[name]
+                        node = fixture.cluster.targets[name]
                         if not node.process.is_dead:
-                            scene.cluster.crash_target(node)
+                            fixture.cluster.crash_target(node)
             got = await asyncio.gather(*calls)
             refused = [each for each in got if b"quarantined" in each.body]
             self.assertEqual(refused, [])
             served = sum(each.is_whole for each in got)
             self.assertGreater(served, 0.97 * len(got))
 
-        gateway_scene.play(scene, vms=6, engines=len(_ENGINES))
+        gateway_fixture.run_scenario(scenario, vms=6, engines=len(_ENGINES))
 
     def test_calls_that_lose_a_service_are_served_elsewhere(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
             calls = [
                 asyncio.ensure_future(
-                    scene.call("safe", f"vm-{number % 3}", body=b"%d" % number)
+                    fixture.call(
+                        "safe", f"vm-{number % 3}", body=b"%d" % number
+                    )
                 )
                 for number in range(9)
             ]
             await asyncio.sleep(0.03)
-            scene.cluster.crash_target(scene.cluster.targets["service-0"])
+            fixture.cluster.crash_target(fixture.cluster.targets["service-0"])
             got = await asyncio.gather(*calls)
             self.assertEqual({each.status for each in got}, {200})
-            for node in scene.cluster.vms.values():
+            for node in fixture.cluster.vms.values():
                 self.assertGreater(len(node.gateway.context.quarantine), 0)
 
-        gateway_scene.play(scene)
+        gateway_fixture.run_scenario(scenario)
 
     def test_long_prompts_that_meet_crash_after_crash_are_served(self) -> None:
         # A prompt that is read for seconds meets every second crash; two of
         # them were held for proof, and the caller's retry was refused.
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
             chance = random.Random(11)
 
             async def crash_in_series() -> None:
                 while True:
                     await asyncio.sleep(1.0)
                     for name in chance.sample(_ENGINES, 3):
-                        node = scene.cluster.targets[name]
+                        node = fixture.cluster.targets[name]
                         if not node.process.is_dead:
-                            scene.cluster.crash_target(node)
+                            fixture.cluster.crash_target(node)
 
             async def try_twice(number: int) -> list[gateway_caller.Got]:
                 tries = []
                 for vm in (f"vm-{number % 6}", f"vm-{(number + 1) % 6}"):
-                    got = await scene.call(
+                    got = await fixture.call(
                         "long",
                         vm,
                         body=b"archive %d" % number,
@@ -272,4 +276,4 @@
             refused = [each for each in got if b"quarantined" in each.body]
             self.assertEqual(refused, [])
 
-        gateway_scene.play(scene, vms=6, engines=len(_ENGINES))
+        gateway_fixture.run_scenario(scenario, vms=6, engines=len(_ENGINES))
--- a/tests/test_leaving_delay.py
+++ b/tests/test_drain_delay.py
@@ -16,7 +16,7 @@
 from ruddergate.fleet import condition
 from standins import gateway_cluster
 from standins import virtual_network
-from tests import gateway_scene
+from tests import gateway_fixture
 
 # A target that leaves gets no calls later than this.
 _LEAVE_S = 2.0
@@ -26,50 +26,50 @@
 _APART_S = 0.21
 _VMS = 9
 
-_Trouble = Callable[[gateway_scene.Scene, str], Awaitable[None]]
+_Trouble = Callable[[gateway_fixture.Fixture, str], Awaitable[None]]
 
 
-async def _play_nothing(scene: gateway_scene.Scene, reader: str) -> None:
+async def _play_nothing(fixture: gateway_fixture.Fixture, reader: str) -> None:
     """Leaves all as it is."""
 
 
-async def _kill(scene: gateway_scene.Scene, reader: str) -> None:
+async def _kill(fixture: gateway_fixture.Fixture, reader: str) -> None:
     """Ends the VM that reads the store for its hall."""
-    scene.cluster.kill(scene.cluster.vms.pop(reader))
+    fixture.cluster.kill(fixture.cluster.vms.pop(reader))
 
 
-async def _freeze(scene: gateway_scene.Scene, reader: str) -> None:
+async def _freeze(fixture: gateway_fixture.Fixture, reader: str) -> None:
     """Stops the VM that reads the store for its hall."""
-    scene.cluster.vms.pop(reader).process.freeze()
+    fixture.cluster.vms.pop(reader).process.freeze()
 
 
-async def _turn_away(scene: gateway_scene.Scene, reader: str) -> None:
+async def _turn_away(fixture: gateway_fixture.Fixture, reader: str) -> None:
     """Parts the VM that reads for its hall from the store."""
     cut = virtual_network.Cut(reader, gateway_cluster.STORE_NAME)
-    scene.cluster.network.cuts.append(cut)
-    del scene.cluster.vms[reader]
+    fixture.cluster.network.cuts.append(cut)
+    del fixture.cluster.vms[reader]
 
 
-async def _restore(scene: gateway_scene.Scene, reader: str) -> None:
+async def _restore(fixture: gateway_fixture.Fixture, reader: str) -> None:
     """Restores the store from a copy of two seconds ago."""
-    copy = scene.cluster.store.take_copy()
+    copy = fixture.cluster.store.take_copy()
     await asyncio.sleep(2.0)
-    scene.cluster.store.restore(copy)
+    fixture.cluster.store.restore(copy)
 
 
-async def _start(scene: gateway_scene.Scene, reader: str) -> None:
+async def _start(fixture: gateway_fixture.Fixture, reader: str) -> None:
     """Starts a VM that the others know already."""
-    node = scene.cluster.vms["vm-3"]
-    scene.cluster.kill(node)
-    scene.cluster.start_vm(node)
+    node = fixture.cluster.vms["vm-3"]
+    fixture.cluster.kill(node)
+    fixture.cluster.start_vm(node)
     await asyncio.sleep(0.05)
 
 
 _WAYS = (_play_nothing, _kill, _freeze, _turn_away, _restore, _start)
 
 
-def _find_reader(scene: gateway_scene.Scene) -> str:
-    peers = scene.cluster.vms["vm-0"].gateway._peers
+def _find_reader(fixture: gateway_fixture.Fixture) -> str:
+    peers = fixture.cluster.vms["vm-0"].gateway._peers
     return peers.rank_hall()[0].partition(":")[0]
 
 
@@ -82,16 +82,18 @@
     )
 
 
-async def _measure(scene: gateway_scene.Scene, trouble: _Trouble) -> float:
+async def _measure(
+    fixture: gateway_fixture.Fixture, trouble: _Trouble
+) -> float:
     """Returns the time after which the last VM knew of a leaving."""
     loop = asyncio.get_running_loop()
-    await trouble(scene, _find_reader(scene))
-    node = scene.cluster.targets["service-0"]
-    scene.cluster.drain_target(node)
+    await trouble(fixture, _find_reader(fixture))
+    node = fixture.cluster.targets["service-0"]
+    fixture.cluster.drain_target(node)
     began_s = loop.time()
     while loop.time() < began_s + 2.0 * _LEAVE_S:
         await asyncio.sleep(_STEP_S)
-        vms = scene.cluster.vms.values()
+        vms = fixture.cluster.vms.values()
         if all(_knows(vm, node.replica.name) for vm in vms):
             break
     return loop.time() - began_s
@@ -104,14 +106,14 @@
     found: list[float] = []
     for moment in range(_MOMENTS):
 
-        async def scene(
-            scene: gateway_scene.Scene, moment: int = moment
+        async def scenario(
+            fixture: gateway_fixture.Fixture, moment: int = moment
         ) -> None:
             await asyncio.sleep(moment * _APART_S)
-            found.append(await _measure(scene, trouble))
+            found.append(await _measure(fixture, trouble))
 
-        gateway_scene.play(
-            scene, vms=vms, halls=1, pace=pace or poll_config.PollConfig()
+        gateway_fixture.run_scenario(
+            scenario, vms=vms, halls=1, pace=pace or poll_config.PollConfig()
         )
     return max(found)
 
--- a/tests/test_peers_words.py
+++ b/tests/test_drain_gossip.py
@@ -14,7 +14,7 @@
 
 from standins import gateway_cluster
 from standins import peer_liar
-from tests import gateway_scene
+from tests import gateway_fixture
 
 # A target that a peer wrongly says to leave is used again within this time.
 _WRONG_WORD_S = 10.0
@@ -38,62 +38,64 @@
         loguru.logger.remove()
 
     def test_wrong_word_costs_a_target_a_few_seconds_only(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            replica = scene.cluster.targets["service-0"].replica
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            replica = fixture.cluster.targets["service-0"].replica
             telling = asyncio.ensure_future(
-                _tell_wrongly(scene.cluster, (replica.name,))
+                _tell_wrongly(fixture.cluster, (replica.name,))
             )
             await asyncio.sleep(_WRONG_WORD_S)
-            self.assertGreater(await scene.count_arrivals(replica, "open"), 0)
+            self.assertGreater(await fixture.count_arrivals(replica, "open"), 0)
             telling.cancel()
 
-        gateway_scene.play(scene, vms=_VMS)
+        gateway_fixture.run_scenario(scenario, vms=_VMS)
 
     def test_all_targets_of_a_pool_are_not_lost_to_a_wrong_word(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
             names = [f"service-{number}" for number in range(3)]
-            replicas = [scene.cluster.targets[name].replica for name in names]
+            replicas = [fixture.cluster.targets[name].replica for name in names]
             words = tuple(each.name for each in replicas)
-            telling = asyncio.ensure_future(_tell_wrongly(scene.cluster, words))
+            telling = asyncio.ensure_future(
+                _tell_wrongly(fixture.cluster, words)
+            )
             await asyncio.sleep(_WRONG_WORD_S)
             for number in range(_VMS):
-                got = await scene.call("open", f"vm-{number}")
+                got = await fixture.call("open", f"vm-{number}")
                 self.assertEqual(got.status, 200)
             telling.cancel()
 
-        gateway_scene.play(scene, vms=_VMS)
+        gateway_fixture.run_scenario(scenario, vms=_VMS)
 
     def test_words_of_a_peer_do_not_push_out_what_was_heard(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            cluster = scene.cluster
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            cluster = fixture.cluster
             cluster.store.trouble = "busy"
             replica = cluster.targets["service-0"].replica
             replica.leaving = "1"
-            await scene.call_until_told(replica, "open")
+            await fixture.call_until_draining_hint(replica, "open")
             for begin in range(0, _REMEMBERED + _IN_ONE_WORD, _IN_ONE_WORD):
                 words = (f"none-{begin + each}" for each in range(_IN_ONE_WORD))
                 await peer_liar.tell_leaving(cluster, begin + 1, tuple(words))
                 await asyncio.sleep(0.1)
             await asyncio.sleep(_LEAVE_S)
-            self.assertEqual(await scene.count_arrivals(replica, "open"), 0)
+            self.assertEqual(await fixture.count_arrivals(replica, "open"), 0)
 
-        gateway_scene.play(scene, vms=_VMS, is_strict=False)
+        gateway_fixture.run_scenario(scenario, vms=_VMS, is_strict=False)
 
     def test_vm_that_starts_later_is_told_of_it(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            cluster = scene.cluster
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            cluster = fixture.cluster
             replica = cluster.targets["service-0"].replica
             replica.leaving = "1"
-            await scene.call_until_told(replica, "open")
+            await fixture.call_until_draining_hint(replica, "open")
             await asyncio.sleep(_TOLD_S + 1.0)
             node = cluster.vms["vm-3"]
             cluster.kill(node)
             cluster.start_vm(node)
             await asyncio.sleep(_SETTLE_S)
-            arrived = await scene.count_arrivals(replica, "open", "vm-3")
+            arrived = await fixture.count_arrivals(replica, "open", "vm-3")
             self.assertEqual(arrived, 0)
 
-        gateway_scene.play(scene, vms=_VMS)
+        gateway_fixture.run_scenario(scenario, vms=_VMS)
 
 
 async def _tell_wrongly(
--- a/tests/test_leaving_told.py
+++ b/tests/test_drain_hints.py
@@ -15,7 +15,7 @@
 from ruddergate.wire import codec
 from standins import gateway_caller
 from standins import gateway_cluster
-from tests import gateway_scene
+from tests import gateway_fixture
 
 # A VM that has passed on an answer that says so sends no more after this time.
 _LEAVE_S = 2.0
@@ -45,8 +45,8 @@
         self._play("engine-3", "short")
 
     def _play(self, leaving: str, route: str) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            cluster = scene.cluster
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            cluster = fixture.cluster
             cluster.store.trouble = "busy"
             await asyncio.sleep(0.5)
             replica = cluster.targets[leaving].replica
@@ -54,7 +54,7 @@
             calls = []
             for number in range(round(_PLAY_S / _GAP_S)):
                 vm = f"vm-{number % len(cluster.vms)}"
-                calls.append(asyncio.ensure_future(scene.call(route, vm)))
+                calls.append(asyncio.ensure_future(fixture.call(route, vm)))
                 await asyncio.sleep(_GAP_S)
             got = await asyncio.gather(*calls)
             self.assertEqual({each.status for each in got}, {200})
@@ -64,7 +64,7 @@
             for vm in cluster.vms:
                 self.assertEqual(_find_late(got, vm, arrived), [])
 
-        gateway_scene.play(scene, is_strict=False)
+        gateway_fixture.run_scenario(scenario, is_strict=False)
 
 
 def _find_late(
@@ -93,51 +93,51 @@
         loguru.logger.remove()
 
     def test_peers_hear_of_it(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            cluster = scene.cluster
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            cluster = fixture.cluster
             cluster.store.trouble = "busy"
             replica = cluster.targets["service-0"].replica
             replica.leaving = "1"
-            await scene.call("open", "vm-0")
+            await fixture.call("open", "vm-0")
             self.assertEqual(len(replica.arrivals), 1)
             await asyncio.sleep(0.2)
             for _ in range(8):
                 # Of the same hall, so that this target was nearest.
-                got = await scene.call("open", "vm-3")
+                got = await fixture.call("open", "vm-3")
                 self.assertEqual(got.status, 200)
             self.assertEqual(len(replica.arrivals), 1)
 
-        gateway_scene.play(scene, vms=6, is_strict=False)
+        gateway_fixture.run_scenario(scenario, vms=6, is_strict=False)
 
     def test_vm_that_a_cut_kept_from_its_peers_hears_of_it_after(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            cluster = scene.cluster
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            cluster = fixture.cluster
             cluster.store.trouble = "busy"
             replica = cluster.targets["service-0"].replica
             cut = gateway_cluster.virtual_network.Cut("vm-3", "")
             cluster.network.cuts.append(cut)
             replica.leaving = "1"
-            await scene.call("open", "vm-0")
+            await fixture.call("open", "vm-0")
             await asyncio.sleep(5.0)
             cluster.network.cuts.remove(cut)
             await asyncio.sleep(1.5)
             arrivals = len(replica.arrivals)
             for _ in range(8):
-                await scene.call("open", "vm-3")
+                await fixture.call("open", "vm-3")
             self.assertEqual(len(replica.arrivals), arrivals)
 
-        gateway_scene.play(scene, vms=6, is_strict=False)
+        gateway_fixture.run_scenario(scenario, vms=6, is_strict=False)
 
     def test_helper_that_says_it_to_an_order_is_not_named(self) -> None:
         # Memory is set aside at helpers first. One that answered the order and
         # said that it leaves was named to the writer all the same.
-        async def scene(scene: gateway_scene.Scene) -> None:
-            cluster = scene.cluster
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            cluster = fixture.cluster
             cluster.store.trouble = "busy"
             leaving = ("engine-0", "engine-1", "engine-2")
             for name in leaving:
                 cluster.targets[name].replica.leaving = "1"
-            got = await scene.call(
+            got = await fixture.call(
                 "long", prompt_tokens=600_000, output_tokens=460
             )
             self.assertEqual((got.status, got.is_whole), (200, True))
@@ -145,76 +145,80 @@
                 replica = cluster.targets[name].replica
                 self.assertEqual((replica.helped, replica.runs), (0, []))
 
-        gateway_scene.play(scene, engines=6, is_strict=False)
+        gateway_fixture.run_scenario(scenario, engines=6, is_strict=False)
 
     def test_broken_stream_goes_on_elsewhere(self) -> None:
         # Both engines break off and say that they leave; where none is left,
         # one that has failed the call was taken again.
-        async def scene(scene: gateway_scene.Scene) -> None:
-            cluster = scene.cluster
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            cluster = fixture.cluster
             cluster.store.trouble = "busy"
-            scene.spoil("engine", break_off=1.0)
+            fixture.inject_faults("engine", break_off=1.0)
             first, other = (
                 cluster.targets[f"engine-{number}"].replica for number in (0, 1)
             )
             first.leaving = other.leaving = "1"
-            got = await scene.call("short")
+            got = await fixture.call("short")
             self.assertFalse(got.is_whole)
             arrivals = len(first.arrivals) + len(other.arrivals)
             self.assertLessEqual(arrivals, 2)
             for _ in range(4):
-                again = await scene.call("short")
+                again = await fixture.call("short")
                 self.assertEqual(again.status, 503)
             arrived = len(first.arrivals) + len(other.arrivals)
             self.assertEqual(arrived, arrivals)
 
-        gateway_scene.play(scene, engines=2, halls=1, is_strict=False)
+        gateway_fixture.run_scenario(
+            scenario, engines=2, halls=1, is_strict=False
+        )
 
     def test_younger_life_is_not_bound_by_it(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            cluster = scene.cluster
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            cluster = fixture.cluster
             node = cluster.targets["service-0"]
             node.replica.leaving = "1"
-            await scene.call("open")
+            await fixture.call("open")
             cluster.kill(node)
             cluster.start_target(node)
             await asyncio.sleep(1.5)
             for _ in range(4):
-                await scene.call("open")
+                await fixture.call("open")
             self.assertGreater(len(node.replica.arrivals), 0)
 
-        gateway_scene.play(scene, keeps_names=True)
+        gateway_fixture.run_scenario(scenario, keeps_names=True)
 
     def test_when_all_leave_calls_are_refused_at_once(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            cluster = scene.cluster
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            cluster = fixture.cluster
             cluster.store.trouble = "busy"
             for number in range(3):
                 replica = cluster.targets[f"service-{number}"].replica
                 replica.leaving = "1"
             for vm in cluster.vms:
-                await scene.call("open", vm)
+                await fixture.call("open", vm)
             await asyncio.sleep(0.2)
             for vm in cluster.vms:
-                got = await scene.call("open", vm)
-                self.assertEqual((got.status, scene.runs(got)), (503, []))
+                got = await fixture.call("open", vm)
+                self.assertEqual(
+                    (got.status, fixture.find_runs(got)), (503, [])
+                )
                 self.assertGreater(float(got.headers["retry-after"]), 0.0)
                 self.assertLess(got.took_ms, 50.0)
 
-        gateway_scene.play(scene, is_strict=False)
+        gateway_fixture.run_scenario(scenario, is_strict=False)
 
     def test_words_without_a_meaning_do_no_harm(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
             for word in ("0", "2", "true", "-1"):
-                replica = scene.cluster.targets["service-0"].replica
+                replica = fixture.cluster.targets["service-0"].replica
                 replica.leaving = word
                 arrivals = len(replica.arrivals)
                 for _ in range(3):
-                    got = await scene.call("open")
+                    got = await fixture.call("open")
                     self.assertEqual(got.status, 200)
                 self.assertEqual(len(replica.arrivals), arrivals + 3)
 
-        gateway_scene.play(scene)
+        gateway_fixture.run_scenario(scenario)
 
 
 class PeersWordTest(unittest.TestCase):
--- a/tests/test_leaving_doubted.py
+++ b/tests/test_early_drain_hints.py
@@ -14,7 +14,7 @@
 
 import loguru
 
-from tests import gateway_scene
+from tests import gateway_fixture
 
 # A VM that has passed on that a target leaves sends it none after this time.
 _LEAVE_S = 2.0
@@ -38,19 +38,19 @@
                 self._play_late_start(name, route)
 
     def _play_late_start(self, name: str, route: str) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            replica = scene.cluster.targets[name].replica
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            replica = fixture.cluster.targets[name].replica
             replica.leaving = "1"
-            await scene.call_until_told(replica, route)
+            await fixture.call_until_draining_hint(replica, route)
             replica.born_ms = round(asyncio.get_running_loop().time() * 1000.0)
             await asyncio.sleep(_HEARTBEAT_S + _LEAVE_S)
-            self.assertEqual(await scene.count_arrivals(replica, route), 0)
+            self.assertEqual(await fixture.count_arrivals(replica, route), 0)
 
-        gateway_scene.play(scene, vms=_VMS, is_strict=False)
+        gateway_fixture.run_scenario(scenario, vms=_VMS, is_strict=False)
 
     def test_next_life_that_said_it_before_it_was_listed_is_bound(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            cluster = scene.cluster
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            cluster = fixture.cluster
             node = cluster.targets["service-0"]
             cluster.store.trouble = "busy"
             cluster.kill(node)
@@ -58,26 +58,26 @@
             cluster.start_target(node)
             node.replica.leaving = "1"
             await asyncio.sleep(0.1)
-            await scene.call_until_told(node.replica, "open")
+            await fixture.call_until_draining_hint(node.replica, "open")
             cluster.store.trouble = ""
             await asyncio.sleep(_HEARTBEAT_S + _LEAVE_S)
-            arrived = await scene.count_arrivals(node.replica, "open")
+            arrived = await fixture.count_arrivals(node.replica, "open")
             self.assertEqual(arrived, 0)
 
-        gateway_scene.play(
-            scene, vms=_VMS, keeps_names=True, is_strict=False, services=1
+        gateway_fixture.run_scenario(
+            scenario, vms=_VMS, keeps_names=True, is_strict=False, services=1
         )
 
     def test_next_life_that_says_nothing_is_used_within_a_second(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            cluster = scene.cluster
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            cluster = fixture.cluster
             node = cluster.targets["service-0"]
             node.replica.leaving = "1"
-            await scene.call_until_told(node.replica, "open")
+            await fixture.call_until_draining_hint(node.replica, "open")
             cluster.kill(node)
             cluster.start_target(node)
             await asyncio.sleep(1.0 + _SETTLE_S)
-            arrived = await scene.count_arrivals(node.replica, "open")
+            arrived = await fixture.count_arrivals(node.replica, "open")
             self.assertGreater(arrived, 0)
 
-        gateway_scene.play(scene, vms=_VMS, keeps_names=True)
+        gateway_fixture.run_scenario(scenario, vms=_VMS, keeps_names=True)
--- a/tests/test_hanging_engine.py
+++ b/tests/test_hanging_engine.py
@@ -12,7 +12,7 @@
 from ruddergate.fleet import condition
 from ruddergate.fleet import target as targets
 from standins import gateway_cluster
-from tests import gateway_scene
+from tests import gateway_fixture
 
 _VMS = 6
 
@@ -48,31 +48,31 @@
     def test_few_calls_go_to_an_engine_that_hangs(self) -> None:
         sent = {"calls": 0, "late": 0}
 
-        async def one(scene: gateway_scene.Scene, number: int) -> None:
+        async def one(fixture: gateway_fixture.Fixture, number: int) -> None:
             await asyncio.sleep(number * 0.02)
-            got = await scene.call("short", f"vm-{number % _VMS}")
+            got = await fixture.call("short", f"vm-{number % _VMS}")
             sent["calls"] += 1
             sent["late"] += got.status != 200 or got.first_ms > 300.0
 
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
             # The one that short prompts of the hall go to first.
-            hung = _find_front(scene)
+            hung = _find_front(fixture)
             hung.replica.wrong.hang = 0.45
             async with asyncio.TaskGroup() as group:
                 for number in range(400):
-                    group.create_task(one(scene, number))
+                    group.create_task(one(fixture, number))
 
         loguru.logger.remove()
-        gateway_scene.play(scene, vms=_VMS, halls=1, engines=6)
+        gateway_fixture.run_scenario(scenario, vms=_VMS, halls=1, engines=6)
         self.assertEqual(sent["calls"], 400)
         # 27 were late while an engine with silent calls looked idle.
         self.assertLess(sent["late"], 22)
 
 
-def _find_front(scene: gateway_scene.Scene) -> gateway_cluster.Node:
+def _find_front(fixture: gateway_fixture.Fixture) -> gateway_cluster.Node:
     engines = [
         node
-        for node in scene.cluster.targets.values()
+        for node in fixture.cluster.targets.values()
         if node.replica.engine is not None
     ]
     return min(
--- a/tests/test_lives.py
+++ b/tests/test_incarnations.py
@@ -29,7 +29,7 @@
 from ruddergate.relay import published
 from standins import virtual_network
 from standins import virtual_process
-from tests import gateway_scene
+from tests import gateway_fixture
 from tests import test_scheduler
 
 _GRACE = target_list.Grace(float("-inf"), float("inf"))
@@ -205,8 +205,8 @@
         loguru.logger.remove()
 
     def test_service_that_drained_and_came_back_is_used_at_once(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            cluster = scene.cluster
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            cluster = fixture.cluster
             engines = [
                 node
                 for name, node in cluster.targets.items()
@@ -221,7 +221,7 @@
                 cluster.start_target(node)
             await asyncio.sleep(_SEEN_S)
             for vm in cluster.vms:
-                got = await scene.call("short", vm)
+                got = await fixture.call("short", vm)
                 self.assertEqual((got.status, got.is_whole), (200, True))
 
-        gateway_scene.play(scene, engines=4, keeps_names=True)
+        gateway_fixture.run_scenario(scenario, engines=4, keeps_names=True)
--- a/tests/test_losses_found.py
+++ b/tests/test_loss_reports.py
@@ -10,7 +10,7 @@
 from ruddergate.fleet import bad_news
 from ruddergate.fleet import life as lives
 from standins import gateway_cluster
-from tests import gateway_scene
+from tests import gateway_fixture
 
 _VMS = 8
 _HALL = "h"
@@ -87,38 +87,38 @@
     def test_engines_that_died_are_found_by_few(self) -> None:
         failed = []
 
-        async def scene(scene: gateway_scene.Scene) -> None:
-            await _call_steadily(scene, 40)
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            await _call_steadily(fixture, 40)
             for name in ("engine-1", "engine-4", "engine-7", "engine-9"):
-                scene.cluster.kill(scene.cluster.targets[name])
+                fixture.cluster.kill(fixture.cluster.targets[name])
             loguru.logger.add(failed.append, filter=_is_failed_attempt)
-            await _call_steadily(scene, 120)
+            await _call_steadily(fixture, 120)
 
         loguru.logger.remove()
-        gateway_scene.play(scene, vms=_VMS, halls=1, engines=12)
+        gateway_fixture.run_scenario(scenario, vms=_VMS, halls=1, engines=12)
         # 89 tries failed while each VM found each dead engine by itself.
         self.assertLessEqual(len(failed), 30)
 
     def test_vms_of_another_hall_keep_to_their_own_view(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
             network = gateway_cluster.virtual_network
             # One hall loses the other; the third one loses nothing.
-            scene.cluster.network.cuts.append(network.Cut("hall-0", "hall-1"))
+            fixture.cluster.network.cuts.append(network.Cut("hall-0", "hall-1"))
             for _ in range(6):
-                await scene.call("long", "vm-0", prompt_tokens=300_000)
-            gateway = scene.cluster.vms["vm-2"].gateway
+                await fixture.call("long", "vm-0", prompt_tokens=300_000)
+            gateway = fixture.cluster.vms["vm-2"].gateway
             scheduler = gateway.context.scheduler
             now_ms = gateway.context.env.now_ms()
             self.assertFalse(scheduler._losses.is_suspect("hall-1", now_ms))
 
         loguru.logger.remove()
-        gateway_scene.play(scene, vms=6, halls=3, engines=9)
+        gateway_fixture.run_scenario(scenario, vms=6, halls=3, engines=9)
 
 
-async def _call_steadily(scene: gateway_scene.Scene, count: int) -> None:
+async def _call_steadily(fixture: gateway_fixture.Fixture, count: int) -> None:
     async def call(number: int) -> None:
         await asyncio.sleep(number * 0.02)
-        got = await scene.call("short", f"vm-{number % _VMS}")
+        got = await fixture.call("short", f"vm-{number % _VMS}")
         assert got.status == 200
 
     async with asyncio.TaskGroup() as group:
--- a/tests/test_lost_settings.py
+++ b/tests/test_lost_settings.py
@@ -7,7 +7,7 @@
 
 from ruddergate.decisions import settings_claims
 from standins import gateway_cluster
-from tests import gateway_scene
+from tests import gateway_fixture
 
 # What the store loses when it is restored.
 _LOST_S = 6.0
@@ -28,8 +28,8 @@
         loguru.logger.remove()
 
     def test_removed_key_is_refused_while_its_removal_is_lost(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            cluster = scene.cluster
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            cluster = fixture.cluster
             store = cluster.store
             copy = store.take_copy()
             removed_s = asyncio.get_running_loop().time()
@@ -44,13 +44,13 @@
             await asyncio.sleep(until_s - asyncio.get_running_loop().time())
             for _ in range(10):
                 for vm in cluster.vms:
-                    got = await scene.call("unsafe", vm)
-                    self.assertEqual(scene.runs(got), [], vm)
+                    got = await fixture.call("unsafe", vm)
+                    self.assertEqual(fixture.find_runs(got), [], vm)
                 await asyncio.sleep(0.1)
-            got = await scene.call("unsafe", "vm-0", key="another")
+            got = await fixture.call("unsafe", "vm-0", key="another")
             self.assertEqual(got.status, 200)
 
-        gateway_scene.play(scene, vms=9, halls=3)
+        gateway_fixture.run_scenario(scenario, vms=9, halls=3)
 
 
 class StartedAfterTest(unittest.TestCase):
@@ -65,10 +65,10 @@
         loguru.logger.remove()
 
     async def _start_on_older(
-        self, scene: gateway_scene.Scene, *names: str
+        self, fixture: gateway_fixture.Fixture, *names: str
     ) -> None:
         """Starts VMs on a store that has lost the removal of a key."""
-        cluster = scene.cluster
+        cluster = fixture.cluster
         copy = cluster.store.take_copy()
         cluster.keys = {"w1": ["another"]}
         cluster.publish()
@@ -79,20 +79,20 @@
             cluster.start_vm(cluster.vms[name])
 
     def _play(self, vms: int, halls: int) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
             names = [f"vm-{number}" for number in range(1, vms, 2)]
-            await self._start_on_older(scene, *names)
+            await self._start_on_older(fixture, *names)
             await asyncio.sleep(1.5)
             for _ in range(10):
-                for vm in scene.cluster.vms:
-                    got = await scene.call("unsafe", vm)
-                    self.assertEqual(scene.runs(got), [], vm)
+                for vm in fixture.cluster.vms:
+                    got = await fixture.call("unsafe", vm)
+                    self.assertEqual(fixture.find_runs(got), [], vm)
                 await asyncio.sleep(0.2)
-            for vm in scene.cluster.vms:
-                got = await scene.call("unsafe", vm, key="another")
+            for vm in fixture.cluster.vms:
+                got = await fixture.call("unsafe", vm, key="another")
                 self.assertEqual(got.status, 200, vm)
 
-        gateway_scene.play(scene, vms=vms, halls=halls)
+        gateway_fixture.run_scenario(scenario, vms=vms, halls=halls)
 
     def test_they_go_by_their_peers_settings(self) -> None:
         self._play(vms=9, halls=1)
@@ -101,15 +101,15 @@
         self._play(vms=6, halls=3)
 
     def test_claim_that_is_not_made_good_refuses_nobody_for_long(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            gateway = scene.cluster.vms["vm-0"].gateway
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            gateway = fixture.cluster.vms["vm-0"].gateway
             for _ in range(20):
                 gateway.note_newer_settings("vm-9:83", 10**6)
                 await asyncio.sleep(0.3)
-                got = await scene.call("unsafe")
+                got = await fixture.call("unsafe")
                 self.assertEqual(got.status, 200)
 
-        gateway_scene.play(scene, vms=3, halls=1)
+        gateway_fixture.run_scenario(scenario, vms=3, halls=1)
 
 
 class ClaimsTest(unittest.TestCase):
--- a/tests/test_foreign_entries.py
+++ b/tests/test_malformed_entries.py
@@ -21,7 +21,7 @@
 from ruddergate.fleet import condition
 from ruddergate.platform import store
 from ruddergate.relay import published
-from tests import gateway_scene
+from tests import gateway_fixture
 
 _NAMES = ("a", "b", "c", "d")
 _JSON = strategies.recursive(
@@ -170,18 +170,18 @@
         loguru.logger.remove()
 
     def test_writer_of_nonsense_costs_nobody_a_call(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
             chance = random.Random(3)
-            cluster = scene.cluster
+            cluster = fixture.cluster
             names = [node.replica.name for node in cluster.targets.values()]
             statuses = []
             for number in range(60):
                 name = chance.choice((*names, "nobody"))
                 entry = {"service": "engines", "state": f"s{number}"}
                 cluster.store.put(f"servers/{name}", entry)
-                got = await scene.call("short", f"vm-{number % 3}")
+                got = await fixture.call("short", f"vm-{number % 3}")
                 statuses.append(got.status)
                 await asyncio.sleep(0.1)
             self.assertEqual(set(statuses), {200})
 
-        gateway_scene.play(scene, engines=6)
+        gateway_fixture.run_scenario(scenario, engines=6)
--- a/tests/test_peers.py
+++ b/tests/test_peer_gossip.py
@@ -172,7 +172,7 @@
                 self._play(self._check_change, size)
 
     def test_dead_relays_are_replaced(self) -> None:
-        async def scene(fleet: peer_fleet.PeerFleet) -> None:
+        async def scenario(fleet: peer_fleet.PeerFleet) -> None:
             relays = fleet.find_relays() - {"vm-5"}
             self.assertGreaterEqual(len(relays), 2)
             for name in relays:
@@ -183,10 +183,10 @@
             )
             await self._check_change(fleet)
 
-        self._play(scene, 40, ("vm-0",))
+        self._play(scenario, 40, ("vm-0",))
 
     def test_hall_that_was_cut_off_for_long_is_heard_again(self) -> None:
-        async def scene(fleet: peer_fleet.PeerFleet) -> None:
+        async def scenario(fleet: peer_fleet.PeerFleet) -> None:
             cut = virtual_network.Cut("hall-1", "")
             fleet.network.cuts.append(cut)
             fleet.set_work("vm-1", 4)
@@ -198,17 +198,17 @@
             await asyncio.sleep(4.0 * peer_gossip.ROUND_INTERVAL_MS / 1000.0)
             self.assertEqual(fleet.find_wrong(), [])
 
-        self._play(scene, 40, ("vm-0",))
+        self._play(scenario, 40, ("vm-0",))
 
     def test_all_restart_at_once(self) -> None:
-        async def scene(fleet: peer_fleet.PeerFleet) -> None:
+        async def scenario(fleet: peer_fleet.PeerFleet) -> None:
             for name in list(fleet.members):
                 fleet.kill(name)
                 fleet.start(name, fleet.members[name].process.hall)
             await asyncio.sleep(4.0)
             await self._check_change(fleet)
 
-        self._play(scene, 30)
+        self._play(scenario, 30)
 
     def test_change_of_the_relay_is_logged(self) -> None:
         lines: list[str] = []
@@ -217,7 +217,7 @@
         )
         self.addCleanup(loguru.logger.remove, sink)
 
-        async def scene(fleet: peer_fleet.PeerFleet) -> None:
+        async def scenario(fleet: peer_fleet.PeerFleet) -> None:
             relay = sorted(fleet.find_relays())[0]
             lines.clear()
             fleet.kill(relay)
@@ -230,10 +230,10 @@
             # Once by each other VM of the group.
             self.assertEqual(len(told), 40 // 3 - 1)
 
-        self._play(scene, 40)
+        self._play(scenario, 40)
 
     def test_frozen_relay(self) -> None:
-        async def scene(fleet: peer_fleet.PeerFleet) -> None:
+        async def scenario(fleet: peer_fleet.PeerFleet) -> None:
             relay = sorted(fleet.find_relays() - {"vm-5"})[0]
             fleet.members[relay].process.freeze()
             await asyncio.sleep(4.0)
@@ -241,13 +241,13 @@
             await asyncio.sleep(4.0 * peer_gossip.ROUND_INTERVAL_MS / 1000.0)
             await self._check_change(fleet)
 
-        self._play(scene, 40)
+        self._play(scenario, 40)
 
     def test_datagrams_of_a_vm_are_bounded(self) -> None:
         most = {}
         for size in (40, 120):
 
-            async def scene(fleet: peer_fleet.PeerFleet) -> None:
+            async def scenario(fleet: peer_fleet.PeerFleet) -> None:
                 before = {n: m.sent for n, m in fleet.members.items()}
                 await asyncio.sleep(2.0)
                 sent = [m.sent - before[n] for n, m in fleet.members.items()]
@@ -256,7 +256,7 @@
                 self.assertLessEqual(sent[len(sent) // 2], 3)
                 most[len(sent)] = sent[-1]
 
-            self._play(scene, size)
+            self._play(scenario, size)
         # Of that, a group's members are the greatest part, and they are 13
         # and 20: not all the others.
         self.assertLess(most[120], 3.0 * most[40])
@@ -268,7 +268,7 @@
         heard = {}
         for size in (80, 195):
 
-            async def scene(fleet: peer_fleet.PeerFleet) -> None:
+            async def scenario(fleet: peer_fleet.PeerFleet) -> None:
                 busy = asyncio.ensure_future(peer_fleet.change_work(fleet))
                 before = sum(m.sent for m in fleet.members.values())
                 await asyncio.sleep(1.0)
@@ -276,11 +276,11 @@
                 heard[len(fleet.members)] = sent / len(fleet.members)
                 busy.cancel()
 
-            self._play(scene, size)
+            self._play(scenario, size)
         self.assertLessEqual(heard[195], 1.1 * heard[80])
 
     def test_urgent_news_does_not_wait_for_more(self) -> None:
-        async def scene(fleet: peer_fleet.PeerFleet) -> None:
+        async def scenario(fleet: peer_fleet.PeerFleet) -> None:
             busy = asyncio.ensure_future(peer_fleet.change_work(fleet))
             await asyncio.sleep(1.0)
             told_s = asyncio.get_running_loop().time()
@@ -294,7 +294,7 @@
             busy.cancel()
             self.assertLessEqual(max(heard), _TOLD_MS / 1000.0)
 
-        self._play(scene, 120)
+        self._play(scenario, 120)
 
 
 class CodecTest(unittest.TestCase):
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -20,7 +20,7 @@
 from standins import explore
 from standins import gateway_cluster
 from standins import proof_model
-from tests import gateway_scene
+from tests import gateway_fixture
 
 _HALL = 9
 
@@ -138,7 +138,7 @@
     return context.view.settings_age_ms(context.env.now_ms())
 
 
-def _cut_off(scene: gateway_scene.Scene, name: str) -> None:
+def _cut_off(scene: gateway_fixture.Fixture, name: str) -> None:
     cut = gateway_cluster.virtual_network.Cut(name, "store")
     scene.cluster.network.cuts.append(cut)
 
@@ -166,10 +166,10 @@
         loguru.logger.remove()
 
     def play(self, scene) -> None:  # noqa: ANN001
-        gateway_scene.play(scene, vms=_HALL, halls=1)
+        gateway_fixture.run_scenario(scene, vms=_HALL, halls=1)
 
     def test_calls_of_the_store_go_by_readers(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             store = scene.cluster.store
             before = store.calls
             seconds = 10.0
@@ -182,7 +182,7 @@
         self.play(scene)
 
     def test_changes_reach_all_in_time(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             node = scene.cluster.targets["service-0"]
             scene.cluster.list_target(node, node.replica, "draining")
             scene.cluster.keys = {"w1": [gateway_cluster.KEY], "w2": ["new"]}
@@ -202,7 +202,7 @@
         self.play(scene)
 
     def test_vms_that_the_store_is_cut_from_go_by_peers(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             names = list(scene.cluster.vms)
             for name in names[:6]:
                 _cut_off(scene, name)
@@ -216,14 +216,14 @@
             await asyncio.sleep(gateway_cluster.REVOKE_MS / 1000.0)
             for name in names:
                 got = await scene.call("unsafe", name)
-                self.assertEqual((got.status, scene.runs(got)), (401, []))
+                self.assertEqual((got.status, scene.find_runs(got)), (401, []))
                 got = await scene.call("unsafe", name, key="another")
                 self.assertEqual(got.status, 200)
 
         self.play(scene)
 
     def test_settings_that_change_are_read_by_one_vm(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             cluster = scene.cluster
             routes = gateway_cluster.make_idle_routes(1_500)
             # 10 Mbit/s; settings of about 340 KB.
@@ -247,7 +247,7 @@
     def test_settings_that_are_no_settings_are_read_from_the_store(
         self,
     ) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             for node in scene.cluster.vms.values():
                 settings = node.gateway._sync.settings
                 settings.answer = lambda question, *_: (
@@ -263,7 +263,7 @@
         self.play(scene)
 
     def test_no_proof_goes_round_while_the_store_is_away(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             scene.cluster.store.trouble = "busy"
             await asyncio.sleep(5.0)
             for name, node in scene.cluster.vms.items():
@@ -281,7 +281,7 @@
         self.play(scene)
 
     def test_lapsed_entries_do_not_empty_a_hall_with_followers(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             store = scene.cluster.store
             store.trouble = "busy"
             await asyncio.sleep(4.0)
@@ -298,7 +298,7 @@
         self.play(scene)
 
     def test_reader_that_the_store_turned_away_reads_again(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             exchange = scene.cluster.vms["vm-0"].gateway._peers
             reader = exchange.rank_hall()[0].partition(":")[0]
             _cut_off(scene, reader)
@@ -312,7 +312,7 @@
         self.play(scene)
 
     def test_readers_that_die_are_made_good(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             exchange = scene.cluster.vms["vm-0"].gateway._peers
             readers = {
                 name.partition(":")[0]
@@ -329,7 +329,7 @@
         self.play(scene)
 
     def test_news_that_lie_change_nothing(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             for node in scene.cluster.vms.values():
                 sync = node.gateway._sync
                 sync.answer_changes_request = lambda wanted: news.News(
@@ -340,6 +340,6 @@
             await asyncio.sleep(gateway_cluster.REVOKE_MS / 1000.0)
             for name in scene.cluster.vms:
                 got = await scene.call("unsafe", name)
-                self.assertEqual((got.status, scene.runs(got)), (401, []))
+                self.assertEqual((got.status, scene.find_runs(got)), (401, []))
 
         self.play(scene)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -15,7 +15,7 @@
 
 from standins import gateway_caller
 from standins import rate_limit_check
-from tests import gateway_scene
+from tests import gateway_fixture
 
 _FLEET = {"vms": 9, "halls": 3, "engines": 6, "services": 3}
 # Calls that each VM gets in a second.
@@ -28,7 +28,7 @@
 
 
 async def _send_load(
-    scene: gateway_scene.Scene, for_s: float
+    scene: gateway_fixture.Fixture, for_s: float
 ) -> list[gateway_caller.Got]:
     """Sends calls to all VMs at a steady rate."""
     loop = asyncio.get_running_loop()
@@ -56,7 +56,7 @@
         loguru.logger.remove()
 
     def test_all_vms_keep_a_limit_together(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             for name in ("engine-3", "service-0"):
                 scene.cluster.targets[name].replica.name_limit("1")
             got = await _send_load(scene, 14.0)
@@ -66,10 +66,10 @@
             # Other targets serve what these do not take.
             self.assertEqual({each.status for each in got}, {200})
 
-        gateway_scene.play(scene, **_FLEET)
+        gateway_fixture.run_scenario(scene, **_FLEET)
 
     def test_limits_are_used_where_nothing_else_is_left(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             replicas = [
                 scene.cluster.targets[f"service-{number}"].replica
                 for number in range(3)
@@ -89,18 +89,18 @@
             refused = [each for each in got if each.status != 200]
             self.assertEqual({each.status for each in refused}, {503})
             for each in refused:
-                self.assertEqual(scene.runs(each), [])
+                self.assertEqual(scene.find_runs(each), [])
                 self.assertLess(float(each.headers["retry-after"]), 6.0)
             # VMs have parts of the same size, and serve alike.
             by_vm = collections.Counter(each.call.vm for each in served)
             self.assertGreater(min(by_vm[vm] for vm in scene.cluster.vms), 5)
 
-        gateway_scene.play(scene, **_FLEET)
+        gateway_fixture.run_scenario(scene, **_FLEET)
 
     def test_target_that_takes_nothing_gets_no_calls_until_it_does(
         self,
     ) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             loop = asyncio.get_running_loop()
             replica = scene.cluster.targets["engine-3"].replica
             replica.name_limit("0")
@@ -128,10 +128,10 @@
             later = [each for each in came_s if each > came_s[0] + 2.0]
             self.assertGreater(len(later), 8)
 
-        gateway_scene.play(scene, **_FLEET)
+        gateway_fixture.run_scenario(scene, **_FLEET)
 
     def test_engine_with_a_limit_helps_nobody(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             for number in (0, 3):
                 replica = scene.cluster.targets[f"engine-{number}"].replica
                 replica.name_limit("1")
@@ -155,10 +155,10 @@
             self.assertEqual([each.helped for each in limited], helped)
             self.assertEqual([len(each.orders_s) for each in limited], orders)
 
-        gateway_scene.play(scene, **_FLEET)
+        gateway_fixture.run_scenario(scene, **_FLEET)
 
     def test_long_prompts_run_where_all_engines_name_limits(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             for name, node in scene.cluster.targets.items():
                 if name.startswith("engine"):
                     node.replica.name_limit("4")
@@ -170,10 +170,10 @@
             )
             self.assertEqual(got.status, 200)
 
-        gateway_scene.play(scene, **_FLEET)
+        gateway_fixture.run_scenario(scene, **_FLEET)
 
     def test_vm_that_starts_again_is_told(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             replica = scene.cluster.targets["service-0"].replica
             replica.name_limit("1")
             load = asyncio.ensure_future(_send_load(scene, 14.0))
@@ -190,12 +190,12 @@
             limit, _ = limits.find_rate_limit(replica.name, now_ms)
             self.assertEqual(limit, 1.0)
 
-        gateway_scene.play(scene, **_FLEET)
+        gateway_fixture.run_scenario(scene, **_FLEET)
 
     def test_connection_that_fails_gives_no_token_back(self) -> None:
         """A token is taken once a connection is up, and not before."""
 
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             given_back: list[str] = []
             gateway = scene.cluster.vms["vm-0"].gateway
             limits = gateway._rate_limiter.limits
@@ -206,10 +206,10 @@
             await scene.call("open")
             self.assertEqual(given_back, [])
 
-        gateway_scene.play(scene, vms=1)
+        gateway_fixture.run_scenario(scene, vms=1)
 
     def test_malformed_limits_do_no_harm(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             for text in ("-1", "nan", "many"):
                 for name in ("engine-3", "service-0"):
                     replica = scene.cluster.targets[name].replica
@@ -219,4 +219,4 @@
             arrived = len(scene.cluster.targets["service-0"].replica.arrivals)
             self.assertGreater(arrived, 15)
 
-        gateway_scene.play(scene, **_FLEET)
+        gateway_fixture.run_scenario(scene, **_FLEET)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -13,7 +13,7 @@
 from standins import peer_fleet
 from standins import virtual_network
 from standins import virtual_process
-from tests import gateway_scene
+from tests import gateway_fixture
 
 _GAP_S = 0.05
 # The balancer asks each VM so often, and takes it out after two misses.
@@ -33,7 +33,7 @@
 class _Rotation:
     """The VMs that a balancer sends callers to."""
 
-    def __init__(self, scene: gateway_scene.Scene) -> None:
+    def __init__(self, scene: gateway_fixture.Fixture) -> None:
         self._scene = scene
         self.ready = list(scene.cluster.vms)
 
@@ -59,7 +59,7 @@
         loguru.logger.remove()
 
     def test_no_call_is_lost(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             rotation = _Rotation(scene)
             checking = asyncio.ensure_future(rotation.run())
             restarting = asyncio.ensure_future(_restart_all(scene.cluster))
@@ -80,7 +80,7 @@
             self.assertEqual(lost, [])
             self.assertGreater(len(got), 400)
 
-        gateway_scene.play(scene, vms=4, engines=9)
+        gateway_fixture.run_scenario(scene, vms=4, engines=9)
 
 
 async def _restart_all(cluster: gateway_cluster.GatewayCluster) -> None:
@@ -99,7 +99,7 @@
         loguru.logger.remove()
 
     def test_vm_knows_settings_when_ready_and_load_soon_after(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             cluster = scene.cluster
             busy = [
                 asyncio.ensure_future(
@@ -127,7 +127,7 @@
             self.assertGreaterEqual(known, 10)
             await asyncio.gather(*busy)
 
-        gateway_scene.play(scene, vms=6, engines=9)
+        gateway_fixture.run_scenario(scene, vms=6, engines=9)
 
 
 class ReturnTest(unittest.TestCase):
@@ -138,7 +138,7 @@
     def test_all_that_return_at_once_ask_the_store_a_few_times_each(
         self,
     ) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             cluster = scene.cluster
             for node in cluster.vms.values():
                 cluster.kill(node)
@@ -151,7 +151,7 @@
             for vm in cluster.vms:
                 self.assertEqual((await scene.call("short", vm)).status, 200)
 
-        gateway_scene.play(scene, vms=18, engines=12)
+        gateway_fixture.run_scenario(scene, vms=18, engines=12)
 
 
 class PartedFleetTest(unittest.TestCase):
--- a/tests/test_restored_targets.py
+++ b/tests/test_restored_targets.py
@@ -12,7 +12,7 @@
 from ruddergate.fleet import condition
 from ruddergate.fleet import target as targets
 from standins import gateway_cluster
-from tests import gateway_scene
+from tests import gateway_fixture
 
 # What the store loses when it is restored.
 _LOST_S = 6.0
@@ -37,7 +37,7 @@
         loguru.logger.remove()
 
     def _play_removed(self, vms: int = 9, epoch: str = "1") -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             cluster = scene.cluster
             copy = cluster.store.take_copy()
             await asyncio.sleep(1.0)
@@ -51,7 +51,7 @@
                     found = await scene.count_arrivals(node.replica, "open", vm)
                     self.assertEqual(found, 0, vm)
 
-        gateway_scene.play(scene, vms=vms, halls=1, epoch=epoch)
+        gateway_fixture.run_scenario(scene, vms=vms, halls=1, epoch=epoch)
 
     def test_removed_target_is_not_used_on_the_word_of_a_copy(self) -> None:
         self._play_removed()
@@ -63,7 +63,7 @@
         self._play_removed(epoch="")
 
     def test_it_is_used_once_it_has_written_again(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             cluster = scene.cluster
             copy = cluster.store.take_copy()
             node = cluster.targets["service-0"]
@@ -73,13 +73,13 @@
             # A heartbeat, and a second read of everything.
             await asyncio.sleep(_APPLY_S + 1.3)
             for vm in cluster.vms:
-                found = scene.find_condition(vm, node)
+                found = scene.find_listed_condition(vm, node)
                 self.assertIs(found, condition.Condition.LIVE, vm)
 
-        gateway_scene.play(scene, vms=9, halls=1)
+        gateway_fixture.run_scenario(scene, vms=9, halls=1)
 
     def test_younger_life_is_used_at_once(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             cluster = scene.cluster
             copy = cluster.store.take_copy()
             await asyncio.sleep(1.0)
@@ -91,10 +91,10 @@
             cluster.start_target(node)
             await asyncio.sleep(_APPLY_S)
             for vm in cluster.vms:
-                found = scene.find_condition(vm, node)
+                found = scene.find_listed_condition(vm, node)
                 self.assertIs(found, condition.Condition.LIVE, vm)
 
-        gateway_scene.play(scene, vms=9, halls=1, keeps_names=True)
+        gateway_fixture.run_scenario(scene, vms=9, halls=1, keeps_names=True)
 
 
 class RemovalsTest(unittest.TestCase):
@@ -163,7 +163,7 @@
         loguru.logger.remove()
 
     def test_no_live_target_is_dropped(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             cluster = scene.cluster
             copy = cluster.store.take_copy()
             node = cluster.targets["service-0"]
@@ -176,14 +176,14 @@
             for _ in range(50):
                 await asyncio.sleep(0.1)
                 for vm in cluster.vms:
-                    found = scene.find_condition(vm, node)
+                    found = scene.find_listed_condition(vm, node)
                     self.assertIs(found, condition.Condition.LIVE, vm)
 
-        gateway_scene.play(scene, vms=9, halls=1)
+        gateway_fixture.run_scenario(scene, vms=9, halls=1)
 
 
 async def _wait_for_worst(
-    scene: gateway_scene.Scene, node: gateway_cluster.Node
+    scene: gateway_fixture.Fixture, node: gateway_cluster.Node
 ) -> None:
     """Waits until a target has just written and the reader is about to read.
 
@@ -220,7 +220,7 @@
                 self._play(away_s)
 
     def _play(self, away_s: float) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             cluster = scene.cluster
             copy = cluster.store.take_copy()
             cluster.store.trouble = "silent"
@@ -237,7 +237,7 @@
                     self.assertEqual(found, 0, vm)
                 await asyncio.sleep(0.2)
 
-        gateway_scene.play(scene, vms=9, halls=3)
+        gateway_fixture.run_scenario(scene, vms=9, halls=3)
 
 
 class AbsenceTest(unittest.TestCase):
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -10,7 +10,7 @@
 from ruddergate.decisions import retries
 from ruddergate.messages import retry_loan
 from standins import gateway_cluster
-from tests import gateway_scene
+from tests import gateway_fixture
 
 _SLACK = 106.0
 
@@ -41,7 +41,7 @@
         self.assertEqual(budget.tokens, 1.0)
 
     def test_vms_divide_the_slack_once_they_know_each_other(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             await asyncio.sleep(1.1)
             for node in scene.cluster.vms.values():
                 self.assertAlmostEqual(
@@ -58,7 +58,7 @@
             self.assertLess(node.gateway.context.budget.capacity, 1.0)
 
         loguru.logger.remove()
-        gateway_scene.play(scene, vms=9)
+        gateway_fixture.run_scenario(scene, vms=9)
 
 
 class LoanTest(unittest.TestCase):
@@ -104,7 +104,7 @@
         self.assertEqual(budget.transfer_out(1.0, True), 0.5)
 
     def test_loan_that_lies_is_dropped(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             exchange = scene.cluster.vms["vm-0"].gateway._peers
             (peer,) = exchange.find_hall_peers()
             lender = scene.cluster.vms[peer.partition(":")[0]].gateway
@@ -115,33 +115,33 @@
             self.assertEqual(lent, 0.0)
 
         loguru.logger.remove()
-        gateway_scene.play(scene, vms=2, halls=1)
+        gateway_fixture.run_scenario(scene, vms=2, halls=1)
 
     def test_prompt_refused_in_a_burst_is_sent_again(self) -> None:
         """One VM of a hall gets what fails; the others have sends to spare."""
 
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             def end_trouble(record: dict) -> bool:
                 if record["message"].startswith("Attempt failed"):
-                    scene.spoil("engine", refuse=0.0)
+                    scene.inject_faults("engine", refuse=0.0)
                 return False
 
             loguru.logger.add(lambda _: None, filter=end_trouble)
             budget = scene.cluster.vms["vm-0"].gateway.context.budget
             for _ in range(4):
                 # Whichever engine is asked first refuses.
-                scene.spoil("engine", refuse=1.0)
+                scene.inject_faults("engine", refuse=1.0)
                 budget.tokens = 0.0
                 got = await scene.call("long", prompt_tokens=100_000)
                 self.assertEqual(got.status, 200)
-                self.assertEqual(len(scene.runs(got)), 1)
+                self.assertEqual(len(scene.find_runs(got)), 1)
 
         loguru.logger.remove()
-        gateway_scene.play(scene, vms=6, halls=1, engines=8)
+        gateway_fixture.run_scenario(scene, vms=6, halls=1, engines=8)
         loguru.logger.remove()
 
     def test_vm_that_is_cut_off_does_not_wait_for_lenders(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             gateway = scene.cluster.vms["vm-0"].gateway
             gateway.context.budget.tokens = 0.0
             cut = gateway_cluster.virtual_network.Cut("vm-0", "")
@@ -152,4 +152,4 @@
             self.assertLess(took_ms, 150.0)
 
         loguru.logger.remove()
-        gateway_scene.play(scene, vms=6, halls=1)
+        gateway_fixture.run_scenario(scene, vms=6, halls=1)
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -3,7 +3,7 @@
 import unittest
 
 from standins import schedules
-from tests import virtual
+from tests import virtual_cluster
 
 _SEEDS = range(1, 13)
 
@@ -13,6 +13,6 @@
         for seed in _SEEDS:
             with self.subTest(seed=seed):
                 lines, layout = schedules.make_schedule(seed)
-                found = virtual.play(lines, layout)
-                broken = virtual.broken_promises(found, lines)
+                found = virtual_cluster.replay_trace(lines, layout)
+                broken = virtual_cluster.find_violations(found, lines)
                 self.assertEqual(broken, [])
--- a/tests/test_simultaneous_prompts.py
+++ b/tests/test_simultaneous_prompts.py
@@ -6,7 +6,7 @@
 
 import loguru
 
-from tests import gateway_scene
+from tests import gateway_fixture
 
 _VMS = 8
 
@@ -23,7 +23,7 @@
                 pieces.update([writer, *record["extra"]["helpers"]])
             return False
 
-        async def one(scene: gateway_scene.Scene, number: int) -> None:
+        async def one(scene: gateway_fixture.Fixture, number: int) -> None:
             got = await scene.call(
                 "long",
                 f"vm-{number}",
@@ -33,14 +33,14 @@
             self.assertEqual(got.status, 200)
             first_ms.append(got.first_ms)
 
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             async with asyncio.TaskGroup() as group:
                 for number in range(_VMS):
                     group.create_task(one(scene, number))
 
         loguru.logger.remove()
         loguru.logger.add(lambda _: None, filter=note)
-        gateway_scene.play(scene, vms=_VMS, halls=1, engines=32)
+        gateway_fixture.run_scenario(scene, vms=_VMS, halls=1, engines=32)
         loguru.logger.remove()
         print(
             len(pieces),
--- a/tests/test_start_wait.py
+++ b/tests/test_start_wait.py
@@ -11,7 +11,7 @@
 
 import loguru
 
-from tests import gateway_scene
+from tests import gateway_fixture
 
 _LIMIT_MS = 2_000.0
 # For the answer to come back, and for timers that are late.
@@ -25,9 +25,9 @@
         loguru.logger.remove()
 
     def test_wait_for_settings_is_part_of_the_callers_time(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             cluster = scene.cluster
-            scene.spoil("engine", mute=True)
+            scene.inject_faults("engine", mute=True)
             cluster.store.trouble = "busy"
             node = cluster.vms["vm-0"]
             cluster.kill(node)
@@ -42,4 +42,4 @@
             self.assertEqual(got.status, 504)
             self.assertLessEqual(got.took_ms, _LIMIT_MS + _SLACK_MS)
 
-        gateway_scene.play(scene)
+        gateway_fixture.run_scenario(scene)
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -23,7 +23,7 @@
 from ruddergate.relay import published
 from standins import gateway_cluster
 from standins import virtual_network
-from tests import gateway_scene
+from tests import gateway_fixture
 
 # What the store loses when it is restored.
 _LOST_S = 6.0
@@ -37,7 +37,7 @@
         loguru.logger.remove()
 
     async def _restore(
-        self, scene: gateway_scene.Scene, away_s: float = 0.0
+        self, scene: gateway_fixture.Fixture, away_s: float = 0.0
     ) -> None:
         """Restores the store from a copy of some seconds ago."""
         store = scene.cluster.store
@@ -49,13 +49,13 @@
         store.restore(copy)
         store.trouble = ""
 
-    async def _check_leaving(self, scene: gateway_scene.Scene) -> None:
+    async def _check_leaving(self, scene: gateway_fixture.Fixture) -> None:
         """Has a target leave, and checks that all VMs know it in time."""
         node = scene.cluster.targets["service-0"]
         scene.cluster.drain_target(node)
         await asyncio.sleep(_APPLY_S)
         for vm in scene.cluster.vms:
-            found = scene.find_condition(vm, node)
+            found = scene.find_listed_condition(vm, node)
             self.assertIs(found, condition.Condition.LEAVING, vm)
             self.assertEqual(
                 await scene.count_arrivals(node.replica, "open", vm), 0, vm
@@ -64,12 +64,12 @@
     def _play_leaving(
         self, away_s: float, after_s: float, epoch: str = "1", vms: int = 9
     ) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             await self._restore(scene, away_s)
             await asyncio.sleep(after_s)
             await self._check_leaving(scene)
 
-        gateway_scene.play(scene, vms=vms, halls=1, epoch=epoch)
+        gateway_fixture.run_scenario(scene, vms=vms, halls=1, epoch=epoch)
 
     def test_leaving_after_an_outage_reaches_followers(self) -> None:
         self._play_leaving(3.0, 1.5)
@@ -87,7 +87,7 @@
         self._play_leaving(0.0, 0.0, epoch="")
 
     def test_leaving_is_known_when_the_position_is_passed_again(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             store = scene.cluster.store
             known = store.revision
             await self._restore(scene)
@@ -99,34 +99,36 @@
             scene.cluster.kill(node)
             await asyncio.sleep(_APPLY_S)
             for vm in scene.cluster.vms:
-                found = scene.find_condition(vm, node)
+                found = scene.find_listed_condition(vm, node)
                 self.assertIs(found, condition.Condition.LEAVING, vm)
 
-        gateway_scene.play(scene, vms=9, halls=1)
+        gateway_fixture.run_scenario(scene, vms=9, halls=1)
 
     def test_settings_after_a_restore_reach_all(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             await self._restore(scene, 1.0)
             scene.cluster.keys = {"w1": ["another"]}
             scene.cluster.publish()
             await asyncio.sleep(_APPLY_S)
             for vm in scene.cluster.vms:
                 got = await scene.call("unsafe", vm)
-                self.assertEqual((got.status, scene.runs(got)), (401, []), vm)
+                self.assertEqual(
+                    (got.status, scene.find_runs(got)), (401, []), vm
+                )
 
-        gateway_scene.play(scene, vms=9, halls=3)
+        gateway_fixture.run_scenario(scene, vms=9, halls=3)
 
     def test_second_restore_is_followed_too(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             await self._restore(scene)
             await asyncio.sleep(0.4)
             await self._restore(scene, 0.5)
             await self._check_leaving(scene)
 
-        gateway_scene.play(scene, vms=9, halls=3)
+        gateway_fixture.run_scenario(scene, vms=9, halls=3)
 
     def test_live_targets_serve_through_a_restore(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             cluster = scene.cluster
             # All are back under their names, which the copy does not hold.
             copy = cluster.store.take_copy()
@@ -141,17 +143,17 @@
                 self.assertEqual(got.status, 200)
                 await asyncio.sleep(0.1)
 
-        gateway_scene.play(scene, vms=9, halls=1)
+        gateway_fixture.run_scenario(scene, vms=9, halls=1)
 
     def test_epoch_is_shown(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             await self._restore(scene)
             await asyncio.sleep(_APPLY_S)
             for node in scene.cluster.vms.values():
                 view = node.gateway.context.view
                 self.assertEqual(view.store_position.epoch, 2)
 
-        gateway_scene.play(scene, vms=3, halls=1)
+        gateway_fixture.run_scenario(scene, vms=3, halls=1)
 
 
 class ListFromPeersTest(unittest.TestCase):
@@ -167,7 +169,7 @@
         loguru.logger.remove()
 
     def test_vms_that_the_store_is_cut_from_have_it_of_peers(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             cluster = scene.cluster
             names = list(cluster.vms)
             copy = cluster.store.take_copy()
@@ -181,14 +183,14 @@
             cluster.drain_target(node)
             await asyncio.sleep(5.0)
             for name in names:
-                found = scene.find_condition(name, node)
+                found = scene.find_listed_condition(name, node)
                 self.assertIs(found, condition.Condition.LEAVING, name)
                 self.assertEqual((await scene.call("unsafe", name)).status, 200)
 
-        gateway_scene.play(scene, vms=9, halls=1)
+        gateway_fixture.run_scenario(scene, vms=9, halls=1)
 
     def test_one_vm_of_a_hall_reads_a_restored_store(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             store = scene.cluster.store
             copy = store.take_copy()
             await asyncio.sleep(_LOST_S)
@@ -201,10 +203,10 @@
                 view = node.gateway.context.view
                 self.assertEqual(view.store_position.epoch, 2)
 
-        gateway_scene.play(scene, vms=9, halls=1, engines=10)
+        gateway_fixture.run_scenario(scene, vms=9, halls=1, engines=10)
 
     def test_epoch_that_a_peer_makes_up_ends_with_the_peer(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             cluster = scene.cluster
             peers = cluster.vms["vm-0"].gateway._peers
             reader = peers.rank_hall()[0].partition(":")[0]
@@ -221,10 +223,10 @@
             cluster.drain_target(node)
             await asyncio.sleep(_APPLY_S)
             for vm in cluster.vms:
-                found = scene.find_condition(vm, node)
+                found = scene.find_listed_condition(vm, node)
                 self.assertIs(found, condition.Condition.LEAVING, vm)
 
-        gateway_scene.play(scene, vms=5, halls=1)
+        gateway_fixture.run_scenario(scene, vms=5, halls=1)
 
 
 def _make_liar(node: gateway_cluster.Node) -> None:
@@ -253,7 +255,7 @@
         """Returns a VM's answer to a question from a position."""
         told = []
 
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             gateway = scene.cluster.vms["vm-0"].gateway
             position = gateway.context.view.store_position
             question = news.NewsWanted(
@@ -261,7 +263,7 @@
             )
             told.append(gateway.handle_peer_request(question))
 
-        gateway_scene.play(scene, vms=1, halls=1)
+        gateway_fixture.run_scenario(scene, vms=1, halls=1)
         return told[0]
 
     def test_nothing_is_told_across_epochs(self) -> None:
@@ -273,7 +275,7 @@
         self.assertFalse(self._ask(1, 1).is_whole)
 
     def test_peer_that_makes_up_an_epoch_costs_a_read(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             gateway = scene.cluster.vms["vm-0"].gateway
             gateway.handle_peer_request(
                 news.NewsWanted("vm-1:83", "q", 5, 10**9)
@@ -284,7 +286,7 @@
             await asyncio.sleep(10.0)
             self.assertLess(scene.cluster.store.calls - before, 10)
 
-        gateway_scene.play(scene, vms=1, halls=1)
+        gateway_fixture.run_scenario(scene, vms=1, halls=1)
 
 
 class CheckTest(unittest.TestCase):
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -17,7 +17,7 @@
 from ruddergate import environment
 from ruddergate import event_loop
 from standins import gateway_caller
-from tests import gateway_scene
+from tests import gateway_fixture
 
 _SLEEP_S = 6.0
 
@@ -62,7 +62,7 @@
         """Returns what a caller got whose key was removed meanwhile."""
         found = []
 
-        async def scene(scene: gateway_scene.Scene) -> None:
+        async def scene(scene: gateway_fixture.Fixture) -> None:
             cluster = scene.cluster
             cluster.network.counts_sleep = counts_sleep
             node = cluster.vms["vm-0"]
@@ -77,7 +77,7 @@
             node.process.wake()
             found.append(await calling)
 
-        gateway_scene.play(scene, vms=2)
+        gateway_fixture.run_scenario(scene, vms=2)
         return found[0]
 
     def test_key_that_was_removed_meanwhile_is_refused(self) -> None:
--- a/tests/virtual.py
+++ b/tests/virtual_cluster.py
@@ -1,4 +1,4 @@
-"""Small virtual clusters for tests of failures."""
+"""Replays traces with faults against a small virtual cluster."""
 
 import dataclasses
 
@@ -10,10 +10,10 @@
 LAYOUT = clusters.Layout(vms=4, halls=2, engines=4, services=2)
 
 
-def requests(
+def make_requests(
     count: int, every_ms: float, **fields: object
 ) -> list[trace.TracedRequest]:
-    """Returns like requests at equal distances."""
+    """Returns requests of the same shape at a fixed interval."""
     first = trace.TracedRequest(0.0, "r", "w1", "repairs")
     shape = {"prompt_tokens": 1_200, "output_tokens": 40, **fields}
     return [
@@ -24,26 +24,28 @@
     ]
 
 
-def fault(at_ms: float, fault_: str, on: str, from_: str = "") -> trace.Line:
+def make_fault(
+    at_ms: float, fault_: str, on: str, from_: str = ""
+) -> trace.Line:
     """Returns a fault line."""
     return trace.TracedFault(at_ms, fault_, on, from_)
 
 
-def play(
+def replay_trace(
     lines: list[trace.Line],
     layout: clusters.Layout = LAYOUT,
     tree: dict | None = None,
 ) -> replay.Replayed:
-    """Replays lines in any order of writing."""
+    """Replays trace lines in time order; they may be given in any order."""
     ordered = sorted(lines, key=lambda line: line.at_ms)
     return replay.replay(tuple(ordered), layout, tree)
 
 
-broken_promises = schedules.find_broken
+find_violations = schedules.find_broken
 
 
-def statuses(found: replay.Replayed) -> dict[str, int]:
-    """Returns how many requests ended in which way."""
+def count_statuses(found: replay.Replayed) -> dict[str, int]:
+    """Returns the number of requests for each final status."""
     counts: dict[str, int] = {}
     for each in found.outcomes:
         counts[each.status] = counts.get(each.status, 0) + 1
