--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,4 +1,4 @@
-"""Tests, one file a theme."""
+"""Tests, one file for each subject."""
 
 from ruddergate.telemetry import logs
 
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,9 +1,9 @@
-"""Runs the tests; those listed in KNOWN-RED.txt are printed, not counted.
+"""Runs the tests; failures listed in KNOWN-RED.txt don't fail the run.
 
-Without names, each test file runs in a process of its own, several at once; of
-files that take long, each test does.
-A line of KNOWN-RED.txt is `test, cause, issue`. A listed test that passes is
-reported as a failure, so that the list never outlives its faults.
+Without arguments, each test file runs in its own process, several in parallel;
+of slow files, each test does. A line of KNOWN-RED.txt is `test, cause, issue`.
+Listed tests are printed and expected to fail: one that passes is reported as a
+failure, so that entries are removed with the faults that they stand for.
 """
 
 from collections.abc import Iterator
@@ -20,26 +20,26 @@
 
 _HERE = pathlib.Path(__file__).parent
 _TOP = _HERE.parent
-_LIST = _TOP / "KNOWN-RED.txt"
-_LISTED_MAX = 3
-# Three in four processors: some files start processes of their own.
-_AT_ONCE = max(1, (os.cpu_count() or 2) * 3 // 4)
-# These take longest, so their tests begin first, each by itself.
+_KNOWN_RED = _TOP / "KNOWN-RED.txt"
+_MAX_KNOWN_RED = 3
+# Three quarters of the processors: some files start processes themselves.
+_PARALLEL_JOBS = max(1, (os.cpu_count() or 2) * 3 // 4)
+# The slowest files: their tests start first, each in its own process.
 _LONG = ("test_configuration", "test_promises", "test_schedules")
-_RAN = re.compile(r"^Ran (\d+) tests? in", re.MULTILINE)
+_RAN_PATTERN = re.compile(r"^Ran (\d+) tests? in", re.MULTILINE)
 
 
 def _read_known_red() -> list[str]:
-    if not _LIST.exists():
+    if not _KNOWN_RED.exists():
         return []
-    lines = _LIST.read_text().splitlines()
+    lines = _KNOWN_RED.read_text().splitlines()
     return [line.split(",")[0].strip() for line in lines if line.strip()]
 
 
-def _mark(suite: unittest.TestSuite, known_red: list[str]) -> None:
+def _mark_known_red(suite: unittest.TestSuite, known_red: list[str]) -> None:
     for test in suite:
         if isinstance(test, unittest.TestSuite):
-            _mark(test, known_red)
+            _mark_known_red(test, known_red)
         elif test.id() in known_red:
             method = getattr(test, test._testMethodName).__func__
             wrapped = unittest.expectedFailure(method)
@@ -47,55 +47,55 @@
             print(f"known red: {test.id()}")
 
 
-def _run_here(names: Sequence[str], known_red: list[str]) -> bool:
-    """Runs some tests in this process; returns whether all is well."""
+def _run_in_process(names: Sequence[str], known_red: list[str]) -> bool:
+    """Runs tests in this process; returns whether any ran and all passed."""
     suite = unittest.defaultTestLoader.loadTestsFromNames(names)
-    _mark(suite, known_red)
+    _mark_known_red(suite, known_red)
     result = unittest.TextTestRunner(verbosity=1).run(suite)
     return result.wasSuccessful() and result.testsRun > 0
 
 
 def _find_jobs() -> list[str]:
-    """Returns what to run by itself: single tests, then whole files."""
+    """Returns what runs in its own process: single tests, then files."""
     files = [path.stem for path in sorted(_HERE.glob("test_*.py"))]
     single = [
         test_id
         for name in _LONG
-        for test_id in _name_tests(
+        for test_id in _list_test_ids(
             unittest.defaultTestLoader.loadTestsFromName(f"tests.{name}")
         )
     ]
     return single + [f"tests.{name}" for name in files if name not in _LONG]
 
 
-def _name_tests(suite: unittest.TestSuite) -> Iterator[str]:
+def _list_test_ids(suite: unittest.TestSuite) -> Iterator[str]:
     for test in suite:
         if isinstance(test, unittest.TestSuite):
-            yield from _name_tests(test)
+            yield from _list_test_ids(test)
         else:
             yield test.id()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _JobRun:
-    """The run of one file, or of one test.
+    """The finished run of one file or one test.
 
     Attributes:
-        count: Tests that ran.
-        output: What it printed.
-        is_well: Whether all passed.
-        took_s: Time it took.
+        count: Number of tests that ran.
+        output: Standard output and standard error.
+        is_ok: Whether any test ran and all passed.
+        duration_s: Duration of the run.
     """
 
     count: int
     output: str
-    is_well: bool
-    took_s: float
+    is_ok: bool
+    duration_s: float
 
 
 def _run_job(name: str) -> _JobRun:
-    began_s = time.monotonic()
-    done = subprocess.run(
+    started_s = time.monotonic()
+    finished = subprocess.run(
         [sys.executable, "-m", "tests", name],
         cwd=_TOP,
         stdout=subprocess.PIPE,
@@ -103,29 +103,31 @@
         text=True,
         check=False,
     )
-    ran = _RAN.search(done.stdout)
+    ran = _RAN_PATTERN.search(finished.stdout)
     count = int(ran[1]) if ran else 0
-    is_well = done.returncode == 0 and count > 0
-    return _JobRun(count, done.stdout, is_well, time.monotonic() - began_s)
+    is_ok = finished.returncode == 0 and count > 0
+    return _JobRun(count, finished.stdout, is_ok, time.monotonic() - started_s)
 
 
 def _run_all() -> bool:
-    """Runs every test; prints what the failed ones have printed."""
-    began_s = time.monotonic()
+    """Runs all tests and prints the output of failed jobs."""
+    started_s = time.monotonic()
     count = 0
     failed: list[str] = []
-    with concurrent.futures.ThreadPoolExecutor(_AT_ONCE) as pool:
+    with concurrent.futures.ThreadPoolExecutor(_PARALLEL_JOBS) as pool:
         names = _find_jobs()
-        for name, done in zip(names, pool.map(_run_job, names), strict=True):
-            count += done.count
-            verdict = "ok" if done.is_well else "FAILED"
-            print(f"{name}: {verdict}, {done.took_s:.1f} s", flush=True)
-            for line in done.output.splitlines():
-                if not done.is_well or line.startswith("known red:"):
+        for name, finished in zip(
+            names, pool.map(_run_job, names), strict=True
+        ):
+            count += finished.count
+            verdict = "ok" if finished.is_ok else "FAILED"
+            print(f"{name}: {verdict}, {finished.duration_s:.1f} s", flush=True)
+            for line in finished.output.splitlines():
+                if not finished.is_ok or line.startswith("known red:"):
                     print(line)
-            if not done.is_well:
+            if not finished.is_ok:
                 failed.append(name)
-    print(f"Ran {count} tests in {time.monotonic() - began_s:.3f}s\n")
+    print(f"Ran {count} tests in {time.monotonic() - started_s:.3f}s\n")
     if failed or not count:
         print(f"FAILED ({', '.join(failed) or 'none found'})")
         return False
@@ -134,14 +136,14 @@
 
 
 def main() -> int:
-    """Runs the tests named on the command line, or all."""
+    """Runs the tests named on the command line, or all of them."""
     known_red = _read_known_red()
-    if len(known_red) > _LISTED_MAX:
-        print(f"KNOWN-RED.txt: at most {_LISTED_MAX} lines", file=sys.stderr)
+    if len(known_red) > _MAX_KNOWN_RED:
+        print(f"KNOWN-RED.txt: at most {_MAX_KNOWN_RED} lines", file=sys.stderr)
         return 1
     names = sys.argv[1:]
-    is_well = _run_here(names, known_red) if names else _run_all()
-    return 0 if is_well else 1
+    is_ok = _run_in_process(names, known_red) if names else _run_all()
+    return 0 if is_ok else 1
 
 
 if __name__ == "__main__":
--- a/tests/gateway_fixture.py
+++ b/tests/gateway_fixture.py
@@ -1,4 +1,4 @@
-"""Small clusters of gateways for tests of promises."""
+"""A small cluster of gateways in virtual time, and a client of it."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -9,15 +9,15 @@
 from standins import platform_replica
 from standins import virtual_process
 
-_SHORT = {"prompt_tokens": 5_000, "output_tokens": 460}
-# Calls after which an answer of each target must have been passed on.
-_TELL_MOST = 40
-# Calls that would reach any target that takes them.
-_CALLS = 8
+_SHORT_PROMPT = {"prompt_tokens": 5_000, "output_tokens": 460}
+# Within this many requests, every target has answered one.
+_MAX_HINT_REQUESTS = 40
+# Enough requests to reach every target that accepts them.
+_SAMPLE_REQUESTS = 8
 
 
 class Fixture:
-    """A cluster that has started, and a caller outside of it."""
+    """A started cluster and a client outside of it."""
 
     def __init__(self, cluster: gateway_cluster.GatewayCluster) -> None:
         self.cluster = cluster
@@ -27,15 +27,15 @@
     async def call(
         self, route: str, vm: str = "vm-0", **fields: object
     ) -> gateway_caller.Got:
-        """Sends one call."""
+        """Sends one request and returns its response."""
         self._count += 1
         if route in ("short", "once"):
-            fields = {**_SHORT, **fields}
+            fields = {**_SHORT_PROMPT, **fields}
         call = gateway_caller.Call(f"r{self._count}", route, vm, **fields)
         return await self.caller.send(call)
 
     def find_runs(self, got: gateway_caller.Got) -> list[platform_replica.Run]:
-        """Returns what ran of a call."""
+        """Returns the runs of a request on all replicas."""
         return [
             run
             for replica in self.cluster.all_replicas
@@ -46,12 +46,12 @@
     async def call_until_draining_hint(
         self, replica: platform_replica.PlatformReplica, route: str
     ) -> None:
-        """Has vm-0 pass on an answer of a replica that says that it leaves."""
-        for _ in range(_TELL_MOST):
+        """Sends requests until vm-0 forwards a draining hint of a replica."""
+        for _ in range(_MAX_HINT_REQUESTS):
             got = await self.call(route, "vm-0")
             if got.headers.get("server-leaving") == "1":
                 return
-        raise AssertionError(f"no answer of {replica.name} was passed on")
+        raise AssertionError(f"no response of {replica.name} was forwarded")
 
     async def count_arrivals(
         self,
@@ -59,16 +59,16 @@
         route: str,
         vm: str = "vm-0",
     ) -> int:
-        """Returns how many of some calls of a VM come to a replica."""
+        """Returns how many of a few requests through a VM reach a replica."""
         before = len(replica.arrivals)
-        for _ in range(_CALLS):
+        for _ in range(_SAMPLE_REQUESTS):
             await self.call(route, vm)
         return len(replica.arrivals) - before
 
     def find_listed_condition(
         self, vm: str, node: gateway_cluster.Node
     ) -> condition.Condition | None:
-        """Returns what a VM believes of a target; None if it is not listed."""
+        """Returns a target's condition in a VM's list; None if not listed."""
         listed = self.cluster.vms[vm].gateway.context.view.listing.targets
         return next(
             (
@@ -80,27 +80,33 @@
         )
 
     def inject_faults(
-        self, prefix: str, count: int | None = None, **wrong
+        self, prefix: str, count: int | None = None, **faults
     ) -> None:
-        """Has the replicas of a name misbehave."""
+        """Sets fault switches of replicas.
+
+        Args:
+            prefix: Applies to targets whose name starts with this.
+            count: The first so many of them by name; all if None.
+            **faults: Values of the fault switches, by name.
+        """
         names = sorted(self.cluster.targets)
         chosen = [name for name in names if name.startswith(prefix)][:count]
         for name in chosen:
-            for field, value in wrong.items():
+            for field, value in faults.items():
                 setattr(self.cluster.targets[name].replica.wrong, field, value)
 
 
 def run_scenario(
-    scene: Callable[[Fixture], Awaitable[None]], **sizes: int
+    scenario: Callable[[Fixture], Awaitable[None]], **sizes: int
 ) -> gateway_cluster.GatewayCluster:
-    """Plays a scene in virtual time."""
+    """Starts a cluster of the given layout and runs a scenario on it."""
 
     async def run() -> gateway_cluster.GatewayCluster:
         cluster = gateway_cluster.GatewayCluster(
             gateway_cluster.Layout(**sizes)
         )
         await cluster.start()
-        await scene(Fixture(cluster))
+        await scenario(Fixture(cluster))
         return cluster
 
     return virtual_process.run(run)
--- a/tests/test_accepted_connections.py
+++ b/tests/test_accepted_connections.py
@@ -1,10 +1,10 @@
-"""Connections that come up in the moment in which a process ends.
+"""Connections that are accepted while the process stops.
 
-The log of a gateway that had been stopped as planned held a traceback: "in
+Guards against a traceback in the log of a gateway after a planned stop: "in
 callback: exc = task.exception(), asyncio.exceptions.CancelledError". A
-connection had been accepted in the loop's last turn. Its task was cancelled
-before its first step, so that nothing in it could catch that, and asyncio's
-own callback raises for a task that was cancelled.
+connection accepted in the loop's last iteration has its task cancelled before
+the first step, so the task cannot catch the cancellation, and asyncio's own
+done callback raises for a cancelled task.
 """
 
 import asyncio
@@ -14,12 +14,13 @@
 from ruddergate import environment
 from standins import _private
 
-# The loop accepts a connection and starts its task within this many turns.
-_TURNS = 20
+# The loop accepts a connection and starts its task within this many
+# iterations.
+_MAX_LOOP_ITERATIONS = 20
 
 
-class LastTurnTest(unittest.TestCase):
-    def test_task_that_is_cancelled_before_its_first_step_is_no_fault(
+class AcceptedConnectionTest(unittest.TestCase):
+    def test_task_cancelled_before_its_first_step_is_not_reported(
         self,
     ) -> None:
         reported: list[str] = []
@@ -47,7 +48,7 @@
         asyncio.run(run())
         self.assertEqual((reported, steps), ([], []))
 
-    def test_fault_of_a_handler_is_reported(self) -> None:
+    def test_handler_error_is_reported(self) -> None:
         reported: list[str] = []
 
         async def handle(
@@ -64,7 +65,7 @@
             env = environment.make_system_environment()
             server = await env.serve(handle, address)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            # Its connection is closed, too.
+            # The connection is closed as well.
             self.assertEqual(await reader.read(), b"")
             writer.close()
             server.close()
@@ -74,8 +75,8 @@
 
 
 async def _cancel_next_task() -> None:
-    """Cancels the task of the next connection as soon as there is one."""
-    for _ in range(_TURNS):
+    """Cancels the task of the next connection as soon as it exists."""
+    for _ in range(_MAX_LOOP_ITERATIONS):
         await asyncio.sleep(0.0)
         for task in asyncio.all_tasks():
             if task.get_coro().__qualname__.endswith("serve.<locals>.accept"):
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,7 @@
-"""Bad input at every door gets a clear answer and harms no one else."""
+"""Invalid input on each interface is refused and affects no one else.
+
+Covers HTTP requests, caller requests, peer frames and the VM list.
+"""
 
 import asyncio
 from collections.abc import Awaitable
@@ -26,15 +29,15 @@
     read_timeout_ms=500.0,
     connections_max=2,
 )
-_GOOD = b"GET / HTTP/1.1\r\nhost: a\r\n\r\n"
+_VALID_REQUEST = b"GET / HTTP/1.1\r\nhost: a\r\n\r\n"
 _ADDRESS = environment.Address("vm-1", 80)
 
 
-def _talk(
+def _run_client(
     talk: Callable[[environment.Environment], Awaitable[object]],
     handler: environment.StreamHandler,
 ) -> object:
-    """Runs a caller against a stream handler in virtual time."""
+    """Runs a client against a stream handler in virtual time."""
 
     async def run() -> object:
         network = virtual_network.VirtualNetwork(1, virtual_network.Latency())
@@ -48,11 +51,11 @@
     return virtual_process.run(run)
 
 
-async def _hello(incoming: message.IncomingRequest) -> message.Response:
+async def _echo_path(incoming: message.IncomingRequest) -> message.Response:
     return message.make_json_response(200, {"path": incoming.path})
 
 
-async def _send(env: environment.Environment, *pieces: bytes) -> bytes:
+async def _exchange(env: environment.Environment, *pieces: bytes) -> bytes:
     reader, writer = await env.connect(_ADDRESS)
     for piece in pieces:
         writer.write(piece)
@@ -67,12 +70,12 @@
 class HttpTest(unittest.TestCase):
     def answer(self, *pieces: bytes) -> bytes:
         async def talk(env: environment.Environment) -> bytes:
-            return await _send(env, *pieces)
+            return await _exchange(env, *pieces)
 
-        handler = server.make_stream_handler(_hello, _LIMITS)
-        return _talk(talk, handler)
+        handler = server.make_stream_handler(_echo_path, _LIMITS)
+        return _run_client(talk, handler)
 
-    def test_wrong_requests_get_a_4xx(self) -> None:
+    def test_invalid_requests_get_a_4xx(self) -> None:
         post = b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 9000\r\n\r\n"
         cases = {
             b"400": [b"nonsense\r\n\r\n"],
@@ -87,23 +90,25 @@
                 self.assertIn(b'"ran":"not_run"', answer)
 
     def test_pipelined_requests_are_answered_in_turn(self) -> None:
-        self.assertEqual(self.answer(_GOOD + _GOOD).count(b"200"), 2)
+        self.assertEqual(
+            self.answer(_VALID_REQUEST + _VALID_REQUEST).count(b"200"), 2
+        )
 
-    def test_too_many_connections_leave_the_first_alone(self) -> None:
+    def test_connections_over_the_limit_do_not_affect_others(self) -> None:
         async def talk(env: environment.Environment) -> list[bytes]:
             held = [await env.connect(_ADDRESS) for _ in range(2)]
             await asyncio.sleep(0.1)
-            refused = await _send(env, b"")
-            held[0][1].write(_GOOD)
+            refused = await _exchange(env, b"")
+            held[0][1].write(_VALID_REQUEST)
             served = await held[0][0].read(1_000)
             return [refused, served]
 
-        handler = server.make_stream_handler(_hello, _LIMITS)
-        refused, served = _talk(talk, handler)
+        handler = server.make_stream_handler(_echo_path, _LIMITS)
+        refused, served = _run_client(talk, handler)
         self.assertIn(b"503", refused[:20])
         self.assertIn(b"200", served[:20])
 
-    def test_handler_is_cancelled_when_the_caller_leaves(self) -> None:
+    def test_handler_is_cancelled_when_the_caller_disconnects(self) -> None:
         ended: list[str] = []
 
         async def slow(incoming: message.IncomingRequest) -> message.Response:
@@ -116,16 +121,16 @@
 
         async def talk(env: environment.Environment) -> None:
             _, writer = await env.connect(_ADDRESS)
-            writer.write(_GOOD)
+            writer.write(_VALID_REQUEST)
             await asyncio.sleep(0.1)
             writer.close()
             await asyncio.sleep(0.1)
 
-        _talk(talk, server.make_stream_handler(slow, _LIMITS))
+        _run_client(talk, server.make_stream_handler(slow, _LIMITS))
         self.assertEqual(ended, ["/"])
 
 
-class CallTest(unittest.TestCase):
+class CallerRequestTest(unittest.TestCase):
     def parse(self, body: object, **headers: str) -> object:
         fields = {
             "authorization": "Bearer k",
@@ -138,7 +143,7 @@
             message.IncomingRequest("POST", path, "", fields, data)
         )
 
-    def test_wrong_calls_say_what_was_expected(self) -> None:
+    def test_invalid_requests_name_what_was_expected(self) -> None:
         good = {"prompt": "p"}
         cases = [
             (b"{", {}, "JSON"),
@@ -160,7 +165,7 @@
                 self.assertIs(found.reason, outcomes.Reason.BAD_REQUEST)
                 self.assertIn(expected, found.detail)
 
-    def test_told_length_is_not_believed_below_reason(self) -> None:
+    def test_declared_prompt_length_has_a_lower_bound(self) -> None:
         call = self.parse(
             {"prompt": "a" * 64_000}, ruddergate_prompt_tokens="1"
         )
@@ -171,7 +176,7 @@
     KEY = b"0123456789abcdef"
 
     def receive(self, key: bytes, *sent: bytes) -> list[object]:
-        """Returns what a peer with KEY receives from one with `key`."""
+        """Returns what a peer with KEY receives from one that uses `key`."""
         received: list[object] = []
 
         async def serve(
@@ -195,10 +200,10 @@
             writer.close()
             await asyncio.sleep(1.0)
 
-        _talk(talk, serve)
+        _run_client(talk, serve)
         return received
 
-    def test_peer_with_the_key_is_heard(self) -> None:
+    def test_message_of_a_peer_with_the_key_is_received(self) -> None:
         received = self.receive(self.KEY)
         self.assertEqual(received[0], tree_wanted.TreeWanted(3, ("a",)))
 
@@ -214,7 +219,7 @@
         received = self.receive(self.KEY, b"\xff" * 24)
         self.assertIn("a frame of", received[-1].detail)
 
-    def test_malformed_messages_are_values(self) -> None:
+    def test_malformed_messages_are_returned_as_values(self) -> None:
         cases = [
             b"",
             b"\xc1",
@@ -228,7 +233,7 @@
 
 
 class VmListTest(unittest.TestCase):
-    def test_rows_without_sense_are_left_out(self) -> None:
+    def test_invalid_rows_are_skipped(self) -> None:
         document = {
             "version": 3,
             "vms": [7, {"id": "a"}, {"id": "b", "host": "h"}],
@@ -242,7 +247,7 @@
         self.assertEqual(found.targets[0].condition, "leaving")
         self.assertEqual(found.vms, ())
 
-    def test_no_list_at_all(self) -> None:
+    def test_document_without_a_list_is_unavailable(self) -> None:
         for document in (None, [], {"version": "x"}):
             found = vm_list.parse_listing(document)
             self.assertIsInstance(found, vm_list.Unavailable)
--- a/tests/test_by_region.py
+++ b/tests/test_by_region.py
@@ -1,4 +1,7 @@
-"""Short and long prompts keep to engines of their own, on pools of any size."""
+"""The by_region policy gives short and long prompts separate engines.
+
+It has to do so on pools of any size.
+"""
 
 import dataclasses
 import random
@@ -33,11 +36,11 @@
 ).find_pool("engines")
 _SHORT = jobs.Job(5_000, 6_500, "", 0, False, 0.0, 300.0, 200.0)
 _LONG = jobs.Job(210_000, 211_000, "", 0, True, 0.0, 3_000.0, 800.0)
-_GREAT = jobs.Job(900_000, 901_000, "", 0, True, 0.0, 3_000.0, 800.0)
+_VERY_LONG = jobs.Job(900_000, 901_000, "", 0, True, 0.0, 3_000.0, 800.0)
 
 
 def _make_engines(
-    count: int, places: int = 8, halls: int = 1
+    count: int, slots: int = 8, halls: int = 1
 ) -> list[estimates.Estimate]:
     return [
         estimates.Estimate(
@@ -47,7 +50,7 @@
                 f"h{number % halls}",
                 environment.Address("1.1.1.1", number + 1),
                 condition.Condition.LIVE,
-                places,
+                slots,
             ),
             _POOL,
         )
@@ -59,33 +62,36 @@
     job: jobs.Job, engines: list[estimates.Estimate]
 ) -> list[estimates.Estimate]:
     policy = by_region.make_by_region()
-    chance = random.Random(1)
-    chosen = policy.choose(job, engines, 0.0, chance)
+    rng = random.Random(1)
+    chosen = policy.choose(job, engines, 0.0, rng)
     if chosen is None:
         return []
-    helpers = policy.choose_helpers(job, chosen, engines, 0.0, chance)
+    helpers = policy.choose_helpers(job, chosen, engines, 0.0, rng)
     return [chosen, *helpers]
 
 
 class ByRegionTest(unittest.TestCase):
-    def test_pools_of_any_size_take_every_prompt(self) -> None:
+    def test_pools_of_any_size_accept_every_prompt(self) -> None:
         for count in (1, 2, 3, 4, 7, 18):
             engines = _make_engines(count)
             self.assertEqual(len(_choose(_SHORT, engines)), 1, count)
             self.assertTrue(_choose(_LONG, engines), count)
             if count >= 4:
-                self.assertGreaterEqual(len(_choose(_GREAT, engines)), 4)
+                self.assertGreaterEqual(len(_choose(_VERY_LONG, engines)), 4)
 
-    def test_short_and_long_prompts_do_not_meet(self) -> None:
+    def test_short_and_long_prompts_use_different_engines(self) -> None:
         engines = _make_engines(18)
         long_ = {each.target.target_id for each in _choose(_LONG, engines)}
         for _ in range(20):
             (short,) = _choose(_SHORT, engines)
             self.assertNotIn(short.target.target_id, long_)
 
-    def test_vms_that_know_nothing_of_each_other_spread(self) -> None:
-        blind = dataclasses.replace(_SHORT, is_peer_load_unknown=True)
-        for job, least, most in ((blind, 13, 18), (_SHORT, 1, 4)):
+    def test_vms_that_do_not_know_peer_load_spread_out(self) -> None:
+        uninformed = dataclasses.replace(_SHORT, is_peer_load_unknown=True)
+        for job, min_engines, max_engines in (
+            (uninformed, 13, 18),
+            (_SHORT, 1, 4),
+        ):
             chosen = set()
             for seed in range(60):
                 policy = by_region.make_by_region()
@@ -93,10 +99,10 @@
                     job, _make_engines(18), 0.0, random.Random(seed)
                 )
                 chosen.add(target.target.target_id)
-            self.assertGreaterEqual(len(chosen), least)
-            self.assertLessEqual(len(chosen), most)
+            self.assertGreaterEqual(len(chosen), min_engines)
+            self.assertLessEqual(len(chosen), max_engines)
 
-    def test_short_prompts_stay_in_their_hall_while_it_has_places(
+    def test_short_prompts_stay_in_their_hall_while_it_has_free_slots(
         self,
     ) -> None:
         engines = _make_engines(18, halls=3)
@@ -113,7 +119,7 @@
         (chosen,) = _choose(job, engines)
         self.assertNotEqual(chosen.target.hall, "h1")
 
-    def test_boundary_is_drawn_in_each_hall(self) -> None:
+    def test_boundary_is_computed_for_each_hall(self) -> None:
         engines = _make_engines(18, halls=3)
         for each in engines:
             if each.target.hall == "h0":
@@ -132,20 +138,22 @@
         }
         self.assertEqual(counts, {"h0": 1, "h1": 5, "h2": 5})
 
-    def test_plain_calls_stay_in_their_hall_unless_it_is_busier(self) -> None:
+    def test_service_requests_stay_in_their_hall_unless_it_is_busier(
+        self,
+    ) -> None:
         policy = by_name.make_policy("least_recent")
         engines = _make_engines(3, halls=3)
         job = dataclasses.replace(_SHORT, local_hall="h1")
-        chance = random.Random(1)
+        rng = random.Random(1)
         for streams, expected in ((2, True), (4, False)):
             row = dispatched.Dispatched(
                 engines[1].target.target_id, (), 0, streams, (), 0.0
             )
             engines[1].apply_peer_work(row, 0.0)
-            chosen = policy.choose(job, engines, 0.0, chance)
+            chosen = policy.choose(job, engines, 0.0, rng)
             self.assertEqual(chosen.target.hall == "h1", expected)
 
-    def test_boundary_follows_short_answers(self) -> None:
+    def test_boundary_follows_streams_of_short_prompts(self) -> None:
         engines = _make_engines(18)
         before = len(boundary.find_long_region(engines, 0.0))
         for each in engines:
@@ -157,9 +165,9 @@
         self.assertGreater(before, after)
         self.assertEqual(after, boundary.MIN_REGION_ENGINES)
 
-    def test_boundary_leaves_places_free_on_engines_of_any_size(self) -> None:
-        for places in (4, 6, 8, 12):
-            engines = _make_engines(60, places)
+    def test_boundary_leaves_slots_free_on_engines_of_any_size(self) -> None:
+        for slots in (4, 6, 8, 12):
+            engines = _make_engines(60, slots)
             for each in engines[:40]:
                 row = dispatched.Dispatched(
                     each.target.target_id, (), 0, 3, (3, 0, 0), 0.0
@@ -167,10 +175,10 @@
                 each.apply_peer_work(row, 0.0)
             front = 60 - len(boundary.find_long_region(engines, 0.0))
             self.assertLessEqual(
-                120 / front, boundary.SHORT_REGION_FILL * places
+                120 / front, boundary.SHORT_REGION_FILL * slots
             )
 
-    def test_long_answers_leave_the_boundary(self) -> None:
+    def test_streams_of_long_prompts_do_not_move_the_boundary(self) -> None:
         engines = _make_engines(18)
         before = boundary.find_long_region(engines, 0.0)
         for each in engines:
@@ -180,7 +188,7 @@
             each.apply_peer_work(row, 0.0)
         self.assertEqual(boundary.find_long_region(engines, 0.0), before)
 
-    def test_long_prompt_waits_for_the_end_of_another_ones_reading(
+    def test_long_prompt_waits_for_the_end_of_another_prefill(
         self,
     ) -> None:
         engines = _make_engines(18)
@@ -193,11 +201,14 @@
         waited = dataclasses.replace(_LONG, waited_ms=1_000.0)
         self.assertTrue(_choose(waited, engines))
 
-    def test_great_prompt_waits_for_answers_rather_than_be_late(self) -> None:
-        # 400,000 tokens take one engine 8.9 s; each engine of the long region
-        # writes an answer that bears no piece of more than 0.7 s beside it.
+    def test_very_long_prompt_waits_for_streams_rather_than_be_late(
+        self,
+    ) -> None:
+        # One engine takes 8.9 s to prefill 400,000 tokens. Each engine of the
+        # long region serves a stream that allows a prefill of at most 0.7 s at
+        # a time.
         engines = _make_engines(18)
-        great = dataclasses.replace(
+        very_long = dataclasses.replace(
             _LONG, prompt_tokens=400_000, held_tokens=401_000
         )
         for each in engines:
@@ -205,13 +216,13 @@
                 each.target.target_id, (), 0, 1, (1, 2, 1), 0.0
             )
             each.apply_peer_work(row, 0.0)
-        self.assertEqual(_choose(great, engines), [])
-        # It could still be in time after a second, and not after two.
-        waited = dataclasses.replace(great, waited_ms=1_000.0)
+        self.assertEqual(_choose(very_long, engines), [])
+        # It can still be in time after 1 s, but not after 2 s.
+        waited = dataclasses.replace(very_long, waited_ms=1_000.0)
         self.assertEqual(_choose(waited, engines), [])
-        waited = dataclasses.replace(great, waited_ms=2_500.0)
+        waited = dataclasses.replace(very_long, waited_ms=2_500.0)
         self.assertTrue(_choose(waited, engines))
 
-    def test_route_without_an_aim_is_served(self) -> None:
+    def test_route_without_a_latency_objective_is_served(self) -> None:
         job = dataclasses.replace(_LONG, ttft_slo_ms=0.0)
         self.assertTrue(_choose(job, _make_engines(18)))
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Settings reach everyone within seconds and never go back."""
+"""Settings reach all agents within seconds and never revert."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -11,13 +11,13 @@
 from standins import faults
 from standins import virtual_process
 
-_AGENTS = clusters.Layout(
+_AGENTS_ONLY = clusters.Layout(
     vms=8, halls=3, engines=0, services=0, with_entries=False
 )
-_WITHIN_S = 4.0
+_MAX_DELAY_S = 4.0
 
 
-def _tree(weight: float) -> dict[str, bytes]:
+def _make_tree(weight: float) -> dict[str, bytes]:
     layout = clusters.Layout()
     tree = clusters.make_default_tree(layout.engine)
     clusters.add_workload(tree, "w", "a", "engines")
@@ -25,22 +25,24 @@
     return clusters.encode_tree(tree)
 
 
-Story = Callable[[clusters.Cluster, faults.Faults], Awaitable[None]]
+Scenario = Callable[[clusters.Cluster, faults.Faults], Awaitable[None]]
 
 
-def _run(story: Story, layout: clusters.Layout = _AGENTS) -> clusters.Cluster:
+def _run_scenario(
+    scenario: Scenario, layout: clusters.Layout = _AGENTS_ONLY
+) -> clusters.Cluster:
     async def run() -> clusters.Cluster:
         cluster = clusters.Cluster(layout)
-        cluster.configuration.publish(_tree(1.0))
+        cluster.configuration.publish(_make_tree(1.0))
         cluster.start()
         await asyncio.sleep(10.0)
-        await story(cluster, faults.Faults(cluster))
+        await scenario(cluster, faults.Faults(cluster))
         return cluster
 
     return virtual_process.run(run)
 
 
-def _revisions(cluster: clusters.Cluster) -> set[int]:
+def _collect_revisions(cluster: clusters.Cluster) -> set[int]:
     return {
         node.agent.knowledge.in_force.manifest.revision
         for node in cluster.vms.values()
@@ -48,123 +50,135 @@
     }
 
 
-def _do(
-    fault_types: faults.Faults, fault: str, on: str, from_: str = ""
+def _apply_fault(
+    injector: faults.Faults, fault: str, on: str, from_: str = ""
 ) -> None:
-    fault_types.apply(trace.TracedFault(0.0, fault, on, from_))
+    injector.apply(trace.TracedFault(0.0, fault, on, from_))
 
 
 class ConfigurationTest(unittest.TestCase):
-    def test_in_force_everywhere_within_seconds(self) -> None:
-        async def story(cluster: clusters.Cluster, _: faults.Faults) -> None:
-            cluster.configuration.publish(_tree(2.0))
-            await asyncio.sleep(_WITHIN_S)
-            self.assertEqual(_revisions(cluster), {2})
-
-        _run(story)
-
-    def test_service_down_for_hours(self) -> None:
-        async def story(cluster: clusters.Cluster, f: faults.Faults) -> None:
-            _do(f, "outage", "config")
+    def test_change_is_applied_everywhere_within_seconds(self) -> None:
+        async def scenario(cluster: clusters.Cluster, _: faults.Faults) -> None:
+            cluster.configuration.publish(_make_tree(2.0))
+            await asyncio.sleep(_MAX_DELAY_S)
+            self.assertEqual(_collect_revisions(cluster), {2})
+
+        _run_scenario(scenario)
+
+    def test_configuration_service_outage_of_hours(self) -> None:
+        async def scenario(
+            cluster: clusters.Cluster, injector: faults.Faults
+        ) -> None:
+            _apply_fault(injector, "outage", "config")
             await asyncio.sleep(3 * 3600.0)
-            self.assertEqual(_revisions(cluster), {1})
-            cluster.configuration.publish(_tree(2.0))
-            _do(f, "heal", "config")
-            await asyncio.sleep(_WITHIN_S + 25.0)
-            self.assertEqual(_revisions(cluster), {2})
-
-        layout = dataclasses.replace(_AGENTS, vms=3)
-        _run(story, layout)
-
-    def test_stale_service_reverts_nobody_not_even_the_restarted(self) -> None:
-        async def story(cluster: clusters.Cluster, f: faults.Faults) -> None:
-            cluster.configuration.publish(_tree(2.0))
-            await asyncio.sleep(_WITHIN_S)
+            self.assertEqual(_collect_revisions(cluster), {1})
+            cluster.configuration.publish(_make_tree(2.0))
+            _apply_fault(injector, "heal", "config")
+            await asyncio.sleep(_MAX_DELAY_S + 25.0)
+            self.assertEqual(_collect_revisions(cluster), {2})
+
+        layout = dataclasses.replace(_AGENTS_ONLY, vms=3)
+        _run_scenario(scenario, layout)
+
+    def test_stale_service_reverts_no_agent_even_after_a_restart(self) -> None:
+        async def scenario(
+            cluster: clusters.Cluster, injector: faults.Faults
+        ) -> None:
+            cluster.configuration.publish(_make_tree(2.0))
+            await asyncio.sleep(_MAX_DELAY_S)
             cluster.configuration.serves_behind = 1
             for name in ("vm-1", "vm-5"):
-                _do(f, "kill", name)
+                _apply_fault(injector, "kill", name)
                 await asyncio.sleep(1.0)
-                _do(f, "resume", name)
+                _apply_fault(injector, "resume", name)
             await asyncio.sleep(10.0)
-            self.assertEqual(_revisions(cluster), {2})
+            self.assertEqual(_collect_revisions(cluster), {2})
 
-        _run(story)
+        _run_scenario(scenario)
 
-    def test_cut_hall_keeps_its_settings_and_catches_up(self) -> None:
-        async def story(cluster: clusters.Cluster, f: faults.Faults) -> None:
-            _do(f, "cut", "hall-2")
-            cluster.configuration.publish(_tree(2.0))
+    def test_partitioned_hall_keeps_its_settings_and_catches_up(self) -> None:
+        async def scenario(
+            cluster: clusters.Cluster, injector: faults.Faults
+        ) -> None:
+            _apply_fault(injector, "cut", "hall-2")
+            cluster.configuration.publish(_make_tree(2.0))
             await asyncio.sleep(60.0)
             in_hall = cluster.vms["vm-2"].agent.knowledge
             self.assertEqual(in_hall.in_force.manifest.revision, 1)
-            _do(f, "heal", "hall-2")
-            await asyncio.sleep(_WITHIN_S)
-            self.assertEqual(_revisions(cluster), {2})
-
-        _run(story)
-
-    def test_two_changes_at_once_end_at_the_later(self) -> None:
-        async def story(cluster: clusters.Cluster, _: faults.Faults) -> None:
-            cluster.configuration.publish(_tree(2.0))
-            cluster.configuration.publish(_tree(3.0))
-            await asyncio.sleep(_WITHIN_S)
-            self.assertEqual(_revisions(cluster), {3})
+            _apply_fault(injector, "heal", "hall-2")
+            await asyncio.sleep(_MAX_DELAY_S)
+            self.assertEqual(_collect_revisions(cluster), {2})
+
+        _run_scenario(scenario)
+
+    def test_of_two_changes_at_once_the_later_is_applied(self) -> None:
+        async def scenario(cluster: clusters.Cluster, _: faults.Faults) -> None:
+            cluster.configuration.publish(_make_tree(2.0))
+            cluster.configuration.publish(_make_tree(3.0))
+            await asyncio.sleep(_MAX_DELAY_S)
+            self.assertEqual(_collect_revisions(cluster), {3})
             weights = {
                 node.agent.knowledge.in_force.tree.branches["w"].own["weight"]
                 for node in cluster.vms.values()
             }
             self.assertEqual(weights, {3.0})
 
-        _run(story)
+        _run_scenario(scenario)
 
-    def test_refused_revision_leaves_the_last_good_in_force(self) -> None:
-        async def story(cluster: clusters.Cluster, _: faults.Faults) -> None:
+    def test_refused_revision_leaves_the_last_valid_one_in_force(self) -> None:
+        async def scenario(cluster: clusters.Cluster, _: faults.Faults) -> None:
             cluster.configuration.publish({"main": b'{"branches": {}}'})
-            await asyncio.sleep(_WITHIN_S)
-            self.assertEqual(_revisions(cluster), {1})
-            cluster.configuration.publish(_tree(3.0))
-            await asyncio.sleep(_WITHIN_S)
-            self.assertEqual(_revisions(cluster), {3})
+            await asyncio.sleep(_MAX_DELAY_S)
+            self.assertEqual(_collect_revisions(cluster), {1})
+            cluster.configuration.publish(_make_tree(3.0))
+            await asyncio.sleep(_MAX_DELAY_S)
+            self.assertEqual(_collect_revisions(cluster), {3})
 
-        _run(story)
+        _run_scenario(scenario)
 
-    def test_calls_grow_more_slowly_than_the_fleet(self) -> None:
+    def test_service_calls_grow_more_slowly_than_the_fleet(self) -> None:
         calls = {}
         for vms in (8, 80):
-            layout = dataclasses.replace(_AGENTS, vms=vms)
+            layout = dataclasses.replace(_AGENTS_ONLY, vms=vms)
 
-            async def story(
+            async def scenario(
                 cluster: clusters.Cluster, _: faults.Faults
             ) -> None:
                 cluster.configuration.calls.clear()
                 for number in range(5):
-                    cluster.configuration.publish(_tree(2.0 + number))
+                    cluster.configuration.publish(_make_tree(2.0 + number))
                     await asyncio.sleep(6.0)
-                self.assertEqual(_revisions(cluster), {6})
+                self.assertEqual(_collect_revisions(cluster), {6})
 
-            cluster = _run(story, layout)
+            cluster = _run_scenario(scenario, layout)
             calls[vms] = sum(cluster.configuration.calls.values())
         self.assertLessEqual(calls[80], 1.5 * calls[8])
 
-    def test_death_is_known_within_seconds(self) -> None:
-        async def story(cluster: clusters.Cluster, f: faults.Faults) -> None:
-            _do(f, "kill", "vm-4")
+    def test_failed_agent_is_detected_within_seconds(self) -> None:
+        async def scenario(
+            cluster: clusters.Cluster, injector: faults.Faults
+        ) -> None:
+            _apply_fault(injector, "kill", "vm-4")
             await asyncio.sleep(6.0)
             hall = cluster.vms["vm-1"].agent.knowledge
             self.assertNotIn("vm-4", hall.live_in_hall())
             self.assertIn("vm-7", hall.live_in_hall())
 
-        _run(story)
+        _run_scenario(scenario)
 
-    def test_160_agents_with_one_in_ten_failing_and_a_hall_cut(self) -> None:
-        layout = dataclasses.replace(_AGENTS, vms=160, halls=12)
+    def test_160_agents_with_one_in_ten_failed_and_a_hall_partitioned(
+        self,
+    ) -> None:
+        layout = dataclasses.replace(_AGENTS_ONLY, vms=160, halls=12)
 
-        async def story(cluster: clusters.Cluster, f: faults.Faults) -> None:
+        async def scenario(
+            cluster: clusters.Cluster, injector: faults.Faults
+        ) -> None:
             for number in range(5, 160, 10):
-                _do(f, "kill", f"vm-{number}")
-            _do(f, "cut", "hall-2")
-            cluster.configuration.publish(_tree(2.0))
-            await asyncio.sleep(_WITHIN_S)
+                _apply_fault(injector, "kill", f"vm-{number}")
+            _apply_fault(injector, "cut", "hall-2")
+            cluster.configuration.publish(_make_tree(2.0))
+            await asyncio.sleep(_MAX_DELAY_S)
             behind = {
                 node.hall
                 for node in cluster.vms.values()
@@ -172,8 +186,8 @@
                 and node.agent.knowledge.in_force.manifest.revision < 2
             }
             self.assertEqual(behind, {"hall-2"})
-            _do(f, "heal", "hall-2")
-            await asyncio.sleep(_WITHIN_S)
-            self.assertEqual(_revisions(cluster), {2})
+            _apply_fault(injector, "heal", "hall-2")
+            await asyncio.sleep(_MAX_DELAY_S)
+            self.assertEqual(_collect_revisions(cluster), {2})
 
-        _run(story, layout)
+        _run_scenario(scenario, layout)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Calls that end the engines that run them."""
+"""Poison requests: requests that crash the engines that run them."""
 
 import asyncio
 import random
@@ -11,82 +11,83 @@
 from standins import gateway_promises
 from tests import gateway_fixture
 
-_FATAL = b"a prompt that ends engines"
-# Engines that such a call may end before it is known for what it is.
-_ENDED_MOST = 3
-# A caller's tries: the first and one retry.
-_TRIES = 2
-# Within this time a VM that is in reach has heard what the others know.
-_HEARD_S = 3.0
+_CRASHING_BODY = b"a prompt that ends engines"
+# Engines that such a request may crash before it is quarantined.
+_MAX_CRASHED = 3
+# Attempts of a caller: the first and one retry.
+_CALLER_ATTEMPTS = 2
+# Within this time a reachable VM has learned what the others know.
+_GOSSIP_S = 3.0
 _ENGINES = [f"engine-{number}" for number in range(16)]
 
 
-class CrashingCallTest(unittest.TestCase):
-    """A call that ends its engines must not be sent on and on.
+class CrashingRequestTest(unittest.TestCase):
+    """A request that crashes engines must not be sent on without bound.
 
-    Two calls came again and again, each time as new calls with new ids, at
-    whichever VM; each try was sent to two engines, and 20 and 22 engines ended
-    under them in 68 s. All lines of a VM's log looked like this one, whose only
-    trace of the tries before is the length of the prompt:
-    `Attempt failed: target_lost (unknown). the answer broke off
-    last_event="" sent=0 prompt_tokens=8358`. No VM kept anything of a call
-    beyond one try of its caller.
+    Callers repeated two such requests through any VM, each time with a new
+    request id. Each attempt went to two engines, and they crashed 20 and 22
+    engines within 68 s, because no VM remembered a request beyond one attempt
+    of its caller.
     """
 
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_call_that_ended_three_engines_is_sent_no_more(self) -> None:
+    def test_request_that_crashed_three_engines_is_not_sent_again(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            fixture.cluster.fatal.add(_FATAL)
+            fixture.cluster.fatal.add(_CRASHING_BODY)
             vms = len(fixture.cluster.vms)
             for number in range(12):
                 got = await fixture.call(
-                    "short", f"vm-{number % vms}", body=_FATAL
+                    "short", f"vm-{number % vms}", body=_CRASHING_BODY
                 )
                 self.assertIn(got.status, (502, 503))
-                await asyncio.sleep(0.3 if number % _TRIES else 3.0)
-            sends = fixture.cluster.list_runs(_FATAL)
-            self.assertLessEqual(len(sends), _ENDED_MOST)
+                await asyncio.sleep(0.3 if number % _CALLER_ATTEMPTS else 3.0)
+            runs = fixture.cluster.list_runs(_CRASHING_BODY)
+            self.assertLessEqual(len(runs), _MAX_CRASHED)
 
         gateway_fixture.run_scenario(scenario, vms=6, engines=12)
 
-    def test_replicas_that_keep_their_names_count_life_by_life(self) -> None:
+    def test_restarted_replicas_count_as_separate_incarnations(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            fixture.cluster.fatal.add(_FATAL)
+            fixture.cluster.fatal.add(_CRASHING_BODY)
             for number in range(10):
-                await fixture.call("short", f"vm-{number % 3}", body=_FATAL)
+                await fixture.call(
+                    "short", f"vm-{number % 3}", body=_CRASHING_BODY
+                )
                 await asyncio.sleep(3.0)
-            sends = fixture.cluster.list_runs(_FATAL)
-            self.assertLessEqual(len(sends), _ENDED_MOST)
+            runs = fixture.cluster.list_runs(_CRASHING_BODY)
+            self.assertLessEqual(len(runs), _MAX_CRASHED)
 
         gateway_fixture.run_scenario(
             scenario, engines=2, halls=1, keeps_names=True
         )
 
-    def test_tries_at_many_vms_at_once_end_soon(self) -> None:
+    def test_concurrent_attempts_on_many_vms_stop_soon(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            fixture.cluster.fatal.add(_FATAL)
+            fixture.cluster.fatal.add(_CRASHING_BODY)
             for _ in range(3):
                 await asyncio.gather(
                     *(
-                        fixture.call("short", vm, body=_FATAL)
+                        fixture.call("short", vm, body=_CRASHING_BODY)
                         for vm in fixture.cluster.vms
                     )
                 )
-                await asyncio.sleep(_HEARD_S)
-            sends = fixture.cluster.list_runs(_FATAL)
-            late = [run for run in sends if run.at_s > sends[2].at_s + _HEARD_S]
-            self.assertEqual(late, [])
-            self.assertLessEqual(len(sends), 2 * len(fixture.cluster.vms))
+                await asyncio.sleep(_GOSSIP_S)
+            runs = fixture.cluster.list_runs(_CRASHING_BODY)
+            late_runs = [
+                run for run in runs if run.at_s > runs[2].at_s + _GOSSIP_S
+            ]
+            self.assertEqual(late_runs, [])
+            self.assertLessEqual(len(runs), 2 * len(fixture.cluster.vms))
 
         gateway_fixture.run_scenario(scenario, vms=6, engines=16)
 
-    def test_calls_beside_it_are_served(self) -> None:
+    def test_concurrent_requests_are_served(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            fixture.cluster.fatal.add(_FATAL)
-            beside = [
+            fixture.cluster.fatal.add(_CRASHING_BODY)
+            concurrent = [
                 asyncio.ensure_future(
                     fixture.call(
                         "short",
@@ -99,14 +100,14 @@
             ]
             await asyncio.sleep(0.1)
             for number in range(4):
-                await fixture.call("short", f"vm-{number}", body=_FATAL)
-            got = await asyncio.gather(*beside)
+                await fixture.call("short", f"vm-{number}", body=_CRASHING_BODY)
+            got = await asyncio.gather(*concurrent)
             failed = [each for each in got if not each.is_whole]
             self.assertEqual(failed, [])
             self.assertEqual(
                 gateway_promises.find_broken(fixture.cluster, got), []
             )
-            # Nor is any of them held to have ended an engine.
+            # None of them is taken for the cause of a crash either.
             for number in range(24):
                 again = await fixture.call("short", body=b"beside %d" % number)
                 self.assertEqual(again.status, 200)
@@ -114,98 +115,103 @@
         gateway_fixture.run_scenario(scenario, vms=6, engines=12)
 
 
-class KnowledgeTest(unittest.TestCase):
-    """What the fleet knows of a content outlives VMs and cuts."""
+class PropagationTest(unittest.TestCase):
+    """Known poison requests are remembered after restarts and partitions."""
 
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_vm_that_starts_again_knows_before_its_first_call(self) -> None:
-        self._play_restarts(("vm-0", "vm-2"), 0.2)
+    def test_restarted_vm_knows_before_its_first_request(self) -> None:
+        self._check_restarts(("vm-0", "vm-2"), 0.2)
 
-    def test_vms_that_others_ask_for_peers_know_within_a_round(self) -> None:
-        # All seeds start again: until the others write, nobody can be asked.
-        self._play_restarts(("vm-0", "vm-1"), 1.2)
+    def test_restarted_seed_vms_know_within_a_gossip_round(self) -> None:
+        # All seed VMs restart: they have no peers to ask until other VMs
+        # contact them.
+        self._check_restarts(("vm-0", "vm-1"), 1.2)
 
-    def _play_restarts(self, restarted: tuple[str, ...], wait_s: float) -> None:
+    def _check_restarts(
+        self, restarted: tuple[str, ...], wait_s: float
+    ) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            fixture.cluster.fatal.add(_FATAL)
+            fixture.cluster.fatal.add(_CRASHING_BODY)
             for vm in ("vm-0", "vm-1"):
-                await fixture.call("short", vm, body=_FATAL)
-            known = len(fixture.cluster.list_runs(_FATAL))
+                await fixture.call("short", vm, body=_CRASHING_BODY)
+            runs_before = len(fixture.cluster.list_runs(_CRASHING_BODY))
             for vm in restarted:
                 node = fixture.cluster.vms[vm]
                 fixture.cluster.kill(node)
                 fixture.cluster.start_vm(node)
             await asyncio.sleep(wait_s)
             for vm in fixture.cluster.vms:
-                got = await fixture.call("short", vm, body=_FATAL)
+                got = await fixture.call("short", vm, body=_CRASHING_BODY)
                 self.assertEqual(got.status, 503)
                 self.assertIn("retry-after", got.headers)
-            sends = fixture.cluster.list_runs(_FATAL)
-            self.assertEqual(len(sends), known)
+            runs = fixture.cluster.list_runs(_CRASHING_BODY)
+            self.assertEqual(len(runs), runs_before)
 
         gateway_fixture.run_scenario(scenario, vms=4, engines=12)
 
-    def test_hall_that_was_cut_off_hears_of_it(self) -> None:
+    def test_hall_learns_of_it_after_a_partition(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
-            cluster.fatal.add(_FATAL)
+            cluster.fatal.add(_CRASHING_BODY)
             cut = gateway_cluster.virtual_network.Cut("hall-2", "")
             cluster.network.cuts.append(cut)
             for vm in ("vm-0", "vm-1"):
-                await fixture.call("short", vm, body=_FATAL)
-            known = len(cluster.list_runs(_FATAL))
+                await fixture.call("short", vm, body=_CRASHING_BODY)
+            runs_before = len(cluster.list_runs(_CRASHING_BODY))
             await asyncio.sleep(3.0)
             cluster.network.cuts.remove(cut)
-            await asyncio.sleep(_HEARD_S)
+            await asyncio.sleep(_GOSSIP_S)
             for vm, node in cluster.vms.items():
                 if node.hall == "hall-2":
-                    got = await fixture.call("short", vm, body=_FATAL)
+                    got = await fixture.call("short", vm, body=_CRASHING_BODY)
                     self.assertEqual(got.status, 503)
-            self.assertEqual(len(cluster.list_runs(_FATAL)), known)
+            self.assertEqual(
+                len(cluster.list_runs(_CRASHING_BODY)), runs_before
+            )
 
         gateway_fixture.run_scenario(scenario, vms=6, engines=12)
 
-    def test_large_fleet_hears_of_it_in_time(self) -> None:
+    def test_large_fleet_learns_of_it_in_time(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
-            cluster.fatal.add(_FATAL)
+            cluster.fatal.add(_CRASHING_BODY)
             for vm in ("vm-0", "vm-1"):
-                await fixture.call("short", vm, body=_FATAL)
+                await fixture.call("short", vm, body=_CRASHING_BODY)
             await asyncio.sleep(1.0)
-            knowing = [
+            informed_vms = [
                 node.name
                 for node in cluster.vms.values()
                 if node.gateway.context.quarantine.list_quarantined()
             ]
-            self.assertEqual(len(knowing), len(cluster.vms))
+            self.assertEqual(len(informed_vms), len(cluster.vms))
 
         gateway_fixture.run_scenario(scenario, vms=40, engines=12)
 
 
-class InnocentTest(unittest.TestCase):
+class RandomCrashTest(unittest.TestCase):
     """Engines that crash by themselves have nothing quarantined."""
 
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_random_crashes_blame_nobody(self) -> None:
+    def test_random_crashes_quarantine_no_request(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            chance = random.Random(7)
+            rng = random.Random(7)
             calls = []
             for number in range(300):
                 call = fixture.call(
-                    chance.choice(("short", "short", "safe")),
+                    rng.choice(("short", "short", "safe")),
                     f"vm-{number % 6}",
                     body=b"%d" % (number % 100),
                 )
                 calls.append(asyncio.ensure_future(call))
                 await asyncio.sleep(0.05)
                 if number % 25 == 0:
-                    for name in chance.sample(_ENGINES, 3):
+                    for name in rng.sample(_ENGINES, 3):
                         node = fixture.cluster.targets[name]
                         if not node.process.is_dead:
                             fixture.cluster.crash_target(node)
@@ -217,7 +223,7 @@
 
         gateway_fixture.run_scenario(scenario, vms=6, engines=len(_ENGINES))
 
-    def test_calls_that_lose_a_service_are_served_elsewhere(self) -> None:
+    def test_requests_that_lose_a_service_are_served_elsewhere(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             calls = [
                 asyncio.ensure_future(
@@ -236,22 +242,22 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_long_prompts_that_meet_crash_after_crash_are_served(self) -> None:
-        # A prompt that is read for seconds meets every second crash; two of
-        # them were held for proof, and the caller's retry was refused.
+    def test_long_prompts_hit_by_repeated_crashes_are_served(self) -> None:
+        # A prompt whose prefill takes seconds is hit by every second crash. Two
+        # crashes were taken as proof, and the caller's retry was refused.
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            chance = random.Random(11)
+            rng = random.Random(11)
 
-            async def crash_in_series() -> None:
+            async def crash_periodically() -> None:
                 while True:
                     await asyncio.sleep(1.0)
-                    for name in chance.sample(_ENGINES, 3):
+                    for name in rng.sample(_ENGINES, 3):
                         node = fixture.cluster.targets[name]
                         if not node.process.is_dead:
                             fixture.cluster.crash_target(node)
 
-            async def try_twice(number: int) -> list[gateway_caller.Got]:
-                tries = []
+            async def send_twice(number: int) -> list[gateway_caller.Got]:
+                attempts = []
                 for vm in (f"vm-{number % 6}", f"vm-{(number + 1) % 6}"):
                     got = await fixture.call(
                         "long",
@@ -261,17 +267,19 @@
                         output_tokens=200,
                         time_limit_ms=15_000.0,
                     )
-                    tries.append(got)
+                    attempts.append(got)
                     if got.is_whole and got.status == 200:
                         break
-                return tries
+                return attempts
 
-            crashing = asyncio.ensure_future(crash_in_series())
-            tries = []
+            crashing = asyncio.ensure_future(crash_periodically())
+            attempts = []
             for number in range(16):
-                tries.append(asyncio.ensure_future(try_twice(number)))
+                attempts.append(asyncio.ensure_future(send_twice(number)))
                 await asyncio.sleep(1.0)
-            got = [each for one in await asyncio.gather(*tries) for each in one]
+            got = [
+                each for one in await asyncio.gather(*attempts) for each in one
+            ]
             crashing.cancel()
             refused = [each for each in got if b"quarantined" in each.body]
             self.assertEqual(refused, [])
--- a/tests/test_digest_cost.py
+++ b/tests/test_digest_cost.py
@@ -1,9 +1,8 @@
-"""What hearing the other VMs costs, as a figure that no machine changes.
+"""The cost of receiving load digests, counted independently of the machine.
 
-At 195 VMs 0.41 of a VM's processor time went to taking digests in (a sample of
-ten VMs early in a day), 0.18 to making types of what was decoded, so that size
-was paid for by hearing and not by serving. A digest took 159 calls of
-functions.
+Guards against gossip that takes the processor time of serving as the fleet
+grows: at 195 VMs, 0.41 of a VM's processor time went to receiving digests, 0.18
+of it to building typed objects. A digest then took 159 function calls.
 """
 
 import unittest
@@ -19,22 +18,22 @@
 from ruddergate.wire import codec
 from standins import digest_cost
 
-# A VM may spend 1.8 % of a core on control, half of that on hearing: 9 ms a
-# second. Of 195 VMs come 470 digests a second, which leaves 19 us for each; a
-# call of a function takes about a third of one.
-_CALLS_MOST = 60
+# A VM may spend 1.8 % of a core on control, half of that on receiving digests:
+# 9 ms per second. 195 VMs send 470 digests per second, which leaves 19 us for
+# each; a function call takes about a third of a microsecond.
+_MAX_CALLS = 60
 
 
 class DigestCostTest(unittest.TestCase):
-    def test_hearing_a_digest_takes_few_calls(self) -> None:
+    def test_receiving_a_digest_takes_few_function_calls(self) -> None:
         datagrams = digest_cost.make_datagrams(rounds=4)
-        news = digest_cost.hear(datagrams)
+        changes = digest_cost.hear(datagrams)
         calls = digest_cost.count_calls(lambda: digest_cost.hear(datagrams))
-        self.assertLessEqual(calls / news, _CALLS_MOST)
+        self.assertLessEqual(calls / changes, _MAX_CALLS)
 
 
-class EarlierReleasesTest(unittest.TestCase):
-    """VMs of two releases hear each other while a fleet is replaced."""
+class ReleaseCompatibilityTest(unittest.TestCase):
+    """VMs of two releases exchange digests during a rolling upgrade."""
 
     def setUp(self) -> None:
         self.row = dispatched.Dispatched("e", (100, 0), 500, 2, (1, 1), 20.0)
@@ -63,7 +62,7 @@
             13,
         ]
 
-    def test_bytes_are_those_of_earlier_releases(self) -> None:
+    def test_encoding_is_that_of_earlier_releases(self) -> None:
         self.assertEqual(
             codec.encode(self.digest), msgpack.packb((16, self.fields))
         )
@@ -73,10 +72,12 @@
             msgpack.packb((17, ["vm:2", True, [self.fields]])),
         )
 
-    def test_fewer_and_more_fields_are_borne(self) -> None:
-        early = load_digest.LoadDigest("vm:1", "h", 20, "run", 7, (self.row,))
+    def test_missing_and_additional_fields_are_accepted(self) -> None:
+        without_optional_fields = load_digest.LoadDigest(
+            "vm:1", "h", 20, "run", 7, (self.row,)
+        )
         data = msgpack.packb((16, self.fields[:6]))
-        self.assertEqual(codec.decode(data), early)
+        self.assertEqual(codec.decode(data), without_optional_fields)
         without_settings = msgspec.structs.replace(
             self.digest, settings_revision=0
         )
@@ -90,7 +91,7 @@
         data = msgpack.packb((16, [*self.fields, {"new": 1}]))
         self.assertEqual(codec.decode(data), self.digest)
 
-    def test_whole_numbers_stand_for_fractions_and_nothing_else(self) -> None:
+    def test_only_integers_are_accepted_for_floats(self) -> None:
         self.fields[5][0][5] = 20
         data = msgpack.packb((16, self.fields))
         self.assertEqual(codec.decode(data), self.digest)
--- a/tests/test_drain_gossip.py
+++ b/tests/test_drain_gossip.py
@@ -1,10 +1,10 @@
-"""What peers say of targets that leave: words, and no proofs.
+"""Gossip about draining targets is unconfirmed and must not hold for good.
 
-A peer's word that a target leaves was held for good, of any name, listed or
-not. A single wrong one kept a sound target from all calls for as long as it
-lived (0 of 8 calls in the emulated fleet; with all three targets of a service
-named, 503 for every caller). And a VM that started more than 10 s after the
-word was told by nobody, and found it out with a call.
+Guards against two faults. A peer's report was kept for the lifetime of the
+target, listed or not, so that a single false one kept a healthy target from all
+requests (0 of 8), and a false one for all three targets of a service led to 503
+for every caller. And a VM that started more than 10 s after a true report heard
+of it from nobody and sent the target a request.
 """
 
 import asyncio
@@ -16,94 +16,99 @@
 from standins import peer_liar
 from tests import gateway_fixture
 
-# A target that a peer wrongly says to leave is used again within this time.
-_WRONG_WORD_S = 10.0
-# A VM that has passed on that a target leaves sends it none after this time.
-_LEAVE_S = 2.0
-# VMs tell each other what they have heard for so long.
-_TOLD_S = 10.0
-# For a VM that starts to read the list, and to hear its peers.
+# A target that is falsely reported as draining is used again within this time.
+_MAX_FALSE_REPORT_EFFECT_S = 10.0
+# A VM that forwarded a draining hint sends the target no requests after this.
+_MAX_DRAIN_DELAY_S = 2.0
+# For this long, VMs repeat in their gossip that a target is draining.
+_GOSSIP_DURATION_S = 10.0
+# For a starting VM to read the target list and to receive gossip.
 _SETTLE_S = 1.5
-# Lives that a VM remembers to have left.
-_REMEMBERED = 24_000
-_IN_ONE_WORD = 1_000
+# Drained incarnations that a VM remembers.
+_MAX_REMEMBERED = 24_000
+_REPORTS_PER_DIGEST = 1_000
 _VMS = 6
 
 
-class PeersWordsTest(unittest.TestCase):
-    """What a peer says of a target is a word, and no proof."""
+class DrainGossipTest(unittest.TestCase):
+    """A peer's report that a target is draining is unconfirmed."""
 
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_wrong_word_costs_a_target_a_few_seconds_only(self) -> None:
+    def test_false_report_affects_a_target_for_seconds_only(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             replica = fixture.cluster.targets["service-0"].replica
-            telling = asyncio.ensure_future(
-                _tell_wrongly(fixture.cluster, (replica.name,))
+            gossiping = asyncio.ensure_future(
+                _gossip_falsely(fixture.cluster, (replica.name,))
             )
-            await asyncio.sleep(_WRONG_WORD_S)
+            await asyncio.sleep(_MAX_FALSE_REPORT_EFFECT_S)
             self.assertGreater(await fixture.count_arrivals(replica, "open"), 0)
-            telling.cancel()
+            gossiping.cancel()
 
         gateway_fixture.run_scenario(scenario, vms=_VMS)
 
-    def test_all_targets_of_a_pool_are_not_lost_to_a_wrong_word(self) -> None:
+    def test_false_report_of_all_targets_does_not_disable_a_pool(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             names = [f"service-{number}" for number in range(3)]
             replicas = [fixture.cluster.targets[name].replica for name in names]
-            words = tuple(each.name for each in replicas)
-            telling = asyncio.ensure_future(
-                _tell_wrongly(fixture.cluster, words)
+            reports = tuple(each.name for each in replicas)
+            gossiping = asyncio.ensure_future(
+                _gossip_falsely(fixture.cluster, reports)
             )
-            await asyncio.sleep(_WRONG_WORD_S)
+            await asyncio.sleep(_MAX_FALSE_REPORT_EFFECT_S)
             for number in range(_VMS):
                 got = await fixture.call("open", f"vm-{number}")
                 self.assertEqual(got.status, 200)
-            telling.cancel()
+            gossiping.cancel()
 
         gateway_fixture.run_scenario(scenario, vms=_VMS)
 
-    def test_words_of_a_peer_do_not_push_out_what_was_heard(self) -> None:
+    def test_reports_of_a_peer_do_not_evict_draining_hints(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             cluster.store.trouble = "busy"
             replica = cluster.targets["service-0"].replica
             replica.leaving = "1"
             await fixture.call_until_draining_hint(replica, "open")
-            for begin in range(0, _REMEMBERED + _IN_ONE_WORD, _IN_ONE_WORD):
-                words = (f"none-{begin + each}" for each in range(_IN_ONE_WORD))
-                await peer_liar.tell_leaving(cluster, begin + 1, tuple(words))
+            for first in range(
+                0, _MAX_REMEMBERED + _REPORTS_PER_DIGEST, _REPORTS_PER_DIGEST
+            ):
+                reports = (
+                    f"none-{first + each}"
+                    for each in range(_REPORTS_PER_DIGEST)
+                )
+                await peer_liar.tell_leaving(cluster, first + 1, tuple(reports))
                 await asyncio.sleep(0.1)
-            await asyncio.sleep(_LEAVE_S)
+            await asyncio.sleep(_MAX_DRAIN_DELAY_S)
             self.assertEqual(await fixture.count_arrivals(replica, "open"), 0)
 
         gateway_fixture.run_scenario(scenario, vms=_VMS, is_strict=False)
 
-    def test_vm_that_starts_later_is_told_of_it(self) -> None:
+    def test_vm_that_starts_later_learns_of_it(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             replica = cluster.targets["service-0"].replica
             replica.leaving = "1"
             await fixture.call_until_draining_hint(replica, "open")
-            await asyncio.sleep(_TOLD_S + 1.0)
+            await asyncio.sleep(_GOSSIP_DURATION_S + 1.0)
             node = cluster.vms["vm-3"]
             cluster.kill(node)
             cluster.start_vm(node)
             await asyncio.sleep(_SETTLE_S)
-            arrived = await fixture.count_arrivals(replica, "open", "vm-3")
-            self.assertEqual(arrived, 0)
+            arrivals = await fixture.count_arrivals(replica, "open", "vm-3")
+            self.assertEqual(arrivals, 0)
 
         gateway_fixture.run_scenario(scenario, vms=_VMS)
 
 
-async def _tell_wrongly(
-    cluster: gateway_cluster.GatewayCluster, words: tuple[str, ...]
+async def _gossip_falsely(
+    cluster: gateway_cluster.GatewayCluster, reports: tuple[str, ...]
 ) -> None:
-    """Tells all VMs again and again that targets leave."""
+    """Repeatedly gossips to all VMs that targets are draining."""
     number = 0
     while True:
         number += 1
-        await peer_liar.tell_leaving(cluster, number, words)
+        await peer_liar.tell_leaving(cluster, number, reports)
         await asyncio.sleep(0.5)
--- a/tests/test_drain_hints.py
+++ b/tests/test_drain_hints.py
@@ -1,4 +1,4 @@
-"""Targets that say in their answers that they leave."""
+"""Targets that hint in their responses that they are draining."""
 
 import asyncio
 import unittest
@@ -17,34 +17,34 @@
 from standins import gateway_cluster
 from tests import gateway_fixture
 
-# A VM that has passed on an answer that says so sends no more after this time.
-_LEAVE_S = 2.0
-_PLAY_S = 7.0
-_GAP_S = 0.1
+# A VM that forwarded a draining hint sends the target no requests after this.
+_MAX_DRAIN_DELAY_S = 2.0
+_RUN_S = 7.0
+_REQUEST_INTERVAL_S = 0.1
 
 
-class StoreAwayTest(unittest.TestCase):
-    """A target that leaves while the store is away.
+class StoreOutageTest(unittest.TestCase):
+    """A target that drains during an outage of the store.
 
-    Nothing but the store's list was asked whether a target leaves. One that
-    left while the store was away said so in each of its answers; 21 calls had
-    begun at it in the 8.5 s before that, and 21 in the 7.5 s after it, from the
-    same three VMs, each a first try that was placed within 1 ms of its arrival.
-    Two other targets served meanwhile. What a VM believed of it was
-    `streams=0.0 own=0`, and no line said that it leaves.
+    Guards against going by the store's target list alone. A target that drained
+    during an outage said so in each of its responses, and the three VMs went on
+    sending to it at the same rate (21 requests in the 8.5 s before, 21 in the
+    7.5 s after) though two other targets were available.
     """
 
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_plain_service_gets_no_calls_of_vms_that_passed_it_on(self) -> None:
-        self._play("service-0", "open")
+    def test_service_gets_no_requests_of_vms_that_forwarded_a_hint(
+        self,
+    ) -> None:
+        self._check_no_late_requests("service-0", "open")
 
-    def test_engine_gets_no_calls_of_vms_that_passed_it_on(self) -> None:
-        self._play("engine-3", "short")
+    def test_engine_gets_no_requests_of_vms_that_forwarded_a_hint(self) -> None:
+        self._check_no_late_requests("engine-3", "short")
 
-    def _play(self, leaving: str, route: str) -> None:
+    def _check_no_late_requests(self, leaving: str, route: str) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             cluster.store.trouble = "busy"
@@ -52,32 +52,32 @@
             replica = cluster.targets[leaving].replica
             replica.leaving = "1"
             calls = []
-            for number in range(round(_PLAY_S / _GAP_S)):
+            for number in range(round(_RUN_S / _REQUEST_INTERVAL_S)):
                 vm = f"vm-{number % len(cluster.vms)}"
                 calls.append(asyncio.ensure_future(fixture.call(route, vm)))
-                await asyncio.sleep(_GAP_S)
+                await asyncio.sleep(_REQUEST_INTERVAL_S)
             got = await asyncio.gather(*calls)
             self.assertEqual({each.status for each in got}, {200})
-            told = [each for each in got if "server-leaving" in each.headers]
-            self.assertGreater(len(told), 0)
+            hinted = [each for each in got if "server-leaving" in each.headers]
+            self.assertGreater(len(hinted), 0)
             arrived = {each.request_id for each in replica.arrivals}
             for vm in cluster.vms:
-                self.assertEqual(_find_late(got, vm, arrived), [])
+                self.assertEqual(_find_late_requests(got, vm, arrived), [])
 
         gateway_fixture.run_scenario(scenario, is_strict=False)
 
 
-def _find_late(
+def _find_late_requests(
     got: list[gateway_caller.Got], vm: str, arrived: set[str]
 ) -> list[str]:
-    """Returns calls that a VM sent there too long after it was told."""
+    """Returns requests that a VM sent there too long after a hint."""
     own = [each for each in got if each.call.vm == vm]
-    told_s = [
+    hinted_s = [
         each.sent_s + (each.first_ms or each.took_ms) / 1000.0
         for each in own
         if "server-leaving" in each.headers
     ]
-    bound_s = min(told_s, default=float("inf")) + _LEAVE_S
+    bound_s = min(hinted_s, default=float("inf")) + _MAX_DRAIN_DELAY_S
     return [
         each.call.request_id
         for each in own
@@ -85,14 +85,14 @@
     ]
 
 
-class WaysTest(unittest.TestCase):
-    """Whoever hears it, and on whatever way a call is."""
+class DrainHintTest(unittest.TestCase):
+    """Draining hints in responses of every kind, and how they spread."""
 
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_peers_hear_of_it(self) -> None:
+    def test_peers_learn_of_it(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             cluster.store.trouble = "busy"
@@ -102,14 +102,14 @@
             self.assertEqual(len(replica.arrivals), 1)
             await asyncio.sleep(0.2)
             for _ in range(8):
-                # Of the same hall, so that this target was nearest.
+                # vm-3 is in the same hall, where this target is the nearest.
                 got = await fixture.call("open", "vm-3")
                 self.assertEqual(got.status, 200)
             self.assertEqual(len(replica.arrivals), 1)
 
         gateway_fixture.run_scenario(scenario, vms=6, is_strict=False)
 
-    def test_vm_that_a_cut_kept_from_its_peers_hears_of_it_after(self) -> None:
+    def test_partitioned_vm_learns_of_it_after_the_partition(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             cluster.store.trouble = "busy"
@@ -128,9 +128,9 @@
 
         gateway_fixture.run_scenario(scenario, vms=6, is_strict=False)
 
-    def test_helper_that_says_it_to_an_order_is_not_named(self) -> None:
-        # Memory is set aside at helpers first. One that answered the order and
-        # said that it leaves was named to the writer all the same.
+    def test_helper_that_hints_in_a_reservation_is_not_used(self) -> None:
+        # Memory is reserved on helpers first. A helper that answered the
+        # reservation with a draining hint was named to the writer all the same.
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             cluster.store.trouble = "busy"
@@ -147,9 +147,9 @@
 
         gateway_fixture.run_scenario(scenario, engines=6, is_strict=False)
 
-    def test_broken_stream_goes_on_elsewhere(self) -> None:
-        # Both engines break off and say that they leave; where none is left,
-        # one that has failed the call was taken again.
+    def test_broken_stream_is_not_resumed_on_a_draining_engine(self) -> None:
+        # Both engines break off and send a draining hint. When no other engine
+        # was left, one that had failed the request was used again.
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             cluster.store.trouble = "busy"
@@ -163,8 +163,8 @@
             arrivals = len(first.arrivals) + len(other.arrivals)
             self.assertLessEqual(arrivals, 2)
             for _ in range(4):
-                again = await fixture.call("short")
-                self.assertEqual(again.status, 503)
+                retried = await fixture.call("short")
+                self.assertEqual(retried.status, 503)
             arrived = len(first.arrivals) + len(other.arrivals)
             self.assertEqual(arrived, arrivals)
 
@@ -172,7 +172,7 @@
             scenario, engines=2, halls=1, is_strict=False
         )
 
-    def test_younger_life_is_not_bound_by_it(self) -> None:
+    def test_next_incarnation_is_not_affected(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             node = cluster.targets["service-0"]
@@ -187,7 +187,7 @@
 
         gateway_fixture.run_scenario(scenario, keeps_names=True)
 
-    def test_when_all_leave_calls_are_refused_at_once(self) -> None:
+    def test_requests_are_refused_at_once_when_all_targets_drain(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             cluster.store.trouble = "busy"
@@ -207,11 +207,11 @@
 
         gateway_fixture.run_scenario(scenario, is_strict=False)
 
-    def test_words_without_a_meaning_do_no_harm(self) -> None:
+    def test_unknown_hint_values_have_no_effect(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            for word in ("0", "2", "true", "-1"):
+            for hint in ("0", "2", "true", "-1"):
                 replica = fixture.cluster.targets["service-0"].replica
-                replica.leaving = word
+                replica.leaving = hint
                 arrivals = len(replica.arrivals)
                 for _ in range(3):
                     got = await fixture.call("open")
@@ -221,27 +221,27 @@
         gateway_fixture.run_scenario(scenario)
 
 
-class PeersWordTest(unittest.TestCase):
-    """What a peer's digest says of leavings."""
+class DrainGossipTest(unittest.TestCase):
+    """Draining targets in the load digests of peers."""
 
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_word_that_is_no_life_is_dropped(self) -> None:
-        withdrawn = draining.DrainState()
-        notices = target_availability.TargetAvailability(
+    def test_gossip_that_names_no_incarnation_is_dropped(self) -> None:
+        drain_state = draining.DrainState()
+        availability = target_availability.TargetAvailability(
             environment.make_system_environment(),
-            withdrawn,
+            drain_state,
             metrics.EntryMetrics(),
         )
-        withdrawn.note_listed(lives.Life("i" * 1_000), 0.0)
-        withdrawn.note_listed(lives.Life("i-1", 5), 0.0)
-        notices.merge_gossip(["i" * 1_000, "i-1@5"], "peer")
-        self.assertFalse(withdrawn.may_be_draining(lives.Life("i" * 1_000)))
-        self.assertTrue(withdrawn.may_be_draining(lives.Life("i-1", 5)))
+        drain_state.note_listed(lives.Life("i" * 1_000), 0.0)
+        drain_state.note_listed(lives.Life("i-1", 5), 0.0)
+        availability.merge_gossip(["i" * 1_000, "i-1@5"], "peer")
+        self.assertFalse(drain_state.may_be_draining(lives.Life("i" * 1_000)))
+        self.assertTrue(drain_state.may_be_draining(lives.Life("i-1", 5)))
 
-    def test_digest_of_an_earlier_release_says_nothing_of_it(self) -> None:
+    def test_digest_of_an_earlier_release_has_no_drain_gossip(self) -> None:
         digest = load_digest.LoadDigest("vm:1", "h", 0, "run", 1, ())
         tag, fields = msgpack.unpackb(codec.encode(digest))
         self.assertEqual(codec.decode(msgpack.packb((tag, fields))), digest)
--- a/tests/test_early_drain_hints.py
+++ b/tests/test_early_drain_hints.py
@@ -1,12 +1,10 @@
-"""A target that says that it leaves before its list tells when it started.
+"""A draining hint that arrives before the list shows when the target started.
 
-A call reached a target of a plain service 2,730 ms after the VM that sent it
-had passed on an answer that says that it leaves. What was heard is held for a
-life, name and start, and an answer to a call does not tell the start: it goes
-to the start that the list told. Where the list told another one afterwards, or
-first none, nothing was known of that one. In the emulated fleet one more call
-of the VM reached such a target 3.2 s after the word; only its answer bound the
-new start.
+Guards against requests that reach a draining target 2.7 s and more after the VM
+forwarded its hint. A drain is recorded for an incarnation (name and start
+time), and a response does not carry the start time, so a hint applies to the
+listed one. When the list then showed a start time for the first time, or
+another one, the hint no longer applied.
 """
 
 import asyncio
@@ -16,39 +14,41 @@
 
 from tests import gateway_fixture
 
-# A VM that has passed on that a target leaves sends it none after this time.
-_LEAVE_S = 2.0
-# For a list to be read.
-_SETTLE_S = 1.5
-# A target writes its entry as often.
+# A VM that forwarded a draining hint sends the target no requests after this.
+_MAX_DRAIN_DELAY_S = 2.0
+# For the target list to be read.
+_LIST_READ_S = 1.5
+# Interval at which a target writes its entry.
 _HEARTBEAT_S = 1.2
 _VMS = 6
 
 
-class StartTest(unittest.TestCase):
-    """The start of the target that spoke is told late."""
+class EarlyDrainHintTest(unittest.TestCase):
+    """The start time of a target is listed after its draining hint."""
 
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_start_that_comes_to_be_known_changes_nothing(self) -> None:
+    def test_start_time_listed_later_does_not_undo_the_hint(self) -> None:
         for name, route in (("service-0", "open"), ("engine-3", "short")):
             with self.subTest(target=name):
-                self._play_late_start(name, route)
+                self._check_late_start(name, route)
 
-    def _play_late_start(self, name: str, route: str) -> None:
+    def _check_late_start(self, name: str, route: str) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             replica = fixture.cluster.targets[name].replica
             replica.leaving = "1"
             await fixture.call_until_draining_hint(replica, route)
             replica.born_ms = round(asyncio.get_running_loop().time() * 1000.0)
-            await asyncio.sleep(_HEARTBEAT_S + _LEAVE_S)
+            await asyncio.sleep(_HEARTBEAT_S + _MAX_DRAIN_DELAY_S)
             self.assertEqual(await fixture.count_arrivals(replica, route), 0)
 
         gateway_fixture.run_scenario(scenario, vms=_VMS, is_strict=False)
 
-    def test_next_life_that_said_it_before_it_was_listed_is_bound(self) -> None:
+    def test_hint_of_the_next_incarnation_before_its_listing_holds(
+        self,
+    ) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             node = cluster.targets["service-0"]
@@ -60,15 +60,17 @@
             await asyncio.sleep(0.1)
             await fixture.call_until_draining_hint(node.replica, "open")
             cluster.store.trouble = ""
-            await asyncio.sleep(_HEARTBEAT_S + _LEAVE_S)
-            arrived = await fixture.count_arrivals(node.replica, "open")
-            self.assertEqual(arrived, 0)
+            await asyncio.sleep(_HEARTBEAT_S + _MAX_DRAIN_DELAY_S)
+            arrivals = await fixture.count_arrivals(node.replica, "open")
+            self.assertEqual(arrivals, 0)
 
         gateway_fixture.run_scenario(
             scenario, vms=_VMS, keeps_names=True, is_strict=False, services=1
         )
 
-    def test_next_life_that_says_nothing_is_used_within_a_second(self) -> None:
+    def test_next_incarnation_without_a_hint_is_used_within_a_second(
+        self,
+    ) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             node = cluster.targets["service-0"]
@@ -76,8 +78,8 @@
             await fixture.call_until_draining_hint(node.replica, "open")
             cluster.kill(node)
             cluster.start_target(node)
-            await asyncio.sleep(1.0 + _SETTLE_S)
-            arrived = await fixture.count_arrivals(node.replica, "open")
-            self.assertGreater(arrived, 0)
+            await asyncio.sleep(1.0 + _LIST_READ_S)
+            arrivals = await fixture.count_arrivals(node.replica, "open")
+            self.assertGreater(arrivals, 0)
 
         gateway_fixture.run_scenario(scenario, vms=_VMS, keeps_names=True)
--- a/tests/test_engine_stream.py
+++ b/tests/test_engine_stream.py
@@ -1,4 +1,7 @@
-"""An engine's stream: late, doubled, reordered, foreign, truncated pieces."""
+"""Engine streams with late, duplicate, out-of-order or truncated events.
+
+Also covers events that belong to another stream.
+"""
 
 import asyncio
 import unittest
@@ -11,7 +14,7 @@
 
 
 class _Exchange:
-    """Gives out prepared pieces of a body."""
+    """An HTTP exchange whose body consists of prepared pieces."""
 
     def __init__(self, *pieces: bytes) -> None:
         self._pieces = list(pieces)
@@ -27,7 +30,7 @@
     return b"data: " + orjson.dumps({"stream": "s", **fields}) + b"\n\n"
 
 
-def _read(*pieces: bytes, position: int = 0) -> list:
+def _read_events(*pieces: bytes, position: int = 0) -> list:
     async def read() -> list:
         exchange = _Exchange(*pieces)
         found = stream.Stream(exchange, "s", position, None, 1_000.0)
@@ -41,7 +44,7 @@
     return asyncio.run(read())
 
 
-def _texts(events: list) -> list[str]:
+def _collect_texts(events: list) -> list[str]:
     return [
         text
         for event in events
@@ -52,38 +55,38 @@
 
 class StreamTest(unittest.TestCase):
     def test_whole_answer(self) -> None:
-        events = _read(
+        events = _read_events(
             _event(first=0, tokens=["a", "b"]),
             b": alive\n\n",
             _event(first=2, tokens=["c"]) + _event(end="stop", count=3),
         )
-        self.assertEqual(_texts(events), ["a", "b", "c"])
+        self.assertEqual(_collect_texts(events), ["a", "b", "c"])
         self.assertEqual(events[-1], part.End("stop", 3))
 
-    def test_pieces_split_anywhere(self) -> None:
+    def test_events_split_at_any_byte(self) -> None:
         data = _event(first=0, tokens=["a"]) + _event(end="stop", count=1)
-        events = _read(*(data[n : n + 1] for n in range(len(data))))
-        self.assertEqual(_texts(events), ["a"])
+        events = _read_events(*(data[n : n + 1] for n in range(len(data))))
+        self.assertEqual(_collect_texts(events), ["a"])
         self.assertIsInstance(events[-1], part.End)
 
-    def test_doubled_pieces_are_taken_once(self) -> None:
-        events = _read(
+    def test_duplicate_tokens_are_dropped(self) -> None:
+        events = _read_events(
             _event(first=0, tokens=["a", "b"]),
             _event(first=0, tokens=["a", "b"]),
             _event(first=1, tokens=["b", "c"]),
             _event(end="stop", count=3),
         )
-        self.assertEqual(_texts(events), ["a", "b", "c"])
+        self.assertEqual(_collect_texts(events), ["a", "b", "c"])
 
-    def test_resumed_behind_what_was_delivered(self) -> None:
-        events = _read(
+    def test_resumed_stream_skips_delivered_tokens(self) -> None:
+        events = _read_events(
             _event(first=1, tokens=["b", "c", "d"]),
             _event(end="stop", count=4),
             position=2,
         )
-        self.assertEqual(_texts(events), ["c", "d"])
+        self.assertEqual(_collect_texts(events), ["c", "d"])
 
-    def test_what_is_no_part_of_this_answer_ends_it(self) -> None:
+    def test_event_that_does_not_belong_ends_the_stream(self) -> None:
         wrong = {
             "a gap": _event(first=3, tokens=["x"]),
             "another stream": _event(stream="t", first=0, tokens=["x"]),
@@ -93,18 +96,18 @@
         }
         for name, piece in wrong.items():
             with self.subTest(name):
-                events = _read(_event(first=0, tokens=["a"]), piece)
-                self.assertEqual(_texts(events), ["a"])
+                events = _read_events(_event(first=0, tokens=["a"]), piece)
+                self.assertEqual(_collect_texts(events), ["a"])
                 self.assertIs(
                     events[-1].reason, outcomes.Reason.TARGET_BROKE_PROTOCOL
                 )
 
-    def test_truncated_answer_is_not_whole(self) -> None:
-        events = _read(_event(first=0, tokens=["a"]))
+    def test_truncated_stream_is_a_lost_target(self) -> None:
+        events = _read_events(_event(first=0, tokens=["a"]))
         self.assertIs(events[-1].reason, outcomes.Reason.TARGET_LOST)
         self.assertIsNot(events[-1].ran, outcomes.Ran.NOT_RUN)
 
-    def test_signs_of_life_do_not_stretch_the_time_limit(self) -> None:
+    def test_keep_alive_comments_do_not_extend_the_time_limit(self) -> None:
         left_ms = [3_000.0, 2_000.0, 1_000.0, 0.0]
 
         class Endless(_Exchange):
--- a/tests/test_event_splitter.py
+++ b/tests/test_event_splitter.py
@@ -1,4 +1,4 @@
-"""Streams are cut at the ends of events, wherever the bytes are cut."""
+"""Streams are split at the ends of events, however the bytes arrive."""
 
 import unittest
 
@@ -16,11 +16,13 @@
     @hypothesis.given(
         strategies.lists(strategies.integers(0, len(_EVENTS)), max_size=12)
     )
-    def test_every_way_of_cutting_gives_the_same(self, cuts: list[int]) -> None:
+    def test_any_split_of_the_bytes_gives_the_same_events(
+        self, cuts: list[int]
+    ) -> None:
         splitter = event_splitter.EventSplitter()
-        bounds = [0, *sorted(cuts), len(_EVENTS)]
+        offsets = [0, *sorted(cuts), len(_EVENTS)]
         whole = b""
-        for first, last in zip(bounds, bounds[1:], strict=False):
+        for first, last in zip(offsets, offsets[1:], strict=False):
             events = splitter.feed(_EVENTS[first:last])
             if events is not None:
                 whole += events.data
@@ -29,7 +31,7 @@
         self.assertEqual(whole, _EVENTS)
         self.assertTrue(splitter.is_between_events())
 
-    def test_torn_event_is_held_back(self) -> None:
+    def test_incomplete_event_is_held_back(self) -> None:
         splitter = event_splitter.EventSplitter()
         events = splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
         self.assertEqual(events.data, b"id: 1\ndata: a\n\n")
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples run as they stand."""
+"""The examples run unchanged."""
 
 import contextlib
 import io
@@ -10,7 +10,7 @@
 
 
 class ExamplesTest(unittest.TestCase):
-    def test_routing_is_embedded(self) -> None:
+    def test_embed_routing(self) -> None:
         printed = io.StringIO()
         with contextlib.redirect_stdout(printed):
             runpy.run_path(
@@ -18,5 +18,5 @@
             )
         lines = printed.getvalue().splitlines()
         self.assertEqual(len(lines), 2)
-        # The short prompt keeps off the engine that reads the archive.
+        # The short prompt avoids the engine that prefills the archive.
         self.assertNotEqual(lines[0].split()[-1], lines[1].split()[-1])
--- a/tests/test_fatal_schedules.py
+++ b/tests/test_fatal_schedules.py
@@ -1,22 +1,22 @@
-"""Calls that end their engines, among random faults of everything else."""
+"""Requests that crash their engines, combined with random other faults."""
 
 import unittest
 
 from standins import fatal_schedules
 
-_FIRST = 40
-_COUNT = 4
+_FIRST_SEED = 40
+_SEED_COUNT = 4
 
 
 class FatalSchedulesTest(unittest.TestCase):
-    """A fatal content is sent on only until all in reach can know of it.
+    """A poison request is sent only until all reachable VMs can know of it.
 
-    Before VMs remembered contents, each of five seeds in six sent one 4 to 17
-    times later than that.
+    Guards against VMs that do not remember request fingerprints: in five seeds
+    of six, one was then sent 4 to 17 times after that moment.
     """
 
-    def test_fatal_contents_are_sent_on_for_a_while_only(self) -> None:
-        for seed in range(_FIRST, _FIRST + _COUNT):
+    def test_poison_requests_stop_once_reachable_vms_can_know(self) -> None:
+        for seed in range(_FIRST_SEED, _FIRST_SEED + _SEED_COUNT):
             with self.subTest(seed=seed):
                 broken, counts = fatal_schedules.play(seed)
                 self.assertEqual(broken, [])
--- a/tests/test_gap_class.py
+++ b/tests/test_gap_class.py
@@ -1,4 +1,4 @@
-"""What may be read beside answers follows from what routes publish."""
+"""Prefill budgets beside running streams follow from the routes' objectives."""
 
 import unittest
 
@@ -28,25 +28,25 @@
     return configuration.read_catalog(document).find_pool("engines")
 
 
-class PauseClassTest(unittest.TestCase):
-    def test_pauses_of_routes_less_a_pass(self) -> None:
+class GapClassTest(unittest.TestCase):
+    def test_budget_is_the_gap_objective_less_an_iteration(self) -> None:
         pool = _make_pool(
             {"a": 250, "b": 600, "c": 1_000, "d": 220}, stride=34, step_ms=1.31
         )
         self.assertEqual(pool.pause_aims_ms, (220.0, 250.0, 600.0, 1_000.0))
         short, middle, long_ = gap_class.find_prefill_budgets_ms(pool)
-        # The shortest pause of a class counts.
+        # The shortest gap of a class applies.
         self.assertAlmostEqual(short, 220.0 * 0.95 - 34 * 1.31 - 17.0)
         self.assertAlmostEqual(middle, 600.0 * 0.95 - 34 * 1.31 - 17.0)
         self.assertAlmostEqual(long_, 1_000.0 * 0.95 - 34 * 1.31 - 17.0)
 
-    def test_without_published_pauses_the_defaults_hold(self) -> None:
+    def test_defaults_apply_without_published_gap_objectives(self) -> None:
         pool = _make_pool({}, read_per_s=1_000.0)
         self.assertEqual(
             gap_class.find_prefill_budgets_ms(pool),
             gap_class.DEFAULT_PREFILL_BUDGETS_MS,
         )
 
-    def test_a_pause_shorter_than_a_pass_leaves_nothing(self) -> None:
+    def test_gap_shorter_than_an_iteration_leaves_no_budget(self) -> None:
         pool = _make_pool({"a": 50}, stride=34, step_ms=2.0)
         self.assertEqual(gap_class.find_prefill_budgets_ms(pool)[0], 0.0)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""What a gateway promises about single calls and about its own stop."""
+"""Guarantees of a gateway for single requests, readiness and planned stops."""
 
 import asyncio
 import unittest
@@ -14,7 +14,7 @@
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_calls_are_answered_whole(self) -> None:
+    def test_requests_are_answered_completely(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             for route in ("short", "once", "unsafe", "safe", "open"):
                 got = await fixture.call(route)
@@ -26,12 +26,12 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_workspace_is_that_of_the_key(self) -> None:
+    def test_workspace_is_determined_by_the_key(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            keyed = await fixture.call("unsafe")
-            self.assertEqual(fixture.find_runs(keyed)[0].workspace, "w1")
-            open_ = await fixture.call("open")
-            self.assertEqual(fixture.find_runs(open_)[0].workspace, "")
+            with_key = await fixture.call("unsafe")
+            self.assertEqual(fixture.find_runs(with_key)[0].workspace, "w1")
+            without_key = await fixture.call("open")
+            self.assertEqual(fixture.find_runs(without_key)[0].workspace, "")
 
         gateway_fixture.run_scenario(scenario)
 
@@ -44,7 +44,7 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_published_limits_hold(self) -> None:
+    def test_published_limits_are_enforced(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.cluster.publish(limits={"max-body-bytes": 3})
             await asyncio.sleep(2.0)
@@ -53,7 +53,9 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_without_settings_nothing_is_denied(self) -> None:
+    def test_requests_are_not_rejected_as_invalid_without_settings(
+        self,
+    ) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.cluster.store.trouble = "silent"
             node = fixture.cluster.vms["vm-0"]
@@ -67,12 +69,14 @@
         gateway_fixture.run_scenario(scenario)
 
 
-class RepeatTest(unittest.TestCase):
+class RetryTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_once_only_calls_run_once_when_the_answer_is_lost(self) -> None:
+    def test_non_repeatable_request_runs_once_when_the_response_is_lost(
+        self,
+    ) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("", lose=1.0)
             for route in ("unsafe", "once"):
@@ -82,7 +86,7 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_not_run_is_told_only_when_nothing_ran(self) -> None:
+    def test_not_run_is_reported_when_nothing_ran(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("", refuse=1.0)
             for route in ("unsafe", "once", "safe", "short"):
@@ -94,9 +98,9 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_not_run_is_not_told_of_a_second_try(self) -> None:
+    def test_not_run_is_not_reported_after_a_retry(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            # The first target runs it and loses the answer; others refuse.
+            # The first target runs it and loses the response; the others refuse.
             fixture.inject_faults("service", refuse=1.0)
             fixture.inject_faults("service", 1, refuse=0.0, lose=1.0)
             statuses = set()
@@ -109,7 +113,7 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_repeatable_calls_go_to_another_target(self) -> None:
+    def test_repeatable_requests_are_retried_on_another_target(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("service", 1, lose=1.0)
             for _ in range(6):
@@ -117,7 +121,7 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_targets_own_failure_is_handed_on(self) -> None:
+    def test_error_response_of_a_target_is_forwarded(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("service", fail=1.0)
             got = await fixture.call("unsafe")
@@ -127,18 +131,18 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_second_sends_stay_within_their_budget(self) -> None:
+    def test_retries_stay_within_their_budget(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("service", fail=1.0)
             calls = [fixture.call("safe") for _ in range(100)]
             got = await asyncio.gather(*calls)
-            sent = sum(len(fixture.find_runs(each)) for each in got)
-            self.assertGreater(sent, 100)
-            self.assertLessEqual(sent, 100 + 4 + 15)
+            run_count = sum(len(fixture.find_runs(each)) for each in got)
+            self.assertGreater(run_count, 100)
+            self.assertLessEqual(run_count, 100 + 4 + 15)
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_unreachable_targets_cost_no_try(self) -> None:
+    def test_unreachable_targets_use_up_no_attempt(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             for name in ("service-0", "service-1"):
                 fixture.cluster.kill(fixture.cluster.targets[name])
@@ -155,7 +159,7 @@
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_vm_without_room_for_callers_is_not_ready(self) -> None:
+    def test_vm_at_its_connection_limit_is_not_ready(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             calls = [
                 asyncio.ensure_future(fixture.call("short")) for _ in range(4)
@@ -175,7 +179,7 @@
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_planned_stop_cuts_nothing_off(self) -> None:
+    def test_planned_stop_interrupts_no_request(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             node = fixture.cluster.vms["vm-0"]
             calls = [
@@ -184,7 +188,7 @@
             await asyncio.sleep(0.05)
             node.stop.set()
             await asyncio.sleep(1.0)
-            # The balancer still sends callers here.
+            # The load balancer still sends requests here.
             calls += [
                 asyncio.ensure_future(fixture.call("short")) for _ in range(4)
             ]
--- a/tests/test_gateway_schedules.py
+++ b/tests/test_gateway_schedules.py
@@ -1,30 +1,33 @@
-"""Promises of gateways under random faults; each seed plays the same again."""
+"""Guarantees of gateways under random faults; each seed is reproducible."""
 
 import unittest
 
 from standins import gateway_schedules
 
-# Seeds in which a promise was once taken for broken, with the cause.
-#   21: a VM that was frozen answered late; the check now knows such times.
+# Seeds that once reported a violation, with the cause.
+#   21: a frozen VM answered late; the check now allows for frozen periods.
 _REGRESSIONS = (21,)
-_FIRST = 300
-_COUNT = 12
+_FIRST_SEED = 300
+_SEED_COUNT = 12
 
 
 class GatewaySchedulesTest(unittest.TestCase):
-    def test_promises_hold(self) -> None:
-        for seed in (*_REGRESSIONS, *range(_FIRST, _FIRST + _COUNT)):
+    def test_guarantees_hold(self) -> None:
+        for seed in (
+            *_REGRESSIONS,
+            *range(_FIRST_SEED, _FIRST_SEED + _SEED_COUNT),
+        ):
             with self.subTest(seed=seed):
-                broken, counts = gateway_schedules.play(seed)
-                self.assertEqual(broken, [])
+                violations, counts = gateway_schedules.play(seed)
+                self.assertEqual(violations, [])
                 self.assertGreater(counts.get(200, 0), 10)
 
-    def test_promises_hold_on_deployments_of_any_kind(self) -> None:
-        for seed in range(_FIRST, _FIRST + _COUNT):
+    def test_guarantees_hold_on_random_deployments(self) -> None:
+        for seed in range(_FIRST_SEED, _FIRST_SEED + _SEED_COUNT):
             with self.subTest(seed=seed):
-                broken, _ = gateway_schedules.play_drawn(seed)
-                self.assertEqual(broken, [])
+                violations, _ = gateway_schedules.play_drawn(seed)
+                self.assertEqual(violations, [])
 
-    def test_same_seed_plays_the_same(self) -> None:
+    def test_same_seed_gives_the_same_run(self) -> None:
         first = gateway_schedules.play(5)
         self.assertEqual(gateway_schedules.play(5), first)
--- a/tests/test_gateway_store.py
+++ b/tests/test_gateway_store.py
@@ -1,4 +1,4 @@
-"""What a gateway makes of the store: keys, settings, targets, outages."""
+"""How a gateway uses the store: keys, settings, targets and outages."""
 
 import asyncio
 import math
@@ -16,9 +16,9 @@
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_removed_key_is_refused_everywhere_in_time(self) -> None:
+    def test_removed_key_is_refused_by_all_vms_in_time(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            # One VM can't reach the store when the key is taken away.
+            # One VM can't reach the store when the key is removed.
             cut = gateway_cluster.virtual_network.Cut("vm-1", "store")
             fixture.cluster.network.cuts.append(cut)
             fixture.cluster.keys = {"w1": ["another"]}
@@ -57,7 +57,7 @@
             self.assertEqual(got.status, 503)
             self.assertIn("retry-after", got.headers)
             self.assertEqual(got.headers.get("connection"), "close")
-            # Without a key nothing depends on the store's freshness.
+            # A request without a key does not depend on the freshness of the settings.
             self.assertEqual((await fixture.call("open")).status, 200)
             fixture.cluster.store.trouble = ""
             await asyncio.sleep(2.0)
@@ -65,7 +65,7 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_lenient_vms_serve_on_through_an_outage(self) -> None:
+    def test_lenient_vms_go_on_serving_during_an_outage(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.cluster.store.trouble = "silent"
             await asyncio.sleep(12.0)
@@ -73,7 +73,7 @@
             self.assertEqual(got.status, 200)
             self.assertNotEqual(got.headers.get("connection"), "close")
             self.assertEqual(await fixture.caller.ask_ready("vm-0"), 200)
-            # What is unknown by so old a view may have come since.
+            # A key or route that is missing in settings this old may have been added.
             got = await fixture.call("unsafe", key="added-since")
             self.assertEqual((got.status, fixture.find_runs(got)), (503, []))
             self.assertEqual((await fixture.call("nowhere")).status, 503)
@@ -86,14 +86,14 @@
 
         gateway_fixture.run_scenario(scenario, is_strict=False)
 
-    def test_call_right_after_the_start_waits_for_settings(self) -> None:
+    def test_request_right_after_startup_waits_for_settings(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             node = fixture.cluster.vms["vm-0"]
             fixture.cluster.kill(node)
             fixture.cluster.start_vm(node)
             await asyncio.sleep(0.0)
             self.assertEqual((await fixture.call("open")).status, 200)
-            # Where the store is away, it is refused soon, and later at once.
+            # During an outage of the store it is refused soon, and later at once.
             fixture.cluster.store.trouble = "silent"
             fixture.cluster.kill(node)
             fixture.cluster.start_vm(node)
@@ -108,18 +108,20 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_pace_of_calls_follows_the_bounds(self) -> None:
-        for bound_ms, ready_age_ms, every_ms in (
+    def test_poll_interval_follows_the_age_bounds(self) -> None:
+        for revoke_ms, ready_age_ms, interval_ms in (
             (2_000.0, 2_500.0, 1_300.0),
             (3_000.0, 2_500.0, 1_950.0),
             (4_000.0, 2_500.0, 2_000.0),
             (4_000.0, math.inf, 2_600.0),
         ):
-            pace = gateway_cli.make_pace(bound_ms, ready_age_ms)
-            self.assertAlmostEqual(pace.interval_ms, every_ms)
-            # A VM that is asked in time is never taken for behind.
-            self.assertGreaterEqual(pace.full_read_age_ms, 2.0 * every_ms - 0.1)
-            self.assertGreaterEqual(pace.outage_ms, 2.0 * every_ms - 0.1)
+            poll = gateway_cli.make_pace(revoke_ms, ready_age_ms)
+            self.assertAlmostEqual(poll.interval_ms, interval_ms)
+            # A VM that is polled on schedule is never treated as lagging.
+            self.assertGreaterEqual(
+                poll.full_read_age_ms, 2.0 * interval_ms - 0.1
+            )
+            self.assertGreaterEqual(poll.outage_ms, 2.0 * interval_ms - 0.1)
 
     def test_vm_without_settings_is_not_ready(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
@@ -133,7 +135,7 @@
 
         gateway_fixture.run_scenario(scenario, is_strict=False)
 
-    def test_change_is_in_force_within_two_seconds(self) -> None:
+    def test_change_is_applied_within_two_seconds(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.cluster.keys = {"w1": [gateway_cluster.KEY], "w2": ["new"]}
             fixture.cluster.publish()
@@ -145,10 +147,10 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_vm_on_a_thin_link_is_up_to_date_after_a_cut(self) -> None:
+    def test_vm_on_a_slow_link_is_up_to_date_after_a_partition(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
-            # 10 Mbit/s; settings of about 250 KB, changed each 0.5 s.
+            # 10 Mbit/s; settings of about 250 KB, changed every 0.5 s.
             cluster.network.thin_links["vm-0"] = 1_250_000.0
             routes = gateway_cluster.make_idle_routes(1_000)
             cluster.publish(routes=routes)
@@ -165,14 +167,14 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_store_out_of_reach_is_asked_ever_less_often(self) -> None:
+    def test_unreachable_store_is_polled_with_backoff(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             store = fixture.cluster.store
             store.trouble = "reset"
             await asyncio.sleep(2.0)
-            before = store.calls
+            calls_before = store.calls
             await asyncio.sleep(10.0)
-            self.assertLess(store.calls - before, 3 * 10.0 / 0.35)
+            self.assertLess(store.calls - calls_before, 3 * 10.0 / 0.35)
             store.trouble = ""
             await asyncio.sleep(0.6)
             for node in fixture.cluster.vms.values():
@@ -182,33 +184,41 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_settings_never_go_back(self) -> None:
+    def test_settings_never_revert(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.cluster.publish()
             await asyncio.sleep(1.0)
-            old = gateway_cluster.make_configuration(fixture.cluster.keys, 2)
-            fixture.cluster.store.put("op/config", {**old, "config-version": 1})
+            old_settings = gateway_cluster.make_configuration(
+                fixture.cluster.keys, 2
+            )
+            fixture.cluster.store.put(
+                "op/config", {**old_settings, "config-version": 1}
+            )
             await asyncio.sleep(1.0)
             view = fixture.cluster.vms["vm-0"].gateway.context.view
             self.assertEqual(view.catalog.revision, 2)
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_unreadable_settings_leave_the_last_ones(self) -> None:
+    def test_malformed_settings_leave_the_last_valid_ones(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            for broken in (b"{", b"[]", b'{"config-version":9,"routes":[{}]}'):
-                fixture.cluster.store.put_bytes("op/config", broken)
+            for malformed in (
+                b"{",
+                b"[]",
+                b'{"config-version":9,"routes":[{}]}',
+            ):
+                fixture.cluster.store.put_bytes("op/config", malformed)
                 await asyncio.sleep(1.0)
                 self.assertEqual((await fixture.call("open")).status, 200)
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_leaving_target_gets_no_new_work(self) -> None:
+    def test_draining_target_gets_no_new_requests(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             node = fixture.cluster.targets["service-0"]
             fixture.cluster.list_target(node, node.replica, "draining")
             await asyncio.sleep(1.0)
-            # It goes off the list, and a late entry says that it is ready.
+            # It is removed from the list, and a late entry shows it as ready.
             fixture.cluster.unlist_target(node)
             await asyncio.sleep(1.0)
             fixture.cluster.list_target(node, node.replica, "ready")
@@ -219,16 +229,16 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_unlisted_target_gets_no_new_work(self) -> None:
+    def test_unlisted_target_gets_no_new_requests(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             node = fixture.cluster.targets["service-0"]
             fixture.cluster.kill(node)
             fixture.cluster.unlist_target(node)
-            # Another replica now serves at the address.
-            fixture.cluster.targets["service-9"] = other = gateway_cluster.Node(
-                "service-0", node.hall, node.process
+            # Another replica now serves at its address.
+            fixture.cluster.targets["service-9"] = replacement = (
+                gateway_cluster.Node("service-0", node.hall, node.process)
             )
-            fixture.cluster.start_target(other)
+            fixture.cluster.start_target(replacement)
             await asyncio.sleep(1.0)
             for _ in range(8):
                 self.assertEqual((await fixture.call("unsafe")).status, 200)
@@ -236,7 +246,7 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_stranger_at_a_known_address_runs_nothing(self) -> None:
+    def test_unknown_server_at_a_known_address_runs_nothing(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             for number in range(3):
                 node = fixture.cluster.targets[f"service-{number}"]
@@ -250,7 +260,7 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_target_that_left_after_an_outage_is_off_when_its_grace_ends(
+    def test_target_removed_after_an_outage_is_dropped_after_its_grace_period(
         self,
     ) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
@@ -262,20 +272,20 @@
             now_ms = context.env.now_ms
             while context.view.settings_age_ms(now_ms()) > 1_000.0:
                 await asyncio.sleep(0.01)
-            regained_ms = now_ms()
-            # It goes off the list within the grace after the outage.
+            restored_ms = now_ms()
+            # It is removed from the list within the grace period after the outage.
             node = fixture.cluster.targets["service-0"]
             fixture.cluster.kill(node)
             fixture.cluster.unlist_target(node)
             grace_ms = 1_500.0
-            while now_ms() < regained_ms + grace_ms + 20.0:
+            while now_ms() < restored_ms + grace_ms + 20.0:
                 await asyncio.sleep(0.01)
             listed = {each.target_id for each in context.view.listing.targets}
             self.assertNotIn(node.replica.name, listed)
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_lapsed_entries_do_not_empty_the_fleet(self) -> None:
+    def test_expired_entries_do_not_empty_the_target_list(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             store = fixture.cluster.store
             store.trouble = "silent"
--- a/tests/virtual_cluster.py
+++ b/tests/virtual_cluster.py
@@ -11,24 +11,22 @@
 
 
 def make_requests(
-    count: int, every_ms: float, **fields: object
+    count: int, interval_ms: float, **fields: object
 ) -> list[trace.TracedRequest]:
     """Returns requests of the same shape at a fixed interval."""
     first = trace.TracedRequest(0.0, "r", "w1", "repairs")
     shape = {"prompt_tokens": 1_200, "output_tokens": 40, **fields}
     return [
         dataclasses.replace(
-            first, at_ms=number * every_ms, id=f"r{number}", **shape
+            first, at_ms=number * interval_ms, id=f"r{number}", **shape
         )
         for number in range(count)
     ]
 
 
-def make_fault(
-    at_ms: float, fault_: str, on: str, from_: str = ""
-) -> trace.Line:
-    """Returns a fault line."""
-    return trace.TracedFault(at_ms, fault_, on, from_)
+def make_fault(at_ms: float, kind: str, on: str, from_: str = "") -> trace.Line:
+    """Returns the trace line of a fault."""
+    return trace.TracedFault(at_ms, kind, on, from_)
 
 
 def replay_trace(
