--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -68,7 +68,7 @@
 
 
 class HttpTest(unittest.TestCase):
-    def answer(self, *pieces: bytes) -> bytes:
+    def fetch(self, *pieces: bytes) -> bytes:
         async def talk(env: environment.Environment) -> bytes:
             return await _exchange(env, *pieces)
 
@@ -85,13 +85,13 @@
         }
         for status, pieces in cases.items():
             with self.subTest(status):
-                answer = self.answer(*pieces)
-                self.assertTrue(answer.startswith(b"HTTP/1.1 " + status))
-                self.assertIn(b'"ran":"not_run"', answer)
+                response = self.fetch(*pieces)
+                self.assertTrue(response.startswith(b"HTTP/1.1 " + status))
+                self.assertIn(b'"ran":"not_run"', response)
 
     def test_pipelined_requests_are_answered_in_turn(self) -> None:
         self.assertEqual(
-            self.answer(_VALID_REQUEST + _VALID_REQUEST).count(b"200"), 2
+            self.fetch(_VALID_REQUEST + _VALID_REQUEST).count(b"200"), 2
         )
 
     def test_connections_over_the_limit_do_not_affect_others(self) -> None:
--- a/tests/test_drain_hints.py
+++ b/tests/test_drain_hints.py
@@ -44,12 +44,12 @@
     def test_engine_gets_no_requests_of_vms_that_forwarded_a_hint(self) -> None:
         self._check_no_late_requests("engine-3", "short")
 
-    def _check_no_late_requests(self, leaving: str, route: str) -> None:
+    def _check_no_late_requests(self, target_name: str, route: str) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             cluster.store.trouble = "busy"
             await asyncio.sleep(0.5)
-            replica = cluster.targets[leaving].replica
+            replica = cluster.targets[target_name].replica
             replica.leaving = "1"
             calls = []
             for number in range(round(_RUN_S / _REQUEST_INTERVAL_S)):
@@ -134,14 +134,14 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             cluster.store.trouble = "busy"
-            leaving = ("engine-0", "engine-1", "engine-2")
-            for name in leaving:
+            draining_names = ("engine-0", "engine-1", "engine-2")
+            for name in draining_names:
                 cluster.targets[name].replica.leaving = "1"
             got = await fixture.call(
                 "long", prompt_tokens=600_000, output_tokens=460
             )
             self.assertEqual((got.status, got.is_whole), (200, True))
-            for name in leaving:
+            for name in draining_names:
                 replica = cluster.targets[name].replica
                 self.assertEqual((replica.helped, replica.runs), (0, []))
 
--- a/tests/test_early_drain_hints.py
+++ b/tests/test_early_drain_hints.py
@@ -1,10 +1,10 @@
 """A draining hint that arrives before the list shows when the target started.
 
-Guards against requests that reach a draining target 2.7 s and more after the VM
-forwarded its hint. A drain is recorded for an incarnation (name and start
-time), and a response does not carry the start time, so a hint applies to the
-listed one. When the list then showed a start time for the first time, or
-another one, the hint no longer applied.
+Guards against requests that reach a draining target after the VM forwarded its
+hint (2,730 ms after, and 3.2 s in the emulated fleet). A drain is recorded for
+an incarnation (name and start time), and a response does not carry the start
+time, so a hint applies to the listed one. When the list then showed a start
+time for the first time, or another one, the hint no longer applied.
 """
 
 import asyncio
--- a/tests/test_fatal_schedules.py
+++ b/tests/test_fatal_schedules.py
@@ -18,6 +18,6 @@
     def test_poison_requests_stop_once_reachable_vms_can_know(self) -> None:
         for seed in range(_FIRST_SEED, _FIRST_SEED + _SEED_COUNT):
             with self.subTest(seed=seed):
-                broken, counts = fatal_schedules.play(seed)
-                self.assertEqual(broken, [])
+                violations, counts = fatal_schedules.play(seed)
+                self.assertEqual(violations, [])
                 self.assertGreater(counts.get(200, 0), 10)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -100,7 +100,7 @@
 
     def test_not_run_is_not_reported_after_a_retry(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            # The first target runs it and loses the response; the others refuse.
+            # The first target runs it and loses the response; others refuse.
             fixture.inject_faults("service", refuse=1.0)
             fixture.inject_faults("service", 1, refuse=0.0, lose=1.0)
             statuses = set()
--- a/tests/test_gateway_store.py
+++ b/tests/test_gateway_store.py
@@ -57,7 +57,7 @@
             self.assertEqual(got.status, 503)
             self.assertIn("retry-after", got.headers)
             self.assertEqual(got.headers.get("connection"), "close")
-            # A request without a key does not depend on the freshness of the settings.
+            # A request without a key needs no fresh settings.
             self.assertEqual((await fixture.call("open")).status, 200)
             fixture.cluster.store.trouble = ""
             await asyncio.sleep(2.0)
@@ -73,7 +73,8 @@
             self.assertEqual(got.status, 200)
             self.assertNotEqual(got.headers.get("connection"), "close")
             self.assertEqual(await fixture.caller.ask_ready("vm-0"), 200)
-            # A key or route that is missing in settings this old may have been added.
+            # An unknown key or route may have been added since settings this
+            # old were read.
             got = await fixture.call("unsafe", key="added-since")
             self.assertEqual((got.status, fixture.find_runs(got)), (503, []))
             self.assertEqual((await fixture.call("nowhere")).status, 503)
@@ -93,7 +94,8 @@
             fixture.cluster.start_vm(node)
             await asyncio.sleep(0.0)
             self.assertEqual((await fixture.call("open")).status, 200)
-            # During an outage of the store it is refused soon, and later at once.
+            # During an outage of the store it is refused within 900 ms at
+            # first, and later at once.
             fixture.cluster.store.trouble = "silent"
             fixture.cluster.kill(node)
             fixture.cluster.start_vm(node)
@@ -109,13 +111,13 @@
         gateway_fixture.run_scenario(scenario)
 
     def test_poll_interval_follows_the_age_bounds(self) -> None:
-        for revoke_ms, ready_age_ms, interval_ms in (
+        for bound_ms, ready_age_ms, interval_ms in (
             (2_000.0, 2_500.0, 1_300.0),
             (3_000.0, 2_500.0, 1_950.0),
             (4_000.0, 2_500.0, 2_000.0),
             (4_000.0, math.inf, 2_600.0),
         ):
-            poll = gateway_cli.make_pace(revoke_ms, ready_age_ms)
+            poll = gateway_cli.make_pace(bound_ms, ready_age_ms)
             self.assertAlmostEqual(poll.interval_ms, interval_ms)
             # A VM that is polled on schedule is never treated as lagging.
             self.assertGreaterEqual(
@@ -273,7 +275,8 @@
             while context.view.settings_age_ms(now_ms()) > 1_000.0:
                 await asyncio.sleep(0.01)
             restored_ms = now_ms()
-            # It is removed from the list within the grace period after the outage.
+            # It is removed from the list within the grace period after the
+            # outage.
             node = fixture.cluster.targets["service-0"]
             fixture.cluster.kill(node)
             fixture.cluster.unlist_target(node)
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -1,4 +1,4 @@
-"""Streams, silence, and memory for great prompts."""
+"""Streams, silent targets, and reserved memory for large prompts."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -14,7 +14,7 @@
 
 
 def _find_writer(fixture: gateway_fixture.Fixture) -> str:
-    """Returns the engine that has begun to run something."""
+    """Returns the name of the engine that has started a run."""
     return next(
         replica.name
         for replica in fixture.cluster.all_replicas
@@ -27,13 +27,13 @@
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_broken_stream_goes_on_elsewhere(self) -> None:
+    def test_broken_stream_is_resumed_on_another_engine(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("engine", break_off=1.0)
             call = fixture.call("short", output_tokens=2_000)
-            running = asyncio.ensure_future(call)
+            pending = asyncio.ensure_future(call)
             await asyncio.sleep(0.1)
-            # Whoever takes it up does not break off.
+            # The engine that resumes the stream does not break it off.
             started = {
                 run.replica
                 for replica in fixture.cluster.all_replicas
@@ -42,7 +42,7 @@
             for node in fixture.cluster.targets.values():
                 if node.replica.name not in started:
                     node.replica.wrong.break_off = 0.0
-            got = await running
+            got = await pending
             runs = sorted(
                 fixture.find_runs(got), key=lambda each: each.resumed_after
             )
@@ -57,7 +57,7 @@
 
         gateway_fixture.run_scenario(scenario, seed=3)
 
-    def test_stream_that_can_not_be_resumed_breaks(self) -> None:
+    def test_stream_that_cannot_be_resumed_breaks(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("engine", break_off=1.0)
             got = await fixture.call("once")
@@ -66,10 +66,10 @@
 
         gateway_fixture.run_scenario(scenario, seed=3)
 
-    def test_refusing_helpers_do_not_use_up_the_targets(self) -> None:
+    def test_refusing_helpers_use_up_no_attempts(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            # More helpers refuse, one after the other, than targets may be
-            # tried for one call.
+            # More helpers refuse, one after the other, than the attempts that
+            # one request may use.
             names = sorted(fixture.cluster.targets)
             engines = [each for each in names if each.startswith("engine")]
             for name in engines[:3]:
@@ -87,7 +87,7 @@
 
         gateway_fixture.run_scenario(scenario, engines=8)
 
-    def test_engines_that_die_together_cost_one_second_send(self) -> None:
+    def test_engines_that_crash_together_cost_one_retry(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             names = sorted(fixture.cluster.targets)
             engines = [each for each in names if each.startswith("engine")]
@@ -110,38 +110,38 @@
 
         gateway_fixture.run_scenario(scenario, vms=1, engines=16)
 
-    def test_prompt_goes_on_at_once_when_a_helper_has_ended(self) -> None:
-        # An engine whose helper had died stood still for 1.5 s before it
-        # refused, though other calls had found the helper gone within
-        # milliseconds; archives began 5 to 8 s after they were asked for.
+    def test_prompt_proceeds_at_once_when_a_helper_crashes(self) -> None:
+        # An engine whose helper had crashed waited 1.5 s before it refused,
+        # though other requests had found the helper unreachable within
+        # milliseconds; archives started 5 to 8 s after their request.
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            got = await self._lose_helper(fixture, is_writer_lost=False)
+            got = await self._crash_helper(fixture, is_writer_lost=False)
             self.assertLess(got.first_ms, 3_000.0)
-            suspects = fixture.cluster.vms["vm-0"].gateway.context.quarantine
-            self.assertEqual(len(suspects), 0)
+            quarantine = fixture.cluster.vms["vm-0"].gateway.context.quarantine
+            self.assertEqual(len(quarantine), 0)
 
         gateway_fixture.run_scenario(scenario, vms=2, halls=1, engines=16)
 
-    def test_writer_that_ended_with_its_helper_is_found(self) -> None:
-        # A content that ends all that read it would be blamed for none of
-        # them if the helper's end were heard of first.
+    def test_writer_that_crashed_with_its_helper_is_detected(self) -> None:
+        # If the end of the helper were known first, a request that crashes all
+        # engines that prefill it would count as the cause of no crash.
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             asyncio.ensure_future(
-                self._lose_helper(fixture, is_writer_lost=True)
+                self._crash_helper(fixture, is_writer_lost=True)
             )
             await asyncio.sleep(1.0)
-            suspects = fixture.cluster.vms["vm-0"].gateway.context.quarantine
-            self.assertEqual(len(suspects), 1)
+            quarantine = fixture.cluster.vms["vm-0"].gateway.context.quarantine
+            self.assertEqual(len(quarantine), 1)
 
         gateway_fixture.run_scenario(scenario, vms=2, halls=1, engines=16)
 
-    async def _lose_helper(
+    async def _crash_helper(
         self, fixture: gateway_fixture.Fixture, is_writer_lost: bool
     ) -> gateway_caller.Got:
-        """Has a helper of a long prompt crash, which another VM finds out."""
-        # A VM that has reached nobody lately tells no losses.
+        """Crashes a helper of a long prompt, which another VM detects."""
+        # A VM that has reached no target lately reports no losses.
         await fixture.call("safe", "vm-1")
-        calling = asyncio.ensure_future(
+        pending = asyncio.ensure_future(
             fixture.call(
                 "long",
                 prompt_tokens=400_000,
@@ -152,29 +152,31 @@
         await asyncio.sleep(0.3)
         cluster = fixture.cluster
         gateway = cluster.vms["vm-0"].gateway
-        seats = [
+        placements = [
             each.target
             for each in gateway.context.scheduler.list_estimates()
             if each.own_streams()
         ]
         writer = _find_writer(fixture)
-        helper = next(each for each in seats if each.target_id != writer)
+        helper = next(each for each in placements if each.target_id != writer)
         if is_writer_lost:
-            # It ends without a word; nobody listens there any more.
+            # It ends silently, and its address refuses connections.
             node = cluster.targets[writer.partition(".")[0]]
             node.process.kill()
-            where = next(e for e in seats if e.target_id == writer).address
-            cluster.network._unlisten(node.process, where)
+            address = next(
+                e for e in placements if e.target_id == writer
+            ).address
+            cluster.network._unlisten(node.process, address)
         cluster.crash_target(
             cluster.targets[helper.target_id.partition(".")[0]]
         )
-        other = cluster.vms["vm-1"].gateway.context.scheduler
-        other.post(scheduler_messages.IncarnationEnded(helper))
-        got = await calling
+        other_scheduler = cluster.vms["vm-1"].gateway.context.scheduler
+        other_scheduler.post(scheduler_messages.IncarnationEnded(helper))
+        got = await pending
         self.assertEqual((got.status, got.is_whole), (200, True))
         return got
 
-    def test_only_target_of_a_pool_is_tried_as_often_as_allowed(self) -> None:
+    def test_only_target_of_a_pool_gets_all_allowed_attempts(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("engine", lose=1.0)
             got = await fixture.call("short")
@@ -183,7 +185,7 @@
 
         gateway_fixture.run_scenario(scenario, engines=1, halls=1)
 
-    def test_hall_whose_engines_can_not_help_is_passed_over(self) -> None:
+    def test_hall_whose_engines_cannot_help_is_avoided(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             for node in fixture.cluster.targets.values():
                 if node.hall == "hall-1":
@@ -195,25 +197,25 @@
                 time_limit_ms=15_000.0,
             )
             self.assertEqual((got.status, got.is_whole), (200, True))
-            # One try for each of two engines shows that it is the hall.
+            # One attempt on each of two engines shows that it is the hall.
             context = fixture.cluster.vms["vm-0"].gateway.context
             self.assertGreaterEqual(context.budget.tokens, 4.0 - 2.0)
 
         gateway_fixture.run_scenario(scenario, engines=15)
 
-    def test_spoilt_answers_are_not_handed_on(self) -> None:
+    def test_invalid_responses_are_not_forwarded(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            for wrong in ("unsigned", "foreign"):
-                fixture.inject_faults("", **{wrong: 1.0})
+            for fault in ("unsigned", "foreign"):
+                fixture.inject_faults("", **{fault: 1.0})
                 for route in ("unsafe", "once"):
                     got = await fixture.call(route)
-                    self.assertEqual(got.status, 502, wrong)
-                fixture.inject_faults("", **{wrong: 0.0})
+                    self.assertEqual(got.status, 502, fault)
+                fixture.inject_faults("", **{fault: 0.0})
                 await asyncio.sleep(10.0)
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_silent_target_is_left_where_that_is_allowed(self) -> None:
+    def test_silent_target_is_abandoned_where_retries_are_allowed(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             for node in list(fixture.cluster.targets.values())[:1]:
                 node.replica.wrong.mute = True
@@ -223,16 +225,16 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_connection_that_falls_silent_midway_is_left(self) -> None:
+    def test_connection_that_falls_silent_midway_is_abandoned(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            running = asyncio.ensure_future(
+            pending = asyncio.ensure_future(
                 fixture.call("short", output_tokens=2_000)
             )
             await asyncio.sleep(0.1)
             for node in fixture.cluster.targets.values():
                 if node.replica.runs:
                     node.replica.wrong.silent_s = 3_600.0
-            got = await running
+            got = await pending
             self.assertEqual((got.status, got.is_whole), (200, True))
             self.assertEqual(len(fixture.find_runs(got)), 2)
             self.assertEqual(
@@ -241,10 +243,10 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_silence_of_the_last_target_allowed_is_borne(self) -> None:
+    def test_silence_of_the_last_allowed_target_is_tolerated(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            # Nobody may take over from the second one; giving it up would only
-            # break an answer off that goes on after a long pass.
+            # No attempt is left after the second target: abandoning it would
+            # only break a stream that goes on after a long batch iteration.
             fixture.inject_faults("engine", silent_s=2.5)
             got = await fixture.call("short", output_tokens=2_000)
             self.assertEqual((got.status, got.is_whole), (200, True))
@@ -252,7 +254,7 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_silence_is_borne_without_a_second_send_left(self) -> None:
+    def test_silence_is_tolerated_without_retry_budget(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("engine", silent_s=2.5)
             fixture.cluster.vms["vm-0"].gateway.context.budget.tokens = 0.0
@@ -262,36 +264,37 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_hall_out_of_reach_is_passed_over(self) -> None:
+    def test_unreachable_hall_is_avoided(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cut = gateway_cluster.virtual_network.Cut("hall-1", "hall-0")
             fixture.cluster.network.cuts.append(cut)
-            # Those of its own hall would do otherwise.
+            # Otherwise the targets of its own hall would serve everything.
             for name, node in fixture.cluster.targets.items():
                 if name.startswith("service") and node.hall == "hall-0":
                     fixture.cluster.kill(node)
                     fixture.cluster.unlist_target(node)
             await asyncio.sleep(1.5)
-            slow = 0
+            slow_count = 0
             for _ in range(40):
                 got = await fixture.call("unsafe")
                 self.assertEqual(got.status, 200)
-                # A connection that does not come up costs 150 ms.
-                slow += got.took_ms > 200.0
-            self.assertGreater(slow, 0)
-            self.assertLessEqual(slow, 4)
+                # A connection that cannot be established costs 150 ms.
+                slow_count += got.took_ms > 200.0
+            self.assertGreater(slow_count, 0)
+            self.assertLessEqual(slow_count, 4)
 
         gateway_fixture.run_scenario(scenario, services=15)
 
-    def test_memory_is_sought_in_halls_in_reach(self) -> None:
+    def test_memory_is_reserved_in_reachable_halls(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cut = gateway_cluster.virtual_network.Cut("hall-1", "hall-0")
             fixture.cluster.network.cuts.append(cut)
             for node in fixture.cluster.targets.values():
                 if node.hall == "hall-1":
                     node.replica.wrong.helps_nobody = True
-            # Four holders; its own hall has three engines. Two tries show that
-            # the hall is out of reach, not one for each of its engines.
+            # The prompt needs four engines; its own hall has three. Two
+            # attempts show that a hall is unreachable, not one for each of its
+            # engines.
             got = await fixture.call(
                 "long",
                 prompt_tokens=900_000,
@@ -302,7 +305,7 @@
 
         gateway_fixture.run_scenario(scenario, engines=9)
 
-    def test_silent_target_of_a_once_only_call_is_waited_for(self) -> None:
+    def test_silent_target_of_a_non_repeatable_request_is_awaited(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("service", mute=True)
             got = await fixture.call("unsafe", time_limit_ms=1_500.0)
@@ -311,7 +314,7 @@
 
         gateway_fixture.run_scenario(scenario)
 
-    def test_work_stops_when_the_caller_leaves(self) -> None:
+    def test_work_stops_when_the_caller_disconnects(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             await fixture.call("short", leaves_after_ms=150.0)
             await asyncio.sleep(0.5)
@@ -325,78 +328,80 @@
         gateway_fixture.run_scenario(scenario)
 
 
-class EmulatorTest(unittest.TestCase):
-    """The emulated engines against prompts that were alone on a bench day."""
+class EmulatedEngineTest(unittest.TestCase):
+    """Emulated engines against benchmark prompts that ran alone."""
 
-    # Tokens and milliseconds to the first event, read off the logs of the
+    # Prompt tokens and milliseconds to the first event, from the logs of the
     # incident inc-b577 (docs/FINDINGS.md).
-    _SEEN = ((4_012, 28.0), (9_525, 55.0), (30_143, 183.0), (34_067, 214.0))
-    _OFF_MOST_MS = 12.0
+    _MEASURED = ((4_012, 28.0), (9_525, 55.0), (30_143, 183.0), (34_067, 214.0))
+    _MAX_DEVIATION_MS = 12.0
 
-    def test_first_events_come_as_on_the_bench(self) -> None:
+    def test_times_to_first_event_match_the_benchmark(self) -> None:
         loguru.logger.remove()
 
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            for tokens, seen_ms in self._SEEN:
-                # On the bench none of these was read by several engines.
+            for tokens, measured_ms in self._MEASURED:
+                # On the benchmark, one engine prefilled each of these prompts.
                 route = "short" if tokens < 20_000 else "long"
                 got = await fixture.call(
                     route, prompt_tokens=tokens, output_tokens=460
                 )
-                off_ms = abs(got.first_ms - seen_ms)
-                self.assertLess(off_ms, self._OFF_MOST_MS, (tokens, got))
+                deviation_ms = abs(got.first_ms - measured_ms)
+                self.assertLess(
+                    deviation_ms, self._MAX_DEVIATION_MS, (tokens, got)
+                )
                 await asyncio.sleep(1.0)
 
         gateway_fixture.run_scenario(scenario, engines=18)
 
 
-class PlacesTest(unittest.TestCase):
-    """All places of all engines are taken."""
+class FullEnginesTest(unittest.TestCase):
+    """All slots of all engines are taken."""
 
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_calls_that_can_be_in_time_go_before_late_ones(self) -> None:
+    def test_requests_that_can_be_in_time_precede_late_ones(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            lasting = [
+            long_streams = [
                 asyncio.ensure_future(
                     fixture.call("short", output_tokens=4_000)
                 )
                 for _ in range(7)
             ]
-            ending = asyncio.ensure_future(
+            ending_stream = asyncio.ensure_future(
                 fixture.call("short", output_tokens=1_000)
             )
             await asyncio.sleep(0.1)
-            # It is late 150 ms on, before the ending call leaves its place.
-            late = asyncio.ensure_future(
+            # It is late after 150 ms, before the ending stream frees its slot.
+            late_request = asyncio.ensure_future(
                 fixture.call("short", output_tokens=46)
             )
-            newer = []
-            while not ending.done():
+            newer_requests = []
+            while not ending_stream.done():
                 await asyncio.sleep(0.06)
                 call = fixture.call("short", output_tokens=4_000)
-                newer.append(asyncio.ensure_future(call))
-            self.assertFalse(late.done())
+                newer_requests.append(asyncio.ensure_future(call))
+            self.assertFalse(late_request.done())
             served = [
                 got
-                for got in await asyncio.gather(*newer)
+                for got in await asyncio.gather(*newer_requests)
                 if fixture.find_runs(got)
             ]
             self.assertEqual(len(served), 1)
             self.assertLess(served[0].first_ms, 300.0)
-            got = await late
+            got = await late_request
             self.assertEqual((got.status, fixture.find_runs(got)), (503, []))
             self.assertIn("retry-after", got.headers)
-            # Not held for longer than a late answer would be of use.
+            # It is not queued for longer than a late response is of use.
             self.assertLess(got.took_ms, 1_500.0)
-            await asyncio.gather(*lasting)
+            await asyncio.gather(*long_streams)
 
         gateway_fixture.run_scenario(scenario, engines=1, vms=1, halls=1)
 
 
-class MemoryTest(unittest.TestCase):
+class ReservedMemoryTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
@@ -411,7 +416,7 @@
             time_limit_ms=15_000.0,
         )
 
-    def test_prompt_over_one_engines_memory_is_served(self) -> None:
+    def test_prompt_larger_than_one_engine_is_served(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             got = await self._call(fixture)
             self.assertEqual((got.status, got.is_whole), (200, True))
@@ -421,9 +426,9 @@
 
         gateway_fixture.run_scenario(scenario, engines=8)
 
-    def test_memory_is_given_back_when_the_writer_falls_silent(self) -> None:
+    def test_memory_is_released_when_the_writer_falls_silent(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            running = asyncio.ensure_future(self._call(fixture, 500_000))
+            pending = asyncio.ensure_future(self._call(fixture, 500_000))
             await asyncio.sleep(1.0)
             (writer,) = [r for r in fixture.cluster.all_replicas if r.runs]
             held = [
@@ -438,14 +443,14 @@
             await asyncio.sleep(3.0)
             for replica, name in held:
                 self.assertNotIn(name, replica.tickets)
-            got = await running
+            got = await pending
             self.assertEqual((got.status, got.is_whole), (200, True))
 
         gateway_fixture.run_scenario(scenario, engines=10)
 
-    def test_memory_lapses_when_its_vm_dies(self) -> None:
+    def test_memory_expires_when_its_vm_dies(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            running = asyncio.ensure_future(self._call(fixture))
+            pending = asyncio.ensure_future(self._call(fixture))
             await asyncio.sleep(1.0)
             held = [r.held_tokens() for r in fixture.cluster.all_replicas]
             self.assertGreater(sum(held), 0)
@@ -453,6 +458,6 @@
             await asyncio.sleep(3.0)
             held = [r.held_tokens() for r in fixture.cluster.all_replicas]
             self.assertEqual(sum(held), 0)
-            running.cancel()
+            pending.cancel()
 
         gateway_fixture.run_scenario(scenario, engines=8)
--- a/tests/test_hanging_engine.py
+++ b/tests/test_hanging_engine.py
@@ -1,4 +1,4 @@
-"""An engine that leaves some calls unanswered: who still sends to it."""
+"""An engine that leaves some requests unanswered is sent few others."""
 
 import asyncio
 import unittest
@@ -28,8 +28,8 @@
     return estimates.Estimate(target, None)
 
 
-class OverdueTest(unittest.TestCase):
-    def test_prefill_that_is_overdue_lasts_on(self) -> None:
+class OverduePrefillTest(unittest.TestCase):
+    def test_overdue_prefill_is_expected_to_go_on(self) -> None:
         found = _make_estimate()
         found.begin_attempt("a", own_work.OwnWork(5_000, 5_000, 0.0, 1, 30.0))
         self.assertEqual(found.remaining_prefill_ms(0.0), 30.0)
@@ -43,33 +43,37 @@
 
 
 class HangingEngineTest(unittest.TestCase):
-    """Calls of a steady pace, spread over the VMs of one hall."""
+    """Requests at a constant rate, spread over the VMs of one hall."""
 
-    def test_few_calls_go_to_an_engine_that_hangs(self) -> None:
-        sent = {"calls": 0, "late": 0}
+    def test_few_requests_go_to_an_engine_that_hangs(self) -> None:
+        counts = {"calls": 0, "late": 0}
 
-        async def one(fixture: gateway_fixture.Fixture, number: int) -> None:
+        async def send_request(
+            fixture: gateway_fixture.Fixture, number: int
+        ) -> None:
             await asyncio.sleep(number * 0.02)
             got = await fixture.call("short", f"vm-{number % _VMS}")
-            sent["calls"] += 1
-            sent["late"] += got.status != 200 or got.first_ms > 300.0
+            counts["calls"] += 1
+            counts["late"] += got.status != 200 or got.first_ms > 300.0
 
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            # The one that short prompts of the hall go to first.
-            hung = _find_front(fixture)
+            # The engine that short prompts of the hall prefer.
+            hung = _find_first_choice(fixture)
             hung.replica.wrong.hang = 0.45
             async with asyncio.TaskGroup() as group:
                 for number in range(400):
-                    group.create_task(one(fixture, number))
+                    group.create_task(send_request(fixture, number))
 
         loguru.logger.remove()
         gateway_fixture.run_scenario(scenario, vms=_VMS, halls=1, engines=6)
-        self.assertEqual(sent["calls"], 400)
-        # 27 were late while an engine with silent calls looked idle.
-        self.assertLess(sent["late"], 22)
+        self.assertEqual(counts["calls"], 400)
+        # 27 were late when an engine with unanswered requests looked idle.
+        self.assertLess(counts["late"], 22)
 
 
-def _find_front(fixture: gateway_fixture.Fixture) -> gateway_cluster.Node:
+def _find_first_choice(
+    fixture: gateway_fixture.Fixture,
+) -> gateway_cluster.Node:
     engines = [
         node
         for node in fixture.cluster.targets.values()
--- a/tests/test_idempotency_keys.py
+++ b/tests/test_idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Keys and tickets: who may join a run, and for how long."""
+"""Idempotency keys and tickets: who may join a run, and for how long."""
 
 import asyncio
 import random
@@ -15,19 +15,23 @@
 
 class TicketTest(unittest.TestCase):
     def setUp(self) -> None:
-        chance = random.Random(1)
-        self.text = tickets.issue(_KEY, "vm-1", "i", "w", 5.0, chance)
+        rng = random.Random(1)
+        self.ticket_text = tickets.issue(_KEY, "vm-1", "i", "w", 5.0, rng)
 
-    def test_issued_ticket_is_read(self) -> None:
-        ticket = tickets.parse(self.text, _KEY, "w")
+    def test_issued_ticket_is_parsed(self) -> None:
+        ticket = tickets.parse(self.ticket_text, _KEY, "w")
         self.assertEqual((ticket.vm_id, ticket.incarnation), ("vm-1", "i"))
 
-    def test_another_workspace_cannot_use_it(self) -> None:
-        self.assertIsNone(tickets.parse(self.text, _KEY, "v"))
+    def test_another_workspace_cannot_use_a_ticket(self) -> None:
+        self.assertIsNone(tickets.parse(self.ticket_text, _KEY, "v"))
 
-    def test_changed_or_made_up_tickets_are_unknown(self) -> None:
-        for text in (self.text.replace("vm-1", "vm-2"), "", "a~b~1~c~d"):
-            self.assertIsNone(tickets.parse(text, _KEY, "w"))
+    def test_forged_tickets_are_unknown(self) -> None:
+        for ticket_text in (
+            self.ticket_text.replace("vm-1", "vm-2"),
+            "",
+            "a~b~1~c~d",
+        ):
+            self.assertIsNone(tickets.parse(ticket_text, _KEY, "w"))
 
 
 class RecordingTest(unittest.TestCase):
@@ -37,7 +41,7 @@
 
         return asyncio.run(run())
 
-    def test_late_follower_gets_the_whole(self) -> None:
+    def test_late_follower_gets_all_events(self) -> None:
         events = [part.Tokens(0, ("a",)), outcomes.Finished(1, "stop")]
         record = recording.Recording()
         for event in events:
@@ -54,13 +58,13 @@
 
 class LedgerTest(unittest.TestCase):
     def test_dropped_recording_is_still_refused(self) -> None:
-        book: ledger.Ledger[str] = ledger.Ledger()
-        book.open("k", "run", 0.0)
-        book.keep_recording("k", ledger.MAX_RECORDING_BYTES + 1)
-        self.assertIsNone(book.find("k").recording)
+        runs_by_key: ledger.Ledger[str] = ledger.Ledger()
+        runs_by_key.open("k", "run", 0.0)
+        runs_by_key.keep_recording("k", ledger.MAX_RECORDING_BYTES + 1)
+        self.assertIsNone(runs_by_key.find("k").recording)
 
     def test_key_that_never_ran_may_be_used_again(self) -> None:
-        book: ledger.Ledger[str] = ledger.Ledger()
-        book.open("k", "run", 0.0)
-        book.remove("k")
-        self.assertIsNone(book.find("k"))
+        runs_by_key: ledger.Ledger[str] = ledger.Ledger()
+        runs_by_key.open("k", "run", 0.0)
+        runs_by_key.remove("k")
+        self.assertIsNone(runs_by_key.find("k"))
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,8 +1,9 @@
-"""Targets that start again under the name that they had.
+"""Targets that restart under the same name.
 
-A target that was ever seen leaving stayed so by its name. One that drained, and
-came back under the same name, was never used again by any VM; one that had
-crashed was still paused for the failures of its former life.
+Guards against state that is kept by a target's name alone. A target that had
+drained and restarted under the same name was never used again by any VM, and
+one that had crashed still backed off for the failures of its former
+incarnation.
 """
 
 import asyncio
@@ -33,8 +34,8 @@
 from tests import test_scheduler
 
 _GRACE = target_list.Grace(float("-inf"), float("inf"))
-# Entries are read every 1.3 s here.
-_SEEN_S = 1.4
+# The store is read every 1.3 s here.
+_LIST_READ_S = 1.4
 _POSITION = store_position.StorePosition(1, 1)
 
 
@@ -52,15 +53,19 @@
     )
 
 
-class LifeTest(unittest.TestCase):
-    def test_words_of_lives_are_read_back(self) -> None:
-        for life in (lives.Life("a"), lives.Life("a@b", 7), lives.Life("a", 7)):
-            if life.target_id == "a@b" and not life.born_ms:
+class IncarnationTest(unittest.TestCase):
+    def test_formatted_incarnations_are_parsed(self) -> None:
+        for incarnation in (
+            lives.Life("a"),
+            lives.Life("a@b", 7),
+            lives.Life("a", 7),
+        ):
+            if incarnation.target_id == "a@b" and not incarnation.born_ms:
                 continue
-            text = lives.format_life(life)
-            self.assertEqual(lives.parse_life(text), life)
+            text = lives.format_life(incarnation)
+            self.assertEqual(lives.parse_life(text), incarnation)
 
-    def test_word_of_an_earlier_release_is_a_name(self) -> None:
+    def test_text_of_an_earlier_release_is_a_name(self) -> None:
         self.assertEqual(lives.parse_life("i-5"), lives.Life("i-5"))
         self.assertEqual(lives.parse_life("i@x"), lives.Life("i@x"))
 
@@ -73,43 +78,47 @@
     def setUp(self) -> None:
         self.list = target_list.TargetList(draining.DrainState())
 
-    def _take(self, *found: targets.Target, gone: tuple[str, ...] = ()) -> None:
-        changes = published.Changes(_POSITION, None, found, gone, ())
+    def _apply(
+        self, *changed: targets.Target, removed: tuple[str, ...] = ()
+    ) -> None:
+        changes = published.Changes(_POSITION, None, changed, removed, ())
         self.list.apply_changes(changes, False, 0.0, _GRACE)
 
-    def _find(self) -> targets.Target | None:
+    def _find_listed(self) -> targets.Target | None:
         return next(iter(self.list.list_targets()), None)
 
-    def test_leaving_binds_the_life_that_left(self) -> None:
-        leaving = _make_target(5, condition.Condition.LEAVING)
-        self._take(_make_target(5))
-        self._take(leaving, _make_target(5))
-        self.assertIs(self._find().condition, condition.Condition.LEAVING)
-        self._take(_make_target(6))
-        self.assertIs(self._find().condition, condition.Condition.LIVE)
-
-    def test_late_news_of_the_older_life_changes_nothing(self) -> None:
-        self._take(_make_target(6))
-        self._take(_make_target(5, condition.Condition.LEAVING))
-        self.assertEqual(self._find(), _make_target(6))
-        self._take(gone=("engine-1",))
-        self._take(_make_target(5))
-        self.assertIsNone(self._find())
-
-    def test_peer_that_does_not_tell_lives_is_not_gone_by(self) -> None:
-        self._take(_make_target(6))
+    def test_draining_applies_to_one_incarnation(self) -> None:
+        draining_target = _make_target(5, condition.Condition.LEAVING)
+        self._apply(_make_target(5))
+        self._apply(draining_target, _make_target(5))
+        self.assertIs(
+            self._find_listed().condition, condition.Condition.LEAVING
+        )
+        self._apply(_make_target(6))
+        self.assertIs(self._find_listed().condition, condition.Condition.LIVE)
+
+    def test_late_entries_of_an_older_incarnation_have_no_effect(self) -> None:
+        self._apply(_make_target(6))
+        self._apply(_make_target(5, condition.Condition.LEAVING))
+        self.assertEqual(self._find_listed(), _make_target(6))
+        self._apply(removed=("engine-1",))
+        self._apply(_make_target(5))
+        self.assertIsNone(self._find_listed())
+
+    def test_target_without_a_start_time_lacks_its_incarnation(self) -> None:
+        self._apply(_make_target(6))
         self.assertTrue(self.list.lacks_incarnation(_make_target(0)))
         self.assertFalse(self.list.lacks_incarnation(_make_target(6)))
         other = dataclasses.replace(_make_target(0), target_id="engine-2")
         self.assertFalse(self.list.lacks_incarnation(other))
 
 
-class SchedulerTest(unittest.TestCase):
-    """What was learnt of a former life says nothing of the next."""
+class SchedulerStateTest(unittest.TestCase):
+    """State of a former incarnation does not apply to the next one."""
 
-    def _play(self, *messages: object, lost: str = "") -> bool:
-        """Returns whether the new life may be used after late news."""
-        told: list[bad_news.BadNews] = []
+    def _is_usable_after(self, *messages: object, lost: str = "") -> bool:
+        """Returns whether the new incarnation is usable after late messages."""
+        pending_reports: list[bad_news.BadNews] = []
 
         async def run() -> bool:
             network = virtual_network.VirtualNetwork(
@@ -123,7 +132,9 @@
                 configs.EntryConfig("vm", "h", environment.Address("vm", 1)),
                 view,
                 collect_loss_report=lambda: (
-                    told.pop() if told else bad_news.NOTHING
+                    pending_reports.pop()
+                    if pending_reports
+                    else bad_news.NOTHING
                 ),
             )
             process.start(scheduler.run)
@@ -131,7 +142,9 @@
                 view.apply_targets((_make_target(born_ms),), env.now_ms())
                 scheduler.post(schedulers.ViewChanged())
                 await asyncio.sleep(0.1)
-            told.extend([bad_news.BadNews(gone=(lost,))] if lost else [])
+            pending_reports.extend(
+                [bad_news.BadNews(gone=(lost,))] if lost else []
+            )
             for message in messages:
                 scheduler.post(message)
             await asyncio.sleep(0.55)
@@ -140,38 +153,39 @@
 
         return virtual_process.run(run)
 
-    def test_failures_of_the_former_life(self) -> None:
+    def test_failures_of_the_former_incarnation(self) -> None:
         for born_ms, is_used in ((5, True), (6, False)):
-            seat = scheduler_messages.Placement(
+            placement = scheduler_messages.Placement(
                 _make_target(born_ms), "attempt", 0
             )
             ended = scheduler_messages.AttemptEnded(
-                seat, is_target_fault=True, has_answered=False
+                placement, is_target_fault=True, has_answered=False
             )
-            self.assertIs(self._play(*[ended] * 4), is_used)
+            self.assertIs(self._is_usable_after(*[ended] * 4), is_used)
 
-    def test_reports_of_the_former_life(self) -> None:
+    def test_load_reports_of_the_former_incarnation(self) -> None:
         for born_ms, is_used in ((5, True), (6, False)):
             report = load_report.LoadReport(
                 "engine-1", "g", 0, 0, 0, True, 0.0, born_ms
             )
             self.assertIs(
-                self._play(scheduler_messages.LoadReported(report)), is_used
+                self._is_usable_after(scheduler_messages.LoadReported(report)),
+                is_used,
             )
 
-    def test_losses_told_by_peers(self) -> None:
-        self.assertTrue(self._play(lost="engine-1@5"))
-        self.assertFalse(self._play(lost="engine-1@6"))
-        # A peer of an earlier release names no life.
-        self.assertFalse(self._play(lost="engine-1"))
+    def test_losses_reported_by_peers(self) -> None:
+        self.assertTrue(self._is_usable_after(lost="engine-1@5"))
+        self.assertFalse(self._is_usable_after(lost="engine-1@6"))
+        # A peer of an earlier release names no incarnation.
+        self.assertFalse(self._is_usable_after(lost="engine-1"))
 
 
-class MemoryTest(unittest.TestCase):
-    def test_memory_is_not_set_aside_anew_in_the_next_life(self) -> None:
-        given: list[str] = []
+class ReservedMemoryTest(unittest.TestCase):
+    def test_reservation_is_not_renewed_with_the_next_incarnation(self) -> None:
+        sent_orders: list[str] = []
 
-        async def note(name: str) -> orders.Answer:
-            given.append(name)
+        async def record_order(name: str) -> orders.Answer:
+            sent_orders.append(name)
             return orders.Answer.DONE
 
         async def run() -> None:
@@ -183,9 +197,9 @@
             keeper = reservation_keeper.ReservationKeeper(
                 network.make_environment(process, 1),
                 orders.Orders(
-                    lambda held, hold_ms: note("reserve"),
-                    lambda held: note("release"),
-                    lambda target: note("sign"),
+                    lambda held, hold_ms: record_order("reserve"),
+                    lambda held: record_order("release"),
+                    lambda target: record_order("sign"),
                 ),
                 view.is_superseded,
             )
@@ -196,15 +210,15 @@
             await asyncio.sleep(3.0)
 
         virtual_process.run(run)
-        self.assertEqual(given, ["reserve", "reserve"])
+        self.assertEqual(sent_orders, ["reserve", "reserve"])
 
 
-class FleetTest(unittest.TestCase):
+class RestartedServiceTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_service_that_drained_and_came_back_is_used_at_once(self) -> None:
+    def test_service_that_drained_and_restarted_is_used_at_once(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             engines = [
@@ -215,11 +229,11 @@
             for node in engines:
                 cluster.list_target(node, node.replica, "draining")
                 node.process.kill()
-            await asyncio.sleep(_SEEN_S)
+            await asyncio.sleep(_LIST_READ_S)
             for node in engines:
                 cluster.kill(node)
                 cluster.start_target(node)
-            await asyncio.sleep(_SEEN_S)
+            await asyncio.sleep(_LIST_READ_S)
             for vm in cluster.vms:
                 got = await fixture.call("short", vm)
                 self.assertEqual((got.status, got.is_whole), (200, True))
--- a/tests/test_line_writer.py
+++ b/tests/test_line_writer.py
@@ -1,4 +1,4 @@
-"""Logs never hold up whoever logs, and tell how much was left out."""
+"""Logging never blocks its callers, and dropped lines are counted."""
 
 import io
 import os
@@ -9,20 +9,20 @@
 
 
 class LineWriterTest(unittest.TestCase):
-    def test_reader_that_does_not_read_holds_nobody_up(self) -> None:
+    def test_slow_reader_does_not_block_writers(self) -> None:
         read_end, write_end = os.pipe()
         sink = os.fdopen(write_end, "w")
         writer = line_writer.LineWriter(sink)
         line = "x" * 1_000 + "\n"
         count = line_writer.WAITING_MAX + 500
-        began_s = time.process_time()
+        started_s = time.process_time()
         for _ in range(count):
             writer.write(line)
-        self.assertLess(time.process_time() - began_s, 1.0)
+        self.assertLess(time.process_time() - started_s, 1.0)
         self.assertGreaterEqual(writer.left_out, 500)
         os.close(read_end)
 
-    def test_lines_beyond_the_allowance_are_counted(self) -> None:
+    def test_lines_over_the_rate_limit_are_counted(self) -> None:
         sink = io.StringIO()
         writer = line_writer.LineWriter(sink)
         for number in range(int(line_writer.LINES_BURST) + 50):
--- a/tests/test_loss_reports.py
+++ b/tests/test_loss_reports.py
@@ -1,4 +1,4 @@
-"""Losses of targets that VMs tell each other: what is told, who believes it."""
+"""Reports of unreachable targets between VMs: what is sent and applied."""
 
 import asyncio
 import unittest
@@ -16,11 +16,11 @@
 _HALL = "h"
 
 
-class LossesFoundTest(unittest.TestCase):
+class LossReportsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.losses = loss_reports.LossReports()
 
-    def test_loss_is_told_for_a_while(self) -> None:
+    def test_loss_is_reported_until_it_expires(self) -> None:
         self.losses.note_reached(_HALL, lives.Life("t1"), 0.0)
         self.assertTrue(
             self.losses.note_unreachable(_HALL, lives.Life("t2"), False, 10.0)
@@ -28,52 +28,57 @@
         self.assertTrue(
             self.losses.note_unreachable(_HALL, lives.Life("t3"), True, 10.0)
         )
-        told = bad_news.BadNews(gone=("t2",), silent=("t3",))
-        self.assertEqual(self.losses.summarize(500.0), told)
-        late_ms = 11.0 + loss_reports.REPORT_DURATION_MS
-        self.assertIs(self.losses.summarize(late_ms), bad_news.NOTHING)
+        reported = bad_news.BadNews(gone=("t2",), silent=("t3",))
+        self.assertEqual(self.losses.summarize(500.0), reported)
+        expired_ms = 11.0 + loss_reports.REPORT_DURATION_MS
+        self.assertIs(self.losses.summarize(expired_ms), bad_news.NOTHING)
 
-    def test_target_that_answers_is_not_lost(self) -> None:
+    def test_target_that_responds_is_not_reported(self) -> None:
         self.losses.note_reached(_HALL, lives.Life("t1"), 0.0)
         self.losses.note_unreachable(_HALL, lives.Life("t2"), True, 10.0)
         self.losses.note_reached(_HALL, lives.Life("t2"), 20.0)
         self.assertIs(self.losses.summarize(30.0), bad_news.NOTHING)
 
-    def test_vm_that_is_cut_off_tells_nothing(self) -> None:
+    def test_isolated_vm_reports_nothing(self) -> None:
         self.assertFalse(
             self.losses.note_unreachable(_HALL, lives.Life("t1"), True, 0.0)
         )
         self.losses.note_reached(_HALL, lives.Life("t1"), 0.0)
-        late_ms = loss_reports.HALL_REACHED_MS + 1.0
+        expired_ms = loss_reports.HALL_REACHED_MS + 1.0
         self.assertFalse(
             self.losses.note_unreachable(
-                _HALL, lives.Life("t2"), False, late_ms
+                _HALL, lives.Life("t2"), False, expired_ms
             )
         )
-        # Nor does one that loses many at once.
-        self.losses.note_reached(_HALL, lives.Life("t1"), late_ms)
+        # Neither does one that loses many targets at once.
+        self.losses.note_reached(_HALL, lives.Life("t1"), expired_ms)
         for number in range(loss_reports.MAX_REPORTED + 1):
             self.losses.note_unreachable(
-                _HALL, lives.Life(f"e{number}"), False, late_ms
+                _HALL, lives.Life(f"e{number}"), False, expired_ms
             )
-        self.assertIs(self.losses.summarize(late_ms), bad_news.NOTHING)
+        self.assertIs(self.losses.summarize(expired_ms), bad_news.NOTHING)
 
-    def test_only_what_holds_elsewhere_is_taken_from_another_hall(self) -> None:
-        told = bad_news.BadNews(("a",), ("b",), ("h2",))
-        self.assertEqual(loss_reports.select_applicable(told, True), told)
+    def test_only_applicable_losses_are_merged_from_another_hall(self) -> None:
+        reported = bad_news.BadNews(("a",), ("b",), ("h2",))
         self.assertEqual(
-            loss_reports.select_applicable(told, False),
+            loss_reports.select_applicable(reported, True), reported
+        )
+        self.assertEqual(
+            loss_reports.select_applicable(reported, False),
             bad_news.BadNews(("a",)),
         )
 
-    def test_what_was_told_before_is_no_news(self) -> None:
-        before = bad_news.BadNews(("a",))
-        told = bad_news.BadNews(("a", "b"))
-        new = loss_reports.find_new(told, before)
-        self.assertEqual(new, bad_news.BadNews(("b",)))
-        self.assertEqual(loss_reports.merge([new, new, told]).gone, ("b", "a"))
+    def test_loss_reported_before_is_not_new(self) -> None:
+        earlier = bad_news.BadNews(("a",))
+        reported = bad_news.BadNews(("a", "b"))
+        unreported = loss_reports.find_new(reported, earlier)
+        self.assertEqual(unreported, bad_news.BadNews(("b",)))
+        self.assertEqual(
+            loss_reports.merge([unreported, unreported, reported]).gone,
+            ("b", "a"),
+        )
 
-    def test_hall_that_peers_lost_is_passed_over_once(self) -> None:
+    def test_hall_reported_by_peers_is_avoided_once(self) -> None:
         found = reachability.Reachability()
         self.assertTrue(found.note_reported(_HALL, 0.0))
         self.assertFalse(found.note_reported(_HALL, 1.0))
@@ -83,26 +88,26 @@
         )
 
 
-class FleetTest(unittest.TestCase):
-    def test_engines_that_died_are_found_by_few(self) -> None:
+class LossGossipTest(unittest.TestCase):
+    def test_few_attempts_detect_crashed_engines(self) -> None:
         failed = []
 
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            await _call_steadily(fixture, 40)
+            await _send_at_constant_rate(fixture, 40)
             for name in ("engine-1", "engine-4", "engine-7", "engine-9"):
                 fixture.cluster.kill(fixture.cluster.targets[name])
             loguru.logger.add(failed.append, filter=_is_failed_attempt)
-            await _call_steadily(fixture, 120)
+            await _send_at_constant_rate(fixture, 120)
 
         loguru.logger.remove()
         gateway_fixture.run_scenario(scenario, vms=_VMS, halls=1, engines=12)
-        # 89 tries failed while each VM found each dead engine by itself.
+        # 89 attempts failed when each VM had to detect every crash itself.
         self.assertLessEqual(len(failed), 30)
 
-    def test_vms_of_another_hall_keep_to_their_own_view(self) -> None:
+    def test_vms_of_another_hall_keep_their_own_view(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             network = gateway_cluster.virtual_network
-            # One hall loses the other; the third one loses nothing.
+            # One hall can't reach another; the third hall reaches both.
             fixture.cluster.network.cuts.append(network.Cut("hall-0", "hall-1"))
             for _ in range(6):
                 await fixture.call("long", "vm-0", prompt_tokens=300_000)
@@ -115,15 +120,17 @@
         gateway_fixture.run_scenario(scenario, vms=6, halls=3, engines=9)
 
 
-async def _call_steadily(fixture: gateway_fixture.Fixture, count: int) -> None:
-    async def call(number: int) -> None:
+async def _send_at_constant_rate(
+    fixture: gateway_fixture.Fixture, count: int
+) -> None:
+    async def send_request(number: int) -> None:
         await asyncio.sleep(number * 0.02)
         got = await fixture.call("short", f"vm-{number % _VMS}")
         assert got.status == 200
 
     async with asyncio.TaskGroup() as group:
         for number in range(count):
-            group.create_task(call(number))
+            group.create_task(send_request(number))
 
 
 def _is_failed_attempt(record: dict) -> bool:
--- a/tests/test_lost_settings.py
+++ b/tests/test_lost_settings.py
@@ -1,4 +1,4 @@
-"""Settings that a restored store has lost."""
+"""Settings that a store has lost in a restore."""
 
 import asyncio
 import unittest
@@ -9,18 +9,19 @@
 from standins import gateway_cluster
 from tests import gateway_fixture
 
-# What the store loses when it is restored.
-_LOST_S = 6.0
-# A target that leaves gets no calls later than this, and settings are in force.
+# The restore loses what was written in this period.
+_LOST_DURATION_S = 6.0
+# Bound for settings to be applied and for draining targets to be avoided.
 _APPLY_S = 2.0
 
 
 class LostSettingsTest(unittest.TestCase):
-    """Settings that no VM has read before the store lost them.
+    """Settings that the store loses before any VM has read them.
 
-    A key was removed right before an outage. The restored store showed the
-    settings from before, and each read of it counted as proof that they were
-    the newest: calls with the key ran until the removal was written again.
+    Guards against requests with a removed key. It was removed right before an
+    outage; the restored store showed the settings from before, and each read of
+    it counted as proof that they were current. Requests with the key ran until
+    the removal was written again.
     """
 
     @classmethod
@@ -32,7 +33,7 @@
             cluster = fixture.cluster
             store = cluster.store
             copy = store.take_copy()
-            removed_s = asyncio.get_running_loop().time()
+            key_removed_s = asyncio.get_running_loop().time()
             store.trouble = "reset"
             await asyncio.sleep(4.0)
             store.restore(copy)
@@ -40,8 +41,8 @@
             await asyncio.sleep(0.5)
             cluster.keys = {"w1": ["another"]}
             cluster.publish()
-            until_s = removed_s + gateway_cluster.REVOKE_MS / 1000.0
-            await asyncio.sleep(until_s - asyncio.get_running_loop().time())
+            bound_s = key_removed_s + gateway_cluster.REVOKE_MS / 1000.0
+            await asyncio.sleep(bound_s - asyncio.get_running_loop().time())
             for _ in range(10):
                 for vm in cluster.vms:
                     got = await fixture.call("unsafe", vm)
@@ -53,35 +54,36 @@
         gateway_fixture.run_scenario(scenario, vms=9, halls=3)
 
 
-class StartedAfterTest(unittest.TestCase):
+class RestartedVmTest(unittest.TestCase):
     """VMs that start while the store shows settings from before a restore.
 
-    They read older settings than their peers go by, and a key that had been
-    removed for long worked on them again until the store showed its removal.
+    Guards against VMs that apply older settings than their peers: a key that
+    had been removed earlier was accepted again until the store showed its
+    removal.
     """
 
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    async def _start_on_older(
+    async def _restart_on_older_settings(
         self, fixture: gateway_fixture.Fixture, *names: str
     ) -> None:
-        """Starts VMs on a store that has lost the removal of a key."""
+        """Restarts VMs while the store has lost the removal of a key."""
         cluster = fixture.cluster
         copy = cluster.store.take_copy()
         cluster.keys = {"w1": ["another"]}
         cluster.publish()
-        await asyncio.sleep(_LOST_S)
+        await asyncio.sleep(_LOST_DURATION_S)
         cluster.store.restore(copy)
         for name in names:
             cluster.kill(cluster.vms[name])
             cluster.start_vm(cluster.vms[name])
 
-    def _play(self, vms: int, halls: int) -> None:
+    def _check_removed_key(self, vms: int, halls: int) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             names = [f"vm-{number}" for number in range(1, vms, 2)]
-            await self._start_on_older(fixture, *names)
+            await self._restart_on_older_settings(fixture, *names)
             await asyncio.sleep(1.5)
             for _ in range(10):
                 for vm in fixture.cluster.vms:
@@ -94,13 +96,15 @@
 
         gateway_fixture.run_scenario(scenario, vms=vms, halls=halls)
 
-    def test_they_go_by_their_peers_settings(self) -> None:
-        self._play(vms=9, halls=1)
+    def test_followers_use_the_settings_of_their_peers(self) -> None:
+        self._check_removed_key(vms=9, halls=1)
 
-    def test_also_where_each_reads_for_itself(self) -> None:
-        self._play(vms=6, halls=3)
+    def test_vms_that_all_read_the_store_use_the_settings_of_their_peers(
+        self,
+    ) -> None:
+        self._check_removed_key(vms=6, halls=3)
 
-    def test_claim_that_is_not_made_good_refuses_nobody_for_long(self) -> None:
+    def test_unconfirmed_claim_refuses_no_requests_for_long(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             gateway = fixture.cluster.vms["vm-0"].gateway
             for _ in range(20):
@@ -112,13 +116,15 @@
         gateway_fixture.run_scenario(scenario, vms=3, halls=1)
 
 
-class ClaimsTest(unittest.TestCase):
-    """Revisions that peers claim, against reads of the store."""
+class SettingsClaimsTest(unittest.TestCase):
+    """Revisions that peers claim, compared with reads of the store."""
 
     def setUp(self) -> None:
         self.claims = settings_claims.SettingsClaims()
 
-    def test_claim_heard_after_a_read_began_is_no_contradiction(self) -> None:
+    def test_claim_received_after_a_read_started_is_no_contradiction(
+        self,
+    ) -> None:
         self.claims.note("a", 7, 100.0)
         self.assertIsNone(self.claims.find_unconfirmed(6, 100.0))
         self.assertEqual(self.claims.find_unconfirmed(6, 101.0).revision, 7)
@@ -130,13 +136,13 @@
         self.claims.note("a", 8, 300.0)
         self.assertIsNone(self.claims.find_unconfirmed(6, 200.0))
 
-    def test_claims_that_are_met_are_forgotten(self) -> None:
+    def test_confirmed_claims_are_dropped(self) -> None:
         self.claims.note("a", 7, 100.0)
         self.claims.note("b", 9, 100.0)
         self.assertEqual(self.claims.find_unconfirmed(7, 200.0).peer, "b")
         self.assertIsNone(self.claims.find_unconfirmed(9, 200.0))
 
-    def test_peer_that_was_rejected_is_heard_again_later(self) -> None:
+    def test_rejected_peer_is_accepted_again_later(self) -> None:
         self.claims.note("a", 7, 100.0)
         self.claims.reject("a", 200.0)
         self.claims.note("a", 8, 300.0)
--- a/tests/test_malformed_entries.py
+++ b/tests/test_malformed_entries.py
@@ -1,9 +1,10 @@
-"""Entries that another writer has put where targets have theirs.
+"""Malformed or unrecognized entries under the store keys of targets.
 
-Any unknown state counted as leaving, and a leaving stuck to its name for ever;
-a missing hall or number of places passed as empty and 0. One entry that could
-not be read kept a whole answer of the store from proving that settings are
-fresh, so that keys were refused on every VM while it changed.
+Guards against three faults: an unknown state counted as draining, which held
+for that name for good; a missing hall or slot count was read as empty and 0;
+and one malformed entry kept a whole reply of the store from confirming that
+settings are fresh, so that keys were refused on every VM while the entry
+changed.
 """
 
 import asyncio
@@ -62,9 +63,9 @@
     return store._read_items(items, 9, lambda document: "no settings")
 
 
-# Ways to spoil an entry: a field taken away, one of another kind, one of a
-# meaning that there is not, or something else altogether.
-_SPOILT = strategies.one_of(
+# Malformed entries: a field is missing, has the wrong type or an unknown value,
+# or the document is something else altogether.
+_MALFORMED = strategies.one_of(
     strategies.sampled_from(
         ("service", "address", "zone", "slots", "state")
     ).map(
@@ -86,37 +87,39 @@
 )
 
 
-class AnswerTest(unittest.TestCase):
-    @hypothesis.given(_SPOILT, strategies.integers(0, 3))
+class StoreReplyTest(unittest.TestCase):
+    @hypothesis.given(_MALFORMED, strategies.integers(0, 3))
     @hypothesis.settings(max_examples=200, deadline=None, derandomize=True)
-    def test_one_spoilt_entry_leaves_the_others_as_they_were(
-        self, value: object, place: int
+    def test_malformed_entry_does_not_affect_the_others(
+        self, value: object, index: int
     ) -> None:
         items = [_make_item(name, _make_entry(name)) for name in _NAMES]
-        whole = _read(items)
-        items[place] = _make_item(_NAMES[place], value)
+        unchanged = _read(items)
+        items[index] = _make_item(_NAMES[index], value)
         found = _read(items)
         others = [
-            each for each in whole.targets if each.target_id != _NAMES[place]
+            each
+            for each in unchanged.targets
+            if each.target_id != _NAMES[index]
         ]
         self.assertEqual(list(found.targets), others)
-        spoilt = [each.target_id for each in found.spoilt]
-        self.assertEqual(spoilt, [_NAMES[place]])
+        malformed_ids = [each.target_id for each in found.spoilt]
+        self.assertEqual(malformed_ids, [_NAMES[index]])
         self.assertEqual((found.gone, found.problems), ((), ()))
 
     @hypothesis.given(strategies.lists(_JSON, max_size=6))
     @hypothesis.settings(max_examples=100, deadline=None, derandomize=True)
-    def test_any_items_are_borne(self, items: list[object]) -> None:
+    def test_arbitrary_items_raise_nothing(self, items: list[object]) -> None:
         self.assertEqual(_read(items).targets, ())
 
-    def test_what_follows_in_the_same_answer_stands(self) -> None:
-        sound = _make_item("a", _make_entry("a"))
-        bad = _make_item("a", b"\xff")
-        self.assertEqual(_read([bad, sound]).spoilt, ())
-        self.assertEqual(len(_read([sound, bad]).spoilt), 1)
-        # What a sound entry said before it holds, such as that it leaves.
-        leaving = _make_item("a", _make_entry("a", state="draining"))
-        found = _read([leaving, bad]).targets
+    def test_valid_entry_in_the_same_reply_applies(self) -> None:
+        valid = _make_item("a", _make_entry("a"))
+        malformed = _make_item("a", b"\xff")
+        self.assertEqual(_read([malformed, valid]).spoilt, ())
+        self.assertEqual(len(_read([valid, malformed]).spoilt), 1)
+        # An earlier valid entry holds, here that the target is draining.
+        draining_item = _make_item("a", _make_entry("a", state="draining"))
+        found = _read([draining_item, malformed]).targets
         self.assertIs(found[0].condition, condition.Condition.LEAVING)
 
 
@@ -128,55 +131,57 @@
     def setUp(self) -> None:
         self.list = target_list.TargetList(draining.DrainState())
 
-    def _take(self, items: list[object], now_ms: float, is_all=False) -> None:
+    def _apply(self, items: list[object], now_ms: float, is_all=False) -> None:
         grace = target_list.Grace(float("-inf"), now_ms + 1_500.0)
         self.list.apply_changes(_read(items), is_all, now_ms, grace)
 
-    def _names(self) -> list[str]:
+    def _list_names(self) -> list[str]:
         return [each.target_id for each in self.list.list_targets()]
 
-    def test_spoilt_target_is_kept_until_it_writes_again(self) -> None:
-        sound = [_make_item(name, _make_entry(name)) for name in "ab"]
-        self._take(sound, 0.0, is_all=True)
-        self._take([_make_item("a", b"?")], 100.0)
-        self.assertEqual(self._names(), ["a", "b"])
-        self._take(sound[:1], 1_200.0)
+    def test_target_with_a_malformed_entry_is_kept_until_it_writes_again(
+        self,
+    ) -> None:
+        valid = [_make_item(name, _make_entry(name)) for name in "ab"]
+        self._apply(valid, 0.0, is_all=True)
+        self._apply([_make_item("a", b"?")], 100.0)
+        self.assertEqual(self._list_names(), ["a", "b"])
+        self._apply(valid[:1], 1_200.0)
         self.list.drop_expired(9_000.0)
-        self.assertEqual(self._names(), ["a", "b"])
+        self.assertEqual(self._list_names(), ["a", "b"])
 
-    def test_entry_that_stays_spoilt_names_no_target(self) -> None:
-        sound = [_make_item(name, _make_entry(name)) for name in "ab"]
-        self._take(sound, 0.0, is_all=True)
-        self._take([_make_item("a", b"?"), sound[1]], 100.0, is_all=True)
+    def test_entry_that_stays_malformed_is_dropped(self) -> None:
+        valid = [_make_item(name, _make_entry(name)) for name in "ab"]
+        self._apply(valid, 0.0, is_all=True)
+        self._apply([_make_item("a", b"?"), valid[1]], 100.0, is_all=True)
         self.list.drop_expired(1_700.0)
-        self.assertEqual(self._names(), ["b"])
+        self.assertEqual(self._list_names(), ["b"])
 
-    def test_each_refused_entry_is_told_once(self) -> None:
+    def test_each_refused_entry_is_logged_once(self) -> None:
         lines: list[str] = []
         sink = loguru.logger.add(lambda line: lines.append(str(line)))
         try:
             for _ in range(5):
-                self._take([_make_item("a", b"?")], 0.0)
-            self._take([_make_item("a", {})], 0.0)
+                self._apply([_make_item("a", b"?")], 0.0)
+            self._apply([_make_item("a", {})], 0.0)
         finally:
             loguru.logger.remove(sink)
         self.assertEqual(len(lines), 2)
         self.assertEqual(self.list.refused, 6)
 
 
-class FleetTest(unittest.TestCase):
+class UnrecognizedWriterTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_writer_of_nonsense_costs_nobody_a_call(self) -> None:
+    def test_unrecognized_entries_fail_no_requests(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            chance = random.Random(3)
+            rng = random.Random(3)
             cluster = fixture.cluster
             names = [node.replica.name for node in cluster.targets.values()]
             statuses = []
             for number in range(60):
-                name = chance.choice((*names, "nobody"))
+                name = rng.choice((*names, "nobody"))
                 entry = {"service": "engines", "state": f"s{number}"}
                 cluster.store.put(f"servers/{name}", entry)
                 got = await fixture.call("short", f"vm-{number % 3}")
--- a/tests/test_malformed_settings.py
+++ b/tests/test_malformed_settings.py
@@ -1,7 +1,8 @@
-"""Settings, reports and heads of answers that hold anything at all.
+"""Settings and load reports with arbitrary content.
 
-Other writers may put anything where the settings lie, and a target may say
-anything of its load. Neither may end a VM's task or change what is in force.
+Another client may write anything to the settings key of the store, and a target
+may report anything about its load. Neither may end a task of a VM or replace
+the settings that apply.
 """
 
 import unittest
@@ -30,15 +31,15 @@
 _KEYS = {"w1": ["k1"], "w2": ["k2"]}
 
 
-def _list_places(document: object, path: tuple = ()) -> list[tuple]:
+def _list_paths(document: object, path: tuple = ()) -> list[tuple]:
     """Returns the paths of all values within a document."""
     found = [path] if path else []
     if isinstance(document, dict):
         for name, value in document.items():
-            found += _list_places(value, (*path, name))
+            found += _list_paths(value, (*path, name))
     if isinstance(document, list):
         for index, value in enumerate(document):
-            found += _list_places(value, (*path, index))
+            found += _list_paths(value, (*path, index))
     return found
 
 
@@ -50,17 +51,17 @@
     return copy
 
 
-_SOUND = gateway_cluster.make_configuration(_KEYS, 7)
-_PLACES = _list_places(_SOUND)
+_VALID = gateway_cluster.make_configuration(_KEYS, 7)
+_PATHS = _list_paths(_VALID)
 
 
 class SettingsTest(unittest.TestCase):
-    @hypothesis.given(strategies.sampled_from(_PLACES), _JSON)
+    @hypothesis.given(strategies.sampled_from(_PATHS), _JSON)
     @hypothesis.settings(max_examples=300, deadline=None, derandomize=True)
-    def test_one_spoilt_value_is_refused_or_can_be_gone_by(
-        self, place: tuple, value: object
+    def test_malformed_value_is_refused_or_usable(
+        self, path: tuple, value: object
     ) -> None:
-        found = configuration.read_catalog(_replace(_SOUND, place, value))
+        found = configuration.read_catalog(_replace(_VALID, path, value))
         if isinstance(found, str):
             return
         self.assertIsInstance(found, catalogs.Catalog)
@@ -78,15 +79,15 @@
 
     @hypothesis.given(_JSON)
     @hypothesis.settings(max_examples=200, deadline=None, derandomize=True)
-    def test_anything_is_refused_or_read(self, document: object) -> None:
+    def test_any_document_is_refused_or_read(self, document: object) -> None:
         found = configuration.read_catalog(document)
         self.assertIsInstance(found, str | catalogs.Catalog)
 
 
-class ReportTest(unittest.TestCase):
+class LoadReportTest(unittest.TestCase):
     @hypothesis.given(_JSON)
     @hypothesis.settings(max_examples=200, deadline=None, derandomize=True)
-    def test_a_start_is_a_whole_number_or_unknown(self, document) -> None:
+    def test_start_time_is_an_integer_or_unknown(self, document) -> None:
         born_ms = targets.read_born_ms(document)
         self.assertIs(type(born_ms), int)
         self.assertGreaterEqual(born_ms, 0)
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -1,4 +1,7 @@
-"""Every interleaving of the two protocols, at small size."""
+"""Exhaustive exploration of two protocol models at small sizes.
+
+One model covers runs with idempotency keys, the other the adoption of settings.
+"""
 
 import unittest
 from unittest import mock
@@ -8,29 +11,29 @@
 from standins import explore
 from standins import models
 
-_LAG = 1
+_LIST_LAG = 1
 _BOUNDS = ledger.Bounds(list_age_max_ms=1, margin_ms=2)
 
 
 class AtMostOnceModelTest(unittest.TestCase):
-    def explore(self, bounds: ledger.Bounds, lag: int) -> explore.Explored:
+    def explore(self, bounds: ledger.Bounds, list_lag: int) -> explore.Explored:
         return explore.explore(
             models.first_key_state(),
-            lambda state: models.key_steps(state, bounds, lag),
+            lambda state: models.key_steps(state, bounds, list_lag),
             lambda state: state.runs <= 1,
         )
 
-    def test_no_interleaving_runs_twice(self) -> None:
-        found = self.explore(_BOUNDS, _LAG)
+    def test_no_interleaving_runs_a_request_twice(self) -> None:
+        found = self.explore(_BOUNDS, _LIST_LAG)
         self.assertEqual(found.trail, ())
         self.assertGreater(found.states, 10_000)
 
-    def test_runs_twice_without_the_margin(self) -> None:
-        found = self.explore(ledger.Bounds(1, 0), _LAG)
+    def test_request_runs_twice_without_the_margin(self) -> None:
+        found = self.explore(ledger.Bounds(1, 0), _LIST_LAG)
         self.assertTrue(found.trail)
 
-    def test_runs_twice_with_an_old_list(self) -> None:
-        found = self.explore(ledger.Bounds(100, 2), _LAG)
+    def test_request_runs_twice_with_an_old_list(self) -> None:
+        found = self.explore(ledger.Bounds(100, 2), _LIST_LAG)
         self.assertTrue(found.trail)
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: no engine ever goes back, the store is not overrun."""
+"""Orders to engines never revert a revision or overload the weight store."""
 
 import asyncio
 import unittest
@@ -13,7 +13,7 @@
 from standins import virtual_process
 
 
-def _tree(version: str, checks_fence: bool) -> dict[str, bytes]:
+def _make_tree(version: str, checks_fence: bool) -> dict[str, bytes]:
     tree = clusters.make_default_tree(clusters.Layout().engine)
     clusters.add_workload(tree, "w", "a", "engines")
     tree["branches"]["engines"]["settings"] |= {
@@ -25,8 +25,8 @@
     return clusters.encode_tree(tree)
 
 
-def _run(checks_fence: bool) -> clusters.Cluster:
-    """Changes the version five times while agents pause, die and wake."""
+def _run_version_changes(checks_fence: bool) -> clusters.Cluster:
+    """Changes the model version five times while agents pause and resume."""
     layout = clusters.Layout(
         vms=4,
         halls=1,
@@ -37,16 +37,18 @@
 
     async def run() -> clusters.Cluster:
         cluster = clusters.Cluster(layout)
-        cluster.configuration.publish(_tree("0", checks_fence))
+        cluster.configuration.publish(_make_tree("0", checks_fence))
         cluster.start()
-        fault_types = faults.Faults(cluster)
+        injector = faults.Faults(cluster)
         await asyncio.sleep(20.0)
         for number in range(5):
             name = f"vm-{number % 4 + 1}"
-            fault_types.apply(trace.TracedFault(0.0, "pause", name))
-            cluster.configuration.publish(_tree(str(number + 1), checks_fence))
+            injector.apply(trace.TracedFault(0.0, "pause", name))
+            cluster.configuration.publish(
+                _make_tree(str(number + 1), checks_fence)
+            )
             await asyncio.sleep(30.0)
-            fault_types.apply(trace.TracedFault(0.0, "resume", name))
+            injector.apply(trace.TracedFault(0.0, "resume", name))
             await asyncio.sleep(15.0)
         return cluster
 
@@ -54,19 +56,19 @@
 
 
 class OrdersTest(unittest.TestCase):
-    def check(self, cluster: clusters.Cluster) -> None:
+    def check_revisions(self, cluster: clusters.Cluster) -> None:
         for name, engine in cluster.all_targets:
             self.assertEqual(engine.revisions, sorted(engine.revisions), name)
             self.assertEqual(engine.revisions[-1], 6, name)
 
-    def test_engines_that_check_fences(self) -> None:
-        self.check(_run(checks_fence=True))
+    def test_engines_that_check_fencing_tokens(self) -> None:
+        self.check_revisions(_run_version_changes(checks_fence=True))
 
-    def test_engines_that_do_not_check_fences(self) -> None:
-        self.check(_run(checks_fence=False))
+    def test_engines_that_do_not_check_fencing_tokens(self) -> None:
+        self.check_revisions(_run_version_changes(checks_fence=False))
 
 
-class StoreBudgetTest(unittest.TestCase):
+class WeightReadBudgetTest(unittest.TestCase):
     def test_sum_over_vms_stays_below_the_limit(self) -> None:
         budgets = [orders.WeightReadBudget(0.5 / 8, 0.0, 0.0) for _ in range(8)]
         reads = sum(
@@ -78,8 +80,8 @@
         self.assertGreater(reads, 0.4 * 600.0)
 
 
-class DecisionTest(unittest.TestCase):
-    def test_engine_ahead_is_never_ordered_back(self) -> None:
+class OrderDecisionTest(unittest.TestCase):
+    def test_newer_engine_is_never_reverted(self) -> None:
         pool = mock.Mock(
             spec=effective.Pool,
             adapters="b, a",
@@ -92,15 +94,15 @@
         loaded = orders.LoadedState("g", 6, "m", "2", (), "both", False)
         self.assertFalse(orders.is_needed(order, loaded))
 
-    def test_quiet_time_where_nobody_checks_fences(self) -> None:
-        quiet = orders.SETTLE_MS
+    def test_settle_time_where_fences_are_not_checked(self) -> None:
+        settled_ms = orders.SETTLE_MS
         cases = {
             (True, True, 0.0, 0.0, 1e9): True,
-            (False, True, quiet, quiet, 0.0): False,
-            (True, False, 0.0, quiet, 0.0): False,
-            (True, False, quiet, 0.0, 0.0): False,
-            (True, False, quiet, quiet, quiet): False,
-            (True, False, quiet, quiet, 0.0): True,
+            (False, True, settled_ms, settled_ms, 0.0): False,
+            (True, False, 0.0, settled_ms, 0.0): False,
+            (True, False, settled_ms, 0.0, 0.0): False,
+            (True, False, settled_ms, settled_ms, settled_ms): False,
+            (True, False, settled_ms, settled_ms, 0.0): True,
         }
         for arguments, expected in cases.items():
             with self.subTest(arguments):
--- a/tests/test_peer_gossip.py
+++ b/tests/test_peer_gossip.py
@@ -1,4 +1,4 @@
-"""Digests between gateways: sums, order, relays, growth of their cost."""
+"""Load digests between gateways: sums, order, relays and growth of cost."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -22,8 +22,8 @@
 from standins import virtual_network
 from standins import virtual_process
 
-# A change passes two relays at most, each of which waits for its turn.
-_TOLD_MS = (
+# A change passes at most two relays, each of which sends at intervals.
+_MAX_DELAY_MS = (
     2.0 * (digest_relay.BATCH_DELAY_MS + digest_relay.FORWARD_INTERVAL_MS)
     + 30.0
 )
@@ -63,7 +63,7 @@
         self.assertEqual(row.held_tokens, 1_000)
         self.assertEqual(row.prefill_ms, 40.0)
 
-    def test_only_what_changed_is_told(self) -> None:
+    def test_only_changed_sums_are_returned(self) -> None:
         self.loads.merge(_digest("1.1.1.2:1"), 0.0)
         self.loads.collect_sums()
         self.loads.merge(_digest("1.1.1.2:1", number=2), 1.0)
@@ -71,19 +71,19 @@
         self.loads.mark_all_changed()
         self.assertEqual(len(self.loads.collect_sums()), 1)
 
-    def test_older_digest_changes_nothing(self) -> None:
+    def test_older_digest_is_ignored(self) -> None:
         self.loads.merge(_digest("1.1.1.2:1", number=5, streams=1), 0.0)
         older = _digest("1.1.1.2:1", number=4, streams=9)
         self.assertFalse(self.loads.merge(older, 1.0))
         self.assertEqual(self.loads.collect_sums()[0].streams, 1)
 
-    def test_restarted_peer_is_heard(self) -> None:
+    def test_digest_of_a_restarted_peer_is_merged(self) -> None:
         self.loads.merge(_digest("1.1.1.2:1", number=5), 0.0)
         restarted = _digest("1.1.1.2:1", number=0, streams=7, incarnation="b")
         self.assertTrue(self.loads.merge(restarted, 1.0))
         self.assertEqual(self.loads.collect_sums()[0].streams, 7)
 
-    def test_silent_peers_work_ends(self) -> None:
+    def test_load_of_a_silent_peer_expires(self) -> None:
         self.loads.merge(_digest("1.1.1.2:1"), 0.0)
         self.loads.collect_sums()
         self.loads.forget_silent(peer_loads.DIGEST_TTL_MS + 1.0)
@@ -92,11 +92,11 @@
         self.loads.forget_silent(peer_loads.FORGET_AFTER_MS + 1.0)
         self.assertEqual(len(self.loads), 0)
 
-    def test_own_digest_is_no_peers(self) -> None:
+    def test_own_digest_is_ignored(self) -> None:
         self.assertFalse(self.loads.merge(_digest("1.1.1.1:1"), 0.0))
         self.assertEqual(len(self.loads), 0)
 
-    def test_silent_relay_is_passed_over_and_tried_again(self) -> None:
+    def test_silent_relay_is_replaced_until_it_responds(self) -> None:
         for number in range(2, 20):
             self.loads.merge(_digest(f"1.1.1.{number}:1"), 0.0)
         first = self.loads.find_relay(0.0)
@@ -134,7 +134,7 @@
         groups = peer_groups.divide(fleet)
         self.assertLessEqual(len(groups) + peer_groups.MAX_GROUP_SIZE, 80)
 
-    def test_fast_links_pass_digests_on(self) -> None:
+    def test_vms_with_fast_links_are_relays(self) -> None:
         fleet = {
             f"vm-{n}:1": peer_groups.VmAttributes(
                 "h", 200 if n in (33, 61) else 20
@@ -145,33 +145,33 @@
         self.assertEqual(relays, {"vm-33:1", "vm-61:1"})
 
 
-class FleetTest(unittest.TestCase):
-    """Whole fleets in virtual time."""
+class PeerFleetTest(unittest.TestCase):
+    """Fleets of gossiping VMs in virtual time."""
 
-    def _play(
+    def _run_scenario(
         self,
-        scene: Callable[[peer_fleet.PeerFleet], Awaitable[None]],
+        scenario: Callable[[peer_fleet.PeerFleet], Awaitable[None]],
         size: int,
         seeds: tuple[str, ...] = ("vm-0", "vm-1"),
     ) -> None:
         async def run() -> None:
             fleet = peer_fleet.PeerFleet(size, seeds)
             await asyncio.sleep(4.0)
-            await scene(fleet)
+            await scenario(fleet)
 
         virtual_process.run(run)
 
     async def _check_change(self, fleet: peer_fleet.PeerFleet) -> None:
         fleet.set_work("vm-5", fleet.members["vm-5"].own + 3)
-        await asyncio.sleep(_TOLD_MS / 1000.0)
+        await asyncio.sleep(_MAX_DELAY_MS / 1000.0)
         self.assertEqual(fleet.find_wrong(), [])
 
-    def test_change_is_known_everywhere_at_once(self) -> None:
+    def test_change_reaches_all_vms_in_time(self) -> None:
         for size in (9, 17, 50):
             with self.subTest(size=size):
-                self._play(self._check_change, size)
+                self._run_scenario(self._check_change, size)
 
-    def test_dead_relays_are_replaced(self) -> None:
+    def test_failed_relays_are_replaced(self) -> None:
         async def scenario(fleet: peer_fleet.PeerFleet) -> None:
             relays = fleet.find_relays() - {"vm-5"}
             self.assertGreaterEqual(len(relays), 2)
@@ -183,24 +183,24 @@
             )
             await self._check_change(fleet)
 
-        self._play(scenario, 40, ("vm-0",))
+        self._run_scenario(scenario, 40, ("vm-0",))
 
-    def test_hall_that_was_cut_off_for_long_is_heard_again(self) -> None:
+    def test_hall_is_known_again_after_a_long_partition(self) -> None:
         async def scenario(fleet: peer_fleet.PeerFleet) -> None:
             cut = virtual_network.Cut("hall-1", "")
             fleet.network.cuts.append(cut)
             fleet.set_work("vm-1", 4)
             await asyncio.sleep(12.0)
-            # Those of the same hall go on hearing each other.
+            # VMs of the same hall still receive each other's digests.
             self.assertEqual(fleet.members["vm-4"].count_told(), 4)
             self.assertEqual(fleet.members["vm-3"].count_told(), 0)
             fleet.network.cuts.remove(cut)
             await asyncio.sleep(4.0 * peer_gossip.ROUND_INTERVAL_MS / 1000.0)
             self.assertEqual(fleet.find_wrong(), [])
 
-        self._play(scenario, 40, ("vm-0",))
+        self._run_scenario(scenario, 40, ("vm-0",))
 
-    def test_all_restart_at_once(self) -> None:
+    def test_simultaneous_restart_of_all_vms(self) -> None:
         async def scenario(fleet: peer_fleet.PeerFleet) -> None:
             for name in list(fleet.members):
                 fleet.kill(name)
@@ -208,7 +208,7 @@
             await asyncio.sleep(4.0)
             await self._check_change(fleet)
 
-        self._play(scenario, 30)
+        self._run_scenario(scenario, 30)
 
     def test_change_of_the_relay_is_logged(self) -> None:
         lines: list[str] = []
@@ -222,15 +222,15 @@
             lines.clear()
             fleet.kill(relay)
             await asyncio.sleep(2.0 * peer_loads.RELAY_TIMEOUT_MS / 1000.0)
-            told = [
+            logged = [
                 line
                 for line in lines
                 if line.startswith("Digests are relayed by")
             ]
-            # Once by each other VM of the group.
-            self.assertEqual(len(told), 40 // 3 - 1)
+            # Once by each of the other VMs of the group.
+            self.assertEqual(len(logged), 40 // 3 - 1)
 
-        self._play(scenario, 40)
+        self._run_scenario(scenario, 40)
 
     def test_frozen_relay(self) -> None:
         async def scenario(fleet: peer_fleet.PeerFleet) -> None:
@@ -241,60 +241,64 @@
             await asyncio.sleep(4.0 * peer_gossip.ROUND_INTERVAL_MS / 1000.0)
             await self._check_change(fleet)
 
-        self._play(scenario, 40)
+        self._run_scenario(scenario, 40)
 
-    def test_datagrams_of_a_vm_are_bounded(self) -> None:
-        most = {}
+    def test_datagrams_sent_by_a_vm_are_bounded(self) -> None:
+        sent_max = {}
         for size in (40, 120):
 
             async def scenario(fleet: peer_fleet.PeerFleet) -> None:
-                before = {n: m.sent for n, m in fleet.members.items()}
+                sent_before = {n: m.sent for n, m in fleet.members.items()}
                 await asyncio.sleep(2.0)
-                sent = [m.sent - before[n] for n, m in fleet.members.items()]
+                sent = [
+                    m.sent - sent_before[n] for n, m in fleet.members.items()
+                ]
                 sent.sort()
-                # All but the relays send one a round.
+                # VMs that are not relays send one in each round.
                 self.assertLessEqual(sent[len(sent) // 2], 3)
-                most[len(sent)] = sent[-1]
-
-            self._play(scenario, size)
-        # Of that, a group's members are the greatest part, and they are 13
-        # and 20: not all the others.
-        self.assertLess(most[120], 3.0 * most[40])
-
-    def test_datagrams_that_a_vm_hears_do_not_grow_with_the_fleet(self) -> None:
-        # Relays passed on what they had every 20 ms, whatever the size, and
-        # most of a VM's processor time at 195 VMs went to hearing it. What is
-        # sent is what is heard.
-        heard = {}
+                sent_max[len(sent)] = sent[-1]
+
+            self._run_scenario(scenario, size)
+        # Most of them go to the members of the relay's group, which are 13 and
+        # 20, and not to all other VMs.
+        self.assertLess(sent_max[120], 3.0 * sent_max[40])
+
+    def test_datagrams_received_by_a_vm_do_not_grow_with_the_fleet(
+        self,
+    ) -> None:
+        # When relays forwarded every 20 ms at any fleet size, receiving digests
+        # took most of a VM's processor time at 195 VMs. Every datagram that is
+        # sent is received, so the sent ones are counted.
+        datagrams_per_vm = {}
         for size in (80, 195):
 
             async def scenario(fleet: peer_fleet.PeerFleet) -> None:
-                busy = asyncio.ensure_future(peer_fleet.change_work(fleet))
-                before = sum(m.sent for m in fleet.members.values())
+                changing = asyncio.ensure_future(peer_fleet.change_work(fleet))
+                sent_before = sum(m.sent for m in fleet.members.values())
                 await asyncio.sleep(1.0)
-                sent = sum(m.sent for m in fleet.members.values()) - before
-                heard[len(fleet.members)] = sent / len(fleet.members)
-                busy.cancel()
+                sent = sum(m.sent for m in fleet.members.values()) - sent_before
+                datagrams_per_vm[len(fleet.members)] = sent / len(fleet.members)
+                changing.cancel()
 
-            self._play(scenario, size)
-        self.assertLessEqual(heard[195], 1.1 * heard[80])
+            self._run_scenario(scenario, size)
+        self.assertLessEqual(datagrams_per_vm[195], 1.1 * datagrams_per_vm[80])
 
-    def test_urgent_news_does_not_wait_for_more(self) -> None:
+    def test_urgent_digest_is_not_batched(self) -> None:
         async def scenario(fleet: peer_fleet.PeerFleet) -> None:
-            busy = asyncio.ensure_future(peer_fleet.change_work(fleet))
+            changing = asyncio.ensure_future(peer_fleet.change_work(fleet))
             await asyncio.sleep(1.0)
-            told_s = asyncio.get_running_loop().time()
+            started_s = asyncio.get_running_loop().time()
             fleet.tell_leaving("vm-5", "i-1")
-            await asyncio.sleep(_TOLD_MS / 1000.0)
-            heard = [
-                member.heard_s.get("i-1", float("inf")) - told_s
+            await asyncio.sleep(_MAX_DELAY_MS / 1000.0)
+            delays_s = [
+                member.heard_s.get("i-1", float("inf")) - started_s
                 for name, member in fleet.members.items()
                 if name != "vm-5"
             ]
-            busy.cancel()
-            self.assertLessEqual(max(heard), _TOLD_MS / 1000.0)
+            changing.cancel()
+            self.assertLessEqual(max(delays_s), _MAX_DELAY_MS / 1000.0)
 
-        self._play(scenario, 120)
+        self._run_scenario(scenario, 120)
 
 
 class CodecTest(unittest.TestCase):
@@ -314,7 +318,7 @@
         )
         data = codec.encode(bundle)
         self.assertEqual(codec.decode(data), bundle)
-        # Far from what one datagram may hold.
+        # Well below the size limit of a datagram.
         self.assertLess(len(data), 8_000)
 
     def test_scalars_are_not_converted(self) -> None:
@@ -328,5 +332,5 @@
             self.assertIsInstance(codec.decode(data), codec.Malformed, wrong)
 
     @hypothesis.given(strategies.binary(max_size=80))
-    def test_any_bytes_are_borne(self, data: bytes) -> None:
+    def test_arbitrary_bytes_raise_nothing(self, data: bytes) -> None:
         codec.decode(data)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The users' platform: what comes over the wire is decoded, never trusted."""
+"""The users' platform: everything that it sends is validated when decoded."""
 
 import base64
 import itertools
@@ -25,8 +25,8 @@
 from standins import virtual_network
 from standins import virtual_process
 
-# Statuses that promise that a call did not run and never will.
-_PROMISES = {408, 421, 429, 503}
+# Statuses that guarantee that a request did not run and never will.
+_NOT_RUN_STATUSES = {408, 421, 429, 503}
 
 _JSON = strategies.recursive(
     strategies.none()
@@ -42,29 +42,29 @@
 )
 
 
-def _incoming(fields: dict[str, str]) -> message.IncomingRequest:
+def _make_incoming(fields: dict[str, str]) -> message.IncomingRequest:
     return message.IncomingRequest(
         "POST", "/a/b", "", fields, b"", "/a/b", tuple(fields.items())
     )
 
 
-class CallersTest(unittest.TestCase):
-    def test_not_run_statuses_are_told_only_when_nothing_ran(self) -> None:
-        door = callers.make_door()
+class CallerProtocolTest(unittest.TestCase):
+    def test_not_run_statuses_are_sent_only_when_nothing_ran(self) -> None:
+        caller_protocol = callers.make_door()
         for reason, ran in itertools.product(outcomes.Reason, outcomes.Ran):
             failure = outcomes.NotServed(reason, ran, "why", 100.0)
-            status = door.write_failure(failure).status
+            status = caller_protocol.write_failure(failure).status
             if ran is not outcomes.Ran.NOT_RUN:
-                self.assertNotIn(status, _PROMISES, (reason, ran))
+                self.assertNotIn(status, _NOT_RUN_STATUSES, (reason, ran))
 
     def test_retry_after_is_in_seconds(self) -> None:
         refusal = outcomes.refuse(outcomes.Reason.NO_TARGET, "why", 250.0)
-        answer = callers.make_door().write_failure(refusal)
-        self.assertEqual(answer.headers["retry-after"], "0.250")
+        response = callers.make_door().write_failure(refusal)
+        self.assertEqual(response.headers["retry-after"], "0.250")
 
-    def test_call_is_read(self) -> None:
-        inquiry = callers.make_door().read(
-            _incoming(
+    def test_request_headers_are_parsed(self) -> None:
+        caller_request = callers.make_door().read(
+            _make_incoming(
                 {
                     "host": "a.example",
                     "x-attempt-id": "9c41",
@@ -76,12 +76,12 @@
                 }
             )
         )
-        self.assertEqual(inquiry.request_id, "9c41")
-        self.assertEqual(inquiry.time_limit_ms, 10_000.0)
-        self.assertEqual(inquiry.prompt_tokens, 1_460)
-        self.assertEqual(inquiry.output_tokens_max, 80)
-        self.assertEqual(inquiry.prefix_name, "5c1e")
-        self.assertEqual(inquiry.last_event, "12")
+        self.assertEqual(caller_request.request_id, "9c41")
+        self.assertEqual(caller_request.time_limit_ms, 10_000.0)
+        self.assertEqual(caller_request.prompt_tokens, 1_460)
+        self.assertEqual(caller_request.output_tokens_max, 80)
+        self.assertEqual(caller_request.prefix_name, "5c1e")
+        self.assertEqual(caller_request.last_event, "12")
 
     @hypothesis.given(
         strategies.dictionaries(
@@ -91,11 +91,13 @@
             strategies.text(max_size=20),
         )
     )
-    def test_any_header_value_is_borne(self, fields: dict[str, str]) -> None:
-        inquiry = callers.make_door().read(_incoming(fields))
-        self.assertGreaterEqual(inquiry.prompt_tokens, 0)
+    def test_arbitrary_header_values_raise_nothing(
+        self, fields: dict[str, str]
+    ) -> None:
+        caller_request = callers.make_door().read(_make_incoming(fields))
+        self.assertGreaterEqual(caller_request.prompt_tokens, 0)
 
-    def test_targets_see_neither_keys_nor_forged_orders(self) -> None:
+    def test_keys_and_forged_headers_do_not_reach_targets(self) -> None:
         fields = (
             ("X-Api-Key", "k"),
             ("X-Tenant-Id", "forged"),
@@ -162,7 +164,7 @@
             route = found.find_route("", "/a/")
             self.assertIs(route.repeatable, resumable)
 
-    def test_unknown_kinds_of_routes_run_once(self) -> None:
+    def test_routes_of_unknown_types_are_not_repeatable(self) -> None:
         found = configuration.read_catalog(
             {
                 "config-version": 1,
@@ -178,7 +180,7 @@
         self.assertFalse(found.find_route("", "/a/").repeatable)
 
     @hypothesis.given(_JSON)
-    def test_any_document_is_borne(self, document: object) -> None:
+    def test_arbitrary_document_raises_nothing(self, document: object) -> None:
         found = configuration.read_catalog(document)
         self.assertIsInstance(found, catalogs.Catalog | str)
 
@@ -192,7 +194,7 @@
             }
         )
     )
-    def test_any_parts_are_borne(self, document: object) -> None:
+    def test_arbitrary_elements_raise_nothing(self, document: object) -> None:
         found = configuration.read_catalog(document)
         self.assertIsInstance(found, catalogs.Catalog | str)
 
@@ -209,8 +211,8 @@
             self.assertEqual(found.find_route("", path).name, name, path)
 
 
-class ReaderTest(unittest.TestCase):
-    """Settings that change often, and in a few routes only."""
+class CatalogReaderTest(unittest.TestCase):
+    """Settings that change often, but only in a few routes."""
 
     def _make_document(self, revision: int, timeout_ms: int) -> dict:
         routes = [
@@ -224,7 +226,7 @@
         ]
         return {"config-version": revision, "routes": routes}
 
-    def test_only_changed_routes_are_read_anew(self) -> None:
+    def test_only_changed_routes_are_parsed_again(self) -> None:
         read = configuration.make_reader()
         first = read(self._make_document(1, 100))
         second = read(self._make_document(2, 200))
@@ -235,15 +237,15 @@
             is_same = found is first.find_route("", path)
             self.assertIs(is_same, path != "/0/")
 
-    def test_route_that_went_and_came_is_read(self) -> None:
+    def test_route_that_was_removed_and_added_again_is_parsed(self) -> None:
         read = configuration.make_reader()
         whole = self._make_document(1, 100)
         read(whole)
         read({**whole, "config-version": 2, "routes": whole["routes"][1:]})
-        back = read({**whole, "config-version": 3})
-        self.assertIsNotNone(back.find_route("", "/0/"))
+        restored = read({**whole, "config-version": 3})
+        self.assertIsNotNone(restored.find_route("", "/0/"))
 
-    def test_newest_of_several_revisions_is_read_alone(self) -> None:
+    def test_only_the_newest_of_several_revisions_is_parsed(self) -> None:
         items = [
             {
                 "key": "op/config",
@@ -261,7 +263,7 @@
 
         found = store._read_items(items, 9, read_catalog)
         self.assertEqual((found.catalog.revision, read), (3, [3]))
-        # One that can't be read is told, and the one before it stands.
+        # A malformed one is reported as a problem; the previous one applies.
         items[2]["value"] = "?"
         found = store._read_items(items, 9, read_catalog)
         self.assertEqual((found.catalog.revision, len(found.problems)), (2, 1))
@@ -284,51 +286,53 @@
         ):
             found = targets.read_target("i-1", {**_ENTRY, "state": state})
             self.assertIs(found.condition, expected)
-        # A state that is none of a target is another writer's: it must not
-        # have the target of that name taken for leaving.
+        # An unknown state is written by another client: it must not make the
+        # target of that name count as draining.
         found = targets.read_target("i-1", {**_ENTRY, "state": "anything"})
         self.assertIsInstance(found, str)
 
     @hypothesis.given(_JSON)
-    def test_any_document_is_borne(self, document: object) -> None:
+    def test_arbitrary_document_raises_nothing(self, document: object) -> None:
         found = targets.read_target("i-1", document)
         self.assertIsInstance(found, str)
 
 
 class StoreTest(unittest.TestCase):
-    def _ask(self, answer: message.Response) -> object:
-        """Returns what one call makes of an answer."""
+    def _read_changes(self, response: message.Response) -> object:
+        """Returns what a read of the store makes of a reply."""
 
         async def run() -> object:
             network = virtual_network.VirtualNetwork(
                 1, virtual_network.Latency()
             )
             address = environment.Address("store", 1)
-            far = virtual_process.VirtualProcess("store", "h")
+            store_process = virtual_process.VirtualProcess("store", "h")
 
             async def handle(
                 incoming: message.IncomingRequest,
             ) -> message.Response:
-                return answer
+                return response
 
-            env = network.make_environment(far, 1)
-            handler = store_server(handle)
-            await far.start(lambda: env.serve(handler, address))
-            near = virtual_process.VirtualProcess("vm", "h")
+            env = network.make_environment(store_process, 1)
+            handler = make_store_handler(handle)
+            await store_process.start(lambda: env.serve(handler, address))
+            vm_process = virtual_process.VirtualProcess("vm", "h")
             source = store.make_source(
-                network.make_environment(near, 1),
+                network.make_environment(vm_process, 1),
                 address,
                 client.TimeLimits(500.0, 500.0, 500.0),
             )
-            return await near.start(lambda: source.read_changes(5, 0.0))
+            return await vm_process.start(lambda: source.read_changes(5, 0.0))
 
         return virtual_process.run(run)
 
-    def test_lost_history_is_told(self) -> None:
-        answer = message.make_json_response(410, {})
-        self.assertIsInstance(self._ask(answer), published.HistoryLost)
+    def test_lost_history_is_reported(self) -> None:
+        response = message.make_json_response(410, {})
+        self.assertIsInstance(
+            self._read_changes(response), published.HistoryLost
+        )
 
-    def test_epoch_is_read_of_all_answers(self) -> None:
+    def test_epoch_is_read_from_all_replies(self) -> None:
         document = {"events": [], "at": 7}
         for text, epoch in (
             ("3", 3),
@@ -341,22 +345,26 @@
             ("9" * 30, 0),
         ):
             named = {"Store-Era": text}
-            answer = message.make_json_response(200, document, named)
+            response = message.make_json_response(200, document, named)
             position = store_position.StorePosition(epoch, 7)
-            self.assertEqual(self._ask(answer).position, position)
-            answer = message.make_json_response(410, {}, named)
-            self.assertEqual(self._ask(answer), published.HistoryLost(epoch))
+            self.assertEqual(self._read_changes(response).position, position)
+            response = message.make_json_response(410, {}, named)
+            self.assertEqual(
+                self._read_changes(response), published.HistoryLost(epoch)
+            )
 
-    def test_nonsense_is_no_answer(self) -> None:
-        for answer in (
+    def test_invalid_replies_count_as_unavailable(self) -> None:
+        for response in (
             message.make_json_response(200, []),
             message.make_json_response(200, {"events": [], "at": "5"}),
             message.make_json_response(503, {}),
             message.Response(200, {}, b"{"),
         ):
-            self.assertIsInstance(self._ask(answer), published.Unavailable)
+            self.assertIsInstance(
+                self._read_changes(response), published.Unavailable
+            )
 
-    def test_last_change_of_a_key_stands(self) -> None:
+    def test_last_change_of_a_key_applies(self) -> None:
         text = base64.b64encode(orjson.dumps(_ENTRY)).decode()
         events = [
             {"key": "servers/a", "value": text, "revision": 6},
@@ -366,17 +374,17 @@
             {"key": "servers/c", "value": "%", "revision": 10},
             {"key": "other", "value": text, "revision": 11},
         ]
-        found = self._ask(
+        found = self._read_changes(
             message.make_json_response(200, {"events": events, "at": 11})
         )
         self.assertEqual(found.gone, ("a",))
         named = [each.target_id for each in found.targets]
         self.assertEqual(named, ["a", "b"])
         self.assertEqual([each.target_id for each in found.spoilt], ["c"])
-        # Settings are as certain as before: no entry is part of them.
+        # A malformed entry of a target does not affect the settings.
         self.assertEqual(found.problems, ())
 
 
-def store_server(handle):  # noqa: ANN201
-    """Returns a stream handler for one HTTP handler."""
+def make_store_handler(handle):  # noqa: ANN201
+    """Returns a stream handler for an HTTP handler."""
     return server.make_stream_handler(handle, server.Limits())
