--- a/tests/test_gateway_schedules.py
+++ b/tests/test_gateway_schedules.py
@@ -4,7 +4,7 @@
 
 from standins import gateway_schedules
 
-# Seeds that once reported a violation, with the cause.
+# Seeds that once reported a false violation, with the cause.
 #   21: a frozen VM answered late; the check now allows for frozen periods.
 _REGRESSIONS = (21,)
 _FIRST_SEED = 300
