--- a/tests/test_lives.py
+++ b/tests/test_incarnations.py
@@ -1,8 +1,9 @@
-"""Targets that start again under the name that they had.
+"""Targets that restart under the same name.
 
-A target that was ever seen leaving stayed so by its name. One that drained, and
-came back under the same name, was never used again by any VM; one that had
-crashed was still paused for the failures of its former life.
+Guards against state that is kept by a target's name alone. A target that had
+drained and restarted under the same name was never used again by any VM, and
+one that had crashed still backed off for the failures of its former
+incarnation.
 """
 
 import asyncio
@@ -29,12 +30,12 @@
 from ruddergate.relay import published
 from standins import virtual_network
 from standins import virtual_process
-from tests import gateway_scene
+from tests import gateway_fixture
 from tests import test_scheduler
 
 _GRACE = target_list.Grace(float("-inf"), float("inf"))
-# Entries are read every 1.3 s here.
-_SEEN_S = 1.4
+# The store is read every 1.3 s here.
+_LIST_READ_S = 1.4
 _POSITION = store_position.StorePosition(1, 1)
 
 
@@ -52,8 +53,8 @@
     )
 
 
-class LifeTest(unittest.TestCase):
-    def test_words_of_lives_are_read_back(self) -> None:
+class IncarnationTest(unittest.TestCase):
+    def test_formatted_incarnations_are_parsed(self) -> None:
         for incarnation in (
             incarnations.Incarnation("a"),
             incarnations.Incarnation("a@b", 7),
@@ -64,7 +65,7 @@
             text = incarnations.format_incarnation(incarnation)
             self.assertEqual(incarnations.parse_incarnation(text), incarnation)
 
-    def test_word_of_an_earlier_release_is_a_name(self) -> None:
+    def test_text_of_an_earlier_release_is_a_name(self) -> None:
         self.assertEqual(
             incarnations.parse_incarnation("i-5"),
             incarnations.Incarnation("i-5"),
@@ -83,43 +84,47 @@
     def setUp(self) -> None:
         self.list = target_list.TargetList(draining.DrainState())
 
-    def _take(self, *found: targets.Target, gone: tuple[str, ...] = ()) -> None:
-        changes = published.Changes(_POSITION, None, found, gone, ())
+    def _apply(
+        self, *changed: targets.Target, removed: tuple[str, ...] = ()
+    ) -> None:
+        changes = published.Changes(_POSITION, None, changed, removed, ())
         self.list.apply_changes(changes, False, 0.0, _GRACE)
 
-    def _find(self) -> targets.Target | None:
+    def _find_listed(self) -> targets.Target | None:
         return next(iter(self.list.list_targets()), None)
 
-    def test_leaving_binds_the_life_that_left(self) -> None:
-        leaving = _make_target(5, condition.Condition.DRAINING)
-        self._take(_make_target(5))
-        self._take(leaving, _make_target(5))
-        self.assertIs(self._find().condition, condition.Condition.DRAINING)
-        self._take(_make_target(6))
-        self.assertIs(self._find().condition, condition.Condition.LIVE)
-
-    def test_late_news_of_the_older_life_changes_nothing(self) -> None:
-        self._take(_make_target(6))
-        self._take(_make_target(5, condition.Condition.DRAINING))
-        self.assertEqual(self._find(), _make_target(6))
-        self._take(gone=("engine-1",))
-        self._take(_make_target(5))
-        self.assertIsNone(self._find())
-
-    def test_peer_that_does_not_tell_lives_is_not_gone_by(self) -> None:
-        self._take(_make_target(6))
+    def test_draining_applies_to_one_incarnation(self) -> None:
+        draining_target = _make_target(5, condition.Condition.DRAINING)
+        self._apply(_make_target(5))
+        self._apply(draining_target, _make_target(5))
+        self.assertIs(
+            self._find_listed().condition, condition.Condition.DRAINING
+        )
+        self._apply(_make_target(6))
+        self.assertIs(self._find_listed().condition, condition.Condition.LIVE)
+
+    def test_late_entries_of_an_older_incarnation_have_no_effect(self) -> None:
+        self._apply(_make_target(6))
+        self._apply(_make_target(5, condition.Condition.DRAINING))
+        self.assertEqual(self._find_listed(), _make_target(6))
+        self._apply(removed=("engine-1",))
+        self._apply(_make_target(5))
+        self.assertIsNone(self._find_listed())
+
+    def test_target_without_a_start_time_lacks_its_incarnation(self) -> None:
+        self._apply(_make_target(6))
         self.assertTrue(self.list.lacks_incarnation(_make_target(0)))
         self.assertFalse(self.list.lacks_incarnation(_make_target(6)))
         other = dataclasses.replace(_make_target(0), target_id="engine-2")
         self.assertFalse(self.list.lacks_incarnation(other))
 
 
-class SchedulerTest(unittest.TestCase):
-    """What was learnt of a former life says nothing of the next."""
+class SchedulerStateTest(unittest.TestCase):
+    """State of a former incarnation does not apply to the next one."""
 
-    def _play(self, *messages: object, lost: str = "") -> bool:
-        """Returns whether the new life may be used after late news."""
-        told: list[loss_report.LossReport] = []
+    def _is_usable_after(self, *messages: object, lost: str = "") -> bool:
+        """Returns whether the new incarnation is usable after late messages."""
+        pending_reports: list[loss_report.LossReport] = []
 
         async def run() -> bool:
             network = virtual_network.VirtualNetwork(
@@ -133,7 +138,9 @@
                 configs.EntryConfig("vm", "h", environment.Address("vm", 1)),
                 view,
                 collect_loss_report=lambda: (
-                    told.pop() if told else loss_report.EMPTY
+                    pending_reports.pop()
+                    if pending_reports
+                    else loss_report.EMPTY
                 ),
             )
             process.start(scheduler.run)
@@ -141,7 +148,7 @@
                 view.apply_targets((_make_target(started_ms),), env.now_ms())
                 scheduler.post(schedulers.ViewChanged())
                 await asyncio.sleep(0.1)
-            told.extend(
+            pending_reports.extend(
                 [loss_report.LossReport(terminated=(lost,))] if lost else []
             )
             for message in messages:
@@ -152,38 +159,39 @@
 
         return virtual_process.run(run)
 
-    def test_failures_of_the_former_life(self) -> None:
+    def test_failures_of_the_former_incarnation(self) -> None:
         for started_ms, is_used in ((5, True), (6, False)):
-            seat = scheduler_messages.Placement(
+            placement = scheduler_messages.Placement(
                 _make_target(started_ms), "attempt", 0
             )
             ended = scheduler_messages.AttemptEnded(
-                seat, is_target_fault=True, has_answered=False
+                placement, is_target_fault=True, has_answered=False
             )
-            self.assertIs(self._play(*[ended] * 4), is_used)
+            self.assertIs(self._is_usable_after(*[ended] * 4), is_used)
 
-    def test_reports_of_the_former_life(self) -> None:
+    def test_load_reports_of_the_former_incarnation(self) -> None:
         for started_ms, is_used in ((5, True), (6, False)):
             report = load_report.LoadReport(
                 "engine-1", "g", 0, 0, 0, True, 0.0, started_ms
             )
             self.assertIs(
-                self._play(scheduler_messages.LoadReported(report)), is_used
+                self._is_usable_after(scheduler_messages.LoadReported(report)),
+                is_used,
             )
 
-    def test_losses_told_by_peers(self) -> None:
-        self.assertTrue(self._play(lost="engine-1@5"))
-        self.assertFalse(self._play(lost="engine-1@6"))
-        # A peer of an earlier release names no life.
-        self.assertFalse(self._play(lost="engine-1"))
+    def test_losses_reported_by_peers(self) -> None:
+        self.assertTrue(self._is_usable_after(lost="engine-1@5"))
+        self.assertFalse(self._is_usable_after(lost="engine-1@6"))
+        # A peer of an earlier release names no incarnation.
+        self.assertFalse(self._is_usable_after(lost="engine-1"))
 
 
-class MemoryTest(unittest.TestCase):
-    def test_memory_is_not_set_aside_anew_in_the_next_life(self) -> None:
-        given: list[str] = []
+class ReservedMemoryTest(unittest.TestCase):
+    def test_reservation_is_not_renewed_with_the_next_incarnation(self) -> None:
+        sent_orders: list[str] = []
 
-        async def note(name: str) -> orders.OrderResult:
-            given.append(name)
+        async def record_order(name: str) -> orders.OrderResult:
+            sent_orders.append(name)
             return orders.OrderResult.DONE
 
         async def run() -> None:
@@ -195,9 +203,9 @@
             keeper = reservation_keeper.ReservationKeeper(
                 network.make_environment(process, 1),
                 orders.Orders(
-                    lambda held, hold_ms: note("reserve"),
-                    lambda held: note("release"),
-                    lambda target: note("sign"),
+                    lambda held, hold_ms: record_order("reserve"),
+                    lambda held: record_order("release"),
+                    lambda target: record_order("sign"),
                 ),
                 view.is_superseded,
             )
@@ -208,17 +216,17 @@
             await asyncio.sleep(3.0)
 
         virtual_process.run(run)
-        self.assertEqual(given, ["reserve", "reserve"])
+        self.assertEqual(sent_orders, ["reserve", "reserve"])
 
 
-class FleetTest(unittest.TestCase):
+class RestartedServiceTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_service_that_drained_and_came_back_is_used_at_once(self) -> None:
-        async def scene(scene: gateway_scene.Scene) -> None:
-            cluster = scene.cluster
+    def test_service_that_drained_and_restarted_is_used_at_once(self) -> None:
+        async def scenario(fixture: gateway_fixture.Fixture) -> None:
+            cluster = fixture.cluster
             engines = [
                 node
                 for name, node in cluster.targets.items()
@@ -227,13 +235,13 @@
             for node in engines:
                 cluster.list_target(node, node.replica, "draining")
                 node.process.kill()
-            await asyncio.sleep(_SEEN_S)
+            await asyncio.sleep(_LIST_READ_S)
             for node in engines:
                 cluster.kill(node)
                 cluster.start_target(node)
-            await asyncio.sleep(_SEEN_S)
+            await asyncio.sleep(_LIST_READ_S)
             for vm in cluster.vms:
-                got = await scene.call("short", vm)
+                got = await fixture.call("short", vm)
                 self.assertEqual((got.status, got.is_whole), (200, True))
 
-        gateway_scene.play(scene, engines=4, keeps_names=True)
+        gateway_fixture.run_scenario(scenario, engines=4, keeps_names=True)
