--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -25,7 +25,7 @@
 # Three in four processors: some files start processes of their own.
 _AT_ONCE = max(1, (os.cpu_count() or 2) * 3 // 4)
 # These take longest, so their tests begin first, each by itself.
-_LONG = ("test_configuration", "test_promises", "test_schedules")
+_LONG = ("test_configuration", "test_guarantees", "test_schedules")
 _RAN = re.compile(r"^Ran (\d+) tests? in", re.MULTILINE)
 
 
--- a/tests/test_quiet_targets.py
+++ b/tests/test_backoff.py
@@ -12,29 +12,29 @@
 from tests import gateway_scene
 
 # A quiet time begins so long after the answer, for what was on its way.
-_BEGINS_S = 0.5
+_BACKOFF_STARTS_S = 0.5
 # Calls of one VM that may reach a target within one quiet time.
-_MOST = 2
+_MAX_REQUESTS = 2
 # Longer than the pauses after four failures: a VM that goes by these alone
 # comes back more often than that.
-_QUIET_S = 12
+_BACKOFF_S = 12
 
 
-class QuietTargetTest(unittest.TestCase):
+class BackoffTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_target_gets_no_calls_of_a_vm_that_it_told(self) -> None:
+    def test_target_gets_no_requests_during_its_backoff(self) -> None:
         for route, name in (("open", "service-0"), ("short", "engine-3")):
-            self._play_one(route, name)
+            self._check_target(route, name)
 
-    def _play_one(self, route: str, name: str) -> None:
+    def _check_target(self, route: str, name: str) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
-            scene.spoil(name, refuse=1.0, retry_after=str(_QUIET_S))
+            scene.spoil(name, refuse=1.0, retry_after=str(_BACKOFF_S))
             replica = scene.cluster.targets[name].replica
             calls = []
-            for _ in range(round(_QUIET_S / 0.12)):
+            for _ in range(round(_BACKOFF_S / 0.12)):
                 calls.append(asyncio.ensure_future(scene.call(route)))
                 await asyncio.sleep(0.12)
             got = await asyncio.gather(*calls)
@@ -43,16 +43,18 @@
             late = [
                 each
                 for each in replica.arrivals
-                if first_s + _BEGINS_S < each.at_s < first_s + _QUIET_S
+                if first_s + _BACKOFF_STARTS_S
+                < each.at_s
+                < first_s + _BACKOFF_S
             ]
-            self.assertLessEqual(len(late), _MOST)
+            self.assertLessEqual(len(late), _MAX_REQUESTS)
             # Only the call that was told has no second send to spend yet.
             failed = [each for each in got if each.status != 200]
             self.assertLessEqual(len(failed), 1)
 
         gateway_scene.play(scene, vms=1)
 
-    def test_what_cannot_be_served_is_refused_at_once(self) -> None:
+    def test_request_is_refused_at_once_during_a_long_backoff(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             scene.spoil("service", refuse=1.0, retry_after="3.5")
             for _ in range(4):
@@ -69,7 +71,7 @@
 
         gateway_scene.play(scene, vms=1)
 
-    def test_refused_callers_are_not_told_to_come_back_together(self) -> None:
+    def test_refused_callers_get_spread_retry_times(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             scene.spoil("service", refuse=1.0, retry_after="3.5")
             for _ in range(4):
@@ -83,7 +85,7 @@
 
         gateway_scene.play(scene, vms=1)
 
-    def test_what_can_be_served_in_time_waits(self) -> None:
+    def test_request_waits_for_the_end_of_a_short_backoff(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             scene.spoil("service", refuse=1.0, retry_after="0.6")
             for _ in range(3):
@@ -94,7 +96,9 @@
 
         gateway_scene.play(scene, vms=1)
 
-    def test_not_all_that_waited_goes_when_the_time_ends(self) -> None:
+    def test_waiting_requests_are_not_all_sent_when_a_backoff_ends(
+        self,
+    ) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             scene.spoil("service", refuse=1.0, retry_after="0.8")
             replica = scene.cluster.targets["service-0"].replica
@@ -108,15 +112,15 @@
                 for number in range(36)
             ]
             await asyncio.gather(*calls)
-            came_s = [each.at_s for each in replica.arrivals[before:]]
+            arrivals_s = [each.at_s for each in replica.arrivals[before:]]
             # A plain call takes 90 ms there; before the first has ended, each
             # VM has sent one at most.
-            first = [at for at in came_s if at <= came_s[0] + 0.09]
+            first = [at for at in arrivals_s if at <= arrivals_s[0] + 0.09]
             self.assertLessEqual(len(first), 6)
 
         gateway_scene.play(scene, vms=6, services=1, is_strict=False)
 
-    def test_times_without_a_meaning_do_no_harm(self) -> None:
+    def test_malformed_retry_times_do_no_harm(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             for text in ("-1", "nan", "Wed, 21 Oct 2026 07:28:00 GMT"):
                 scene.spoil("service", refuse=1.0, retry_after=text)
@@ -127,7 +131,7 @@
 
         gateway_scene.play(scene, vms=1)
 
-    def test_targets_own_time_is_not_handed_on(self) -> None:
+    def test_retry_time_of_a_target_is_not_passed_on(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             scene.spoil("service-0", refuse=1.0, retry_after="30")
             got = await scene.call("open")
--- a/tests/test_proof.py
+++ b/tests/test_freshness.py
@@ -25,44 +25,50 @@
 _HALL = 9
 
 
-class ProofModelTest(unittest.TestCase):
+class FreshnessModelTest(unittest.TestCase):
     """Every interleaving of a reader and a VM that asks it."""
 
     def explore(
-        self, find_proven: proof_model.FindProven, **fields: bool
+        self, find_current_as_of_ms: proof_model.FindProven, **fields: bool
     ) -> explore.Explored:
         return explore.explore(
             proof_model.ProofState(),
-            lambda state: proof_model.steps(state, find_proven, **fields),
+            lambda state: proof_model.steps(
+                state, find_current_as_of_ms, **fields
+            ),
             proof_model.is_true,
         )
 
-    def test_no_interleaving_proves_what_is_not_true(self) -> None:
+    def test_no_interleaving_overstates_freshness(self) -> None:
         found = self.explore(freshness.find_current_as_of_ms)
         self.assertEqual(found.trail, ())
         self.assertGreater(found.states, 10_000)
 
-    def test_answers_of_earlier_questions_would(self) -> None:
+    def test_replies_to_earlier_requests_would_overstate_freshness(
+        self,
+    ) -> None:
         found = self.explore(
             freshness.find_current_as_of_ms, matches_questions=False
         )
         self.assertTrue(found.trail)
 
-    def test_trust_in_a_younger_age_would(self) -> None:
+    def test_understated_age_would_overstate_freshness(self) -> None:
         found = self.explore(lambda asked_ms, age_ms: asked_ms - age_ms + 1.0)
         self.assertTrue(found.trail)
 
-    def test_clock_that_stands_still_in_a_suspension_would(self) -> None:
+    def test_clock_that_stops_in_suspension_would_overstate_freshness(
+        self,
+    ) -> None:
         found = self.explore(
             freshness.find_current_as_of_ms, counts_sleep=False
         )
         self.assertIn("sleeps", " ".join(found.trail))
 
-    def test_ages_that_cannot_be_true(self) -> None:
+    def test_invalid_ages_are_rejected(self) -> None:
         for age_ms in (-1.0, math.nan, math.inf):
             self.assertIsNone(freshness.find_current_as_of_ms(0.0, age_ms))
 
-    def test_small_halls_read_for_themselves(self) -> None:
+    def test_vms_of_small_halls_read_for_themselves(self) -> None:
         names = [f"vm-{number}" for number in range(_HALL)]
         self.assertFalse(freshness.has_shared_readers(names[:2]))
         self.assertTrue(freshness.is_reader("vm-1", names[:2]))
@@ -84,7 +90,7 @@
         self.assertEqual(found.trail, ())
         self.assertGreater(found.states, 10_000)
 
-    def test_one_would_be_by_revisions_alone(self) -> None:
+    def test_revisions_alone_would_miss_a_change(self) -> None:
         self.assertIn("restore", self.explore(False).trail)
 
 
@@ -98,25 +104,25 @@
     def setUp(self) -> None:
         self.log = change_log.ChangeLog()
         self.live = _make_target("t", condition.Condition.LIVE)
-        self.leaving = _make_target("t", condition.Condition.LEAVING)
+        self.draining = _make_target("t", condition.Condition.LEAVING)
 
     def test_changes_since_a_position(self) -> None:
         self.log.note(change_log.Step(1, 5, False, (self.live,)))
-        self.log.note(change_log.Step(5, 7, False, (self.leaving,)))
+        self.log.note(change_log.Step(5, 7, False, (self.draining,)))
         self.log.note(change_log.Step(7, 8, False, (), ("t",)))
         found = self.log.find_since(5, 8)
-        self.assertEqual(found.listed, (self.leaving,))
+        self.assertEqual(found.listed, (self.draining,))
         self.assertEqual(found.removed, ("t",))
         # One that is within a step gets the whole step.
         self.assertEqual(len(self.log.find_since(3, 8).listed), 2)
         self.assertEqual(self.log.find_since(8, 8).listed, ())
 
-    def test_lapsed_target_that_is_back_is_not_gone(self) -> None:
+    def test_relisted_target_is_not_removed(self) -> None:
         self.log.note(change_log.Step(1, 2, False, (), ("t",)))
         self.log.note(change_log.Step(2, 3, False, (self.live,)))
         self.assertEqual(self.log.find_since(1, 3).removed, ())
 
-    def test_what_cannot_be_told(self) -> None:
+    def test_unknown_or_unreadable_ranges_have_no_changes(self) -> None:
         self.log.note(change_log.Step(1, 2, True))
         self.log.note(change_log.Step(2, 3, False, (self.live,)))
         self.assertIsNone(self.log.find_since(1, 3))
@@ -126,7 +132,7 @@
         self.log.note(change_log.Step(3, 4, False, rows))
         self.assertIsNone(self.log.find_since(2, 4))
 
-    def test_gap_drops_what_was_before(self) -> None:
+    def test_gap_drops_earlier_steps(self) -> None:
         self.log.note(change_log.Step(1, 2, False))
         self.log.note(change_log.Step(4, 5, False))
         self.assertIsNone(self.log.find_since(1, 5))
@@ -143,7 +149,7 @@
     scene.cluster.network.cuts.append(cut)
 
 
-class SettingsCopyTest(unittest.TestCase):
+class DocumentPartsTest(unittest.TestCase):
     @hypothesis.given(strategies.binary(max_size=9_000))
     @hypothesis.settings(max_examples=50, deadline=None)
     def test_parts_make_the_document(self, document: bytes) -> None:
@@ -151,7 +157,7 @@
         self.assertEqual(document_parts.join(parts), document)
         self.assertIsNone(document_parts.join(parts[:-1]))
 
-    def test_what_is_no_document(self) -> None:
+    def test_invalid_documents_are_rejected(self) -> None:
         self.assertIsNone(document_parts.join((b"?",)))
         self.assertIsNone(document_parts.join(()))
         too_large = bytes(document_parts.MAX_DOCUMENT_BYTES + 1)
@@ -168,7 +174,7 @@
     def play(self, scene) -> None:  # noqa: ANN001
         gateway_scene.play(scene, vms=_HALL, halls=1)
 
-    def test_calls_of_the_store_go_by_readers(self) -> None:
+    def test_only_readers_call_the_store(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             store = scene.cluster.store
             before = store.calls
@@ -181,7 +187,7 @@
 
         self.play(scene)
 
-    def test_changes_reach_all_in_time(self) -> None:
+    def test_changes_reach_all_vms_in_time(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             node = scene.cluster.targets["service-0"]
             scene.cluster.list_target(node, node.replica, "draining")
@@ -201,7 +207,7 @@
 
         self.play(scene)
 
-    def test_vms_that_the_store_is_cut_from_go_by_peers(self) -> None:
+    def test_vms_cut_off_from_the_store_use_peers(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             names = list(scene.cluster.vms)
             for name in names[:6]:
@@ -222,7 +228,7 @@
 
         self.play(scene)
 
-    def test_settings_that_change_are_read_by_one_vm(self) -> None:
+    def test_changed_settings_are_read_by_one_vm(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
             routes = gateway_cluster.make_idle_routes(1_500)
@@ -244,7 +250,7 @@
 
         self.play(scene)
 
-    def test_settings_that_are_no_settings_are_read_from_the_store(
+    def test_settings_that_a_peer_malforms_are_read_from_the_store(
         self,
     ) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
@@ -262,7 +268,7 @@
 
         self.play(scene)
 
-    def test_no_proof_goes_round_while_the_store_is_away(self) -> None:
+    def test_peers_do_not_renew_freshness_during_an_outage(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             scene.cluster.store.trouble = "busy"
             await asyncio.sleep(5.0)
@@ -280,7 +286,7 @@
 
         self.play(scene)
 
-    def test_lapsed_entries_do_not_empty_a_hall_with_followers(self) -> None:
+    def test_expired_entries_do_not_empty_a_hall_with_followers(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             store = scene.cluster.store
             store.trouble = "busy"
@@ -297,7 +303,7 @@
 
         self.play(scene)
 
-    def test_reader_that_the_store_turned_away_reads_again(self) -> None:
+    def test_reader_that_was_cut_off_reads_again(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             exchange = scene.cluster.vms["vm-0"].gateway._peers
             reader = exchange.rank_hall()[0].partition(":")[0]
@@ -311,7 +317,7 @@
 
         self.play(scene)
 
-    def test_readers_that_die_are_made_good(self) -> None:
+    def test_dead_readers_are_replaced(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             exchange = scene.cluster.vms["vm-0"].gateway._peers
             readers = {
@@ -328,7 +334,7 @@
 
         self.play(scene)
 
-    def test_news_that_lie_change_nothing(self) -> None:
+    def test_false_replies_change_nothing(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             for node in scene.cluster.vms.values():
                 sync = node.gateway._sync
--- a/tests/test_promises.py
+++ b/tests/test_guarantees.py
@@ -18,16 +18,16 @@
 class TimeLimitTest(unittest.TestCase):
     """Every admitted request finishes or fails within its time limit."""
 
-    def check(self, lines: list) -> None:
+    def check_guarantees(self, lines: list) -> None:
         found = virtual.play(lines)
         self.assertEqual(virtual.broken_promises(found, lines), [])
 
     def test_engines_die(self) -> None:
         lines = virtual.requests(60, 50.0)
         lines += [virtual.fault(1_000, "kill", f"engine-{n}") for n in (1, 2)]
-        self.check(lines)
+        self.check_guarantees(lines)
 
-    def test_all_engines_fall_silent(self) -> None:
+    def test_all_engines_stop_responding(self) -> None:
         lines = virtual.requests(60, 50.0, time_limit_ms=8_000.0)
         lines += [
             virtual.fault(1_000, "pause", f"engine-{n}") for n in (1, 2, 3, 4)
@@ -42,7 +42,7 @@
             virtual.fault(1_000, "pause", "vm-1"),
             virtual.fault(40_000, "resume", "vm-1"),
         ]
-        self.check(lines)
+        self.check_guarantees(lines)
 
     def test_home_of_a_key_is_cut_off(self) -> None:
         lines = virtual.requests(30, 50.0, time_limit_ms=9_000.0)
@@ -51,7 +51,7 @@
             virtual.fault(500, "cut", "vm-2"),
             virtual.fault(30_000, "heal", "vm-2"),
         ]
-        self.check(lines)
+        self.check_guarantees(lines)
 
     def test_queues_are_full(self) -> None:
         lines = virtual.requests(
@@ -104,7 +104,7 @@
         self.assertEqual(virtual.statuses(found), {"finished": 2})
         self.assertEqual(found.held_tokens, 0)
 
-    def test_paused_engine_comes_back(self) -> None:
+    def test_paused_engine_resumes(self) -> None:
         lines = virtual.requests(40, 50.0, time_limit_ms=9_000.0)
         lines += [
             virtual.fault(700, "pause", "engine-2"),
@@ -138,7 +138,7 @@
             found = virtual.play(lines)
             self.assertEqual(virtual.broken_promises(found, lines), [])
 
-    def test_lost_answers_are_unknown(self) -> None:
+    def test_lost_responses_are_reported_as_unknown(self) -> None:
         lines = virtual.requests(
             30, 20.0, prompt_tokens=0, workload="dispatch", repeatable=False
         )
@@ -156,7 +156,7 @@
 class AtMostOnceTest(unittest.TestCase):
     """A request marked as not repeatable runs at most once."""
 
-    def once(self, *offsets_ms: float, **fields: object) -> list:
+    def make_requests(self, *offsets_ms: float, **fields: object) -> list:
         lines = []
         for offset_ms in offsets_ms:
             for line in virtual.requests(
@@ -167,19 +167,19 @@
         return lines
 
     def test_sent_to_two_entries_at_once(self) -> None:
-        lines = self.once(0.0, 0.0)
+        lines = self.make_requests(0.0, 0.0)
         found = virtual.play(lines)
         self.assertEqual(virtual.broken_promises(found, lines), [])
         self.assertEqual(virtual.statuses(found), {"finished": 48})
 
     def test_sent_again_after_its_home_died(self) -> None:
-        lines = self.once(0.0, 9_000.0)
+        lines = self.make_requests(0.0, 9_000.0)
         lines += [virtual.fault(700, "kill", "vm-1")]
         found = virtual.play(lines)
         self.assertEqual(virtual.broken_promises(found, lines), [])
 
     def test_sent_again_after_its_home_restarted(self) -> None:
-        lines = self.once(0.0, 4_000.0, 20_000.0)
+        lines = self.make_requests(0.0, 4_000.0, 20_000.0)
         for name in ("vm-1", "vm-3"):
             lines += [
                 virtual.fault(700, "kill", name),
@@ -189,7 +189,7 @@
         self.assertEqual(virtual.broken_promises(found, lines), [])
 
     def test_sent_again_across_a_cut_hall_and_a_stale_list(self) -> None:
-        lines = self.once(0.0, 5_000.0, 30_000.0)
+        lines = self.make_requests(0.0, 5_000.0, 30_000.0)
         lines += [
             virtual.fault(300, "stale", "config"),
             virtual.fault(600, "cut", "hall-2", "hall-1"),
@@ -200,8 +200,8 @@
         found = virtual.play(lines)
         self.assertEqual(virtual.broken_promises(found, lines), [])
 
-    def test_home_wakes_after_a_minute(self) -> None:
-        lines = self.once(0.0, 10_000.0, 62_000.0)
+    def test_home_resumes_after_a_minute(self) -> None:
+        lines = self.make_requests(0.0, 10_000.0, 62_000.0)
         lines += [
             virtual.fault(650, "pause", "vm-1"),
             virtual.fault(61_000, "resume", "vm-1"),
@@ -209,8 +209,8 @@
         found = virtual.play(lines)
         self.assertEqual(virtual.broken_promises(found, lines), [])
 
-    def test_runs_twice_without_the_key(self) -> None:
-        lines = self.once(0.0, 0.0)
+    def test_runs_twice_without_the_idempotency_key(self) -> None:
+        lines = self.make_requests(0.0, 0.0)
         with mock.patch.object(
             virtual.replay.Replay,
             "_make_outgoing",
@@ -225,21 +225,21 @@
         self.assertIn("r0: ran 2 times", virtual.broken_promises(found, lines))
 
     def test_runs_twice_with_retries_of_what_may_have_run(self) -> None:
-        lines = self.once(0.0, output_tokens=100)
+        lines = self.make_requests(0.0, output_tokens=100)
         lines += [virtual.fault(800, "kill", "engine-1")]
 
-        def always(ended: object, *rest: object) -> retries.RetryDelay:
+        def always_retry(ended: object, *rest: object) -> retries.RetryDelay:
             return retries.RetryDelay(10.0)
 
-        with mock.patch.object(retries, "decide", always):
+        with mock.patch.object(retries, "decide", always_retry):
             found = virtual.play(lines)
         self.assertTrue(virtual.broken_promises(found, lines))
 
 
-class LeavingTest(unittest.TestCase):
+class DrainTest(unittest.TestCase):
     """A target that is leaving gets no new work after a few seconds."""
 
-    def late_executions(self, lines: list) -> int:
+    def count_late_executions(self, lines: list) -> int:
         """Returns runs on engine-1 of what was sent 6 s after it left."""
         cluster = mock.Mock()
         original = virtual.clusters.Cluster.executions
@@ -266,30 +266,30 @@
             virtual.fault(1_000, "leave", "engine-1"),
         ]
 
-    def test_list_lags(self) -> None:
-        self.assertEqual(self.late_executions(self.lines()), 0)
+    def test_list_is_late(self) -> None:
+        self.assertEqual(self.count_late_executions(self.lines()), 0)
 
-    def test_list_is_stale_but_the_target_says_it_drains(self) -> None:
+    def test_list_is_stale_but_the_target_hints_that_it_drains(self) -> None:
         lines = [*self.lines(), virtual.fault(900, "stale", "config")]
-        self.assertEqual(self.late_executions(lines), 0)
+        self.assertEqual(self.count_late_executions(lines), 0)
 
-    def test_vm_wakes_with_an_old_list(self) -> None:
+    def test_vm_resumes_with_an_old_list(self) -> None:
         lines = [
             *self.lines(),
             virtual.fault(900, "pause", "vm-1"),
             virtual.fault(15_000, "resume", "vm-1"),
         ]
-        self.assertEqual(self.late_executions(lines), 0)
+        self.assertEqual(self.count_late_executions(lines), 0)
 
-    def test_hall_without_platform_reaches_the_target(self) -> None:
+    def test_halls_are_cut_off_from_the_platform(self) -> None:
         lines = [
             *self.lines(),
             virtual.fault(900, "cut", "hall-1", "config"),
             virtual.fault(900, "cut", "hall-2", "config"),
         ]
-        self.assertEqual(self.late_executions(lines), 0)
+        self.assertEqual(self.count_late_executions(lines), 0)
 
-    def test_leaving_is_undone_without_being_sticky(self) -> None:
+    def test_older_list_is_ignored(self) -> None:
         target = mock.Mock(target_id="t", address="a", condition="leaving")
         old = listings.Listing(2, (), (target,))
         newer = dataclasses.replace(old, version=1)
@@ -299,7 +299,7 @@
 class PlannedStopTest(unittest.TestCase):
     """A planned stop cuts off no request."""
 
-    def rolling(self) -> list:
+    def make_rolling_restart(self) -> list:
         lines = virtual.requests(160, 250.0, output_tokens=60)
         lines += virtual.requests(
             40, 1_000.0, prompt_tokens=0, workload="s", repeatable=False
@@ -317,14 +317,14 @@
         return lines
 
     def test_all_vms_are_restarted_in_turn(self) -> None:
-        lines = self.rolling()
+        lines = self.make_rolling_restart()
         found = virtual.play(lines)
         self.assertEqual(virtual.statuses(found), {"finished": 200})
         self.assertEqual(virtual.broken_promises(found, lines), [])
 
     def test_requests_are_cut_off_without_the_wait(self) -> None:
         layout = dataclasses.replace(virtual.LAYOUT, stop_lag_ms=0.0)
-        lines = self.rolling()
+        lines = self.make_rolling_restart()
         lines = [
             dataclasses.replace(line, fault="kill")
             if getattr(line, "fault", "") == "leave"
--- a/tests/test_suspicion.py
+++ b/tests/test_poison_requests.py
@@ -17,36 +17,45 @@
 _NOW_MS = 1_000_000.0
 
 
-def _life(number: int) -> lives.Life:
+def _make_incarnation(number: int) -> lives.Life:
     return lives.Life(f"engine-{number}", 1_700_000_000_000 + number)
 
 
-def _row(content: str, *numbers: int, finished_age_ms=None) -> messages.Suspect:
+def _make_row(
+    fingerprint: str, *numbers: int, finished_age_ms=None
+) -> messages.Suspect:
     ended = tuple(
-        messages.EndedLife(_life(number), 100.0, 1.0) for number in numbers
+        messages.EndedLife(_make_incarnation(number), 100.0, 1.0)
+        for number in numbers
     )
     if finished_age_ms is None:
-        return messages.Suspect(content, ended)
-    return messages.Suspect(content, ended, finished_age_ms)
+        return messages.Suspect(fingerprint, ended)
+    return messages.Suspect(fingerprint, ended, finished_age_ms)
 
 
-class VerdictTest(unittest.TestCase):
+class QuarantineTest(unittest.TestCase):
     def setUp(self) -> None:
         self.known = poison_requests.PoisonRequests()
 
-    def _end(self, content: str, number: int, weight: float = 1.0) -> None:
-        self.known.note_crash(content, _life(number), weight, _NOW_MS)
+    def _crash(
+        self, fingerprint: str, number: int, weight: float = 1.0
+    ) -> None:
+        self.known.note_crash(
+            fingerprint, _make_incarnation(number), weight, _NOW_MS
+        )
 
-    def _is_quarantined(self, content: str, now_ms: float = _NOW_MS) -> bool:
-        return self.known.find_quarantine_left_ms(content, now_ms) > 0.0
+    def _is_quarantined(
+        self, fingerprint: str, now_ms: float = _NOW_MS
+    ) -> bool:
+        return self.known.find_quarantine_left_ms(fingerprint, now_ms) > 0.0
 
-    def test_three_lives_are_proof(self) -> None:
+    def test_three_crashes_are_enough(self) -> None:
         for number in range(3):
             self.assertFalse(self._is_quarantined("a"))
-            self._end("a", number)
+            self._crash("a", number)
         self.assertTrue(self._is_quarantined("a"))
 
-    def test_lives_that_ended_only_after_a_while_count_less(self) -> None:
+    def test_late_crashes_count_less(self) -> None:
         # A prompt of 505,905 tokens was read for 1.6 and 2.8 s on engines that
         # crashed among others, and its caller's retry was refused for it.
         later = poison_requests.weigh_crash(2_800.0, 20.0)
@@ -54,49 +63,49 @@
         # Nor was a long prompt running yet that was lost soon after it came.
         self.assertEqual(poison_requests.weigh_crash(500.0, 2_000.0), later)
         for number in range(4):
-            self._end("a", number, later)
+            self._crash("a", number, later)
         self.assertFalse(self._is_quarantined("a"))
-        self._end("a", 4, later)
+        self._crash("a", 4, later)
         self.assertTrue(self._is_quarantined("a"))
 
-    def test_one_is_none(self) -> None:
-        self._end("a", 0)
+    def test_one_crash_is_not_enough(self) -> None:
+        self._crash("a", 0)
         self.assertFalse(self._is_quarantined("a"))
         self.assertEqual(self.known.count_crashes("a", _NOW_MS), 1)
 
-    def test_the_same_life_counts_once(self) -> None:
+    def test_same_incarnation_counts_once(self) -> None:
         for _ in range(5):
-            self._end("a", 0)
+            self._crash("a", 0)
         self.assertFalse(self._is_quarantined("a"))
 
-    def test_two_starts_under_one_name_are_two_lives(self) -> None:
+    def test_starts_under_one_name_are_different_incarnations(self) -> None:
         for born_ms in (5, 6, 7):
             life = lives.Life("engine-0", born_ms)
             self.known.note_crash("a", life, 1.0, _NOW_MS)
         self.assertTrue(self._is_quarantined("a"))
 
-    def test_content_that_ran_to_its_end_is_cleared(self) -> None:
+    def test_fingerprint_is_cleared_when_a_request_completes(self) -> None:
         for number in range(2):
-            self._end("a", number)
+            self._crash("a", number)
         self.assertTrue(self.known.note_completed("a", _NOW_MS + 1.0))
-        self.known.note_crash("a", _life(2), 1.0, _NOW_MS + 2.0)
+        self.known.note_crash("a", _make_incarnation(2), 1.0, _NOW_MS + 2.0)
         self.assertEqual(self.known.count_crashes("a", _NOW_MS + 2.0), 1)
 
-    def test_culprit_explains_what_ended_beside_it(self) -> None:
+    def test_poison_request_explains_what_was_lost_beside_it(self) -> None:
         # Calls that lost their engine beside the culprit were sent on to the
         # next engine, and lost that beside it, too.
         for number in range(2):
-            self._end("culprit", number)
-            self._end("victim", number)
+            self._crash("culprit", number)
+            self._crash("victim", number)
         self.assertEqual(self.known.count_crashes("victim", _NOW_MS), 2)
-        self._end("culprit", 2)
+        self._crash("culprit", 2)
         self.assertTrue(self._is_quarantined("culprit"))
         self.assertEqual(self.known.count_crashes("victim", _NOW_MS), 0)
 
-    def test_quarantine_and_suspicion_lapse(self) -> None:
+    def test_quarantine_and_suspicion_expire(self) -> None:
         for number in range(3):
-            self._end("a", number)
-        self._end("b", 7)
+            self._crash("a", number)
+        self._crash("b", 7)
         later_ms = _NOW_MS + poison_requests.SUSPECT_MS
         self.assertTrue(self._is_quarantined("a", later_ms))
         self.assertEqual(self.known.count_crashes("b", later_ms), 0)
@@ -107,16 +116,21 @@
 
     def test_table_is_bounded_and_keeps_the_worst(self) -> None:
         for number in range(3):
-            self._end("worst", number)
+            self._crash("worst", number)
         for number in range(2 * poison_requests.MAX_FINGERPRINTS):
-            self._end(f"c{number}", 10 + number)
+            self._crash(f"c{number}", 10 + number)
         self.assertLessEqual(len(self.known), poison_requests.MAX_FINGERPRINTS)
         self.assertTrue(self._is_quarantined("worst"))
 
 
-class TellingTest(unittest.TestCase):
-    def test_every_order_of_hearing_ends_in_the_same_table(self) -> None:
-        rows = [_row("a", 0), _row("a", 1, 2), _row("b", 1, 2), _row("b", 2)]
+class GossipTest(unittest.TestCase):
+    def test_gossip_in_any_order_gives_the_same_table(self) -> None:
+        rows = [
+            _make_row("a", 0),
+            _make_row("a", 1, 2),
+            _make_row("b", 1, 2),
+            _make_row("b", 2),
+        ]
         for order in itertools.permutations(rows):
             known = poison_requests.PoisonRequests()
             for row in (*order, *order):
@@ -124,32 +138,34 @@
             self.assertGreater(known.find_quarantine_left_ms("a", _NOW_MS), 0.0)
             self.assertEqual(known.count_crashes("b", _NOW_MS), 0)
 
-    def test_what_is_known_is_no_news(self) -> None:
+    def test_known_crashes_are_not_new(self) -> None:
         known = poison_requests.PoisonRequests()
-        self.assertEqual(known.merge([_row("a", 0)], _NOW_MS), {"a"})
-        self.assertEqual(known.merge([_row("a", 0)], _NOW_MS + 9.0), set())
+        self.assertEqual(known.merge([_make_row("a", 0)], _NOW_MS), {"a"})
+        self.assertEqual(known.merge([_make_row("a", 0)], _NOW_MS + 9.0), set())
 
-    def test_tables_that_tell_each_other_come_to_rest(self) -> None:
+    def test_gossip_between_two_tables_ends(self) -> None:
         one, other = (
             poison_requests.PoisonRequests(),
             poison_requests.PoisonRequests(),
         )
-        one.note_crash("a", _life(0), 1.0, _NOW_MS)
+        one.note_crash("a", _make_incarnation(0), 1.0, _NOW_MS)
         one.note_completed("a", _NOW_MS + 1.0)
         now_ms = _NOW_MS + 2.0
-        news = 0
+        new_count = 0
         for _ in range(50):
-            for teller, hearer in ((one, other), (other, one)):
-                row = teller.describe("a", now_ms)
+            for sender, receiver in ((one, other), (other, one)):
+                row = sender.describe("a", now_ms)
                 now_ms += 40.0
-                news += len(hearer.merge([row], now_ms)) if row else 0
-        self.assertLessEqual(news, 1)
+                new_count += len(receiver.merge([row], now_ms)) if row else 0
+        self.assertLessEqual(new_count, 1)
 
-    def test_old_news_of_a_cleared_content_changes_nothing(self) -> None:
+    def test_old_gossip_about_a_cleared_fingerprint_changes_nothing(
+        self,
+    ) -> None:
         known = poison_requests.PoisonRequests()
-        known.merge([_row("a", 0, 1)], _NOW_MS)
+        known.merge([_make_row("a", 0, 1)], _NOW_MS)
         known.note_completed("a", _NOW_MS + 10.0)
-        late = dataclasses.replace(_row("a", 0, 1, 2))
+        late = dataclasses.replace(_make_row("a", 0, 1, 2))
         ended = tuple(
             dataclasses.replace(each, age_ms=500.0) for each in late.ended
         )
@@ -157,23 +173,24 @@
         self.assertEqual(known.merge([late], _NOW_MS + 50.0), set())
         self.assertEqual(known.count_crashes("a", _NOW_MS + 50.0), 0)
 
-    def test_rows_survive_the_wire(self) -> None:
-        told = messages.Suspects(
-            "10.0.0.1:83", (_row("a", 0, 1, finished_age_ms=5.0), _row("b", 2))
+    def test_rows_round_trip_on_the_wire(self) -> None:
+        message = messages.Suspects(
+            "10.0.0.1:83",
+            (_make_row("a", 0, 1, finished_age_ms=5.0), _make_row("b", 2)),
         )
-        self.assertEqual(codec.decode(codec.encode(told)), told)
+        self.assertEqual(codec.decode(codec.encode(message)), message)
 
-    def test_a_full_datagram_is_small(self) -> None:
+    def test_full_datagram_is_small(self) -> None:
         rows = tuple(
-            _row(f"{number:032x}", number, number + 1, number + 2)
+            _make_row(f"{number:032x}", number, number + 1, number + 2)
             for number in range(poison_requests.MAX_ROWS_PER_DATAGRAM)
         )
         data = codec.encode(messages.Suspects("10.0.0.1:83", rows))
         self.assertLess(len(data), 3_000)
 
-    def test_rows_that_can_not_be_true_are_refused(self) -> None:
-        ended = messages.EndedLife(_life(0), 1.0, 1.0)
-        wrong = [
+    def test_invalid_rows_are_rejected(self) -> None:
+        ended = messages.EndedLife(_make_incarnation(0), 1.0, 1.0)
+        invalid = [
             dataclasses.replace(ended, age_ms=-1.0),
             dataclasses.replace(ended, age_ms=math.nan),
             dataclasses.replace(ended, age_ms=math.inf),
@@ -181,7 +198,7 @@
             dataclasses.replace(ended, weight=2.0),
             dataclasses.replace(ended, weight=math.nan),
         ]
-        for each in wrong:
+        for each in invalid:
             rows = (messages.Suspect("a", (each,)),)
             self.assertNotEqual(poison_requests.find_error(rows), "")
         for age_ms in (-5.0, math.inf):
@@ -191,9 +208,13 @@
         self.assertNotEqual(
             poison_requests.find_error((messages.Suspect("a", many),)), ""
         )
-        rows = (_row("a", 0),) * (poison_requests.MAX_ROWS_PER_DATAGRAM + 1)
+        rows = (_make_row("a", 0),) * (
+            poison_requests.MAX_ROWS_PER_DATAGRAM + 1
+        )
         self.assertNotEqual(poison_requests.find_error(rows), "")
-        self.assertEqual(poison_requests.find_error((_row("a", 0, 1),)), "")
+        self.assertEqual(
+            poison_requests.find_error((_make_row("a", 0, 1),)), ""
+        )
 
     @hypothesis.given(
         strategies.lists(
@@ -205,21 +226,21 @@
         strategies.integers(0, 999),
     )
     @hypothesis.settings(max_examples=60, deadline=None, derandomize=True)
-    def test_vms_that_saw_different_ends_conclude_the_same(
-        self, ends: list[tuple[str, int]], seed: int
+    def test_vms_that_saw_different_crashes_conclude_the_same(
+        self, crashes: list[tuple[str, int]], seed: int
     ) -> None:
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         vms = [poison_requests.PoisonRequests() for _ in range(3)]
-        for content, number in ends:
-            vm = chance.choice(vms)
-            vm.note_crash(content, _life(number), 1.0, _NOW_MS)
+        for fingerprint, number in crashes:
+            vm = rng.choice(vms)
+            vm.note_crash(fingerprint, _make_incarnation(number), 1.0, _NOW_MS)
         for _ in range(3):
-            for teller, hearer in itertools.permutations(vms, 2):
+            for sender, receiver in itertools.permutations(vms, 2):
                 rows = [
-                    teller.describe(each, _NOW_MS)
-                    for each in teller.rank(_NOW_MS)
+                    sender.describe(each, _NOW_MS)
+                    for each in sender.rank(_NOW_MS)
                 ]
-                hearer.merge(rows, _NOW_MS)
+                receiver.merge(rows, _NOW_MS)
         found = [sorted(vm.list_quarantined(_NOW_MS)) for vm in vms]
         self.assertEqual(found[0], found[1])
         self.assertEqual(found[0], found[2])
--- a/tests/test_reading_plan.py
+++ b/tests/test_prefill_plan.py
@@ -7,78 +7,83 @@
 from standins import pass_engine
 from standins import virtual_process
 
-_PARTS_MOST = 17
-_ARCHIVE_TOKENS = 210_000
-_ARCHIVE_MS = 2_840.0
+_MAX_PARTS = 17
+_LONG_PROMPT_TOKENS = 210_000
+_LONG_PROMPT_MS = 2_840.0
 
 
 def _engine(
     name: str,
-    rest_ms: float = 0.0,
-    answers: tuple[int, ...] = (0, 0, 0),
+    backlog_ms: float = 0.0,
+    decoding_streams: tuple[int, ...] = (0, 0, 0),
     has_room: bool = True,
 ) -> prefill_plan.Engine:
-    return prefill_plan.Engine(name, rest_ms, answers, has_room)
+    return prefill_plan.Engine(name, backlog_ms, decoding_streams, has_room)
 
 
 def _plan(
     engines: list[prefill_plan.Engine],
-    tokens: int = _ARCHIVE_TOKENS,
-    whole_ms: float = _ARCHIVE_MS,
+    tokens: int = _LONG_PROMPT_TOKENS,
+    prefill_ms: float = _LONG_PROMPT_MS,
     holders: int = 1,
     waited_ms: float = 0.0,
 ) -> prefill_plan.Plan | None:
     return prefill_plan.make_plan(
-        whole_ms, tokens, 3_000.0, waited_ms, engines, holders, _PARTS_MOST
+        prefill_ms, tokens, 3_000.0, waited_ms, engines, holders, _MAX_PARTS
     )
 
 
-class ReadingPlanTest(unittest.TestCase):
-    def test_idle_engines_share_until_it_is_surely_in_time(self) -> None:
+class PrefillPlanTest(unittest.TestCase):
+    def test_idle_engines_share_until_certainly_in_time(self) -> None:
         plan = _plan([_engine(f"e{n}") for n in range(12)])
         self.assertGreater(len(plan.engines), 3)
         self.assertLess(plan.ttft_ms, 1_000.0)
         self.assertEqual(plan.decode_loss, 0.0)
 
-    def test_short_answers_are_spared(self) -> None:
+    def test_engines_that_decode_strict_streams_are_spared(self) -> None:
         idle = [_engine(f"idle{n}") for n in range(4)]
-        busy = [_engine(f"busy{n}", answers=(4, 0, 0)) for n in range(8)]
+        busy = [
+            _engine(f"busy{n}", decoding_streams=(4, 0, 0)) for n in range(8)
+        ]
         plan = _plan([*busy, *idle])
         self.assertTrue(all(name.startswith("idle") for name in plan.engines))
 
-    def test_pieces_short_enough_harm_nobody(self) -> None:
-        busy = [_engine(f"e{n}", answers=(0, 3, 0)) for n in range(12)]
+    def test_short_segments_cost_streams_nothing(self) -> None:
+        busy = [_engine(f"e{n}", decoding_streams=(0, 3, 0)) for n in range(12)]
         plan = _plan(busy)
         self.assertEqual(plan.decode_loss, 0.0)
         self.assertGreaterEqual(len(plan.engines), 7)
 
-    def test_great_prompt_outweighs_a_few_short_answers(self) -> None:
+    def test_large_prompt_outweighs_a_few_strict_streams(self) -> None:
         engines = [_engine("idle")]
-        engines += [_engine(f"e{n}", answers=(1, 0, 0)) for n in range(5)]
+        engines += [
+            _engine(f"e{n}", decoding_streams=(1, 0, 0)) for n in range(5)
+        ]
         plan = _plan(engines)
         self.assertGreater(len(plan.engines), 1)
 
-    def test_two_pieces_in_one_pass_count_together(self) -> None:
-        reading = [
-            _engine(f"e{n}", rest_ms=300.0, answers=(0, 2, 0)) for n in range(6)
+    def test_two_segments_in_one_iteration_add_up(self) -> None:
+        prefilling = [
+            _engine(f"e{n}", backlog_ms=300.0, decoding_streams=(0, 2, 0))
+            for n in range(6)
         ]
-        free = [_engine(f"f{n}", answers=(0, 2, 0)) for n in range(8)]
-        plan = _plan([*reading, *free])
+        free = [_engine(f"f{n}", decoding_streams=(0, 2, 0)) for n in range(8)]
+        plan = _plan([*prefilling, *free])
         self.assertTrue(all(name.startswith("f") for name in plan.engines))
 
-    def test_pieces_stay_off_engines_that_read_a_great_prompt(self) -> None:
-        worth = prefill_plan.estimate_value(_ARCHIVE_TOKENS)
-        reading = [
-            prefill_plan.Engine(f"e{n}", 600.0, (0, 0, 0), True, worth)
+    def test_engines_that_prefill_a_large_prompt_are_spared(self) -> None:
+        value = prefill_plan.estimate_value(_LONG_PROMPT_TOKENS)
+        prefilling = [
+            prefill_plan.Engine(f"e{n}", 600.0, (0, 0, 0), True, value)
             for n in range(9)
         ]
         free = [_engine(f"f{n}") for n in range(6)]
-        plan = _plan([*reading, *free])
+        plan = _plan([*prefilling, *free])
         self.assertTrue(all(name.startswith("f") for name in plan.engines))
         self.assertEqual(plan.prefill_loss, 0.0)
-        self.assertGreater(_plan(reading).prefill_loss, 1.0)
+        self.assertGreater(_plan(prefilling).prefill_loss, 1.0)
 
-    def test_pinned_engine_writes(self) -> None:
+    def test_pinned_engine_decodes(self) -> None:
         pinned = prefill_plan.Engine(
             "p", 900.0, (3, 0, 0), True, 0.0, 0.0, True
         )
@@ -87,7 +92,7 @@
 
     def test_engines_are_not_blocked_for_long(self) -> None:
         # It can't be in time on so few engines; yet all of them take part.
-        plan = _plan([_engine(f"e{n}") for n in range(6)], whole_ms=24_000.0)
+        plan = _plan([_engine(f"e{n}") for n in range(6)], prefill_ms=24_000.0)
         self.assertEqual(len(plan.engines), 6)
 
     def test_holders_have_room(self) -> None:
@@ -100,13 +105,13 @@
     def test_without_engines_there_is_no_plan(self) -> None:
         self.assertIsNone(_plan([]))
 
-    def test_more_worth_for_longer_prompts(self) -> None:
-        worths = [
+    def test_longer_prompts_have_a_higher_value(self) -> None:
+        values = [
             prefill_plan.estimate_value(tokens)
             for tokens in (5_000, 45_000, 210_000)
         ]
-        self.assertEqual(worths, sorted(worths))
-        self.assertAlmostEqual(worths[0], 1.0)
+        self.assertEqual(values, sorted(values))
+        self.assertAlmostEqual(values[0], 1.0)
 
 
 class PassEngineTest(unittest.TestCase):
@@ -118,10 +123,10 @@
             running = asyncio.ensure_future(engine.run())
             loop = asyncio.get_running_loop()
             began_s = loop.time()
-            await engine.read(_ARCHIVE_TOKENS, _ARCHIVE_TOKENS)
+            await engine.read(_LONG_PROMPT_TOKENS, _LONG_PROMPT_TOKENS)
             running.cancel()
             return (loop.time() - began_s) * 1000.0
 
         took_ms = virtual_process.run(run)
         # Beside reading and pairs, each step of a chunk takes its own time.
-        self.assertAlmostEqual(took_ms, _ARCHIVE_MS + 95.0, delta=20.0)
+        self.assertAlmostEqual(took_ms, _LONG_PROMPT_MS + 95.0, delta=20.0)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -39,37 +39,39 @@
 def _run_program(program: str, *arguments: str) -> tuple[int, str]:
     """Returns the exit status of one of the programs and what it printed."""
     path = pathlib.Path(sys.executable).with_name(program)
-    ended = subprocess.run(
+    completed = subprocess.run(
         [str(path), *arguments], capture_output=True, text=True, check=False
     )
-    return ended.returncode, ended.stdout + ended.stderr
+    return completed.returncode, completed.stdout + completed.stderr
 
 
-class WholePathTest(unittest.TestCase):
+class EndToEndTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls) -> None:
-        cls.run_ = processes.Processes(_TREE)
-        cls.addClassCleanup(cls.run_.close)
+        cls.cluster = processes.Processes(_TREE)
+        cls.addClassCleanup(cls.cluster.close)
         pools = {f"engine-{n}": "model-pool" for n in (1, 2, 3)}
         vms = {"vm-1": "hall-bezigrad", "vm-2": "hall-vic"}
-        cls.run_.start_platform({**pools, "service-1": "estate-app"}, vms)
+        cls.cluster.start_platform({**pools, "service-1": "estate-app"}, vms)
         for name in vms:
-            cls.run_.start_vm(name, stop_lag_ms="100")
-        cls.run_.wait_ready()
+            cls.cluster.start_vm(name, stop_lag_ms="100")
+        cls.cluster.wait_ready()
 
-    def test_plain_answer_is_whole(self) -> None:
-        reply = _complete(self.run_.entries["vm-1"], "a tap drips")
+    def test_plain_response_is_complete(self) -> None:
+        reply = _complete(self.cluster.entries["vm-1"], "a tap drips")
         self.assertEqual(reply.status, 200)
         text = reply.json()["choices"][0]["text"]
         self.assertEqual(text, answers.make_answer("a tap drips", 8))
 
-    def test_streamed_answer_is_whole(self) -> None:
-        reply = _complete(self.run_.entries["vm-2"], "no heating", stream=True)
+    def test_streamed_response_is_complete(self) -> None:
+        reply = _complete(
+            self.cluster.entries["vm-2"], "no heating", stream=True
+        )
         self.assertTrue(reply.body.endswith(b"data: [DONE]\n\n"), reply)
 
-    def test_service_answers(self) -> None:
+    def test_service_responds(self) -> None:
         reply = processes.request(
-            self.run_.entries["vm-2"],
+            self.cluster.entries["vm-2"],
             "POST",
             "/services/plumbers/dispatch",
             _headers("plumbers"),
@@ -78,13 +80,13 @@
         expected = answers.make_service_answer("flat 12")
         self.assertEqual(reply.json(), {"answer": expected})
 
-    def test_operator_replays_a_trace_and_sees_the_status(self) -> None:
+    def test_ctl_replays_a_trace_and_shows_the_status(self) -> None:
         lines = [
             trace.TracedRequest(0.0, "r1", "vic", "repairs", 900, 5),
             trace.TracedRequest(50.0, "r2", "vic", "plumbers"),
             trace.TracedFault(60.0, "kill", "engine-1"),
         ]
-        ports = self.run_.entries.values()
+        ports = self.cluster.entries.values()
         entries = ",".join(f"127.0.0.1:{port}" for port in ports)
         with tempfile.TemporaryDirectory() as name:
             folder = pathlib.Path(name)
@@ -106,8 +108,8 @@
         self.assertIn("engine-1", text)
 
 
-class AgentPagesTest(unittest.TestCase):
-    def test_agent_shows_what_it_knows(self) -> None:
+class AgentStatusTest(unittest.TestCase):
+    def test_agent_serves_status_and_metrics(self) -> None:
         run = processes.Processes(_TREE)
         self.addCleanup(run.close)
         run.start_platform({"service-1": "estate-app"}, {"vm-1": "hall-vic"})
@@ -124,21 +126,21 @@
 
 class FailureTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.run_ = processes.Processes(_TREE)
-        self.addCleanup(self.run_.close)
+        self.cluster = processes.Processes(_TREE)
+        self.addCleanup(self.cluster.close)
         pools = {f"engine-{n}": "model-pool" for n in (1, 2)}
         vms = {"vm-1": "hall-bezigrad", "vm-2": "hall-vic"}
-        self.run_.start_platform({**pools, "service-1": "estate-app"}, vms)
+        self.cluster.start_platform({**pools, "service-1": "estate-app"}, vms)
         for name in vms:
-            self.run_.start_vm(name, stop_lag_ms="100")
-        self.run_.wait_ready()
+            self.cluster.start_vm(name, stop_lag_ms="100")
+        self.cluster.wait_ready()
 
-    def in_background(
+    def complete_in_background(
         self, prompt: str, tokens: int
     ) -> concurrent.futures.Future:
         pool = concurrent.futures.ThreadPoolExecutor(1)
         self.addCleanup(pool.shutdown)
-        port = self.run_.entries["vm-1"]
+        port = self.cluster.entries["vm-1"]
         return pool.submit(
             _complete, port, prompt, max_tokens=tokens, stream=True
         )
@@ -146,47 +148,47 @@
     def wait_for_stream(self) -> None:
         """Returns when vm-1 has a stream on a target."""
         for _ in range(1_000):
-            port = self.run_.entries["vm-1"]
+            port = self.cluster.entries["vm-1"]
             status = processes.request(port, "GET", "/status").json()
             if any(row["streams"] for row in status["targets"]):
                 return
         self.fail("no stream began")
 
     def test_planned_stop_finishes_the_stream(self) -> None:
-        streaming = self.in_background("a pipe has burst", 60)
+        streaming = self.complete_in_background("a pipe has burst", 60)
         self.wait_for_stream()
-        self.run_.signal("entry vm-1", signal.SIGTERM)
+        self.cluster.signal("entry vm-1", signal.SIGTERM)
         reply = streaming.result()
         self.assertTrue(reply.body.endswith(b"data: [DONE]\n\n"), reply)
-        self.assertEqual(self.run_.wait("entry vm-1"), 0)
+        self.assertEqual(self.cluster.wait("entry vm-1"), 0)
 
-    def test_paused_entry_goes_on_when_it_wakes(self) -> None:
-        streaming = self.in_background("no hot water", 40)
+    def test_paused_entry_continues_when_resumed(self) -> None:
+        streaming = self.complete_in_background("no hot water", 40)
         self.wait_for_stream()
-        self.run_.signal("entry vm-1", signal.SIGSTOP)
-        other = _complete(self.run_.entries["vm-2"], "meanwhile")
+        self.cluster.signal("entry vm-1", signal.SIGSTOP)
+        other = _complete(self.cluster.entries["vm-2"], "meanwhile")
         self.assertEqual(other.status, 200)
-        self.run_.signal("entry vm-1", signal.SIGCONT)
+        self.cluster.signal("entry vm-1", signal.SIGCONT)
         self.assertTrue(streaming.result().body.endswith(b"[DONE]\n\n"))
 
-    def test_entry_outlives_its_agent(self) -> None:
-        self.run_.signal("agent vm-1", signal.SIGKILL)
-        self.run_.wait("agent vm-1")
-        reply = _complete(self.run_.entries["vm-1"], "the lift is stuck")
+    def test_entry_serves_without_its_agent(self) -> None:
+        self.cluster.signal("agent vm-1", signal.SIGKILL)
+        self.cluster.wait("agent vm-1")
+        reply = _complete(self.cluster.entries["vm-1"], "the lift is stuck")
         self.assertEqual(reply.status, 200)
 
-    def test_killed_entry_leaves_the_other_serving(self) -> None:
-        streaming = self.in_background("smoke in the cellar", 400)
+    def test_other_entry_serves_after_one_is_killed(self) -> None:
+        streaming = self.complete_in_background("smoke in the cellar", 400)
         self.wait_for_stream()
-        self.run_.signal("entry vm-1", signal.SIGKILL)
+        self.cluster.signal("entry vm-1", signal.SIGKILL)
         self.assertFalse(streaming.result().body.endswith(b"[DONE]\n\n"))
-        reply = _complete(self.run_.entries["vm-2"], "still there")
+        reply = _complete(self.cluster.entries["vm-2"], "still there")
         self.assertEqual(reply.status, 200)
 
 
 class CommandLineTest(unittest.TestCase):
-    def test_wrong_settings_get_one_line_and_status_2(self) -> None:
-        good = {
+    def test_invalid_option_prints_one_line_and_exits_with_2(self) -> None:
+        valid = {
             "--vm-id": "a",
             "--hall": "h",
             "--listen": "127.0.0.1:1",
@@ -194,16 +196,16 @@
             "--agent": "127.0.0.1:3",
             "--peer-key": "0123456789abcdef",
         }
-        wrong = [
+        invalid = [
             ("--listen", "nowhere"),
             ("--peer-key", "short"),
             ("--policy", "fastest"),
             ("--stop-lag-ms", "-1"),
             ("--colour", "red"),
         ]
-        for name, value in wrong:
+        for name, value in invalid:
             with self.subTest(name):
-                settings = {**good, name: value}
+                settings = {**valid, name: value}
                 pairs = [f"{key}={each}" for key, each in settings.items()]
                 status, text = _run_program("ruddergate-entry", *pairs)
                 self.assertEqual(status, 2)
@@ -218,8 +220,8 @@
         self.assertEqual(status, 0)
         self.assertIn("urgent", text)
 
-    def test_wrong_settings_of_a_gateway_are_one_line(self) -> None:
-        good = {
+    def test_invalid_gateway_option_prints_one_line(self) -> None:
+        valid = {
             "--vm-id": "vm-1",
             "--hall": "hall-vic",
             "--listen": "127.0.0.1:1",
@@ -234,7 +236,7 @@
             ("--revoke-ms", "soon"),
         ):
             with self.subTest(f"{name} {value}"):
-                given = {**good, name: value}
+                given = {**valid, name: value}
                 pairs = [part for pair in given.items() for part in pair]
                 status, text = _run_program("ruddergate-gateway", *pairs)
                 self.assertEqual(status, 2, text)
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -64,18 +64,18 @@
         first = take_all(self.queue)[:24]
         self.assertEqual(sum(name[0] == "b" for name in first), 18)
 
-    def test_closed_lane_holds_up_nobody(self) -> None:
+    def test_closed_lane_does_not_block_others(self) -> None:
         long = queueing.Lane("pool", 4)
         self.offer(job("long", lane=long), job("short"))
         self.assertEqual(self.queue.take_next(0.0, {long}).job_id, "short")
 
-    def test_job_put_back_is_the_next(self) -> None:
+    def test_requeued_job_is_next(self) -> None:
         self.offer(job("a"), job("b"))
         taken = self.queue.take_next(0.0, set())
         self.queue.requeue(taken, 0.0)
         self.assertEqual(take_all(self.queue), ["a", "b"])
 
-    def test_withdrawn_job_is_gone(self) -> None:
+    def test_removed_job_is_not_taken(self) -> None:
         waiting = job("a")
         self.offer(waiting, job("b"))
         self.assertTrue(self.queue.remove(waiting))
@@ -84,7 +84,7 @@
 
 
 class RefusalTest(unittest.TestCase):
-    def test_what_cannot_finish_is_refused_at_once(self) -> None:
+    def test_job_that_cannot_finish_in_time_is_refused_at_once(self) -> None:
         queue = queueing.Queue(lambda: 0.1)
         for number in range(5):
             queue.offer(job(str(number)), 0.0)
@@ -93,23 +93,23 @@
         self.assertIs(refused.ran, outcomes.Ran.NOT_RUN)
         self.assertEqual(refused.retry_after_ms, 5_000.0)
 
-    def test_waiting_archives_do_not_count_for_short_prompts(self) -> None:
+    def test_waiting_long_prompts_do_not_count_for_short_ones(self) -> None:
         queue = queueing.Queue(lambda: 0.1)
-        archive = queueing.Lane("pool", 4)
-        queue.offer(job("a", lane=archive, cost_ms=9_000.0), 0.0)
+        long_lane = queueing.Lane("pool", 4)
+        queue.offer(job("a", lane=long_lane, cost_ms=9_000.0), 0.0)
         self.assertIsNone(queue.offer(job("s", deadline_ms=1_000.0), 0.0))
 
     def test_queue_is_bounded_in_cost(self) -> None:
         small = effective.PriorityClass("small", 1, 0.0, 250.0)
         queue = queueing.Queue(lambda: 1.0)
-        answers = [
+        refusals = [
             queue.offer(job(str(number), priority=small), 0.0)
             for number in range(4)
         ]
-        self.assertEqual(answers[:2], [None, None])
-        self.assertIs(answers[2].reason, outcomes.Reason.QUEUE_FULL)
+        self.assertEqual(refusals[:2], [None, None])
+        self.assertIs(refusals[2].reason, outcomes.Reason.QUEUE_FULL)
 
-    def test_jobs_that_can_no_longer_finish_are_given_up(self) -> None:
+    def test_jobs_that_can_no_longer_finish_are_removed(self) -> None:
         queue = queueing.Queue(lambda: 1.0)
         queue.offer(job("a", deadline_ms=150.0), 0.0)
         self.assertEqual(queue.remove_expired(40.0), [])
--- a/tests/test_rate_limit_schedules.py
+++ b/tests/test_rate_limit_schedules.py
@@ -21,28 +21,28 @@
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_gateways_keep_limits(self) -> None:
+    def test_gateways_observe_limits(self) -> None:
         for seed in _REGRESSIONS:
             with self.subTest(seed=seed):
                 played = rate_limit_schedules.play(seed)
                 self.assertEqual(played.broken, [])
                 self.assertGreater(played.counts["calls under a limit"], 10)
 
-    def test_fleets_keep_limits(self) -> None:
+    def test_fleets_observe_limits(self) -> None:
         for vms, count in _FLEETS:
             for seed in range(1, count + 1):
                 with self.subTest(vms=vms, seed=seed):
                     played = rate_limit_fleet.play(vms, seed)
                     self.assertEqual(played.broken, [])
 
-    def test_check_fails_where_each_vm_keeps_the_whole_limit(self) -> None:
+    def test_check_fails_if_each_vm_uses_the_whole_limit(self) -> None:
         broken = [
             rate_limit_fleet.play(9, seed, without="sharing").broken
             for seed in range(1, 5)
         ]
         self.assertTrue(any(broken))
 
-    def test_check_fails_where_all_vms_hold_parts(self) -> None:
+    def test_check_fails_if_all_vms_hold_shares(self) -> None:
         broken = [
             rate_limit_fleet.play(9, seed, without="bound").broken
             for seed in range(1, 5)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -20,11 +20,11 @@
 _FLEET = {"vms": 9, "halls": 3, "engines": 6, "services": 3}
 # Calls that each VM gets in a second.
 _PROMPTS_PER_S = 2.0
-_PLAIN_PER_S = 1.5
+_PLAIN_CALLS_PER_S = 1.5
 # A limit binds so long after it was first named.
-_BINDS_S = 3.0
+_ENFORCED_AFTER_S = 3.0
 # Calls after which an answer of each target must have been passed on.
-_TELL_MOST = 40
+_MAX_CALLS_UNTIL_KNOWN = 40
 
 
 async def _send_load(
@@ -33,7 +33,7 @@
     """Sends calls to all VMs at a steady rate."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + for_s
-    rates = (("short", _PROMPTS_PER_S), ("open", _PLAIN_PER_S))
+    rates = (("short", _PROMPTS_PER_S), ("open", _PLAIN_CALLS_PER_S))
 
     async def send(vm: str, route: str, pause_s: float) -> list:
         calls = []
@@ -55,7 +55,7 @@
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_all_vms_keep_a_limit_together(self) -> None:
+    def test_all_vms_enforce_a_limit_together(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             for name in ("engine-3", "service-0"):
                 scene.cluster.targets[name].replica.name_limit("1")
@@ -68,7 +68,7 @@
 
         gateway_scene.play(scene, **_FLEET)
 
-    def test_limits_are_used_where_nothing_else_is_left(self) -> None:
+    def test_limits_are_used_in_full_if_all_targets_are_limited(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             replicas = [
                 scene.cluster.targets[f"service-{number}"].replica
@@ -97,7 +97,7 @@
 
         gateway_scene.play(scene, **_FLEET)
 
-    def test_target_that_takes_nothing_gets_no_calls_until_it_does(
+    def test_target_with_limit_zero_gets_no_requests_until_it_ends(
         self,
     ) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
@@ -105,7 +105,7 @@
             replica = scene.cluster.targets["engine-3"].replica
             replica.name_limit("0")
             load = asyncio.ensure_future(_send_load(scene, 18.0))
-            await asyncio.sleep(_BINDS_S)
+            await asyncio.sleep(_ENFORCED_AFTER_S)
             before = len(replica.arrivals)
             await asyncio.sleep(5.0)
             self.assertEqual(len(replica.arrivals), before)
@@ -115,29 +115,29 @@
             self.assertEqual(
                 rate_limit_check.find_excess(scene.cluster, got), []
             )
-            came_s = [
+            arrivals_s = [
                 each.at_s - ended_s
                 for each in replica.arrivals
                 if each.at_s > ended_s
             ]
             # A probe finds it out within 4 s, and load comes back within 2.
-            self.assertLess(came_s[0], 4.6)
+            self.assertLess(arrivals_s[0], 4.6)
             vms = len(scene.cluster.vms)
-            first = [each for each in came_s if each < came_s[0] + 0.2]
+            first = [each for each in arrivals_s if each < arrivals_s[0] + 0.2]
             self.assertLessEqual(len(first), vms)
-            later = [each for each in came_s if each > came_s[0] + 2.0]
+            later = [each for each in arrivals_s if each > arrivals_s[0] + 2.0]
             self.assertGreater(len(later), 8)
 
         gateway_scene.play(scene, **_FLEET)
 
-    def test_engine_with_a_limit_helps_nobody(self) -> None:
+    def test_engine_with_a_limit_is_not_chosen_as_helper(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             for number in (0, 3):
                 replica = scene.cluster.targets[f"engine-{number}"].replica
                 replica.name_limit("1")
-            for _ in range(_TELL_MOST):
+            for _ in range(_MAX_CALLS_UNTIL_KNOWN):
                 await scene.call("short", "vm-0")
-            await asyncio.sleep(_BINDS_S)
+            await asyncio.sleep(_ENFORCED_AFTER_S)
             limited = [
                 scene.cluster.targets[f"engine-{number}"].replica
                 for number in (0, 3)
@@ -157,14 +157,14 @@
 
         gateway_scene.play(scene, **_FLEET)
 
-    def test_long_prompts_run_where_all_engines_name_limits(self) -> None:
+    def test_long_prompts_run_if_all_engines_are_limited(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             for name, node in scene.cluster.targets.items():
                 if name.startswith("engine"):
                     node.replica.name_limit("4")
-            for _ in range(_TELL_MOST):
+            for _ in range(_MAX_CALLS_UNTIL_KNOWN):
                 await scene.call("short", "vm-0")
-            await asyncio.sleep(_BINDS_S)
+            await asyncio.sleep(_ENFORCED_AFTER_S)
             got = await scene.call(
                 "long", prompt_tokens=210_000, output_tokens=46
             )
@@ -172,7 +172,7 @@
 
         gateway_scene.play(scene, **_FLEET)
 
-    def test_vm_that_starts_again_is_told(self) -> None:
+    def test_restarted_vm_learns_the_limit(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             replica = scene.cluster.targets["service-0"].replica
             replica.name_limit("1")
@@ -192,23 +192,23 @@
 
         gateway_scene.play(scene, **_FLEET)
 
-    def test_connection_that_fails_gives_no_token_back(self) -> None:
+    def test_failed_connection_returns_no_token(self) -> None:
         """A token is taken once a connection is up, and not before."""
 
         async def scene(scene: gateway_scene.Scene) -> None:
-            given_back: list[str] = []
+            returned: list[str] = []
             gateway = scene.cluster.vms["vm-0"].gateway
             limits = gateway._rate_limiter.limits
-            limits.return_token = given_back.append
+            limits.return_token = returned.append
             for name, node in scene.cluster.targets.items():
                 if name.startswith("service"):
                     scene.cluster.kill(node)
             await scene.call("open")
-            self.assertEqual(given_back, [])
+            self.assertEqual(returned, [])
 
         gateway_scene.play(scene, vms=1)
 
-    def test_malformed_limits_do_no_harm(self) -> None:
+    def test_malformed_limits_are_ignored(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             for text in ("-1", "nan", "many"):
                 for name in ("engine-3", "service-0"):
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -15,19 +15,19 @@
 from standins import virtual_process
 from tests import gateway_scene
 
-_GAP_S = 0.05
+_CALL_INTERVAL_S = 0.05
 # The balancer asks each VM so often, and takes it out after two misses.
 _CHECK_S = 1.0
 _MISSES = 2
 # A VM that returns reads the list in pages, and once more for what came since.
-_STORE_CALLS_MOST = 8
+_MAX_STORE_CALLS = 8
 # VMs that were parted find each other by their seeds within this time.
-_FOUND_S = 11.0
+_REJOIN_S = 11.0
 # And send no more than so many times what they send otherwise.
-_MORE_MOST = 3.0
+_MAX_TRAFFIC_RATIO = 3.0
 # A VM that joins knows its peers and their load so long after it is ready. The
 # balancer sends nobody for a second on average.
-_HEARD_S = 0.2
+_PEERS_KNOWN_S = 0.2
 
 
 class _Rotation:
@@ -69,7 +69,7 @@
                 vm = rotation.ready[number % len(rotation.ready)]
                 route = ("short", "safe", "unsafe")[number % 3]
                 calls.append(asyncio.ensure_future(scene.call(route, vm)))
-                await asyncio.sleep(_GAP_S)
+                await asyncio.sleep(_CALL_INTERVAL_S)
             got = await asyncio.gather(*calls)
             checking.cancel()
             lost = [
@@ -98,7 +98,7 @@
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_vm_knows_settings_when_ready_and_load_soon_after(self) -> None:
+    def test_vm_has_settings_when_ready_and_load_soon_after(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
             busy = [
@@ -117,7 +117,7 @@
             self.assertEqual(context.view.catalog.revision, cluster.revision)
             # It is ready before it knows its peers: after the loss of all VMs
             # callers would wait for the next check otherwise.
-            await asyncio.sleep(_HEARD_S)
+            await asyncio.sleep(_PEERS_KNOWN_S)
             peers = node.gateway._peers.loads.list_peers()
             self.assertEqual(len(peers), 5)
             await scene.call("short", "vm-5")
@@ -130,12 +130,12 @@
         gateway_scene.play(scene, vms=6, engines=9)
 
 
-class ReturnTest(unittest.TestCase):
+class FleetRestartTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_all_that_return_at_once_ask_the_store_a_few_times_each(
+    def test_restarted_fleet_calls_the_store_a_few_times_per_vm(
         self,
     ) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
@@ -146,37 +146,41 @@
             for node in cluster.vms.values():
                 cluster.start_vm(node)
             await asyncio.sleep(2.0)
-            asked = cluster.store.calls - before
-            self.assertLessEqual(asked, _STORE_CALLS_MOST * len(cluster.vms))
+            calls_made = cluster.store.calls - before
+            self.assertLessEqual(
+                calls_made, _MAX_STORE_CALLS * len(cluster.vms)
+            )
             for vm in cluster.vms:
                 self.assertEqual((await scene.call("short", vm)).status, 200)
 
         gateway_scene.play(scene, vms=18, engines=12)
 
 
-class PartedFleetTest(unittest.TestCase):
+class PartitionTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_halls_that_join_again_send_a_bounded_number_of_messages(
+    def test_rejoining_halls_send_a_bounded_number_of_messages(
         self,
     ) -> None:
         async def run() -> None:
             fleet = peer_fleet.PeerFleet(30, ("vm-0", "vm-1", "vm-2"))
             await asyncio.sleep(4.0)
-            calm = await _count_sent(fleet, _FOUND_S)
+            baseline = await _count_sent(fleet, _REJOIN_S)
             cut = virtual_network.Cut("hall-0", "")
             fleet.network.cuts.append(cut)
             await asyncio.sleep(30.0)
             fleet.network.cuts.remove(cut)
-            joined = await _count_sent(fleet, _FOUND_S)
+            rejoined = await _count_sent(fleet, _REJOIN_S)
             fleet.set_work("vm-0", 3)
             fleet.set_work("vm-1", 2)
             await asyncio.sleep(1.0)
             self.assertEqual(fleet.find_wrong(), [])
-            most = max(joined[name] for name in fleet.members)
-            self.assertLessEqual(most, _MORE_MOST * max(calm.values()))
+            most = max(rejoined[name] for name in fleet.members)
+            self.assertLessEqual(
+                most, _MAX_TRAFFIC_RATIO * max(baseline.values())
+            )
 
         virtual_process.run(run)
 
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -67,7 +67,7 @@
         found = self.read(late + early)
         self.assertEqual([line.at_ms for line in found], [1.0, 9.0])
 
-    def test_wrong_lines_are_named(self) -> None:
+    def test_invalid_lines_are_reported_with_their_number(self) -> None:
         for text in ("{", "[]", '{"at_ms":1,"fault":"melt"}', '{"at_ms":1}'):
             found = self.read("\n" + text)
             self.assertIsInstance(found, trace.WrongLine)
@@ -77,12 +77,12 @@
 class ExpectationTest(unittest.TestCase):
     def test_bounds_hold_or_fail(self) -> None:
         summary = {"a": {"b": 3}, "c": None}
-        stated = {
+        bounds = {
             "a.b": {"least": 1, "most": 3},
             "a.x": {"most": 1},
             "c": {"most": 1},
         }
-        found = expectation.check(stated, summary)
+        found = expectation.check(bounds, summary)
         self.assertEqual([x.holds for x in found], [True, False, False])
 
 
--- a/tests/test_story.py
+++ b/tests/test_request_timeline.py
@@ -23,7 +23,7 @@
     return json.dumps(document)
 
 
-class StoryTest(unittest.TestCase):
+class RequestTimelineTest(unittest.TestCase):
     def test_lines_of_several_vms_in_order(self) -> None:
         one = [
             _line("2026-01-01T00:00:03", "r1", "Request ended.", took_ms=9),
@@ -41,7 +41,7 @@
         )
         self.assertIn("target=t", str(lines[0]))
 
-    def test_command_prints_the_way(self) -> None:
+    def test_command_prints_the_timeline(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "vm-1.log"
             path.write_text(_line("1", "r1", "Request ended.") + "\n")
@@ -62,10 +62,10 @@
             self.assertIn("no log names request r2", missing.stderr)
 
 
-class LossesTest(unittest.TestCase):
-    def test_fates_are_summed_by_route_moment_and_decision(self) -> None:
+class OutcomeSummaryTest(unittest.TestCase):
+    def test_outcomes_are_summed_by_route_time_and_helpers(self) -> None:
         at = "2026-01-01T00:00:0"
-        aims = {"aim_ms": 300.0, "gap_aim_ms": 200.0, "route": "ask"}
+        slos = {"aim_ms": 300.0, "gap_aim_ms": 200.0, "route": "ask"}
         ended = "Request ended: "
         finished = ended + "finished (ran). "
         lines = [
@@ -76,7 +76,7 @@
                 finished,
                 first_ms=100,
                 longest_pause_ms=90,
-                **aims,
+                **slos,
             ),
             _line(
                 at + "2.100",
@@ -84,7 +84,7 @@
                 finished,
                 first_ms=400,
                 longest_pause_ms=90,
-                **aims,
+                **slos,
             ),
             _line(
                 at + "6.000",
@@ -92,15 +92,15 @@
                 finished,
                 first_ms=100,
                 longest_pause_ms=250,
-                **aims,
+                **slos,
             ),
-            _line(at + "6.200", "r4", ended + "target_lost (unknown).", **aims),
+            _line(at + "6.200", "r4", ended + "target_lost (unknown).", **slos),
             _line(at + "6.300", "r5", "Request refused: no_target. None."),
             "no log line: Request ended",
         ]
-        fates = losses.read([lines])
+        outcomes = losses.read([lines])
         self.assertEqual(
-            [each.outcome for each in fates],
+            [each.outcome for each in outcomes],
             [
                 losses.IN_TIME,
                 losses.LATE_FIRST,
@@ -109,8 +109,8 @@
                 "refused: no_target",
             ],
         )
-        self.assertEqual((fates[0].sends, fates[0].helpers), (1, 1))
-        text = "\n".join(losses.render(fates))
+        self.assertEqual((outcomes[0].sends, outcomes[0].helpers), (1, 1))
+        text = "\n".join(losses.render(outcomes))
         self.assertIn("ask                          4       1", text)
         self.assertIn("     4                       3       0", text)
         self.assertEqual(losses.render([]), ["no request ended in these logs"])
--- a/tests/test_restore_schedules.py
+++ b/tests/test_restore_schedules.py
@@ -12,7 +12,7 @@
 
 
 class RestoreSchedulesTest(unittest.TestCase):
-    def test_promises_hold(self) -> None:
+    def test_guarantees_hold(self) -> None:
         for seed in (*_REGRESSIONS, *range(_FIRST, _FIRST + _COUNT)):
             with self.subTest(seed=seed):
                 played = restore_schedules.play(seed)
--- a/tests/test_restored_targets.py
+++ b/tests/test_restored_targets.py
@@ -15,7 +15,7 @@
 from tests import gateway_scene
 
 # What the store loses when it is restored.
-_LOST_S = 6.0
+_LOST_WRITES_S = 6.0
 # A target that leaves gets no calls later than this, and settings are in force.
 _APPLY_S = 2.0
 # VMs that reach the store for so long are bound by what it tells.
@@ -36,7 +36,7 @@
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def _play_removed(self, vms: int = 9, epoch: str = "1") -> None:
+    def _check_removed(self, vms: int = 9, epoch: str = "1") -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
             copy = cluster.store.take_copy()
@@ -53,16 +53,20 @@
 
         gateway_scene.play(scene, vms=vms, halls=1, epoch=epoch)
 
-    def test_removed_target_is_not_used_on_the_word_of_a_copy(self) -> None:
-        self._play_removed()
+    def test_removed_target_is_not_used_after_a_restore(self) -> None:
+        self._check_removed()
 
-    def test_nor_by_vms_that_read_for_themselves(self) -> None:
-        self._play_removed(vms=2)
+    def test_removed_target_is_not_used_by_vms_without_a_shared_reader(
+        self,
+    ) -> None:
+        self._check_removed(vms=2)
 
-    def test_nor_of_a_store_without_epochs(self) -> None:
-        self._play_removed(epoch="")
+    def test_removed_target_is_not_used_if_the_store_has_no_epochs(
+        self,
+    ) -> None:
+        self._check_removed(epoch="")
 
-    def test_it_is_used_once_it_has_written_again(self) -> None:
+    def test_removed_target_is_used_after_its_next_write(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
             copy = cluster.store.take_copy()
@@ -78,7 +82,7 @@
 
         gateway_scene.play(scene, vms=9, halls=1)
 
-    def test_younger_life_is_used_at_once(self) -> None:
+    def test_newer_incarnation_is_used_at_once(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
             copy = cluster.store.take_copy()
@@ -97,12 +101,12 @@
         gateway_scene.play(scene, vms=9, halls=1, keeps_names=True)
 
 
-class RemovalsTest(unittest.TestCase):
+class TombstonesTest(unittest.TestCase):
     """Entries that a copy may hold of a target that was removed."""
 
     def setUp(self) -> None:
-        self.removals = tombstones.Tombstones()
-        self.removals.note_removed(self._make(5, 7))
+        self.tombstones = tombstones.Tombstones()
+        self.tombstones.note_removed(self._make(5, 7))
 
     def _make(self, born_ms: int, sequence: int) -> targets.Target:
         return targets.Target(
@@ -116,42 +120,42 @@
             sequence,
         )
 
-    def test_within_an_epoch_an_entry_is_a_new_one(self) -> None:
-        self.assertTrue(self.removals.accept_entry(self._make(5, 7), True))
+    def test_entry_of_the_same_epoch_is_new(self) -> None:
+        self.assertTrue(self.tombstones.accept_entry(self._make(5, 7), True))
 
-    def test_entry_of_the_copy_is_stale_whatever_its_number(self) -> None:
-        self.removals.note_store_restored()
-        self.assertFalse(self.removals.accept_entry(self._make(5, 9), True))
-        self.assertFalse(self.removals.accept_entry(self._make(5, 9), True))
-        self.assertTrue(self.removals.accept_entry(self._make(5, 10), True))
-        self.assertTrue(self.removals.accept_entry(self._make(5, 10), True))
+    def test_entry_of_the_copy_is_stale_whatever_its_sequence(self) -> None:
+        self.tombstones.note_store_restored()
+        self.assertFalse(self.tombstones.accept_entry(self._make(5, 9), True))
+        self.assertFalse(self.tombstones.accept_entry(self._make(5, 9), True))
+        self.assertTrue(self.tombstones.accept_entry(self._make(5, 10), True))
+        self.assertTrue(self.tombstones.accept_entry(self._make(5, 10), True))
 
-    def test_change_after_the_restore_is_none_of_the_copy(self) -> None:
-        self.removals.note_store_restored()
-        self.assertFalse(self.removals.accept_entry(self._make(5, 9), True))
-        self.assertTrue(self.removals.accept_entry(self._make(5, 9), False))
+    def test_change_after_the_restore_is_accepted(self) -> None:
+        self.tombstones.note_store_restored()
+        self.assertFalse(self.tombstones.accept_entry(self._make(5, 9), True))
+        self.assertTrue(self.tombstones.accept_entry(self._make(5, 9), False))
 
-    def test_younger_life_is_used(self) -> None:
-        self.removals.note_store_restored()
-        self.assertTrue(self.removals.accept_entry(self._make(6, 1), True))
+    def test_newer_incarnation_is_accepted(self) -> None:
+        self.tombstones.note_store_restored()
+        self.assertTrue(self.tombstones.accept_entry(self._make(6, 1), True))
 
-    def test_second_restore_compares_anew(self) -> None:
-        self.removals.note_store_restored()
-        self.assertFalse(self.removals.accept_entry(self._make(5, 6), True))
-        self.removals.note_store_restored()
-        self.assertFalse(self.removals.accept_entry(self._make(5, 7), True))
+    def test_second_restore_resets_the_comparison(self) -> None:
+        self.tombstones.note_store_restored()
+        self.assertFalse(self.tombstones.accept_entry(self._make(5, 6), True))
+        self.tombstones.note_store_restored()
+        self.assertFalse(self.tombstones.accept_entry(self._make(5, 7), True))
 
-    def test_oldest_are_forgotten(self) -> None:
+    def test_oldest_tombstones_are_dropped(self) -> None:
         for number in range(tombstones.MAX_TOMBSTONES):
             target = dataclasses.replace(
                 self._make(5, 7), target_id=f"t{number}"
             )
-            self.removals.note_removed(target)
-        self.removals.note_store_restored()
-        self.assertTrue(self.removals.accept_entry(self._make(5, 7), True))
+            self.tombstones.note_removed(target)
+        self.tombstones.note_store_restored()
+        self.assertTrue(self.tombstones.accept_entry(self._make(5, 7), True))
 
 
-class YoungerThanCopyTest(unittest.TestCase):
+class StartedAfterCopyTest(unittest.TestCase):
     """Targets that started after the copy was taken.
 
     The copy does not list them, and they are back with their next heartbeat.
@@ -170,8 +174,8 @@
             cluster.kill(node)
             cluster.unlist_target(node)
             cluster.start_target(node)
-            await asyncio.sleep(_LOST_S)
-            await _wait_for_worst(scene, node)
+            await asyncio.sleep(_LOST_WRITES_S)
+            await _wait_for_worst_case(scene, node)
             cluster.store.restore(copy)
             for _ in range(50):
                 await asyncio.sleep(0.1)
@@ -182,7 +186,7 @@
         gateway_scene.play(scene, vms=9, halls=1)
 
 
-async def _wait_for_worst(
+async def _wait_for_worst_case(
     scene: gateway_scene.Scene, node: gateway_cluster.Node
 ) -> None:
     """Waits until a target has just written and the reader is about to read.
@@ -202,7 +206,7 @@
             return
 
 
-class RemovedMeanwhileTest(unittest.TestCase):
+class RemovedAfterReturnTest(unittest.TestCase):
     """Targets removed after the store is back and before a VM has read it.
 
     They can't be told from those that the copy does not hold yet. VMs whose
@@ -214,7 +218,9 @@
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_they_get_no_calls_once_vms_are_in_touch(self) -> None:
+    def test_removed_target_gets_no_requests_after_contact_with_the_store(
+        self,
+    ) -> None:
         for away_s in (4.0, 4.4, 4.8, 5.2):
             with self.subTest(away_s=away_s):
                 self._play(away_s)
@@ -240,10 +246,10 @@
         gateway_scene.play(scene, vms=9, halls=3)
 
 
-class AbsenceTest(unittest.TestCase):
+class OutageGraceTest(unittest.TestCase):
     """Until when a target is kept that the store does not list."""
 
-    def test_time_goes_by_the_read_and_the_last_sign_before(self) -> None:
+    def test_grace_depends_on_the_read_and_the_end_of_the_outage(self) -> None:
         for read_ms, away_ms, is_restored, until_ms in (
             (1_000.0, 900.0, False, 2_500.0),
             (1_000.0, 900.0, True, 2_700.0),
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -18,18 +18,18 @@
 class BudgetTest(unittest.TestCase):
     def test_all_vms_together_stay_below_half_of_the_slack(self) -> None:
         for vms in (2, 6, 9, 80, 195, 940):
-            most = retries.compute_capacity(_SLACK, vms)
-            self.assertLess(most * vms, _SLACK / 2.0)
+            capacity = retries.compute_capacity(_SLACK, vms)
+            self.assertLess(capacity * vms, _SLACK / 2.0)
         # Each may have started again, and the rest be out of sight.
-        alone = retries.compute_capacity(_SLACK, 1)
-        self.assertLess(alone * 60, _SLACK / 2.0)
+        sole_capacity = retries.compute_capacity(_SLACK, 1)
+        self.assertLess(sole_capacity * 60, _SLACK / 2.0)
 
-    def test_parts_of_a_fleet_that_is_cut_stay_below_it(self) -> None:
-        parts = 3
-        most = retries.compute_capacity(_SLACK, 3)
-        self.assertLess(parts * 3 * most, _SLACK)
+    def test_partitions_of_a_fleet_stay_below_the_slack(self) -> None:
+        partitions = 3
+        capacity = retries.compute_capacity(_SLACK, 3)
+        self.assertLess(partitions * 3 * capacity, _SLACK)
 
-    def test_saved_sends_follow_the_size(self) -> None:
+    def test_tokens_follow_the_capacity(self) -> None:
         budget = retries.Budget(0.15, 0.0, 0.0)
         self.assertFalse(budget.try_spend())
         budget.resize(3.0)
@@ -61,7 +61,7 @@
         gateway_scene.play(scene, vms=9)
 
 
-class LoanTest(unittest.TestCase):
+class TransferTest(unittest.TestCase):
     """Second sends that VMs hand to each other."""
 
     @hypothesis.given(
@@ -77,56 +77,58 @@
         )
     )
     @hypothesis.settings(max_examples=200, deadline=None)
-    def test_loans_add_nothing(self, deeds: list[tuple[int, int, str]]) -> None:
+    def test_transfers_add_no_retries(
+        self, actions: list[tuple[int, int, str]]
+    ) -> None:
         share = 0.15
         budgets = [retries.Budget(share, 1.06, 1.06) for _ in range(5)]
         allowed = 5 * 1.06
         spent = 0
-        for borrower, lender, deed in deeds:
-            if deed == "spend":
-                spent += budgets[borrower].try_spend()
-            elif deed == "first":
-                budgets[borrower].note_first_attempt()
+        for requester, responder, action in actions:
+            if action == "spend":
+                spent += budgets[requester].try_spend()
+            elif action == "first":
+                budgets[requester].note_first_attempt()
                 allowed += share
             else:
-                is_great = deed != "borrow"
-                lent = budgets[lender].transfer_out(0.7, is_great)
-                if deed != "lost":
-                    budgets[borrower].receive_transfer(lent)
+                is_great = action != "borrow"
+                transferred = budgets[responder].transfer_out(0.7, is_great)
+                if action != "lost":
+                    budgets[requester].receive_transfer(transferred)
             left = sum(each.tokens for each in budgets)
             self.assertLessEqual(spent + left, allowed + 1e-9)
             self.assertGreaterEqual(min(e.tokens for e in budgets), 0.0)
 
-    def test_short_prompts_leave_some_to_long_ones(self) -> None:
+    def test_transfers_for_short_prompts_leave_a_reserve(self) -> None:
         budget = retries.Budget(0.15, 1.0, 1.0)
         self.assertEqual(budget.transfer_out(1.0, False), 0.5)
         self.assertEqual(budget.transfer_out(1.0, False), 0.0)
         self.assertEqual(budget.transfer_out(1.0, True), 0.5)
 
-    def test_loan_that_lies_is_dropped(self) -> None:
+    def test_excessive_transfer_is_rejected(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             exchange = scene.cluster.vms["vm-0"].gateway._peers
             (peer,) = exchange.find_hall_peers()
-            lender = scene.cluster.vms[peer.partition(":")[0]].gateway
-            lender._peers.rpc._handle_request = lambda wanted: (
+            responder = scene.cluster.vms[peer.partition(":")[0]].gateway
+            responder._peers.rpc._handle_request = lambda wanted: (
                 retry_loan.RetriesLent(wanted.question, 1_000.0)
             )
-            lent = await exchange.rpc.request_retries(peer, 1.0, True)
-            self.assertEqual(lent, 0.0)
+            transferred = await exchange.rpc.request_retries(peer, 1.0, True)
+            self.assertEqual(transferred, 0.0)
 
         loguru.logger.remove()
         gateway_scene.play(scene, vms=2, halls=1)
 
-    def test_prompt_refused_in_a_burst_is_sent_again(self) -> None:
+    def test_prompt_refused_in_a_burst_is_retried(self) -> None:
         """One VM of a hall gets what fails; the others have sends to spare."""
 
         async def scene(scene: gateway_scene.Scene) -> None:
-            def end_trouble(record: dict) -> bool:
+            def stop_refusals(record: dict) -> bool:
                 if record["message"].startswith("Attempt failed"):
                     scene.spoil("engine", refuse=0.0)
                 return False
 
-            loguru.logger.add(lambda _: None, filter=end_trouble)
+            loguru.logger.add(lambda _: None, filter=stop_refusals)
             budget = scene.cluster.vms["vm-0"].gateway.context.budget
             for _ in range(4):
                 # Whichever engine is asked first refuses.
@@ -140,7 +142,7 @@
         gateway_scene.play(scene, vms=6, halls=1, engines=8)
         loguru.logger.remove()
 
-    def test_vm_that_is_cut_off_does_not_wait_for_lenders(self) -> None:
+    def test_vm_that_is_cut_off_does_not_wait_for_transfers(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             gateway = scene.cluster.vms["vm-0"].gateway
             gateway.context.budget.tokens = 0.0
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -27,11 +27,11 @@
 from standins import virtual_network
 from standins import virtual_process
 
-_WHERE = environment.Address("engine-1", 1)
+_ADDRESS = environment.Address("engine-1", 1)
 _TARGET = targets.Target(
-    "engine-1", "engines", "h", _WHERE, condition.Condition.LIVE
+    "engine-1", "engines", "h", _ADDRESS, condition.Condition.LIVE
 )
-_CLASS = effective.PriorityClass("standard", 0, 0.0, 1e6)
+_PRIORITY = effective.PriorityClass("standard", 0, 0.0, 1e6)
 
 
 def _make_view() -> views.View:
@@ -47,11 +47,11 @@
     return view
 
 
-def _ask(view: views.View) -> scheduler_messages.PlacementRequest:
+def _make_request(view: views.View) -> scheduler_messages.PlacementRequest:
     return scheduler_messages.PlacementRequest(
         job=queueing.Job(
             "r",
-            _CLASS,
+            _PRIORITY,
             "w",
             1.0,
             queueing.Lane("engines", 0),
@@ -74,9 +74,9 @@
     return scheduler_messages.LoadReported(report)
 
 
-class PeersTest(unittest.TestCase):
-    def test_peers_are_asked_for_before_places_are_given(self) -> None:
-        told = [dispatched.Dispatched("engine-1", (), 0, 7, (7, 0, 0))]
+class PeerLoadsTest(unittest.TestCase):
+    def test_peer_loads_are_collected_before_placing(self) -> None:
+        peer_loads = [dispatched.Dispatched("engine-1", (), 0, 7, (7, 0, 0))]
 
         async def run() -> str:
             network = virtual_network.VirtualNetwork(
@@ -86,20 +86,20 @@
             view = _make_view()
             scheduler = schedulers.Scheduler(
                 network.make_environment(process, 1),
-                configs.EntryConfig("vm", "h", _WHERE),
+                configs.EntryConfig("vm", "h", _ADDRESS),
                 view,
-                collect_peer_loads=lambda: told,
+                collect_peer_loads=lambda: peer_loads,
             )
             process.start(scheduler.run)
             scheduler.post(schedulers.ViewChanged())
-            placed = await scheduler.place(_ask(view))
+            placed = await scheduler.place(_make_request(view))
             return placed.placements[0].estimated_load
 
         self.assertIn("streams=7.0", virtual_process.run(run))
 
 
-class SchedulerTest(unittest.TestCase):
-    def play(self, gives_up: bool) -> tuple:
+class PlacementTest(unittest.TestCase):
+    def place_one(self, is_cancelled: bool) -> tuple:
         async def run() -> tuple:
             network = virtual_network.VirtualNetwork(
                 1, virtual_network.Latency()
@@ -107,18 +107,18 @@
             process = virtual_process.VirtualProcess("vm-1", "h")
             env = network.make_environment(process, 1)
             config = configs.EntryConfig(
-                "vm-1", "h", _WHERE, _WHERE, _WHERE, b""
+                "vm-1", "h", _ADDRESS, _ADDRESS, _ADDRESS, b""
             )
             view = _make_view()
             scheduler = schedulers.Scheduler(env, config, view)
             running = asyncio.ensure_future(scheduler.run())
             scheduler.post(schedulers.ViewChanged())
             scheduler.post(_report("a", draining=True))
-            asked = _ask(view)
-            scheduler.post(asked)
+            request = _make_request(view)
+            scheduler.post(request)
             await asyncio.sleep(0.2)
-            if gives_up:
-                asked.reply.cancel()
+            if is_cancelled:
+                request.reply.cancel()
             scheduler.post(_report("b", draining=False))
             await asyncio.sleep(0.2)
             running.cancel()
@@ -126,25 +126,25 @@
 
         return virtual_process.run(run)
 
-    def test_place_is_given_when_the_target_is_back(self) -> None:
-        self.assertEqual(self.play(gives_up=False)[0].streams, 1)
+    def test_request_is_placed_when_its_target_is_back(self) -> None:
+        self.assertEqual(self.place_one(is_cancelled=False)[0].streams, 1)
 
-    def test_place_for_nobody_is_given_back(self) -> None:
-        self.assertEqual(self.play(gives_up=True), ())
+    def test_placement_of_a_cancelled_request_is_released(self) -> None:
+        self.assertEqual(self.place_one(is_cancelled=True), ())
 
 
-class ChoiceTest(unittest.TestCase):
+class PolicyJobTest(unittest.TestCase):
     """Both choices of a policy go by the same job."""
 
     def test_helpers_are_chosen_by_the_time_waited(self) -> None:
-        seen: list[float] = []
+        waited_ms_seen: list[float] = []
 
-        def choose(job, candidates, now_ms, chance):  # noqa: ANN001, ANN202
-            seen.append(job.waited_ms)
+        def choose(job, candidates, now_ms, rng):  # noqa: ANN001, ANN202
+            waited_ms_seen.append(job.waited_ms)
             return candidates[0]
 
-        def choose_helpers(job, chosen, candidates, now_ms, chance):  # noqa: ANN001, ANN202
-            seen.append(job.waited_ms)
+        def choose_helpers(job, chosen, candidates, now_ms, rng):  # noqa: ANN001, ANN202
+            waited_ms_seen.append(job.waited_ms)
             return ()
 
         async def run() -> None:
@@ -155,31 +155,31 @@
             env = network.make_environment(process, 1)
             view = _make_view()
             scheduler = schedulers.Scheduler(
-                env, configs.EntryConfig("vm-1", "h", _WHERE), view
+                env, configs.EntryConfig("vm-1", "h", _ADDRESS), view
             )
             scheduler._placer._policy = policies.Policy(
                 choose, choose_helpers=choose_helpers
             )
             running = asyncio.ensure_future(scheduler.run())
             scheduler.post(schedulers.ViewChanged())
-            asked = _ask(view)
+            request = _make_request(view)
             route = dataclasses.replace(
-                asked.routing_job, waited_ms=env.now_ms()
+                request.routing_job, waited_ms=env.now_ms()
             )
-            asked = dataclasses.replace(asked, routing_job=route)
-            await scheduler.place(asked)
+            request = dataclasses.replace(request, routing_job=route)
+            await scheduler.place(request)
             running.cancel()
 
         virtual_process.run(run)
-        self.assertEqual(len(seen), 2)
-        self.assertEqual(seen[0], seen[1])
-        self.assertLess(seen[1], 100.0)
+        self.assertEqual(len(waited_ms_seen), 2)
+        self.assertEqual(waited_ms_seen[0], waited_ms_seen[1])
+        self.assertLess(waited_ms_seen[1], 100.0)
 
 
-class HelpingWorkTest(unittest.TestCase):
+class HelperEstimateTest(unittest.TestCase):
     """A target that only reads part of a prompt writes no answer."""
 
-    def test_reading_counts_as_reading_only(self) -> None:
+    def test_prefill_of_a_helper_counts_as_prefill_only(self) -> None:
         pool = _make_view().index.find_pool("engines")
         estimate = estimates.Estimate(_TARGET, pool)
         work = own_work.OwnWork(
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -32,12 +32,12 @@
 
 
 class CheckTest(unittest.TestCase):
-    def test_examples_are_right(self) -> None:
+    def test_examples_are_valid(self) -> None:
         for path in sorted(_EXAMPLES.glob("*.json")):
             checked = check.parse_tree(1, {"main": path.read_bytes()})
             self.assertIsInstance(checked, tree.Tree, path.name)
 
-    def test_wrong_trees_get_the_path_and_what_was_expected(self) -> None:
+    def test_invalid_trees_are_reported_with_path_and_expectation(self) -> None:
         cases = {
             "unknown key": ("w", "settings", {"colour": 1}, "w: colour"),
             "wrong unit": (
@@ -121,8 +121,8 @@
         branches["w"]["settings"] = {"weight": 3, "time_limit_ms": 500}
         branches["w/a"]["settings"] = {"time_limit_ms": 700}
         data = json.dumps({"branches": branches}).encode()
-        whole = check.parse_tree(4, {"main": data})
-        rows = effective.explain(whole, "w/a", kind.Kind.WORKLOAD)
+        settings_tree = check.parse_tree(4, {"main": data})
+        rows = effective.explain(settings_tree, "w/a", kind.Kind.WORKLOAD)
         found = {row.name: (row.value, row.branch) for row in rows}
         self.assertEqual(found["time_limit_ms"], (700, "w/a"))
         self.assertEqual(found["weight"], (3, "w"))
@@ -131,8 +131,8 @@
 
     def test_workspace_cannot_reach_anothers_workload(self) -> None:
         path = _EXAMPLES / "voltaruta.json"
-        whole = check.parse_tree(1, {"main": path.read_bytes()})
-        found = index.Index(whole)
+        settings_tree = check.parse_tree(1, {"main": path.read_bytes()})
+        found = index.Index(settings_tree)
         self.assertEqual(found.find_workspace("demo-heredia"), "heredia")
         self.assertIsNone(found.find_workspace("demo-heredi"))
         self.assertIsNotNone(found.find_workload("heredia", "taps"))
@@ -143,6 +143,6 @@
         branches["w"]["settings"] = {"concurrency_max": 10}
         branches["w/a"]["settings"] = {"concurrency_max": 2}
         data = json.dumps({"branches": branches}).encode()
-        whole = check.parse_tree(1, {"main": data})
-        limits = effective.resolve_workload(whole, "w/a").limits
+        settings_tree = check.parse_tree(1, {"main": data})
+        limits = effective.resolve_workload(settings_tree, "w/a").limits
         self.assertEqual([limit.scope for limit in limits], ["w/a", "w"])
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -8,57 +8,59 @@
 from ruddergate.settings import effective
 
 
-class BaseTest(unittest.TestCase):
-    def test_fresh_vm_has_nothing_until_all_have_answered(self) -> None:
+class BaseFractionTest(unittest.TestCase):
+    def test_new_vm_has_no_share_until_all_have_replied(self) -> None:
         listed = {"a", "b", "c"}
         fraction = shares.base_fraction(listed, {"c"}, {"a"}, "c")
         self.assertEqual(fraction, 0.0)
         fraction = shares.base_fraction(listed, {"c"}, {"a", "b"}, "c")
         self.assertEqual(fraction, 1.0 / 3.0)
 
-    def test_unlisted_vm_has_nothing(self) -> None:
+    def test_unlisted_vm_has_no_share(self) -> None:
         self.assertEqual(shares.base_fraction({"a"}, {"b"}, {"a"}, "b"), 0.0)
 
-    def test_known_but_unlisted_vms_keep_their_part(self) -> None:
+    def test_known_but_unlisted_vms_keep_their_share(self) -> None:
         fraction = shares.base_fraction({"a", "b"}, {"z"}, {"b"}, "a")
         self.assertEqual(fraction, 1.0 / 3.0)
 
-    def test_hall_keeps_its_part_when_the_list_forgets_another(self) -> None:
+    def test_hall_keeps_its_share_when_another_is_unlisted(self) -> None:
         self.assertEqual(shares.hall_fraction("h1", {}, {"h1", "h2"}), 0.5)
         self.assertEqual(shares.hall_fraction("h1", {"h1": 70}, {}), 0.7)
 
 
-class LendTest(unittest.TestCase):
+class LoanTest(unittest.TestCase):
     def test_sum_never_exceeds_the_whole(self) -> None:
         """VMs join, leave and lend at random; answers come late or never."""
         for seed in range(200):
-            self.check_one(random.Random(seed))
+            self.check_random_loans(random.Random(seed))
 
-    def check_one(self, chance: random.Random) -> None:
+    def check_random_loans(self, rng: random.Random) -> None:
         count = 4
-        books = [shares.LoanBook() for _ in range(count)]
+        loan_books = [shares.LoanBook() for _ in range(count)]
         base = 1.0 / count
         for step in range(200):
             now_ms = step * 137.0
-            borrower, lender = chance.sample(range(count), 2)
-            delay_ms = chance.uniform(0.0, 900.0)
-            lent = books[lender].lend(
+            borrower, lender = rng.sample(range(count), 2)
+            delay_ms = rng.uniform(0.0, 900.0)
+            lent = loan_books[lender].lend(
                 "w",
                 base,
-                chance.uniform(0.0, base),
-                chance.uniform(0.0, 0.4),
+                rng.uniform(0.0, base),
+                rng.uniform(0.0, 0.4),
                 shares.LOAN_VALID_MS,
                 now_ms,
             )
-            if chance.random() < 0.7:
+            if rng.random() < 0.7:
                 asked_ms = now_ms - delay_ms
-                books[borrower].borrow(
+                loan_books[borrower].borrow(
                     "w", lent, asked_ms, shares.LOAN_VALID_MS
                 )
-            total = sum(book.find_fraction("w", base, now_ms) for book in books)
+            total = sum(
+                book.find_fraction("w", base, now_ms) for book in loan_books
+            )
             self.assertLessEqual(total, 1.0 + 1e-9)
 
-    def test_unused_part_moves(self) -> None:
+    def test_unused_share_is_lent(self) -> None:
         idle, busy = shares.LoanBook(), shares.LoanBook()
         lent = idle.lend("w", 0.5, 0.0, 0.4, 4_000.0, 0.0)
         busy.borrow("w", lent, 0.0, 4_000.0)
@@ -73,7 +75,7 @@
 
 
 class MeterTest(unittest.TestCase):
-    def test_rate_over_time_stays_below_the_part(self) -> None:
+    def test_rate_stays_below_the_share(self) -> None:
         limit = effective.Limit("w", 10.0, float("inf"))
         found = meter.Meter(0.0)
         started = 0
--- a/tests/test_simultaneous_prompts.py
+++ b/tests/test_simultaneous_prompts.py
@@ -11,19 +11,19 @@
 _VMS = 8
 
 
-class SimultaneousTest(unittest.TestCase):
+class SimultaneousPromptsTest(unittest.TestCase):
     def test_vms_choose_different_engines(self) -> None:
         """A burst: each VM gets a prompt of 45,000 tokens in one moment."""
-        pieces: collections.Counter[str] = collections.Counter()
+        segments: collections.Counter[str] = collections.Counter()
         first_ms: list[float] = []
 
-        def note(record: dict) -> bool:
+        def count_segments(record: dict) -> bool:
             if record["message"].startswith("Attempt begins"):
-                writer = record["message"].split()[-1].rstrip(".")
-                pieces.update([writer, *record["extra"]["helpers"]])
+                decoder = record["message"].split()[-1].rstrip(".")
+                segments.update([decoder, *record["extra"]["helpers"]])
             return False
 
-        async def one(scene: gateway_scene.Scene, number: int) -> None:
+        async def send_prompt(scene: gateway_scene.Scene, number: int) -> None:
             got = await scene.call(
                 "long",
                 f"vm-{number}",
@@ -36,16 +36,16 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             async with asyncio.TaskGroup() as group:
                 for number in range(_VMS):
-                    group.create_task(one(scene, number))
+                    group.create_task(send_prompt(scene, number))
 
         loguru.logger.remove()
-        loguru.logger.add(lambda _: None, filter=note)
+        loguru.logger.add(lambda _: None, filter=count_segments)
         gateway_scene.play(scene, vms=_VMS, halls=1, engines=32)
         loguru.logger.remove()
         print(
-            len(pieces),
-            max(pieces.values()),
+            len(segments),
+            max(segments.values()),
             sum(first_ms) / _VMS,
             max(first_ms),
         )
-        self.assertLessEqual(max(pieces.values()), 3)
+        self.assertLessEqual(max(segments.values()), 3)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -12,26 +12,26 @@
 _REGRESSIONS = (1,)
 #   7101: while nothing went by what targets say in their answers, two calls
 #      reached one 2.3 s after their gateway had passed on that it leaves.
-_WITHDRAWALS = (7101,)
-_FLEETS = (1,)
+_HINT_REGRESSIONS = (7101,)
+_FLEET_SEEDS = (1,)
 
 
 class SoakTest(unittest.TestCase):
-    def test_promises_hold(self) -> None:
+    def test_guarantees_hold(self) -> None:
         loguru.logger.remove()
         for seed in _REGRESSIONS:
             with self.subTest(seed=seed):
                 self._check(soak.play(seed))
 
-    def test_what_targets_say_holds(self) -> None:
+    def test_response_hints_are_observed(self) -> None:
         loguru.logger.remove()
-        for seed in _WITHDRAWALS:
+        for seed in _HINT_REGRESSIONS:
             with self.subTest(seed=seed):
                 self._check(soak.play(seed, soak.Sizes(withdraws=True)))
 
-    def test_gateways_that_know_each_other_keep_their_promises(self) -> None:
+    def test_guarantees_hold_for_gateways_that_gossip(self) -> None:
         loguru.logger.remove()
-        for seed in _FLEETS:
+        for seed in _FLEET_SEEDS:
             with self.subTest(seed=seed):
                 self._check(soak.play(seed, soak.Sizes(6, fleet=True)))
 
--- a/tests/test_start_wait.py
+++ b/tests/test_startup_deadline.py
@@ -13,18 +13,18 @@
 
 from tests import gateway_scene
 
-_LIMIT_MS = 2_000.0
+_TIME_LIMIT_MS = 2_000.0
 # For the answer to come back, and for timers that are late.
 _SLACK_MS = 100.0
-_AWAY_S = 0.7
+_OUTAGE_S = 0.7
 
 
-class StartWaitTest(unittest.TestCase):
+class StartupDeadlineTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_wait_for_settings_is_part_of_the_callers_time(self) -> None:
+    def test_wait_for_settings_counts_towards_the_time_limit(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
             scene.spoil("engine", mute=True)
@@ -34,12 +34,12 @@
             cluster.start_vm(node)
             await asyncio.sleep(0.05)
             call = asyncio.ensure_future(
-                scene.call("once", time_limit_ms=_LIMIT_MS)
+                scene.call("once", time_limit_ms=_TIME_LIMIT_MS)
             )
-            await asyncio.sleep(_AWAY_S)
+            await asyncio.sleep(_OUTAGE_S)
             cluster.store.trouble = ""
             got = await call
             self.assertEqual(got.status, 504)
-            self.assertLessEqual(got.took_ms, _LIMIT_MS + _SLACK_MS)
+            self.assertLessEqual(got.took_ms, _TIME_LIMIT_MS + _SLACK_MS)
 
         gateway_scene.play(scene)
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restore.py
@@ -26,12 +26,12 @@
 from tests import gateway_scene
 
 # What the store loses when it is restored.
-_LOST_S = 6.0
+_LOST_WRITES_S = 6.0
 # A target that leaves gets no calls later than this, and settings are in force.
 _APPLY_S = 2.0
 
 
-class RestoredTest(unittest.TestCase):
+class RestoreTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
@@ -42,14 +42,14 @@
         """Restores the store from a copy of some seconds ago."""
         store = scene.cluster.store
         copy = store.take_copy()
-        await asyncio.sleep(_LOST_S)
+        await asyncio.sleep(_LOST_WRITES_S)
         if away_s:
             store.trouble = "reset"
             await asyncio.sleep(away_s)
         store.restore(copy)
         store.trouble = ""
 
-    async def _check_leaving(self, scene: gateway_scene.Scene) -> None:
+    async def _check_drain(self, scene: gateway_scene.Scene) -> None:
         """Has a target leave, and checks that all VMs know it in time."""
         node = scene.cluster.targets["service-0"]
         scene.cluster.drain_target(node)
@@ -61,32 +61,32 @@
                 await scene.count_arrivals(node.replica, "open", vm), 0, vm
             )
 
-    def _play_leaving(
+    def _check_drain_after_restore(
         self, away_s: float, after_s: float, epoch: str = "1", vms: int = 9
     ) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             await self._restore(scene, away_s)
             await asyncio.sleep(after_s)
-            await self._check_leaving(scene)
+            await self._check_drain(scene)
 
         gateway_scene.play(scene, vms=vms, halls=1, epoch=epoch)
 
-    def test_leaving_after_an_outage_reaches_followers(self) -> None:
-        self._play_leaving(3.0, 1.5)
+    def test_drain_after_an_outage_reaches_followers(self) -> None:
+        self._check_drain_after_restore(3.0, 1.5)
 
-    def test_leaving_right_after_a_short_restore_reaches_followers(
+    def test_drain_right_after_a_short_restore_reaches_followers(
         self,
     ) -> None:
-        self._play_leaving(0.0, 0.0)
+        self._check_drain_after_restore(0.0, 0.0)
 
-    def test_leaving_reaches_vms_that_read_for_themselves(self) -> None:
-        self._play_leaving(0.0, 0.0, vms=2)
+    def test_drain_reaches_vms_without_a_shared_reader(self) -> None:
+        self._check_drain_after_restore(0.0, 0.0, vms=2)
 
-    def test_leaving_reaches_followers_of_a_store_without_epochs(self) -> None:
-        self._play_leaving(3.0, 1.5, epoch="")
-        self._play_leaving(0.0, 0.0, epoch="")
+    def test_drain_reaches_followers_of_a_store_without_epochs(self) -> None:
+        self._check_drain_after_restore(3.0, 1.5, epoch="")
+        self._check_drain_after_restore(0.0, 0.0, epoch="")
 
-    def test_leaving_is_known_when_the_position_is_passed_again(self) -> None:
+    def test_drain_is_known_when_the_old_revision_is_passed_again(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             store = scene.cluster.store
             known = store.revision
@@ -116,12 +116,12 @@
 
         gateway_scene.play(scene, vms=9, halls=3)
 
-    def test_second_restore_is_followed_too(self) -> None:
+    def test_drain_after_a_second_restore_is_known(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             await self._restore(scene)
             await asyncio.sleep(0.4)
             await self._restore(scene, 0.5)
-            await self._check_leaving(scene)
+            await self._check_drain(scene)
 
         gateway_scene.play(scene, vms=9, halls=3)
 
@@ -134,7 +134,7 @@
                 cluster.kill(node)
                 cluster.unlist_target(node)
                 cluster.start_target(node)
-            await asyncio.sleep(_LOST_S)
+            await asyncio.sleep(_LOST_WRITES_S)
             cluster.store.restore(copy)
             for _ in range(40):
                 got = await scene.call("open", "vm-3")
@@ -143,7 +143,7 @@
 
         gateway_scene.play(scene, vms=9, halls=1)
 
-    def test_epoch_is_shown(self) -> None:
+    def test_vms_adopt_the_new_epoch(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             await self._restore(scene)
             await asyncio.sleep(_APPLY_S)
@@ -166,7 +166,7 @@
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_vms_that_the_store_is_cut_from_have_it_of_peers(self) -> None:
+    def test_vms_cut_off_from_the_store_get_the_list_from_peers(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
             names = list(cluster.vms)
@@ -174,7 +174,7 @@
             for name in names[:6]:
                 cut = virtual_network.Cut(name, "store")
                 cluster.network.cuts.append(cut)
-            await asyncio.sleep(_LOST_S)
+            await asyncio.sleep(_LOST_WRITES_S)
             cluster.store.restore(copy)
             await asyncio.sleep(_APPLY_S)
             node = cluster.targets["service-0"]
@@ -191,7 +191,7 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             store = scene.cluster.store
             copy = store.take_copy()
-            await asyncio.sleep(_LOST_S)
+            await asyncio.sleep(_LOST_WRITES_S)
             store.restore(copy)
             before = store.calls
             await asyncio.sleep(_APPLY_S)
@@ -203,12 +203,12 @@
 
         gateway_scene.play(scene, vms=9, halls=1, engines=10)
 
-    def test_epoch_that_a_peer_makes_up_ends_with_the_peer(self) -> None:
+    def test_invented_epoch_is_dropped_with_the_faulty_peer(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
             peers = cluster.vms["vm-0"].gateway._peers
             reader = peers.rank_hall()[0].partition(":")[0]
-            _make_liar(cluster.vms[reader])
+            _make_faulty(cluster.vms[reader])
             await asyncio.sleep(_APPLY_S)
             views = [node.gateway.context.view for node in cluster.vms.values()]
             self.assertGreater(
@@ -227,7 +227,7 @@
         gateway_scene.play(scene, vms=5, halls=1)
 
 
-def _make_liar(node: gateway_cluster.Node) -> None:
+def _make_faulty(node: gateway_cluster.Node) -> None:
     """Has a VM tell its peers of an epoch that the store has not named."""
     sync = node.gateway._sync
     answer_changes_request, find_targets = (
@@ -242,37 +242,37 @@
     )
 
 
-class NewsTest(unittest.TestCase):
+class StoreChangesReplyTest(unittest.TestCase):
     """What VMs of one hall tell each other around a restore."""
 
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def _ask(self, epoch: int, ahead: int) -> news.News:
+    def _request_changes(self, epoch: int, ahead: int) -> news.News:
         """Returns a VM's answer to a question from a position."""
-        told = []
+        replies = []
 
         async def scene(scene: gateway_scene.Scene) -> None:
             gateway = scene.cluster.vms["vm-0"].gateway
             position = gateway.context.view.store_position
-            question = news.NewsWanted(
+            request = news.NewsWanted(
                 "vm-1:83", "q", position.revision + ahead, epoch
             )
-            told.append(gateway.handle_peer_request(question))
+            replies.append(gateway.handle_peer_request(request))
 
         gateway_scene.play(scene, vms=1, halls=1)
-        return told[0]
+        return replies[0]
 
-    def test_nothing_is_told_across_epochs(self) -> None:
-        self.assertTrue(self._ask(1, 0).is_whole)
+    def test_no_changes_are_sent_across_epochs(self) -> None:
+        self.assertTrue(self._request_changes(1, 0).is_whole)
         for epoch in (0, 2, 10**9):
-            self.assertFalse(self._ask(epoch, 0).is_whole)
+            self.assertFalse(self._request_changes(epoch, 0).is_whole)
 
-    def test_nothing_is_told_to_a_vm_that_is_ahead(self) -> None:
-        self.assertFalse(self._ask(1, 1).is_whole)
+    def test_no_changes_are_sent_to_a_vm_that_is_ahead(self) -> None:
+        self.assertFalse(self._request_changes(1, 1).is_whole)
 
-    def test_peer_that_makes_up_an_epoch_costs_a_read(self) -> None:
+    def test_invented_epoch_costs_one_read(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             gateway = scene.cluster.vms["vm-0"].gateway
             gateway.handle_peer_request(
@@ -287,7 +287,7 @@
         gateway_scene.play(scene, vms=1, halls=1)
 
 
-class CheckTest(unittest.TestCase):
+class EpochCheckTest(unittest.TestCase):
     """Answers of the store, by the epoch that they name."""
 
     def _check(
@@ -295,27 +295,27 @@
     ) -> object:
         position = store_position.StorePosition(epoch, revision)
         found = published.Changes(position, None, (), (), ())
-        asked = since and store_position.StorePosition(*since)
-        return store_epochs.check_epoch(found, asked, 3)
+        since_position = since and store_position.StorePosition(*since)
+        return store_epochs.check_epoch(found, since_position, 3)
 
-    def test_later_answer_is_gone_by(self) -> None:
+    def test_later_response_is_accepted(self) -> None:
         found = self._check(3, 8, (3, 7))
         self.assertEqual(found.position, store_position.StorePosition(3, 8))
 
-    def test_changes_of_a_later_epoch_are_no_changes(self) -> None:
+    def test_changes_of_a_later_epoch_lose_the_history(self) -> None:
         found = self._check(4, 900, (3, 7))
         self.assertEqual(found, published.HistoryLost(4))
 
-    def test_everything_of_a_later_epoch_is_gone_by(self) -> None:
+    def test_full_read_of_a_later_epoch_is_accepted(self) -> None:
         found = self._check(4, 2, None)
         self.assertEqual(found.position, store_position.StorePosition(4, 2))
 
-    def test_answer_of_an_earlier_epoch_says_nothing(self) -> None:
+    def test_response_of_an_earlier_epoch_is_ignored(self) -> None:
         for since in (None, (3, 7)):
             found = self._check(2, 900, since)
             self.assertIsInstance(found, published.Unavailable)
 
-    def test_answer_without_an_epoch_is_of_the_known_one(self) -> None:
+    def test_response_without_an_epoch_is_of_the_known_one(self) -> None:
         found = self._check(0, 8, (3, 7))
         self.assertEqual(found.position, store_position.StorePosition(3, 8))
         self.assertIsInstance(self._check(0, 6, (3, 7)), published.HistoryLost)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -24,9 +24,9 @@
 
 class ClockTest(unittest.TestCase):
     def test_clock_counts_a_suspension(self) -> None:
-        shown = {time.CLOCK_MONOTONIC: 100.0, time.CLOCK_BOOTTIME: 107.0}
+        clock_times = {time.CLOCK_MONOTONIC: 100.0, time.CLOCK_BOOTTIME: 107.0}
         env = environment.make_system_environment()
-        with mock.patch("time.clock_gettime", shown.get):
+        with mock.patch("time.clock_gettime", clock_times.get):
             self.assertEqual(clock.read_s(), 107.0)
             self.assertEqual(env.now_ms(), 107_000.0)
 
@@ -80,10 +80,10 @@
         gateway_scene.play(scene, vms=2)
         return found[0]
 
-    def test_key_that_was_removed_meanwhile_is_refused(self) -> None:
+    def test_key_removed_during_a_suspension_is_refused(self) -> None:
         got = self._call_after_sleep(counts_sleep=True)
         self.assertIn(got.status, (401, 503))
 
-    def test_clock_that_stands_still_would_use_it(self) -> None:
+    def test_clock_that_stops_in_suspension_would_accept_it(self) -> None:
         got = self._call_after_sleep(counts_sleep=False)
         self.assertEqual(got.status, 200)
--- a/tests/test_replica_calls.py
+++ b/tests/test_upstream.py
@@ -39,7 +39,7 @@
 _FIRST_MS = 900.0
 
 
-def _make_errand(now_ms: float) -> errands.Errand:
+def _make_request(now_ms: float) -> errands.Errand:
     payload = payloads.Payload(
         _ROUTE,
         "POST",
@@ -55,94 +55,94 @@
     )
 
 
-async def _play(stands_still_ms: float) -> list[answers.Event]:
+async def _send_request(paused_ms: float) -> list[answers.Event]:
     """Sends a call that is answered shortly after its patience has ended."""
     network = virtual_network.VirtualNetwork(1, virtual_network.Latency())
-    far = virtual_process.VirtualProcess("target", "h")
+    target_process = virtual_process.VirtualProcess("target", "h")
 
     async def handle(incoming: message.IncomingRequest) -> message.Response:
         await asyncio.sleep((_FIRST_MS + 30.0) / 1000.0)
         return message.Response(200, {"x-replica-signature": "s"}, b"ok")
 
-    serving = network.make_environment(far, 1)
+    serving = network.make_environment(target_process, 1)
     handler = server.make_stream_handler(handle, server.Limits())
-    await far.start(lambda: serving.serve(handler, _ADDRESS))
-    near = virtual_process.VirtualProcess("vm", "h")
-    plain = network.make_environment(near, 1)
-    began_ms = plain.now_ms()
+    await target_process.start(lambda: serving.serve(handler, _ADDRESS))
+    vm_process = virtual_process.VirtualProcess("vm", "h")
+    base_env = network.make_environment(vm_process, 1)
+    began_ms = base_env.now_ms()
 
     def now_ms() -> float:
         # The steady clock runs on while the process, and its timers, stand.
-        passed = plain.now_ms()
-        return passed + (stands_still_ms if passed > began_ms + 500.0 else 0.0)
+        passed = base_env.now_ms()
+        return passed + (paused_ms if passed > began_ms + 500.0 else 0.0)
 
-    env = dataclasses.replace(plain, now_ms=now_ms)
+    env = dataclasses.replace(base_env, now_ms=now_ms)
     send = replicas.make_send(env, statements.ignore)
 
     async def collect() -> list[answers.Event]:
-        return [event async for event in send(_make_errand(now_ms()))]
+        return [event async for event in send(_make_request(now_ms()))]
 
-    return await near.start(collect)
+    return await vm_process.start(collect)
 
 
-class GateTest(unittest.TestCase):
+class AdmissionCheckTest(unittest.TestCase):
     """The last question before the first byte of a call."""
 
-    def test_nothing_is_sent_when_it_is_refused_after_the_connection(
+    def test_nothing_is_sent_if_refused_after_connecting(
         self,
     ) -> None:
-        asked: list[bool] = []
+        was_connected: list[bool] = []
         refusal = outcomes.refuse(outcomes.Reason.TARGET_LEAVING, "it leaves")
-        came: list[message.IncomingRequest] = []
+        received: list[message.IncomingRequest] = []
 
         async def handle(
             incoming: message.IncomingRequest,
         ) -> message.Response:
-            came.append(incoming)
+            received.append(incoming)
             return message.Response(200, {"x-replica-signature": "s"}, b"ok")
 
         async def run() -> list[answers.Event]:
             network = virtual_network.VirtualNetwork(
                 1, virtual_network.Latency()
             )
-            far = virtual_process.VirtualProcess("target", "h")
-            serving = network.make_environment(far, 1)
+            target_process = virtual_process.VirtualProcess("target", "h")
+            serving = network.make_environment(target_process, 1)
             connected: list[bool] = []
 
             def refuse() -> outcomes.NotServed:
-                asked.append(bool(connected))
+                was_connected.append(bool(connected))
                 return refusal
 
             handler = server.make_stream_handler(handle, server.Limits())
-            await far.start(lambda: serving.serve(handler, _ADDRESS))
-            near = virtual_process.VirtualProcess("vm", "h")
-            plain = network.make_environment(near, 1)
+            await target_process.start(lambda: serving.serve(handler, _ADDRESS))
+            vm_process = virtual_process.VirtualProcess("vm", "h")
+            base_env = network.make_environment(vm_process, 1)
 
             async def connect(address: environment.Address) -> tuple:
-                streams = await plain.connect(address)
+                streams = await base_env.connect(address)
                 connected.append(True)
                 return streams
 
-            env = dataclasses.replace(plain, connect=connect)
+            env = dataclasses.replace(base_env, connect=connect)
             send = replicas.make_send(env, statements.ignore)
             errand = dataclasses.replace(
-                _make_errand(env.now_ms()), refuse=refuse
+                _make_request(env.now_ms()), refuse=refuse
             )
 
             async def collect() -> list[answers.Event]:
                 return [event async for event in send(errand)]
 
-            return await near.start(collect)
+            return await vm_process.start(collect)
 
         self.assertEqual(virtual_process.run(run), [refusal])
-        self.assertEqual((asked, came), ([True], []))
+        self.assertEqual((was_connected, received), ([True], []))
 
 
-class PatienceTest(unittest.TestCase):
-    def test_silence_ends_a_call(self) -> None:
-        (ended,) = virtual_process.run(lambda: _play(0.0))
+class TimeoutTest(unittest.TestCase):
+    def test_request_without_a_response_times_out(self) -> None:
+        (ended,) = virtual_process.run(lambda: _send_request(0.0))
         self.assertIs(ended.reason, outcomes.Reason.TARGET_LOST)
 
-    def test_answer_is_looked_for_after_standing_still(self) -> None:
-        (ended,) = virtual_process.run(lambda: _play(3_000.0))
+    def test_received_response_is_used_after_a_pause(self) -> None:
+        (ended,) = virtual_process.run(lambda: _send_request(3_000.0))
         self.assertEqual(ended.body, b"ok")
--- a/tests/test_virtual_network.py
+++ b/tests/test_virtual_network.py
@@ -11,7 +11,7 @@
 
 
 class DatagramTest(unittest.TestCase):
-    def test_closing_late_leaves_the_port_of_a_successor(self) -> None:
+    def test_late_close_does_not_close_the_port_of_a_successor(self) -> None:
         # A killed process's clean-up runs whenever its tasks are collected.
         got: list[bytes] = []
 
@@ -32,7 +32,7 @@
         self.assertEqual(got, [b"news"])
 
 
-class NeutralTest(unittest.TestCase):
+class InFlightTest(unittest.TestCase):
     """What is on its way belongs to no process, and outlives its sender.
 
     An empty context counts as false, so callbacks in the network's context were
--- a/tests/test_withdrawal_schedules.py
+++ b/tests/test_withdrawal_schedules.py
@@ -15,7 +15,7 @@
 
 
 class WithdrawalSchedulesTest(unittest.TestCase):
-    def test_what_targets_say_in_their_answers_holds(self) -> None:
+    def test_response_hints_are_observed(self) -> None:
         for seed in (*_REGRESSIONS, *range(_FIRST, _FIRST + _COUNT)):
             with self.subTest(seed=seed):
                 played = withdrawal_schedules.play(seed)
