--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -22,7 +22,7 @@
 from standins import proof_model
 from tests import gateway_scene
 
-_HALL = 9
+_VMS = 9
 
 
 class FreshnessModelTest(unittest.TestCase):
@@ -69,7 +69,7 @@
             self.assertIsNone(freshness.find_current_as_of_ms(0.0, age_ms))
 
     def test_vms_of_small_halls_read_for_themselves(self) -> None:
-        names = [f"vm-{number}" for number in range(_HALL)]
+        names = [f"vm-{number}" for number in range(_VMS)]
         self.assertFalse(freshness.has_shared_readers(names[:2]))
         self.assertTrue(freshness.is_reader("vm-1", names[:2]))
         self.assertFalse(freshness.is_reader("vm-1", names))
@@ -172,7 +172,7 @@
         loguru.logger.remove()
 
     def _run(self, scenario) -> None:  # noqa: ANN001
-        gateway_scene.play(scenario, vms=_HALL, halls=1)
+        gateway_scene.play(scenario, vms=_VMS, halls=1)
 
     def test_only_readers_call_the_store(self) -> None:
         async def scenario(fixture: gateway_scene.Scene) -> None:
@@ -252,7 +252,7 @@
 
         self._run(scenario)
 
-    def test_settings_that_a_peer_malforms_are_read_from_the_store(
+    def test_malformed_settings_of_a_peer_are_read_from_the_store(
         self,
     ) -> None:
         async def scenario(fixture: gateway_scene.Scene) -> None:
@@ -342,8 +342,8 @@
         async def scenario(fixture: gateway_scene.Scene) -> None:
             for node in fixture.cluster.vms.values():
                 sync = node.gateway._sync
-                sync.answer_changes_request = lambda wanted: news.News(
-                    wanted.question, 9_999, -5_000.0, True
+                sync.answer_changes_request = lambda request: news.News(
+                    request.question, 9_999, -5_000.0, True
                 )
             fixture.cluster.keys = {"w1": ["another"]}
             fixture.cluster.publish()
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -35,19 +35,19 @@
 
 class QuarantineTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.known = poison_requests.PoisonRequests()
+        self.table = poison_requests.PoisonRequests()
 
     def _crash(
         self, fingerprint: str, number: int, weight: float = 1.0
     ) -> None:
-        self.known.note_crash(
+        self.table.note_crash(
             fingerprint, _make_incarnation(number), weight, _NOW_MS
         )
 
     def _is_quarantined(
         self, fingerprint: str, now_ms: float = _NOW_MS
     ) -> bool:
-        return self.known.find_quarantine_left_ms(fingerprint, now_ms) > 0.0
+        return self.table.find_quarantine_left_ms(fingerprint, now_ms) > 0.0
 
     def test_three_crashes_are_enough(self) -> None:
         for number in range(3):
@@ -58,20 +58,22 @@
     def test_late_crashes_count_less(self) -> None:
         # A harmless prompt of 505,905 tokens was quarantined after engines had
         # crashed at random when they had prefilled it for 1.6 and 2.8 s.
-        later = poison_requests.weigh_crash(2_800.0, 20.0)
+        late_weight = poison_requests.weigh_crash(2_800.0, 20.0)
         self.assertEqual(poison_requests.weigh_crash(500.0, 20.0), 1.0)
         # A long prompt that is lost soon after it was sent was not running yet.
-        self.assertEqual(poison_requests.weigh_crash(500.0, 2_000.0), later)
+        self.assertEqual(
+            poison_requests.weigh_crash(500.0, 2_000.0), late_weight
+        )
         for number in range(4):
-            self._crash("a", number, later)
+            self._crash("a", number, late_weight)
         self.assertFalse(self._is_quarantined("a"))
-        self._crash("a", 4, later)
+        self._crash("a", 4, late_weight)
         self.assertTrue(self._is_quarantined("a"))
 
     def test_one_crash_is_not_enough(self) -> None:
         self._crash("a", 0)
         self.assertFalse(self._is_quarantined("a"))
-        self.assertEqual(self.known.count_crashes("a", _NOW_MS), 1)
+        self.assertEqual(self.table.count_crashes("a", _NOW_MS), 1)
 
     def test_same_incarnation_counts_once(self) -> None:
         for _ in range(5):
@@ -81,15 +83,15 @@
     def test_starts_under_one_name_are_different_incarnations(self) -> None:
         for born_ms in (5, 6, 7):
             life = lives.Life("engine-0", born_ms)
-            self.known.note_crash("a", life, 1.0, _NOW_MS)
+            self.table.note_crash("a", life, 1.0, _NOW_MS)
         self.assertTrue(self._is_quarantined("a"))
 
     def test_fingerprint_is_cleared_when_a_request_completes(self) -> None:
         for number in range(2):
             self._crash("a", number)
-        self.assertTrue(self.known.note_completed("a", _NOW_MS + 1.0))
-        self.known.note_crash("a", _make_incarnation(2), 1.0, _NOW_MS + 2.0)
-        self.assertEqual(self.known.count_crashes("a", _NOW_MS + 2.0), 1)
+        self.assertTrue(self.table.note_completed("a", _NOW_MS + 1.0))
+        self.table.note_crash("a", _make_incarnation(2), 1.0, _NOW_MS + 2.0)
+        self.assertEqual(self.table.count_crashes("a", _NOW_MS + 2.0), 1)
 
     def test_poison_request_explains_what_was_lost_beside_it(self) -> None:
         # Requests that lose their engine to the poison request may be retried
@@ -97,10 +99,10 @@
         for number in range(2):
             self._crash("culprit", number)
             self._crash("victim", number)
-        self.assertEqual(self.known.count_crashes("victim", _NOW_MS), 2)
+        self.assertEqual(self.table.count_crashes("victim", _NOW_MS), 2)
         self._crash("culprit", 2)
         self.assertTrue(self._is_quarantined("culprit"))
-        self.assertEqual(self.known.count_crashes("victim", _NOW_MS), 0)
+        self.assertEqual(self.table.count_crashes("victim", _NOW_MS), 0)
 
     def test_quarantine_and_suspicion_expire(self) -> None:
         for number in range(3):
@@ -108,18 +110,18 @@
         self._crash("b", 7)
         later_ms = _NOW_MS + poison_requests.SUSPECT_MS
         self.assertTrue(self._is_quarantined("a", later_ms))
-        self.assertEqual(self.known.count_crashes("b", later_ms), 0)
+        self.assertEqual(self.table.count_crashes("b", later_ms), 0)
         self.assertFalse(
             self._is_quarantined("a", _NOW_MS + poison_requests.QUARANTINE_MS)
         )
-        self.assertEqual(len(self.known), 0)
+        self.assertEqual(len(self.table), 0)
 
     def test_table_is_bounded_and_keeps_the_worst(self) -> None:
         for number in range(3):
             self._crash("worst", number)
         for number in range(2 * poison_requests.MAX_FINGERPRINTS):
             self._crash(f"c{number}", 10 + number)
-        self.assertLessEqual(len(self.known), poison_requests.MAX_FINGERPRINTS)
+        self.assertLessEqual(len(self.table), poison_requests.MAX_FINGERPRINTS)
         self.assertTrue(self._is_quarantined("worst"))
 
 
@@ -132,16 +134,16 @@
             _make_row("b", 2),
         ]
         for order in itertools.permutations(rows):
-            known = poison_requests.PoisonRequests()
+            table = poison_requests.PoisonRequests()
             for row in (*order, *order):
-                known.merge([row], _NOW_MS)
-            self.assertGreater(known.find_quarantine_left_ms("a", _NOW_MS), 0.0)
-            self.assertEqual(known.count_crashes("b", _NOW_MS), 0)
+                table.merge([row], _NOW_MS)
+            self.assertGreater(table.find_quarantine_left_ms("a", _NOW_MS), 0.0)
+            self.assertEqual(table.count_crashes("b", _NOW_MS), 0)
 
     def test_known_crashes_are_not_new(self) -> None:
-        known = poison_requests.PoisonRequests()
-        self.assertEqual(known.merge([_make_row("a", 0)], _NOW_MS), {"a"})
-        self.assertEqual(known.merge([_make_row("a", 0)], _NOW_MS + 9.0), set())
+        table = poison_requests.PoisonRequests()
+        self.assertEqual(table.merge([_make_row("a", 0)], _NOW_MS), {"a"})
+        self.assertEqual(table.merge([_make_row("a", 0)], _NOW_MS + 9.0), set())
 
     def test_gossip_between_two_tables_ends(self) -> None:
         one, other = (
@@ -162,16 +164,16 @@
     def test_old_gossip_about_a_cleared_fingerprint_changes_nothing(
         self,
     ) -> None:
-        known = poison_requests.PoisonRequests()
-        known.merge([_make_row("a", 0, 1)], _NOW_MS)
-        known.note_completed("a", _NOW_MS + 10.0)
+        table = poison_requests.PoisonRequests()
+        table.merge([_make_row("a", 0, 1)], _NOW_MS)
+        table.note_completed("a", _NOW_MS + 10.0)
         late = dataclasses.replace(_make_row("a", 0, 1, 2))
         ended = tuple(
             dataclasses.replace(each, age_ms=500.0) for each in late.ended
         )
         late = dataclasses.replace(late, ended=ended)
-        self.assertEqual(known.merge([late], _NOW_MS + 50.0), set())
-        self.assertEqual(known.count_crashes("a", _NOW_MS + 50.0), 0)
+        self.assertEqual(table.merge([late], _NOW_MS + 50.0), set())
+        self.assertEqual(table.count_crashes("a", _NOW_MS + 50.0), 0)
 
     def test_rows_round_trip_on_the_wire(self) -> None:
         message = messages.Suspects(
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -110,13 +110,15 @@
 
 class AgentStatusTest(unittest.TestCase):
     def test_agent_serves_status_and_metrics(self) -> None:
-        run = processes.Processes(_TREE)
-        self.addCleanup(run.close)
-        run.start_platform({"service-1": "estate-app"}, {"vm-1": "hall-vic"})
+        cluster = processes.Processes(_TREE)
+        self.addCleanup(cluster.close)
+        cluster.start_platform(
+            {"service-1": "estate-app"}, {"vm-1": "hall-vic"}
+        )
         port = _private.find_free_port()
-        run.start_agent("vm-1", status_listen=f"127.0.0.1:{port}")
-        run.start_entry("vm-1")
-        run.wait_ready()
+        cluster.start_agent("vm-1", status_listen=f"127.0.0.1:{port}")
+        cluster.start_entry("vm-1")
+        cluster.wait_ready()
         status = processes.request(port, "GET", "/status").json()
         self.assertEqual(status["revision"], 1)
         self.assertEqual(status["live_in_hall"], ["vm-1"])
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,7 +1,7 @@
 """Fleets whose VMs stop, join, restart and are partitioned.
 
 docs/MEASUREMENTS.md has measurements of each; the bounds here are those that
-the documentation guarantees to operators.
+are guaranteed to operators.
 """
 
 import asyncio
@@ -124,8 +124,8 @@
             await fixture.call("short", "vm-5")
             loads = context.scheduler.list_estimates()
             now_ms = context.env.now_ms()
-            known = sum(each.streams(now_ms) for each in loads)
-            self.assertGreaterEqual(known, 10)
+            known_streams = sum(each.streams(now_ms) for each in loads)
+            self.assertGreaterEqual(known_streams, 10)
             await asyncio.gather(*busy)
 
         gateway_scene.play(scenario, vms=6, engines=9)
@@ -178,9 +178,9 @@
             fleet.set_work("vm-1", 2)
             await asyncio.sleep(1.0)
             self.assertEqual(fleet.find_wrong(), [])
-            most = max(rejoined[name] for name in fleet.members)
+            max_sent = max(rejoined[name] for name in fleet.members)
             self.assertLessEqual(
-                most, _MAX_TRAFFIC_RATIO * max(baseline.values())
+                max_sent, _MAX_TRAFFIC_RATIO * max(baseline.values())
             )
 
         virtual_process.run(run)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -24,7 +24,7 @@
         sole_capacity = retries.compute_capacity(_SLACK, 1)
         self.assertLess(sole_capacity * 60, _SLACK / 2.0)
 
-    def test_partitions_of_a_fleet_stay_below_the_slack(self) -> None:
+    def test_partitions_of_a_fleet_together_stay_below_the_slack(self) -> None:
         partitions = 3
         capacity = retries.compute_capacity(_SLACK, 3)
         self.assertLess(partitions * 3 * capacity, _SLACK)
@@ -70,7 +70,7 @@
                 strategies.integers(0, 4),
                 strategies.integers(0, 4),
                 strategies.sampled_from(
-                    ["transfer", "transfer large", "lost", "spend", "first"]
+                    ["borrow", "borrow large", "lost", "spend", "first"]
                 ),
             ),
             max_size=60,
@@ -91,7 +91,7 @@
                 budgets[requester].note_first_attempt()
                 allowed += share
             else:
-                is_great = action != "transfer"
+                is_great = action != "borrow"
                 transferred = budgets[responder].transfer_out(0.7, is_great)
                 if action != "lost":
                     budgets[requester].receive_transfer(transferred)
@@ -110,8 +110,8 @@
             exchange = fixture.cluster.vms["vm-0"].gateway._peers
             (peer,) = exchange.find_hall_peers()
             responder = fixture.cluster.vms[peer.partition(":")[0]].gateway
-            responder._peers.rpc._handle_request = lambda wanted: (
-                retry_loan.RetriesLent(wanted.question, 1_000.0)
+            responder._peers.rpc._handle_request = lambda request: (
+                retry_loan.RetriesLent(request.question, 1_000.0)
             )
             transferred = await exchange.rpc.request_retries(peer, 1.0, True)
             self.assertEqual(transferred, 0.0)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -9,7 +9,7 @@
 
 
 class BaseFractionTest(unittest.TestCase):
-    def test_new_vm_has_no_share_until_all_have_replied(self) -> None:
+    def test_new_vm_has_no_share_until_all_others_have_replied(self) -> None:
         listed = {"a", "b", "c"}
         fraction = shares.base_fraction(listed, {"c"}, {"a"}, "c")
         self.assertEqual(fraction, 0.0)
--- a/tests/test_store_restore.py
+++ b/tests/test_store_restore.py
@@ -125,8 +125,7 @@
     def test_live_targets_serve_through_a_restore(self) -> None:
         async def scenario(fixture: gateway_scene.Scene) -> None:
             cluster = fixture.cluster
-            # All targets restart under their names. The copy does not list the
-            # new incarnations.
+            # All targets restart, under names that the copy does not list.
             copy = cluster.store.take_copy()
             for node in cluster.targets.values():
                 cluster.kill(node)
@@ -235,8 +234,8 @@
         sync.answer_changes_request,
         sync._find_targets,
     )
-    sync.answer_changes_request = lambda wanted: dataclasses.replace(
-        answer_changes_request(wanted), epoch=10**9, is_whole=False
+    sync.answer_changes_request = lambda request: dataclasses.replace(
+        answer_changes_request(request), epoch=10**9, is_whole=False
     )
     sync.targets._find = lambda position: find_targets(
         dataclasses.replace(position, epoch=1)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -36,7 +36,7 @@
     2,
     True,
 )
-_FIRST_MS = 900.0
+_RESPONSE_TIMEOUT_MS = 900.0
 
 
 def _make_request(now_ms: float) -> errands.Errand:
@@ -49,7 +49,9 @@
         b"",
         "",
     )
-    patience = errands.Patience(250.0, _FIRST_MS, _FIRST_MS)
+    patience = errands.Patience(
+        250.0, _RESPONSE_TIMEOUT_MS, _RESPONSE_TIMEOUT_MS
+    )
     return errands.Errand(
         payload, _TARGET, "w", now_ms + 10_000.0, 3, "", (), patience
     )
@@ -65,12 +67,12 @@
     target_process = virtual_process.VirtualProcess("target", "h")
 
     async def handle(incoming: message.IncomingRequest) -> message.Response:
-        await asyncio.sleep((_FIRST_MS + 30.0) / 1000.0)
+        await asyncio.sleep((_RESPONSE_TIMEOUT_MS + 30.0) / 1000.0)
         return message.Response(200, {"x-replica-signature": "s"}, b"ok")
 
-    serving = network.make_environment(target_process, 1)
+    target_env = network.make_environment(target_process, 1)
     handler = server.make_stream_handler(handle, server.Limits())
-    await target_process.start(lambda: serving.serve(handler, _ADDRESS))
+    await target_process.start(lambda: target_env.serve(handler, _ADDRESS))
     vm_process = virtual_process.VirtualProcess("vm", "h")
     base_env = network.make_environment(vm_process, 1)
     began_ms = base_env.now_ms()
@@ -112,7 +114,7 @@
                 1, virtual_network.Latency()
             )
             target_process = virtual_process.VirtualProcess("target", "h")
-            serving = network.make_environment(target_process, 1)
+            target_env = network.make_environment(target_process, 1)
             connected: list[bool] = []
 
             def refuse() -> outcomes.NotServed:
@@ -120,7 +122,9 @@
                 return refusal
 
             handler = server.make_stream_handler(handle, server.Limits())
-            await target_process.start(lambda: serving.serve(handler, _ADDRESS))
+            await target_process.start(
+                lambda: target_env.serve(handler, _ADDRESS)
+            )
             vm_process = virtual_process.VirtualProcess("vm", "h")
             base_env = network.make_environment(vm_process, 1)
 
