--- a/tests/test_prefill_plan.py
+++ b/tests/test_prefill_plan.py
@@ -114,7 +114,7 @@
         self.assertAlmostEqual(values[0], 1.0)
 
 
-class PassEngineTest(unittest.TestCase):
+class IterationEngineTest(unittest.TestCase):
     """The emulated engine matches the published figures."""
 
     def test_whole_prompt_takes_its_published_time(self) -> None:
