--- a/src/ruddergate/cli/ctl.py
+++ b/src/ruddergate/cli/ctl.py
@@ -14,7 +14,7 @@
 from ruddergate.experiments import trace
 from ruddergate.settings import kind as kinds
 from ruddergate.telemetry import losses
-from ruddergate.telemetry import story
+from ruddergate.telemetry import request_timeline
 
 _PROGRAM = "ruddergatectl"
 APP = _private.make_app(
@@ -89,7 +89,7 @@
         logs: Files of JSON log lines.
     """
     sources = [(path.name, _read_log(path)) for path in logs]
-    lines = story.tell(request_id, sources)
+    lines = request_timeline.collect_lines(request_id, sources)
     if not lines:
         _private.fail(_PROGRAM, f"no log names request {request_id}")
     for line in lines:
--- a/src/ruddergate/telemetry/losses.py
+++ b/src/ruddergate/telemetry/losses.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 import dataclasses
 
-from ruddergate.telemetry import story
+from ruddergate.telemetry import request_timeline
 
 IN_TIME = "in time"
 LATE_FIRST = "late first token"
@@ -54,13 +54,15 @@
 
 def read(sources: Iterable[Iterable[str]]) -> list[Fate]:
     """Returns the fate of each request that ended, in order of time."""
-    began: dict[str, list[story.LogLine]] = collections.defaultdict(list)
-    ended: dict[str, story.LogLine] = {}
+    began: dict[str, list[request_timeline.LogLine]] = collections.defaultdict(
+        list
+    )
+    ended: dict[str, request_timeline.LogLine] = {}
     for lines in sources:
         for line in lines:
             if not any(mark in line for mark in _MARKS):
                 continue
-            parsed = story.parse(line, "")
+            parsed = request_timeline.parse_line(line, "")
             if parsed is None or not parsed[0]:
                 continue
             request_id, found = parsed
@@ -76,7 +78,9 @@
 
 
 def _judge(
-    request_id: str, line: story.LogLine, began: list[story.LogLine]
+    request_id: str,
+    line: request_timeline.LogLine,
+    began: list[request_timeline.LogLine],
 ) -> Fate:
     inputs = line.inputs
     first = began[0].inputs if began else {}
@@ -93,7 +97,7 @@
     )
 
 
-def _find_outcome(line: story.LogLine) -> str:
+def _find_outcome(line: request_timeline.LogLine) -> str:
     if line.event.startswith(_REFUSED):
         return "refused: " + _cut_reason(line.event, _REFUSED)
     reason = _cut_reason(line.event, _ENDED)
--- a/src/ruddergate/telemetry/story.py
+++ b/src/ruddergate/telemetry/request_timeline.py
@@ -6,7 +6,7 @@
 import orjson
 
 # Fields of every line; the rest is what decided.
-_COMMON = frozenset({"at", "level", "event", "part", "request_id"})
+_COMMON_FIELDS = frozenset({"at", "level", "event", "part", "request_id"})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
         return f"{self.at} {self.source} {self.part}: {self.event} {told}"
 
 
-def tell(
+def collect_lines(
     request_id: str, sources: Iterable[tuple[str, Iterable[str]]]
 ) -> list[LogLine]:
     """Returns a request's log lines in order of time.
@@ -48,13 +48,13 @@
         for line in lines:
             # Most lines are others'; only those that may match are parsed.
             if request_id in line:
-                parsed = parse(line, name)
+                parsed = parse_line(line, name)
                 if parsed is not None and parsed[0] == request_id:
                     found.append(parsed[1])
     return sorted(found, key=lambda each: each.at)
 
 
-def parse(line: str, source: str) -> tuple[str, LogLine] | None:
+def parse_line(line: str, source: str) -> tuple[str, LogLine] | None:
     """Returns a line's request and what it says, or None for other text."""
     start = line.find("{")
     try:
@@ -64,7 +64,9 @@
     if not isinstance(document, dict):
         return None
     inputs = {
-        name: value for name, value in document.items() if name not in _COMMON
+        name: value
+        for name, value in document.items()
+        if name not in _COMMON_FIELDS
     }
     return str(document.get("request_id", "")), LogLine(
         str(document.get("at", "")),
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -8,7 +8,7 @@
 import unittest
 
 from ruddergate.telemetry import losses
-from ruddergate.telemetry import story
+from ruddergate.telemetry import request_timeline
 
 
 def _line(at: str, request_id: str, event: str, **inputs: object) -> str:
@@ -34,7 +34,9 @@
             "  12.5 vm-2 " + _line("2026-01-01T00:00:02", "r1", "Refused."),
             "no log line at all, though it names r1 {",
         ]
-        lines = story.tell("r1", [("vm-1", one), ("vm-2", two)])
+        lines = request_timeline.collect_lines(
+            "r1", [("vm-1", one), ("vm-2", two)]
+        )
         self.assertEqual(
             [each.event for each in lines],
             ["Attempt begins.", "Refused.", "Request ended."],
