--- a/src/ruddergate/cli/ctl.py
+++ b/src/ruddergate/cli/ctl.py
@@ -13,7 +13,7 @@
 from ruddergate.experiments import plots
 from ruddergate.experiments import trace
 from ruddergate.settings import kind as kinds
-from ruddergate.telemetry import losses
+from ruddergate.telemetry import outcome_summary
 from ruddergate.telemetry import request_timeline
 
 _PROGRAM = "ruddergatectl"
@@ -103,8 +103,8 @@
     Args:
         logs: Files of JSON log lines.
     """
-    found = losses.read(_read_log(path) for path in logs)
-    print("\n".join(losses.render(found)))
+    found = outcome_summary.read_outcomes(_read_log(path) for path in logs)
+    print("\n".join(outcome_summary.render(found)))
 
 
 def _read_log(path: pathlib.Path) -> list[str]:
--- a/src/ruddergate/telemetry/losses.py
+++ b/src/ruddergate/telemetry/outcome_summary.py
@@ -18,15 +18,15 @@
 # How an end and a refusal begin in the logs; the reason follows.
 _ENDED = "Request ended: "
 _REFUSED = "Request refused: "
-_BEGAN = "Attempt begins at "
-_MARKS = (_ENDED, _REFUSED, _BEGAN)
+_ATTEMPT_BEGAN = "Attempt begins at "
+_PREFIXES = (_ENDED, _REFUSED, _ATTEMPT_BEGAN)
 _FINISHED = "finished"
 # Length of one moment in the table by time, in seconds.
-MOMENT_S = 2.0
+BUCKET_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Fate:
+class RequestOutcome:
     """What became of one request.
 
     Attributes:
@@ -46,61 +46,61 @@
     ended_s: float
     prompt_tokens: int
     outcome: str
-    sends: int
+    attempt_count: int
     helpers: int
     waited_ms: int
     first_ms: int | None
 
 
-def read(sources: Iterable[Iterable[str]]) -> list[Fate]:
+def read_outcomes(sources: Iterable[Iterable[str]]) -> list[RequestOutcome]:
     """Returns the fate of each request that ended, in order of time."""
-    began: dict[str, list[request_timeline.LogLine]] = collections.defaultdict(
-        list
+    attempts: dict[str, list[request_timeline.LogLine]] = (
+        collections.defaultdict(list)
     )
     ended: dict[str, request_timeline.LogLine] = {}
     for lines in sources:
         for line in lines:
-            if not any(mark in line for mark in _MARKS):
+            if not any(mark in line for mark in _PREFIXES):
                 continue
             parsed = request_timeline.parse_line(line, "")
             if parsed is None or not parsed[0]:
                 continue
             request_id, found = parsed
-            if found.event.startswith(_BEGAN):
-                began[request_id].append(found)
+            if found.event.startswith(_ATTEMPT_BEGAN):
+                attempts[request_id].append(found)
             else:
                 ended[request_id] = found
-    fates = [
-        _judge(request_id, line, began.get(request_id, []))
+    outcomes = [
+        _make_outcome(request_id, line, attempts.get(request_id, []))
         for request_id, line in ended.items()
     ]
-    return sorted(fates, key=lambda each: each.ended_s)
+    return sorted(outcomes, key=lambda each: each.ended_s)
 
 
-def _judge(
+def _make_outcome(
     request_id: str,
     line: request_timeline.LogLine,
-    began: list[request_timeline.LogLine],
-) -> Fate:
+    attempts: list[request_timeline.LogLine],
+) -> RequestOutcome:
     inputs = line.inputs
-    first = began[0].inputs if began else {}
-    return Fate(
+    first = attempts[0].inputs if attempts else {}
+    return RequestOutcome(
         request_id=request_id,
         route=str(inputs.get("route", "")),
-        ended_s=_read_s(line.at),
+        ended_s=_parse_time_s(line.at),
         prompt_tokens=int(inputs.get("prompt_tokens") or 0),
-        outcome=_find_outcome(line),
-        sends=len(began),
+        outcome=_classify(line),
+        attempt_count=len(attempts),
         helpers=len(first.get("helpers") or ()),
         waited_ms=int(first.get("waited_ms") or 0),
         first_ms=inputs.get("first_ms"),
     )
 
 
-def _find_outcome(line: request_timeline.LogLine) -> str:
+def _classify(line: request_timeline.LogLine) -> str:
     if line.event.startswith(_REFUSED):
-        return "refused: " + _cut_reason(line.event, _REFUSED)
-    reason = _cut_reason(line.event, _ENDED)
+        return "refused: " + _parse_reason(line.event, _REFUSED)
+    reason = _parse_reason(line.event, _ENDED)
     if reason != _FINISHED:
         return reason
     inputs = line.inputs
@@ -116,11 +116,11 @@
     return IN_TIME
 
 
-def _cut_reason(event: str, start: str) -> str:
+def _parse_reason(event: str, start: str) -> str:
     return event.removeprefix(start).split(" ")[0].rstrip(".")
 
 
-def _read_s(at: str) -> float:
+def _parse_time_s(at: str) -> float:
     """Returns the seconds of the day of a time such as 2026-01-01T07:44:10."""
     clock = at.partition("T")[2][:12].rstrip("+Z")
     try:
@@ -130,22 +130,25 @@
         return 0.0
 
 
-def render(fates: list[Fate]) -> list[str]:
+def render(outcomes: list[RequestOutcome]) -> list[str]:
     """Returns tables by route, by moment and by decision, as lines."""
-    if not fates:
+    if not outcomes:
         return ["no request ended in these logs"]
-    began_s = fates[0].ended_s
-    tables: list[tuple[str, Callable[[Fate], str]]] = [
+    began_s = outcomes[0].ended_s
+    tables: list[tuple[str, Callable[[RequestOutcome], str]]] = [
         ("route", lambda each: each.route or "(unknown)"),
         (
             "second",
-            lambda each: f"{_floor(each.ended_s - began_s, MOMENT_S):6.0f}",
+            lambda each: f"{_floor(each.ended_s - began_s, BUCKET_S):6.0f}",
+        ),
+        (
+            "sends, helpers",
+            lambda each: f"{each.attempt_count}, {each.helpers}",
         ),
-        ("sends, helpers", lambda each: f"{each.sends}, {each.helpers}"),
     ]
     lines: list[str] = []
     for title, key in tables:
-        lines += _render_table(title, fates, key)
+        lines += _render_table(title, outcomes, key)
     return lines
 
 
@@ -154,12 +157,14 @@
 
 
 def _render_table(
-    title: str, fates: list[Fate], key: Callable[[Fate], str]
+    title: str,
+    outcomes: list[RequestOutcome],
+    key: Callable[[RequestOutcome], str],
 ) -> list[str]:
     rows: dict[str, collections.Counter[str]] = collections.defaultdict(
         collections.Counter
     )
-    for each in fates:
+    for each in outcomes:
         rows[key(each)][each.outcome] += 1
     lines = ["", f"{title:24} asked in time  lost"]
     for name in sorted(rows):
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -7,7 +7,7 @@
 import tempfile
 import unittest
 
-from ruddergate.telemetry import losses
+from ruddergate.telemetry import outcome_summary
 from ruddergate.telemetry import request_timeline
 
 
@@ -100,19 +100,21 @@
             _line(at + "6.300", "r5", "Request refused: no_target. None."),
             "no log line: Request ended",
         ]
-        fates = losses.read([lines])
+        fates = outcome_summary.read_outcomes([lines])
         self.assertEqual(
             [each.outcome for each in fates],
             [
-                losses.IN_TIME,
-                losses.LATE_FIRST,
-                losses.LATE_PAUSE,
+                outcome_summary.IN_TIME,
+                outcome_summary.LATE_FIRST,
+                outcome_summary.LATE_PAUSE,
                 "target_lost",
                 "refused: no_target",
             ],
         )
         self.assertEqual((fates[0].sends, fates[0].helpers), (1, 1))
-        text = "\n".join(losses.render(fates))
+        text = "\n".join(outcome_summary.render(fates))
         self.assertIn("ask                          4       1", text)
         self.assertIn("     4                       3       0", text)
-        self.assertEqual(losses.render([]), ["no request ended in these logs"])
+        self.assertEqual(
+            outcome_summary.render([]), ["no request ended in these logs"]
+        )
