--- a/src/ruddergate/entry/target_availability.py
+++ b/src/ruddergate/entry/target_availability.py
@@ -19,7 +19,7 @@
 from ruddergate.relay import statement as statements
 from ruddergate.telemetry import logs
 from ruddergate.telemetry import metrics as metric_types
-from ruddergate.telemetry import told_once
+from ruddergate.telemetry import repeat_filter
 
 # Jitter added to a backoff: up to this share of it, and at most this time. VMs
 # that got the same backoff at once must not all return together.
@@ -60,7 +60,7 @@
         self._drain_state = drain_state
         self._metrics = metrics
         self._on_draining = on_draining
-        self._logged = told_once.ToldOnce()
+        self._logged = repeat_filter.RepeatFilter()
         self._log = logs.make_logger("target")
 
     def on_hints(self, hints: statements.Statement) -> None:
--- a/src/ruddergate/entry/target_list.py
+++ b/src/ruddergate/entry/target_list.py
@@ -20,7 +20,7 @@
 from ruddergate.fleet import target as targets
 from ruddergate.relay import published
 from ruddergate.telemetry import logs
-from ruddergate.telemetry import told_once
+from ruddergate.telemetry import repeat_filter
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
         # Targets that were removed, and that the store lists again only because
         # it was restored from a copy made before their removal.
         self._stale: dict[str, targets.Target] = {}
-        self._logged = told_once.ToldOnce()
+        self._logged = repeat_filter.RepeatFilter()
         self._log = logs.make_logger("store")
 
     def list_targets(self) -> tuple[targets.Target, ...]:
