--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -427,7 +427,7 @@
         metrics.entries_refused.set({}, self._sync.count_refused())
         self._rate_limiter.set_gauges()
         metrics.quiet_targets.set({}, self._availability.count_backing_off())
-        metrics.log_lines_left_out.set({}, logs.count_left_out())
+        metrics.log_lines_dropped.set({}, logs.count_dropped_lines())
         return metric_types.render(metrics.registry)
 
     async def _stop(self, callers: asyncio.Server) -> None:
--- a/src/ruddergate/telemetry/logs.py
+++ b/src/ruddergate/telemetry/logs.py
@@ -25,7 +25,7 @@
 _WRITERS: list[line_writer.LineWriter] = []
 
 
-def count_left_out() -> int:
+def count_dropped_lines() -> int:
     """Returns how many log lines were not written."""
     return sum(writer.left_out for writer in _WRITERS)
 
--- a/src/ruddergate/telemetry/metrics.py
+++ b/src/ruddergate/telemetry/metrics.py
@@ -120,7 +120,7 @@
         self.reservations = self._gauge(
             "ruddergate_reservations", "Reservations held on engines."
         )
-        self.log_lines_left_out = self._gauge(
+        self.log_lines_dropped = self._gauge(
             "ruddergate_log_lines_left_out", "Log lines not written, in all."
         )
         self.pause_s = aioprometheus.Histogram(
--- a/tests/test_line_writer.py
+++ b/tests/test_line_writer.py
@@ -14,7 +14,7 @@
         sink = os.fdopen(write_end, "w")
         writer = line_writer.LineWriter(sink)
         line = "x" * 1_000 + "\n"
-        count = line_writer.WAITING_MAX + 500
+        count = line_writer.MAX_QUEUED_LINES + 500
         began_s = time.process_time()
         for _ in range(count):
             writer.write(line)
