--- a/src/ruddergate/agent/target_task.py
+++ b/src/ruddergate/agent/target_task.py
@@ -97,7 +97,7 @@
         lapsed = sweeping.find_expired(account.held)
         if lapsed:
             await control.cancel(self._env, target, lapsed, _TIMEOUT_MS)
-            self._metrics.swept.add({}, len(lapsed))
+            self._metrics.swept_items.add({}, len(lapsed))
 
     async def _rest(self) -> None:
         jitter = self._env.random.uniform(0.8, 1.2)
--- a/src/ruddergate/entry/attempt_log.py
+++ b/src/ruddergate/entry/attempt_log.py
@@ -18,7 +18,7 @@
     """Logs where an attempt starts, and the load estimate behind the choice."""
     now_ms = context.env.now_ms()
     placement = placements[0]
-    context.metrics.note_wait(
+    context.metrics.record_wait(
         request.prompt_tokens, now_ms - request.arrived_ms
     )
     logs.make_logger("attempt").info(
--- a/src/ruddergate/entry/drain_check.py
+++ b/src/ruddergate/entry/drain_check.py
@@ -101,7 +101,7 @@
         now_ms = self._env.now_ms()
         if not self._drain_state.note_refuted(target.life, now_ms):
             return False
-        self._metrics.leavings_denied.inc({})
+        self._metrics.drains_refuted.inc({})
         self._log.info(
             "Target {} is not draining, as a probe shows.",
             target.target_id,
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -424,9 +424,11 @@
         metrics.reservations.set({}, len(self._keeper))
         quarantined = self.context.quarantine.list_quarantined()
         metrics.quarantined.set({}, len(quarantined))
-        metrics.entries_refused.set({}, self._sync.count_refused())
+        metrics.rejected_entries.set({}, self._sync.count_refused())
         self._rate_limiter.set_gauges()
-        metrics.quiet_targets.set({}, self._availability.count_backing_off())
+        metrics.backing_off_targets.set(
+            {}, self._availability.count_backing_off()
+        )
         metrics.log_lines_dropped.set({}, logs.count_dropped_lines())
         return metric_types.render(metrics.registry)
 
--- a/src/ruddergate/entry/handler.py
+++ b/src/ruddergate/entry/handler.py
@@ -72,7 +72,7 @@
             return render.make_failure(call)
         request = admit.admit(call, self._context.view, self._context.env)
         if isinstance(request, outcomes.NotServed):
-            self._context.metrics.note_outcome(request.reason, request.ran)
+            self._context.metrics.record_outcome(request.reason, request.ran)
             return render.make_failure(request)
         if request.ticket:
             return await self._handle_ticket(
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -346,7 +346,7 @@
         self._has_first_event = True
         request = self._request
         took_ms = self._context.env.now_ms() - request.arrived_ms
-        self._context.metrics.note_first_token(request.prompt_tokens, took_ms)
+        self._context.metrics.record_first_token(request.prompt_tokens, took_ms)
         for placement in self._placements:
             self._context.scheduler.post(
                 scheduler_messages.FirstToken(placement, "", 0)
--- a/src/ruddergate/entry/relay_handler.py
+++ b/src/ruddergate/entry/relay_handler.py
@@ -145,7 +145,7 @@
     def _refuse(
         self, refusal: outcomes.NotServed, request_id: str
     ) -> message.Response:
-        self._context.metrics.note_outcome(refusal.reason, refusal.ran)
+        self._context.metrics.record_outcome(refusal.reason, refusal.ran)
         self._log.info(
             "Request refused: {}. {}",
             refusal.reason.value,
@@ -163,9 +163,9 @@
         detail: str,
         pauses: "_EventPauses | None" = None,
     ) -> None:
-        self._context.metrics.note_outcome(reason, ran.value)
+        self._context.metrics.record_outcome(reason, ran.value)
         if pauses is not None:
-            self._context.metrics.note_pause(
+            self._context.metrics.record_pause(
                 request.prompt_tokens, pauses.longest_ms
             )
         took_ms = self._context.env.now_ms() - request.arrived_ms
--- a/src/ruddergate/entry/serve.py
+++ b/src/ruddergate/entry/serve.py
@@ -42,7 +42,7 @@
         if is_first and isinstance(event, parts.Tokens):
             is_first = False
             took_ms = context.env.now_ms() - request.arrived_ms
-            context.metrics.note_first_token(request.prompt_tokens, took_ms)
+            context.metrics.record_first_token(request.prompt_tokens, took_ms)
         yield event
 
 
@@ -54,8 +54,8 @@
     if isinstance(event, parts.Tokens):
         return
     if isinstance(event, outcomes.NotServed):
-        context.metrics.note_outcome(event.reason.value, event.ran.value)
+        context.metrics.record_outcome(event.reason.value, event.ran.value)
         return
     if isinstance(event, outcomes.Finished):
         context.metrics.tokens.add({}, event.output_tokens)
-    context.metrics.note_outcome("finished", outcomes.Ran.RAN.value)
+    context.metrics.record_outcome("finished", outcomes.Ran.RAN.value)
--- a/src/ruddergate/entry/target_availability.py
+++ b/src/ruddergate/entry/target_availability.py
@@ -92,7 +92,7 @@
                 incarnation, peer, now_ms, due_ms
             ):
                 is_new = True
-                self._metrics.leavings_heard.inc({"from": "peer"})
+                self._metrics.drains_detected.inc({"from": "peer"})
                 self._log.info(
                     "Target {} is draining, according to a peer.",
                     incarnation.target_id,
@@ -163,7 +163,7 @@
         )
         if not is_new:
             return
-        self._metrics.leavings_heard.inc({"from": "answer"})
+        self._metrics.drains_detected.inc({"from": "answer"})
         self._log.info(
             "Target {} reports that it is draining.",
             hints.life.target_id,
@@ -195,7 +195,7 @@
     def _report_unreadable(
         self, hints: statements.Statement, detail: str
     ) -> None:
-        self._metrics.statements_unread.inc({})
+        self._metrics.malformed_hints.inc({})
         name = lives.format_life(hints.life)
         if self._logged.is_new(name, detail):
             self._log.warning(
--- a/src/ruddergate/telemetry/metrics.py
+++ b/src/ruddergate/telemetry/metrics.py
@@ -17,22 +17,22 @@
     300.0,
     float("inf"),
 )
-_LENGTHS = (
+_LENGTH_BUCKETS = (
     (1_024, "1k"),
     (4_096, "4k"),
     (16_384, "16k"),
     (65_536, "64k"),
     (262_144, "256k"),
 )
-_LONGEST = "1M"
+_LONGEST_BUCKET = "1M"
 
 
 def length_bucket(prompt_tokens: int) -> str:
     """Returns the length bucket that a prompt counts in."""
-    for bound, name in _LENGTHS:
+    for bound, name in _LENGTH_BUCKETS:
         if prompt_tokens <= bound:
             return name
-    return _LONGEST
+    return _LONGEST_BUCKET
 
 
 class EntryMetrics:
@@ -52,7 +52,7 @@
         self.attempts = self._counter(
             "ruddergate_attempts_total", "Attempts on targets, by result."
         )
-        self.targets_ended = self._counter(
+        self.lost_targets = self._counter(
             "ruddergate_targets_ended_total",
             "Targets found to have ended while they had calls of this VM.",
         )
@@ -80,15 +80,15 @@
             "ruddergate_quarantined_contents",
             "Contents that are sent to no target, since they end targets.",
         )
-        self.entries_refused = self._gauge(
+        self.rejected_entries = self._gauge(
             "ruddergate_entries_refused",
             "Entries in the list of targets that are none of a target, in all.",
         )
-        self.leavings_heard = self._counter(
+        self.drains_detected = self._counter(
             "ruddergate_leavings_heard_total",
             "Targets found to leave by other ways than the list, by way.",
         )
-        self.leavings_denied = self._counter(
+        self.drains_refuted = self._counter(
             "ruddergate_leavings_denied_total",
             "Targets that were said to leave, were asked, and do not.",
         )
@@ -97,7 +97,7 @@
             "Calls that were not sent as a target took none, by reason and by "
             "whether it was to answer or to help.",
         )
-        self.quiet_targets = self._gauge(
+        self.backing_off_targets = self._gauge(
             "ruddergate_quiet_targets",
             "Targets that want no calls of this VM for a while.",
         )
@@ -113,7 +113,7 @@
             "ruddergate_target_rate_limit_changes_total",
             "Rate limits of targets that came, changed or ended.",
         )
-        self.statements_unread = self._counter(
+        self.malformed_hints = self._counter(
             "ruddergate_statements_unread_total",
             "What targets said of themselves that has no meaning.",
         )
@@ -139,30 +139,30 @@
             "ruddergate_settings_revision", "Revision of settings in force."
         )
 
-    def note_outcome(self, reason: str, ran: str) -> None:
+    def record_outcome(self, reason: str, ran: str) -> None:
         """Counts a request that ended."""
         self.outcomes.inc({"reason": reason, "ran": ran})
 
-    def note_first_token(self, prompt_tokens: int, took_ms: float) -> None:
+    def record_first_token(self, prompt_tokens: int, took_ms: float) -> None:
         """Counts a time to first token."""
         labels = {"length": length_bucket(prompt_tokens)}
         self.first_token_s.observe(labels, took_ms / 1000.0)
 
-    def note_pause(self, prompt_tokens: int, pause_ms: float) -> None:
+    def record_pause(self, prompt_tokens: int, pause_ms: float) -> None:
         """Counts the longest pause of a stream."""
         labels = {"length": length_bucket(prompt_tokens)}
         self.pause_s.observe(labels, pause_ms / 1000.0)
 
-    def note_wait(self, prompt_tokens: int, waited_ms: float) -> None:
+    def record_wait(self, prompt_tokens: int, waited_ms: float) -> None:
         """Counts the time until a call was given a place."""
         labels = {"length": length_bucket(prompt_tokens)}
         self.wait_s.observe(labels, waited_ms / 1000.0)
 
-    def _counter(self, name: str, meaning: str) -> aioprometheus.Counter:
-        return aioprometheus.Counter(name, meaning, registry=self.registry)
+    def _counter(self, name: str, help_text: str) -> aioprometheus.Counter:
+        return aioprometheus.Counter(name, help_text, registry=self.registry)
 
-    def _gauge(self, name: str, meaning: str) -> aioprometheus.Gauge:
-        return aioprometheus.Gauge(name, meaning, registry=self.registry)
+    def _gauge(self, name: str, help_text: str) -> aioprometheus.Gauge:
+        return aioprometheus.Gauge(name, help_text, registry=self.registry)
 
 
 class AgentMetrics:
@@ -185,7 +185,7 @@
             "Orders given to engines, by result.",
             registry=self.registry,
         )
-        self.swept = aioprometheus.Counter(
+        self.swept_items = aioprometheus.Counter(
             "ruddergate_swept_total",
             "Lapsed items freed on engines.",
             registry=self.registry,
--- a/standins/withdrawal_ways.py
+++ b/standins/withdrawal_ways.py
@@ -30,9 +30,9 @@
     ways: collections.Counter[str] = collections.Counter()
     for gateway in found:
         metrics = gateway.context.metrics
-        for labels, count in metrics.leavings_heard.get_all():
+        for labels, count in metrics.drains_detected.get_all():
             ways[f"heard by {labels['from']}"] += int(count)
-        for _, count in metrics.leavings_denied.get_all():
+        for _, count in metrics.drains_refuted.get_all():
             ways[DENIED] += int(count)
         for labels, count in metrics.sends_withheld.get_all():
             name = f"{WITHHELD}, {labels['reason']} {labels['part']}"
