--- a/src/ruddergate/telemetry/line_writer.py
+++ b/src/ruddergate/telemetry/line_writer.py
@@ -31,7 +31,7 @@
     """
 
     def __init__(self, sink: TextIO) -> None:
-        self.left_out = 0
+        self.dropped = 0
         self._sink = sink
         self._queue: collections.deque[str] = collections.deque()
         self._wake = threading.Event()
@@ -44,7 +44,7 @@
     def write(self, line: str) -> None:
         """Takes a line, or leaves it out; never waits."""
         if len(self._queue) >= MAX_QUEUED_LINES or not self._take_token():
-            self.left_out += 1
+            self.dropped += 1
             return
         self._queue.append(line)
         self._wake.set()
@@ -73,18 +73,18 @@
             lines = []
             while self._queue:
                 lines.append(self._queue.popleft())
-            if self.left_out > self._reported_dropped:
+            if self.dropped > self._reported_dropped:
                 lines.append(self._render_dropped())
             try:
                 self._sink.write("".join(lines))
                 self._sink.flush()
             except (OSError, ValueError):
                 # Nobody reads any more; the lines count as left out.
-                self.left_out += len(lines)
+                self.dropped += len(lines)
             time.sleep(_WRITE_INTERVAL_S)
 
     def _render_dropped(self) -> str:
-        self._reported_dropped = self.left_out
+        self._reported_dropped = self.dropped
         document = {"event": "Log lines left out.", "part": "log"}
         return (
             orjson.dumps({**document, "count": self._reported_dropped}).decode()
--- a/src/ruddergate/telemetry/logs.py
+++ b/src/ruddergate/telemetry/logs.py
@@ -27,7 +27,7 @@
 
 def count_dropped_lines() -> int:
     """Returns how many log lines were not written."""
-    return sum(writer.left_out for writer in _WRITERS)
+    return sum(writer.dropped for writer in _WRITERS)
 
 
 def configure(level: str, as_json: bool, sink: TextIO | None = None) -> None:
--- a/tests/test_line_writer.py
+++ b/tests/test_line_writer.py
@@ -19,7 +19,7 @@
         for _ in range(count):
             writer.write(line)
         self.assertLess(time.process_time() - began_s, 1.0)
-        self.assertGreaterEqual(writer.left_out, 500)
+        self.assertGreaterEqual(writer.dropped, 500)
         os.close(read_end)
 
     def test_lines_beyond_the_allowance_are_counted(self) -> None:
@@ -27,5 +27,5 @@
         writer = line_writer.LineWriter(sink)
         for number in range(int(line_writer.LINES_BURST) + 50):
             writer.write(f"{number}\n")
-        self.assertGreaterEqual(writer.left_out, 40)
+        self.assertGreaterEqual(writer.dropped, 40)
         writer.flush()
