--- a/src/ruddergate/adapters/callers/parse.py
+++ b/src/ruddergate/adapters/callers/parse.py
@@ -16,7 +16,7 @@
 # Without a caller's word, a token is taken to be this many bytes of prompt.
 BYTES_PER_TOKEN = 4
 # A caller's word below this many tokens for its bytes is not believed.
-BYTES_PER_TOKEN_MOST = 64
+MAX_BYTES_PER_TOKEN = 64
 # The leading part by which prompts without a named prefix are compared.
 PREFIX_BYTES = 4_096
 TOKENS_MAX = 100_000_000
@@ -33,23 +33,23 @@
         if incoming.path.startswith(SERVICES):
             return _parse_service(incoming)
         return _parse_prompt(incoming)
-    except _WrongError as error:
+    except _BadRequestError as error:
         return outcomes.refuse(outcomes.Reason.BAD_REQUEST, str(error))
 
 
-class _WrongError(ValueError):
+class _BadRequestError(ValueError):
     """Ends the parsing of one call; never leaves this module."""
 
 
 def _parse_service(incoming: message.IncomingRequest) -> calls.Call:
-    rest = incoming.path.removeprefix(SERVICES)
-    workload, _, path = rest.partition("/")
+    path_below = incoming.path.removeprefix(SERVICES)
+    workload, _, path = path_below.partition("/")
     if not workload:
-        raise _WrongError("name a workload: /services/WORKLOAD/...")
+        raise _BadRequestError("name a workload: /services/WORKLOAD/...")
     try:
         body = incoming.body.decode()
     except UnicodeDecodeError:
-        raise _WrongError("the body must be UTF-8") from None
+        raise _BadRequestError("the body must be UTF-8") from None
     query = f"?{incoming.query}" if incoming.query else ""
     return _make_call(
         incoming, workload, body, 0, None, False, False, f"/{path}{query}"
@@ -61,11 +61,11 @@
     is_chat = incoming.path == CHAT
     prompt = _read_messages(document) if is_chat else _read_prompt(document)
     workload = incoming.headers.get("ruddergate-workload", "")
-    workload = workload or _read(document, "model", str, "")
+    workload = workload or _read_field(document, "model", str, "")
     if not workload:
-        raise _WrongError("name a workload: header Ruddergate-Workload")
+        raise _BadRequestError("name a workload: header Ruddergate-Workload")
     output_tokens = _read_output_tokens(document)
-    stream = _read(document, "stream", bool, False)
+    stream = _read_field(document, "stream", bool, False)
     tokens = _count_tokens(incoming.headers, prompt)
     return _make_call(
         incoming, workload, prompt, tokens, output_tokens, stream, is_chat, ""
@@ -74,10 +74,10 @@
 
 def _read_output_tokens(document: Mapping[str, object]) -> int | None:
     for name in ("max_tokens", "max_completion_tokens"):
-        tokens = _read(document, name, int, None)
+        tokens = _read_field(document, name, int, None)
         if tokens is not None:
             if not 1 <= tokens <= TOKENS_MAX:
-                raise _WrongError(f"{name}: expected at least 1")
+                raise _BadRequestError(f"{name}: expected at least 1")
             return tokens
     return None
 
@@ -86,36 +86,38 @@
     try:
         document = orjson.loads(body)
     except orjson.JSONDecodeError:
-        raise _WrongError("the body must be JSON") from None
+        raise _BadRequestError("the body must be JSON") from None
     if not isinstance(document, dict):
-        raise _WrongError("the body must be a JSON object")
+        raise _BadRequestError("the body must be a JSON object")
     return document
 
 
 def _read_prompt(document: Mapping[str, object]) -> str:
-    prompt = _read(document, "prompt", str, None)
+    prompt = _read_field(document, "prompt", str, None)
     if not prompt:
-        raise _WrongError("prompt: expected text")
+        raise _BadRequestError("prompt: expected text")
     return prompt
 
 
 def _read_messages(document: Mapping[str, object]) -> str:
-    messages = _read(document, "messages", list, None)
+    messages = _read_field(document, "messages", list, None)
     if not messages:
-        raise _WrongError("messages: expected a list that is not empty")
+        raise _BadRequestError("messages: expected a list that is not empty")
     lines = []
     for each in messages:
         if not isinstance(each, dict):
-            raise _WrongError("messages: expected objects")
-        role = _read(each, "role", str, None)
-        content = _read(each, "content", str, None)
+            raise _BadRequestError("messages: expected objects")
+        role = _read_field(each, "role", str, None)
+        content = _read_field(each, "content", str, None)
         if role is None or content is None:
-            raise _WrongError("messages: expected role and content as text")
+            raise _BadRequestError(
+                "messages: expected role and content as text"
+            )
         lines.append(f"{role}: {content}\n")
     return "".join(lines)
 
 
-def _read(
+def _read_field(
     document: Mapping[str, object],
     name: str,
     type_: type,
@@ -125,7 +127,7 @@
     if value is None:
         return default
     if type(value) is not type_:
-        raise _WrongError(f"{name}: expected {type_.__name__}")
+        raise _BadRequestError(f"{name}: expected {type_.__name__}")
     return value
 
 
@@ -174,7 +176,7 @@
 def _read_key(headers: Mapping[str, str]) -> str:
     key = read_key(headers)
     if key is None:
-        raise _WrongError("Authorization: expected Bearer and a key")
+        raise _BadRequestError("Authorization: expected Bearer and a key")
     return key
 
 
@@ -183,7 +185,7 @@
     if text is None:
         return None
     if not text.isdigit() or len(text) > 12:
-        raise _WrongError(f"{name}: expected a whole number")
+        raise _BadRequestError(f"{name}: expected a whole number")
     return float(text)
 
 
@@ -192,14 +194,14 @@
     if text is None:
         return None
     if text not in ("yes", "no"):
-        raise _WrongError("ruddergate-repeatable: expected yes or no")
+        raise _BadRequestError("ruddergate-repeatable: expected yes or no")
     return text == "yes"
 
 
 def _read_idempotency_key(headers: Mapping[str, str]) -> str:
     key = headers.get("idempotency-key", "")
     if len(key) > KEY_LENGTH_MAX:
-        raise _WrongError(
+        raise _BadRequestError(
             f"idempotency-key: expected at most {KEY_LENGTH_MAX} characters"
         )
     return key
@@ -212,10 +214,10 @@
 
 def _count_tokens(headers: Mapping[str, str], prompt: str) -> int:
     size = len(prompt.encode())
-    told = _read_number(headers, "ruddergate-prompt-tokens")
-    if told is None:
+    declared = _read_number(headers, "ruddergate-prompt-tokens")
+    if declared is None:
         return max(1, size // BYTES_PER_TOKEN)
-    return max(1, size // BYTES_PER_TOKEN_MOST, min(int(told), TOKENS_MAX))
+    return max(1, size // MAX_BYTES_PER_TOKEN, min(int(declared), TOKENS_MAX))
 
 
 def _read_prefix(headers: Mapping[str, str], prompt: str) -> tuple[str, int]:
@@ -223,10 +225,10 @@
     if text is not None:
         name, _, tokens = text.partition(";tokens=")
         if not name or not tokens.isdigit() or len(text) > KEY_LENGTH_MAX:
-            raise _WrongError("ruddergate-prefix: expected NAME;tokens=N")
+            raise _BadRequestError("ruddergate-prefix: expected NAME;tokens=N")
         return name, int(tokens)
     if len(prompt) <= PREFIX_BYTES:
         return "", 0
-    lead = prompt[:PREFIX_BYTES].encode()
-    digest = hashlib.blake2b(lead, digest_size=8).hexdigest()
+    prefix = prompt[:PREFIX_BYTES].encode()
+    digest = hashlib.blake2b(prefix, digest_size=8).hexdigest()
     return digest, PREFIX_BYTES // BYTES_PER_TOKEN
--- a/src/ruddergate/adapters/callers/render.py
+++ b/src/ruddergate/adapters/callers/render.py
@@ -9,7 +9,7 @@
 from ruddergate import outcomes
 from ruddergate.http import message
 
-_STATUS: Mapping[outcomes.Reason, int] = {
+_STATUS_BY_REASON: Mapping[outcomes.Reason, int] = {
     outcomes.Reason.BAD_REQUEST: 400,
     outcomes.Reason.UNKNOWN_KEY: 401,
     outcomes.Reason.UNKNOWN_WORKLOAD: 404,
@@ -24,12 +24,12 @@
     outcomes.Reason.TARGET_REFUSED: 502,
     outcomes.Reason.TARGET_BROKE_PROTOCOL: 502,
 }
-_STATUS_OTHERWISE = 503
+_DEFAULT_STATUS = 503
 _DONE = b"data: [DONE]\n\n"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Style:
+class ResponseFormat:
     """How one caller wants its answer.
 
     Attributes:
@@ -47,22 +47,22 @@
     created_s: int
 
 
-def make_failure(
+def make_error_response(
     failure: outcomes.NotServed, request_id: str = ""
 ) -> message.Response:
     """Returns the answer for a request that was not served."""
-    status = _STATUS.get(failure.reason, _STATUS_OTHERWISE)
+    status = _STATUS_BY_REASON.get(failure.reason, _DEFAULT_STATUS)
     headers = {}
     if failure.retry_after_ms is not None:
         seconds = max(1, math.ceil(failure.retry_after_ms / 1000.0))
         headers["retry-after"] = str(seconds)
     if request_id:
         headers["ruddergate-request-id"] = request_id
-    document = make_failure_document(failure)
+    document = make_error_document(failure)
     return message.make_json_response(status, document, headers)
 
 
-def make_failure_document(failure: outcomes.NotServed) -> dict[str, object]:
+def make_error_document(failure: outcomes.NotServed) -> dict[str, object]:
     """Returns the JSON form of a failure."""
     return {
         "reason": failure.reason.value,
@@ -72,83 +72,85 @@
     }
 
 
-def make_whole(
-    style: Style, text: str, finished: outcomes.Finished
+def make_full_response(
+    format_: ResponseFormat, text: str, finished: outcomes.Finished
 ) -> message.Response:
     """Returns a whole answer as one JSON document."""
     choice: dict[str, object] = {
         "index": 0,
         "finish_reason": finished.finish_reason,
     }
-    if style.is_chat:
+    if format_.is_chat:
         choice["message"] = {"role": "assistant", "content": text}
     else:
         choice["text"] = text
-    kind = "chat.completion" if style.is_chat else "text_completion"
+    kind = "chat.completion" if format_.is_chat else "text_completion"
     document = {
-        "id": style.request_id,
+        "id": format_.request_id,
         "object": kind,
-        "created": style.created_s,
-        "model": style.model,
+        "created": format_.created_s,
+        "model": format_.model,
         "choices": [choice],
-        "usage": _make_usage(style, finished),
+        "usage": _make_usage(format_, finished),
     }
-    headers = {"ruddergate-request-id": style.request_id}
+    headers = {"ruddergate-request-id": format_.request_id}
     return message.make_json_response(200, document, headers)
 
 
-def make_stream_headers(style: Style) -> dict[str, str]:
+def make_stream_headers(format_: ResponseFormat) -> dict[str, str]:
     """Returns the headers of a streamed answer."""
     return {
         "content-type": message.EVENT_STREAM_TYPE,
         "cache-control": "no-store",
-        "ruddergate-request-id": style.request_id,
+        "ruddergate-request-id": format_.request_id,
     }
 
 
-def render_tokens(style: Style, text: str) -> bytes:
+def render_tokens(format_: ResponseFormat, text: str) -> bytes:
     """Returns one event with some text."""
-    return _render(style, text, None)
+    return _render(format_, text, None)
 
 
-def render_end(style: Style, finished: outcomes.Finished) -> bytes:
+def render_end(format_: ResponseFormat, finished: outcomes.Finished) -> bytes:
     """Returns the events that properly end a stream."""
-    return _render(style, "", finished) + _DONE
+    return _render(format_, "", finished) + _DONE
 
 
-def render_failure(failure: outcomes.NotServed) -> bytes:
+def render_error(failure: outcomes.NotServed) -> bytes:
     """Returns the event that ends a broken stream; no `[DONE]` follows."""
-    document = {"error": make_failure_document(failure)}
+    document = {"error": make_error_document(failure)}
     return b"data: " + orjson.dumps(document) + b"\n\n"
 
 
 def _render(
-    style: Style, text: str, finished: outcomes.Finished | None
+    format_: ResponseFormat, text: str, finished: outcomes.Finished | None
 ) -> bytes:
     choice: dict[str, object] = {
         "index": 0,
         "finish_reason": finished.finish_reason if finished else None,
     }
-    if style.is_chat:
+    if format_.is_chat:
         choice["delta"] = {"content": text}
     else:
         choice["text"] = text
-    kind = "chat.completion.chunk" if style.is_chat else "text_completion"
+    kind = "chat.completion.chunk" if format_.is_chat else "text_completion"
     document: dict[str, object] = {
-        "id": style.request_id,
+        "id": format_.request_id,
         "object": kind,
-        "created": style.created_s,
-        "model": style.model,
+        "created": format_.created_s,
+        "model": format_.model,
         "choices": [choice],
     }
     if finished is not None:
-        document["usage"] = _make_usage(style, finished)
+        document["usage"] = _make_usage(format_, finished)
     return b"data: " + orjson.dumps(document) + b"\n\n"
 
 
-def _make_usage(style: Style, finished: outcomes.Finished) -> dict[str, int]:
+def _make_usage(
+    format_: ResponseFormat, finished: outcomes.Finished
+) -> dict[str, int]:
     return {
-        "prompt_tokens": style.prompt_tokens,
+        "prompt_tokens": format_.prompt_tokens,
         "completion_tokens": finished.output_tokens,
-        "total_tokens": style.prompt_tokens + finished.output_tokens,
+        "total_tokens": format_.prompt_tokens + finished.output_tokens,
     }
--- a/src/ruddergate/entry/handler.py
+++ b/src/ruddergate/entry/handler.py
@@ -66,14 +66,14 @@
         self, incoming: message.IncomingRequest, is_forwarded: bool
     ) -> message.Response:
         if not _is_call(incoming):
-            return render.make_failure(_refuse_path(incoming.path))
+            return render.make_error_response(_refuse_path(incoming.path))
         call = parse.parse_call(incoming)
         if isinstance(call, outcomes.NotServed):
-            return render.make_failure(call)
+            return render.make_error_response(call)
         request = admit.admit(call, self._context.view, self._context.env)
         if isinstance(request, outcomes.NotServed):
             self._context.metrics.record_outcome(request.reason, request.ran)
-            return render.make_failure(request)
+            return render.make_error_response(request)
         if request.ticket:
             return await self._handle_ticket(
                 incoming, call, request, is_forwarded
@@ -117,17 +117,19 @@
             request.workload.workspace,
         )
         if ticket is None:
-            return render.make_failure(
+            return render.make_error_response(
                 outcomes.refuse(outcomes.Reason.BAD_REQUEST, "unknown ticket")
             )
         if ticket.incarnation == self._context.incarnation:
             age_ms = self._context.env.now_ms() - ticket.issued_ms
             if age_ms > TICKET_VALID_MS:
-                return render.make_failure(_refuse_ticket("it has expired"))
+                return render.make_error_response(
+                    _refuse_ticket("it has expired")
+                )
             events = self._keyed.serve_ticket(request)
             return await self._respond(call, request, events)
         if is_forwarded or ticket.vm_id == self._context.config.vm_id:
-            return render.make_failure(
+            return render.make_error_response(
                 _refuse_ticket("the process that issued it has ended")
             )
         return await self._forward(
@@ -144,7 +146,7 @@
         key = parse.read_key(incoming.headers) or ""
         workspace = self._context.view.index.find_workspace(key)
         if workspace is None:
-            return render.make_failure(
+            return render.make_error_response(
                 outcomes.refuse(outcomes.Reason.UNKNOWN_KEY, "unknown key")
             )
         ticket = tickets.issue(
@@ -172,21 +174,21 @@
         listed = self._context.view.listing.vms
         found = [vm for vm in listed if vm.vm_id == vm_id]
         if not found:
-            return render.make_failure(failure, request.request_id)
+            return render.make_error_response(failure, request.request_id)
         return await forwarding.forward_request(
             self._context.env,
             found[0].entry_peer,
             self._context.config.peer_key,
             incoming,
             request.remaining_ms(self._context.env.now_ms()),
-            lambda: render.make_failure(failure, request.request_id),
-            lambda: render.render_failure(failure),
+            lambda: render.make_error_response(failure, request.request_id),
+            lambda: render.render_error(failure),
         )
 
     async def _respond(
         self, call: calls.Call, request: requests.Request, events: Events
     ) -> message.Response:
-        style = render.Style(
+        style = render.ResponseFormat(
             request_id=request.request_id,
             model=request.workload.name,
             is_chat=call.is_chat,
@@ -205,7 +207,7 @@
         raise AssertionError("a run ended without an outcome")
 
     def _end(
-        self, style: render.Style, text: str, event: recording.Event
+        self, style: render.ResponseFormat, text: str, event: recording.Event
     ) -> message.Response:
         if isinstance(event, service_calls.ServiceAnswer):
             headers = {
@@ -215,11 +217,11 @@
             return message.Response(event.status, headers, event.body)
         if isinstance(event, outcomes.NotServed):
             self._log_failure(style, event)
-            return render.make_failure(event, style.request_id)
-        return render.make_whole(style, text, event)
+            return render.make_error_response(event, style.request_id)
+        return render.make_full_response(style, text, event)
 
     async def _stream(
-        self, style: render.Style, events: Events
+        self, style: render.ResponseFormat, events: Events
     ) -> message.Response:
         """Waits for the first event, so that early failures get a status."""
         try:
@@ -230,13 +232,16 @@
         if isinstance(first, outcomes.NotServed):
             await events.aclose()
             self._log_failure(style, first)
-            return render.make_failure(first, style.request_id)
+            return render.make_error_response(first, style.request_id)
         headers = render.make_stream_headers(style)
         body = self._render_events(style, first, events)
         return message.Response(200, headers, body)
 
     async def _render_events(
-        self, style: render.Style, first: recording.Event, events: Events
+        self,
+        style: render.ResponseFormat,
+        first: recording.Event,
+        events: Events,
     ) -> AsyncIterator[bytes]:
         async with contextlib.aclosing(events):
             yield self._render_event(style, first)
@@ -244,17 +249,17 @@
                 yield self._render_event(style, event)
 
     def _render_event(
-        self, style: render.Style, event: recording.Event
+        self, style: render.ResponseFormat, event: recording.Event
     ) -> bytes:
         if isinstance(event, parts.Tokens):
             return render.render_tokens(style, "".join(event.texts))
         if isinstance(event, outcomes.NotServed):
             self._log_failure(style, event)
-            return render.render_failure(event)
+            return render.render_error(event)
         return render.render_end(style, event)
 
     def _log_failure(
-        self, style: render.Style, failure: outcomes.NotServed
+        self, style: render.ResponseFormat, failure: outcomes.NotServed
     ) -> None:
         self._log.info(
             "Request ended: {} ({}). {}",
--- a/src/ruddergate/entry/program.py
+++ b/src/ruddergate/entry/program.py
@@ -39,7 +39,7 @@
         self._env = env
         self._config = config
         self._log = logs.make_logger("entry")
-        self._in_flight = in_flight.InFlightCalls(render.make_failure)
+        self._in_flight = in_flight.InFlightCalls(render.make_error_response)
         self._is_closing = False
         view = views.View()
         scheduler = schedulers.Scheduler(env, config, view)
