--- a/src/ruddergate/adapters/callers/render.py
+++ b/src/ruddergate/adapters/callers/render.py
@@ -73,47 +73,49 @@
 
 
 def make_full_response(
-    format_: ResponseFormat, text: str, finished: outcomes.Finished
+    response_format: ResponseFormat, text: str, finished: outcomes.Finished
 ) -> message.Response:
     """Returns a whole answer as one JSON document."""
     choice: dict[str, object] = {
         "index": 0,
         "finish_reason": finished.finish_reason,
     }
-    if format_.is_chat:
+    if response_format.is_chat:
         choice["message"] = {"role": "assistant", "content": text}
     else:
         choice["text"] = text
-    kind = "chat.completion" if format_.is_chat else "text_completion"
+    kind = "chat.completion" if response_format.is_chat else "text_completion"
     document = {
-        "id": format_.request_id,
+        "id": response_format.request_id,
         "object": kind,
-        "created": format_.created_s,
-        "model": format_.model,
+        "created": response_format.created_s,
+        "model": response_format.model,
         "choices": [choice],
-        "usage": _make_usage(format_, finished),
+        "usage": _make_usage(response_format, finished),
     }
-    headers = {"ruddergate-request-id": format_.request_id}
+    headers = {"ruddergate-request-id": response_format.request_id}
     return message.make_json_response(200, document, headers)
 
 
-def make_stream_headers(format_: ResponseFormat) -> dict[str, str]:
+def make_stream_headers(response_format: ResponseFormat) -> dict[str, str]:
     """Returns the headers of a streamed answer."""
     return {
         "content-type": message.EVENT_STREAM_TYPE,
         "cache-control": "no-store",
-        "ruddergate-request-id": format_.request_id,
+        "ruddergate-request-id": response_format.request_id,
     }
 
 
-def render_tokens(format_: ResponseFormat, text: str) -> bytes:
+def render_tokens(response_format: ResponseFormat, text: str) -> bytes:
     """Returns one event with some text."""
-    return _render(format_, text, None)
+    return _render(response_format, text, None)
 
 
-def render_end(format_: ResponseFormat, finished: outcomes.Finished) -> bytes:
+def render_end(
+    response_format: ResponseFormat, finished: outcomes.Finished
+) -> bytes:
     """Returns the events that properly end a stream."""
-    return _render(format_, "", finished) + _DONE
+    return _render(response_format, "", finished) + _DONE
 
 
 def render_error(failure: outcomes.NotServed) -> bytes:
@@ -123,34 +125,40 @@
 
 
 def _render(
-    format_: ResponseFormat, text: str, finished: outcomes.Finished | None
+    response_format: ResponseFormat,
+    text: str,
+    finished: outcomes.Finished | None,
 ) -> bytes:
     choice: dict[str, object] = {
         "index": 0,
         "finish_reason": finished.finish_reason if finished else None,
     }
-    if format_.is_chat:
+    if response_format.is_chat:
         choice["delta"] = {"content": text}
     else:
         choice["text"] = text
-    kind = "chat.completion.chunk" if format_.is_chat else "text_completion"
+    kind = (
+        "chat.completion.chunk"
+        if response_format.is_chat
+        else "text_completion"
+    )
     document: dict[str, object] = {
-        "id": format_.request_id,
+        "id": response_format.request_id,
         "object": kind,
-        "created": format_.created_s,
-        "model": format_.model,
+        "created": response_format.created_s,
+        "model": response_format.model,
         "choices": [choice],
     }
     if finished is not None:
-        document["usage"] = _make_usage(format_, finished)
+        document["usage"] = _make_usage(response_format, finished)
     return b"data: " + orjson.dumps(document) + b"\n\n"
 
 
 def _make_usage(
-    format_: ResponseFormat, finished: outcomes.Finished
+    response_format: ResponseFormat, finished: outcomes.Finished
 ) -> dict[str, int]:
     return {
-        "prompt_tokens": format_.prompt_tokens,
+        "prompt_tokens": response_format.prompt_tokens,
         "completion_tokens": finished.output_tokens,
-        "total_tokens": format_.prompt_tokens + finished.output_tokens,
+        "total_tokens": response_format.prompt_tokens + finished.output_tokens,
     }
--- a/src/ruddergate/adapters/configuration/client.py
+++ b/src/ruddergate/adapters/configuration/client.py
@@ -52,11 +52,13 @@
 def _parse_manifest(document: object) -> manifests.Manifest | Unavailable:
     revision = _private.get(document, "revision", int, -1)
     shards = _private.get(document, "shards", dict, {})
-    sound = all(isinstance(digest, str) for digest in shards.values())
-    if revision < 0 or not sound:
+    is_valid = all(isinstance(digest, str) for digest in shards.values())
+    if revision < 0 or not is_valid:
         return Unavailable("a malformed manifest")
-    named = [manifests.Shard(name, shards[name]) for name in sorted(shards)]
-    return manifests.Manifest(revision, tuple(named))
+    shard_list = [
+        manifests.Shard(name, shards[name]) for name in sorted(shards)
+    ]
+    return manifests.Manifest(revision, tuple(shard_list))
 
 
 async def fetch_shard(
--- a/src/ruddergate/adapters/engines/control.py
+++ b/src/ruddergate/adapters/engines/control.py
@@ -10,7 +10,7 @@
 import dataclasses
 
 from ruddergate import environment
-from ruddergate.adapters.engines import generation as generations
+from ruddergate.adapters.engines import generation_request
 from ruddergate.decisions import gangs
 from ruddergate.decisions import orders
 from ruddergate.fleet import target as targets
@@ -55,7 +55,7 @@
     reservation: str,
     owner: str,
     held_tokens: int,
-    lapse_ms: float,
+    expiry_age_ms: float,
     timeout_ms: float,
 ) -> Answer:
     """Reserves memory for one part of a gang's prompt."""
@@ -63,7 +63,7 @@
         "reservation": reservation,
         "owner": owner,
         "tokens": held_tokens,
-        "lapse_ms": lapse_ms,
+        "lapse_ms": expiry_age_ms,
     }
     return await _post(env, target, "/v1/reserve", document, timeout_ms)
 
@@ -73,7 +73,7 @@
     target: targets.Target,
     reservation: str,
     segment: gangs.Segment,
-    kv_parts: Sequence[generations.KvPart],
+    kv_parts: Sequence[generation_request.KvPart],
     timeout_ms: float,
 ) -> Answer:
     """Has an engine prefill one part, importing the KV cache before it."""
--- a/src/ruddergate/adapters/engines/generation.py
+++ b/src/ruddergate/adapters/engines/generation_request.py
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Generation:
+class GenerationRequest:
     """One attempt to have an answer generated.
 
     Attributes:
@@ -52,7 +52,7 @@
     delivered: tuple[str, ...]
     priority: int
     prefix: requests.Prefix | None
-    lapse_ms: float
+    expiry_age_ms: float
     key: str
     reservation: str
     kv_parts: tuple[KvPart, ...]
--- a/src/ruddergate/adapters/engines/stream.py
+++ b/src/ruddergate/adapters/engines/stream.py
@@ -17,9 +17,9 @@
 from ruddergate import environment
 from ruddergate import outcomes
 from ruddergate.adapters import _private
-from ruddergate.adapters.engines import generation as generations
+from ruddergate.adapters.engines import generation_request
 from ruddergate.adapters.engines import load
-from ruddergate.adapters.engines import part
+from ruddergate.adapters.engines import stream_event
 from ruddergate.fleet import load_report
 from ruddergate.fleet import target as targets
 from ruddergate.http import client
@@ -66,9 +66,9 @@
         self._silence_ms = silence_ms
         self._buffer = b""
 
-    async def next_part(
+    async def next_event(
         self, left_ms: Callable[[], float]
-    ) -> part.Tokens | part.End | outcomes.NotServed:
+    ) -> stream_event.Tokens | stream_event.End | outcomes.NotServed:
         """Returns what comes next, or why nothing does.
 
         Args:
@@ -80,13 +80,13 @@
         while True:
             found = self._take_buffered(texts)
             if found is not None:
-                if texts and isinstance(found, part.End):
+                if texts and isinstance(found, stream_event.End):
                     # The end is told again by the next call.
                     self._buffer = _encode_end(self._stream_id, found)
-                    return part.Tokens(first, tuple(texts))
+                    return stream_event.Tokens(first, tuple(texts))
                 return found
             if texts:
-                return part.Tokens(first, tuple(texts))
+                return stream_event.Tokens(first, tuple(texts))
             fault = await self._read_more(left_ms())
             if fault is not None:
                 return fault
@@ -113,7 +113,7 @@
 
     def _take_buffered(
         self, texts: list[str]
-    ) -> part.End | outcomes.NotServed | None:
+    ) -> stream_event.End | outcomes.NotServed | None:
         """Adds buffered tokens to `texts`; returns an end or a fault."""
         *events, self._buffer = self._buffer.split(_EVENT_END)
         for event in events:
@@ -126,7 +126,7 @@
 
     def _take_event(
         self, event: bytes, texts: list[str]
-    ) -> part.End | outcomes.NotServed | None:
+    ) -> stream_event.End | outcomes.NotServed | None:
         try:
             document = orjson.loads(event.removeprefix(_DATA))
         except orjson.JSONDecodeError:
@@ -150,14 +150,14 @@
 
     def _check_end(
         self, end: str, document: object
-    ) -> part.End | outcomes.NotServed:
+    ) -> stream_event.End | outcomes.NotServed:
         count = _private.get(document, "count", int, -1)
         if count != self.position:
             return _broke(f"an end at {self.position} of {count} tokens")
-        return part.End(end, count)
+        return stream_event.End(end, count)
 
 
-def _encode_end(stream_id: str, end: part.End) -> bytes:
+def _encode_end(stream_id: str, end: stream_event.End) -> bytes:
     document = {
         "stream": stream_id,
         "end": end.finish_reason,
@@ -179,23 +179,23 @@
 async def generate(
     env: environment.Environment,
     target: targets.Target,
-    wanted: generations.Generation,
+    generation: generation_request.GenerationRequest,
     patience: Patience,
     timeout_ms: float,
 ) -> Stream | outcomes.NotServed:
     """Starts a stream; an outcome of `not_run` is certain."""
     request = client.make_json_request(
-        "POST", "/v1/generate", _make_document(wanted)
+        "POST", "/v1/generate", _make_document(generation)
     )
-    if wanted.traceparent:
-        headers = {**request.headers, "traceparent": wanted.traceparent}
+    if generation.traceparent:
+        headers = {**request.headers, "traceparent": generation.traceparent}
         request = dataclasses.replace(request, headers=headers)
-    position = len(wanted.delivered)
+    position = len(generation.delivered)
     return await _open(
         env,
         target,
         request,
-        wanted.stream_id,
+        generation.stream_id,
         position,
         patience,
         timeout_ms,
@@ -269,25 +269,27 @@
     )
 
 
-def _make_document(wanted: generations.Generation) -> dict[str, object]:
-    prefix = wanted.prefix
+def _make_document(
+    generation: generation_request.GenerationRequest,
+) -> dict[str, object]:
+    prefix = generation.prefix
     return {
-        "stream": wanted.stream_id,
-        "owner": wanted.owner,
-        "request": wanted.request_id,
-        "prompt": wanted.prompt,
-        "prompt_tokens": wanted.prompt_tokens,
-        "first_token": wanted.first_token,
-        "output_tokens_max": wanted.output_tokens_max,
-        "delivered": wanted.delivered,
-        "priority": wanted.priority,
+        "stream": generation.stream_id,
+        "owner": generation.owner,
+        "request": generation.request_id,
+        "prompt": generation.prompt,
+        "prompt_tokens": generation.prompt_tokens,
+        "first_token": generation.first_token,
+        "output_tokens_max": generation.output_tokens_max,
+        "delivered": generation.delivered,
+        "priority": generation.priority,
         "prefix": prefix.name if prefix else "",
         "prefix_tokens": prefix.tokens if prefix else 0,
-        "lapse_ms": wanted.lapse_ms,
-        "key": wanted.key,
-        "reservation": wanted.reservation,
+        "lapse_ms": generation.expiry_age_ms,
+        "key": generation.key,
+        "reservation": generation.reservation,
         "kv_parts": [
             {"engine": each.address, "reservation": each.reservation}
-            for each in wanted.kv_parts
+            for each in generation.kv_parts
         ],
     }
--- a/src/ruddergate/entry/attempt.py
+++ b/src/ruddergate/entry/attempt.py
@@ -5,9 +5,9 @@
 
 from ruddergate import outcomes
 from ruddergate import request as requests
-from ruddergate.adapters.engines import generation as generations
-from ruddergate.adapters.engines import part as parts
+from ruddergate.adapters.engines import generation_request
 from ruddergate.adapters.engines import stream as streams
+from ruddergate.adapters.engines import stream_event
 from ruddergate.decisions import length_band
 from ruddergate.entry import canceller
 from ruddergate.entry import context as contexts
@@ -18,7 +18,7 @@
 _CANCEL_AFTER_DEADLINE_MS = 30_000.0
 _RESUME_TIMEOUT_MS = 1_000.0
 
-Event = parts.Tokens | outcomes.Finished | outcomes.NotServed
+Event = stream_event.Tokens | outcomes.Finished | outcomes.NotServed
 
 
 async def run(
@@ -39,13 +39,13 @@
     placement: scheduler_messages.Placement,
     delivered: tuple[str, ...],
     context: contexts.EntryContext,
-    kv_parts: tuple[generations.KvPart, ...] = (),
+    kv_parts: tuple[generation_request.KvPart, ...] = (),
     reservation: str = "",
     first_token: int = 0,
-) -> generations.Generation:
+) -> generation_request.GenerationRequest:
     """Returns the generation request of this attempt."""
     key = request.idempotency_key if request.workload.pool.checks_key else ""
-    return generations.Generation(
+    return generation_request.GenerationRequest(
         stream_id=make_stream_id(placement, context),
         owner=context.owner,
         request_id=request.request_id,
@@ -56,7 +56,7 @@
         delivered=delivered,
         priority=_make_priority(request, context),
         prefix=request.prefix,
-        lapse_ms=request.remaining_ms(context.env.now_ms()),
+        expiry_age_ms=request.remaining_ms(context.env.now_ms()),
         key=key,
         reservation=reservation,
         kv_parts=kv_parts,
@@ -87,7 +87,7 @@
 async def run_generation(
     request: requests.Request,
     placement: scheduler_messages.Placement,
-    generation: generations.Generation,
+    generation: generation_request.GenerationRequest,
     context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
     """Runs a generation to its end; cancels it on any other exit."""
@@ -99,7 +99,7 @@
             async for event in _read_events(
                 request, placement, generation, context
             ):
-                if isinstance(event, parts.Tokens) and not has_started:
+                if isinstance(event, stream_event.Tokens) and not has_started:
                     has_started = True
                     _note_first_token(request, placement, context)
                 if isinstance(event, outcomes.NotServed):
@@ -151,7 +151,7 @@
 async def _read_events(
     request: requests.Request,
     placement: scheduler_messages.Placement,
-    generation: generations.Generation,
+    generation: generation_request.GenerationRequest,
     context: contexts.EntryContext,
 ) -> AsyncIterator[Event]:
     stream = await streams.generate(
@@ -197,7 +197,7 @@
 async def _resume(
     request: requests.Request,
     placement: scheduler_messages.Placement,
-    generation: generations.Generation,
+    generation: generation_request.GenerationRequest,
     stream: streams.Stream,
     failure: outcomes.NotServed,
     context: contexts.EntryContext,
@@ -231,10 +231,10 @@
         return request.remaining_ms(context.env.now_ms())
 
     while True:
-        part = await stream.next_part(left_ms)
-        if isinstance(part, parts.End):
-            yield outcomes.Finished(part.count, part.finish_reason)
+        event = await stream.next_event(left_ms)
+        if isinstance(event, stream_event.End):
+            yield outcomes.Finished(event.count, event.finish_reason)
             return
-        yield part
-        if isinstance(part, outcomes.NotServed):
+        yield event
+        if isinstance(event, outcomes.NotServed):
             return
--- a/src/ruddergate/entry/gang_attempt.py
+++ b/src/ruddergate/entry/gang_attempt.py
@@ -11,8 +11,8 @@
 from ruddergate import outcomes
 from ruddergate import request as requests
 from ruddergate.adapters.engines import control
-from ruddergate.adapters.engines import generation as generations
-from ruddergate.adapters.engines import part as parts
+from ruddergate.adapters.engines import generation_request
+from ruddergate.adapters.engines import stream_event as parts
 from ruddergate.decisions import gangs
 from ruddergate.entry import attempt
 from ruddergate.entry import context as contexts
@@ -152,9 +152,9 @@
 def _make_kv_parts(
     placements: tuple[scheduler_messages.Placement, ...],
     context: contexts.EntryContext,
-) -> tuple[generations.KvPart, ...]:
+) -> tuple[generation_request.KvPart, ...]:
     return tuple(
-        generations.KvPart(
+        generation_request.KvPart(
             str(placement.target.address),
             _make_reservation_id(placement, context),
         )
--- a/src/ruddergate/entry/handler.py
+++ b/src/ruddergate/entry/handler.py
@@ -10,7 +10,7 @@
 from ruddergate.adapters.callers import call as calls
 from ruddergate.adapters.callers import parse
 from ruddergate.adapters.callers import render
-from ruddergate.adapters.engines import part as parts
+from ruddergate.adapters.engines import stream_event as parts
 from ruddergate.adapters.services import call as service_calls
 from ruddergate.decisions import ledger as ledgers
 from ruddergate.entry import admit
@@ -188,7 +188,7 @@
     async def _respond(
         self, call: calls.Call, request: requests.Request, events: Events
     ) -> message.Response:
-        style = render.ResponseFormat(
+        response_format = render.ResponseFormat(
             request_id=request.request_id,
             model=request.workload.name,
             is_chat=call.is_chat,
@@ -196,32 +196,35 @@
             created_s=int(self._context.env.wall_ms() / 1000.0),
         )
         if call.stream:
-            return await self._stream(style, events)
+            return await self._stream(response_format, events)
         texts: list[str] = []
         async with contextlib.aclosing(events):
             async for event in events:
                 if isinstance(event, parts.Tokens):
                     texts.extend(event.texts)
                 else:
-                    return self._end(style, "".join(texts), event)
+                    return self._end(response_format, "".join(texts), event)
         raise AssertionError("a run ended without an outcome")
 
     def _end(
-        self, style: render.ResponseFormat, text: str, event: recording.Event
+        self,
+        response_format: render.ResponseFormat,
+        text: str,
+        event: recording.Event,
     ) -> message.Response:
         if isinstance(event, service_calls.ServiceAnswer):
             headers = {
                 "content-type": event.content_type,
-                "ruddergate-request-id": style.request_id,
+                "ruddergate-request-id": response_format.request_id,
             }
             return message.Response(event.status, headers, event.body)
         if isinstance(event, outcomes.NotServed):
-            self._log_failure(style, event)
-            return render.make_error_response(event, style.request_id)
-        return render.make_full_response(style, text, event)
+            self._log_failure(response_format, event)
+            return render.make_error_response(event, response_format.request_id)
+        return render.make_full_response(response_format, text, event)
 
     async def _stream(
-        self, style: render.ResponseFormat, events: Events
+        self, response_format: render.ResponseFormat, events: Events
     ) -> message.Response:
         """Waits for the first event, so that early failures get a status."""
         try:
@@ -231,42 +234,44 @@
             raise
         if isinstance(first, outcomes.NotServed):
             await events.aclose()
-            self._log_failure(style, first)
-            return render.make_error_response(first, style.request_id)
-        headers = render.make_stream_headers(style)
-        body = self._render_events(style, first, events)
+            self._log_failure(response_format, first)
+            return render.make_error_response(first, response_format.request_id)
+        headers = render.make_stream_headers(response_format)
+        body = self._render_events(response_format, first, events)
         return message.Response(200, headers, body)
 
     async def _render_events(
         self,
-        style: render.ResponseFormat,
+        response_format: render.ResponseFormat,
         first: recording.Event,
         events: Events,
     ) -> AsyncIterator[bytes]:
         async with contextlib.aclosing(events):
-            yield self._render_event(style, first)
+            yield self._render_event(response_format, first)
             async for event in events:
-                yield self._render_event(style, event)
+                yield self._render_event(response_format, event)
 
     def _render_event(
-        self, style: render.ResponseFormat, event: recording.Event
+        self, response_format: render.ResponseFormat, event: recording.Event
     ) -> bytes:
         if isinstance(event, parts.Tokens):
-            return render.render_tokens(style, "".join(event.texts))
+            return render.render_tokens(response_format, "".join(event.texts))
         if isinstance(event, outcomes.NotServed):
-            self._log_failure(style, event)
+            self._log_failure(response_format, event)
             return render.render_error(event)
-        return render.render_end(style, event)
+        return render.render_end(response_format, event)
 
     def _log_failure(
-        self, style: render.ResponseFormat, failure: outcomes.NotServed
+        self,
+        response_format: render.ResponseFormat,
+        failure: outcomes.NotServed,
     ) -> None:
         self._log.info(
             "Request ended: {} ({}). {}",
             failure.reason.value,
             failure.ran.value,
             failure.detail,
-            request_id=style.request_id,
+            request_id=response_format.request_id,
         )
 
 
--- a/src/ruddergate/entry/model_run.py
+++ b/src/ruddergate/entry/model_run.py
@@ -6,7 +6,7 @@
 
 from ruddergate import outcomes
 from ruddergate import request as requests
-from ruddergate.adapters.engines import part as parts
+from ruddergate.adapters.engines import stream_event as parts
 from ruddergate.decisions import cost as costs
 from ruddergate.decisions import gangs
 from ruddergate.decisions import length_band
--- a/src/ruddergate/entry/recording.py
+++ b/src/ruddergate/entry/recording.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ruddergate import outcomes
-from ruddergate.adapters.engines import part as parts
+from ruddergate.adapters.engines import stream_event as parts
 from ruddergate.adapters.services import call as service_calls
 
 Event = (
--- a/src/ruddergate/entry/serve.py
+++ b/src/ruddergate/entry/serve.py
@@ -4,7 +4,7 @@
 
 from ruddergate import outcomes
 from ruddergate import request as requests
-from ruddergate.adapters.engines import part as parts
+from ruddergate.adapters.engines import stream_event as parts
 from ruddergate.entry import context as contexts
 from ruddergate.entry import limits as limit_types
 from ruddergate.entry import model_run
--- a/tests/test_engine_stream.py
+++ b/tests/test_engine_stream.py
@@ -6,8 +6,8 @@
 import orjson
 
 from ruddergate import outcomes
-from ruddergate.adapters.engines import part
 from ruddergate.adapters.engines import stream
+from ruddergate.adapters.engines import stream_event
 
 
 class _Exchange:
@@ -33,9 +33,9 @@
         found = stream.Stream(exchange, "s", position, None, 1_000.0)
         events = []
         while True:
-            event = await found.next_part(lambda: 5_000.0)
+            event = await found.next_event(lambda: 5_000.0)
             events.append(event)
-            if not isinstance(event, part.Tokens):
+            if not isinstance(event, stream_event.Tokens):
                 return events
 
     return asyncio.run(read())
@@ -45,7 +45,7 @@
     return [
         text
         for event in events
-        if isinstance(event, part.Tokens)
+        if isinstance(event, stream_event.Tokens)
         for text in event.texts
     ]
 
@@ -58,13 +58,13 @@
             _event(first=2, tokens=["c"]) + _event(end="stop", count=3),
         )
         self.assertEqual(_texts(events), ["a", "b", "c"])
-        self.assertEqual(events[-1], part.End("stop", 3))
+        self.assertEqual(events[-1], stream_event.End("stop", 3))
 
     def test_pieces_split_anywhere(self) -> None:
         data = _event(first=0, tokens=["a"]) + _event(end="stop", count=1)
         events = _read(*(data[n : n + 1] for n in range(len(data))))
         self.assertEqual(_texts(events), ["a"])
-        self.assertIsInstance(events[-1], part.End)
+        self.assertIsInstance(events[-1], stream_event.End)
 
     def test_doubled_pieces_are_taken_once(self) -> None:
         events = _read(
@@ -114,7 +114,7 @@
 
         async def read() -> object:
             found = stream.Stream(Endless(), "s", 0, None, 1_000.0)
-            return await found.next_part(
+            return await found.next_event(
                 lambda: left_ms.pop(0) if len(left_ms) > 1 else left_ms[0]
             )
 
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -5,7 +5,7 @@
 import unittest
 
 from ruddergate import outcomes
-from ruddergate.adapters.engines import part
+from ruddergate.adapters.engines import stream_event
 from ruddergate.decisions import ledger
 from ruddergate.entry import recording
 from ruddergate.entry import tickets
@@ -38,7 +38,7 @@
         return asyncio.run(run())
 
     def test_late_follower_gets_the_whole(self) -> None:
-        events = [part.Tokens(0, ("a",)), outcomes.Finished(1, "stop")]
+        events = [stream_event.Tokens(0, ("a",)), outcomes.Finished(1, "stop")]
         record = recording.Recording()
         for event in events:
             record.add(event)
@@ -46,7 +46,7 @@
 
     def test_follower_keeps_its_own_time_limit(self) -> None:
         record = recording.Recording()
-        record.add(part.Tokens(0, ("a",)))
+        record.add(stream_event.Tokens(0, ("a",)))
         ended = self.follow(record, 0.0)[-1]
         self.assertIs(ended.reason, outcomes.Reason.TIME_LIMIT)
         self.assertIs(ended.ran, outcomes.Ran.UNKNOWN)
