--- a/src/ruddergate/adapters/engines/load.py
+++ b/src/ruddergate/adapters/engines/load.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Account:
+class PollResult:
     """All that one poll of an engine brings.
 
     Attributes:
@@ -41,13 +41,13 @@
     loaded: orders.LoadedState
 
 
-async def fetch_account(
+async def poll_target(
     env: environment.Environment,
     target: targets.Target,
     after_event: int,
     with_held: bool,
     timeout_ms: float,
-) -> Account | client.Fault:
+) -> PollResult | client.Fault:
     """Polls an engine or a plain service for its load."""
     query = f"after={after_event}" + ("&held=1" if with_held else "")
     request = client.make_json_request("GET", f"/v1/load?{query}")
@@ -57,10 +57,10 @@
     document = answer.json()
     if answer.status != _OK or not isinstance(document, Mapping):
         return client.Fault(True, False, f"status {answer.status}")
-    return _parse_account(target.target_id, document)
+    return _parse_poll_result(target.target_id, document)
 
 
-def _parse_account(target_id: str, document: object) -> Account:
+def _parse_poll_result(target_id: str, document: object) -> PollResult:
     generation = _private.get(document, "generation", str, "")
     report = load_report.LoadReport(
         target_id=target_id,
@@ -73,7 +73,7 @@
     )
     events = _private.get(document, "events", list, [])
     held = _private.get(document, "held", list, [])
-    return Account(
+    return PollResult(
         report,
         tuple(_parse_event(target_id, row) for row in events),
         tuple(_parse_held(row) for row in held),
--- a/src/ruddergate/adapters/engines/stream.py
+++ b/src/ruddergate/adapters/engines/stream.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Patience:
+class EngineTimeouts:
     """How long to wait for an engine.
 
     Attributes:
@@ -78,7 +78,7 @@
         texts: list[str] = []
         first = self.position
         while True:
-            found = self._take_buffered(texts)
+            found = self._parse_buffered(texts)
             if found is not None:
                 if texts and isinstance(found, stream_event.End):
                     # The end is told again by the next call.
@@ -102,16 +102,18 @@
                 data = await self._exchange.read_part()
         except TimeoutError:
             if timeout_ms <= self._silence_ms:
-                return _lost(outcomes.Reason.TIME_LIMIT, "time is up")
-            return _lost(outcomes.Reason.TARGET_LOST, "the engine fell silent")
+                return _make_lost(outcomes.Reason.TIME_LIMIT, "time is up")
+            return _make_lost(
+                outcomes.Reason.TARGET_LOST, "the engine fell silent"
+            )
         if isinstance(data, client.Fault):
-            return _lost(outcomes.Reason.TARGET_LOST, data.detail)
+            return _make_lost(outcomes.Reason.TARGET_LOST, data.detail)
         if not data:
-            return _lost(outcomes.Reason.TARGET_LOST, "a truncated answer")
+            return _make_lost(outcomes.Reason.TARGET_LOST, "a truncated answer")
         self._buffer += data
         return None
 
-    def _take_buffered(
+    def _parse_buffered(
         self, texts: list[str]
     ) -> stream_event.End | outcomes.NotServed | None:
         """Adds buffered tokens to `texts`; returns an end or a fault."""
@@ -119,33 +121,33 @@
         for event in events:
             if event.startswith(b":"):
                 continue
-            found = self._take_event(event, texts)
+            found = self._parse_event(event, texts)
             if found is not None:
                 return found
         return None
 
-    def _take_event(
+    def _parse_event(
         self, event: bytes, texts: list[str]
     ) -> stream_event.End | outcomes.NotServed | None:
         try:
             document = orjson.loads(event.removeprefix(_DATA))
         except orjson.JSONDecodeError:
-            return _broke("an event that is not JSON")
+            return _make_protocol_error("an event that is not JSON")
         if _private.get(document, "stream", str, "") != self._stream_id:
-            return _broke("an event of another stream")
+            return _make_protocol_error("an event of another stream")
         end = _private.get(document, "end", str, "")
         if end:
             return self._check_end(end, document)
         first = _private.get(document, "first", int, -1)
         tokens = _private.get(document, "tokens", list, [])
         if first < 0 or not all(type(text) is str for text in tokens):
-            return _broke("a malformed event")
+            return _make_protocol_error("a malformed event")
         if first > self.position:
-            return _broke("a gap in the tokens")
+            return _make_protocol_error("a gap in the tokens")
         # What is behind the position has come before: late or doubled.
-        fresh = tokens[self.position - first :]
-        texts.extend(fresh)
-        self.position += len(fresh)
+        new_tokens = tokens[self.position - first :]
+        texts.extend(new_tokens)
+        self.position += len(new_tokens)
         return None
 
     def _check_end(
@@ -153,7 +155,9 @@
     ) -> stream_event.End | outcomes.NotServed:
         count = _private.get(document, "count", int, -1)
         if count != self.position:
-            return _broke(f"an end at {self.position} of {count} tokens")
+            return _make_protocol_error(
+                f"an end at {self.position} of {count} tokens"
+            )
         return stream_event.End(end, count)
 
 
@@ -166,11 +170,11 @@
     return _DATA + orjson.dumps(document) + _EVENT_END
 
 
-def _lost(reason: outcomes.Reason, detail: str) -> outcomes.NotServed:
+def _make_lost(reason: outcomes.Reason, detail: str) -> outcomes.NotServed:
     return outcomes.NotServed(reason, outcomes.Ran.UNKNOWN, detail)
 
 
-def _broke(detail: str) -> outcomes.NotServed:
+def _make_protocol_error(detail: str) -> outcomes.NotServed:
     return outcomes.NotServed(
         outcomes.Reason.TARGET_BROKE_PROTOCOL, outcomes.Ran.RAN, detail
     )
@@ -180,7 +184,7 @@
     env: environment.Environment,
     target: targets.Target,
     generation: generation_request.GenerationRequest,
-    patience: Patience,
+    timeouts: EngineTimeouts,
     timeout_ms: float,
 ) -> Stream | outcomes.NotServed:
     """Starts a stream; an outcome of `not_run` is certain."""
@@ -197,7 +201,7 @@
         request,
         generation.stream_id,
         position,
-        patience,
+        timeouts,
         timeout_ms,
     )
 
@@ -207,7 +211,7 @@
     target: targets.Target,
     stream_id: str,
     after: int,
-    patience: Patience,
+    timeouts: EngineTimeouts,
     timeout_ms: float,
 ) -> Stream | outcomes.NotServed:
     """Takes up a stream that the engine still holds."""
@@ -215,7 +219,7 @@
         "GET", f"/v1/streams/{stream_id}?after={after}"
     )
     return await _open(
-        env, target, request, stream_id, after, patience, timeout_ms
+        env, target, request, stream_id, after, timeouts, timeout_ms
     )
 
 
@@ -225,10 +229,10 @@
     request: message.OutgoingRequest,
     stream_id: str,
     position: int,
-    patience: Patience,
+    timeouts: EngineTimeouts,
     timeout_ms: float,
 ) -> Stream | outcomes.NotServed:
-    connect_ms = min(patience.connect_ms, timeout_ms)
+    connect_ms = min(timeouts.connect_ms, timeout_ms)
     exchange = await client.start(env, target.address, request, connect_ms)
     if isinstance(exchange, client.Fault):
         ran = outcomes.Ran.UNKNOWN if exchange.sent else outcomes.Ran.NOT_RUN
@@ -236,7 +240,7 @@
             outcomes.Reason.TARGET_LOST, ran, exchange.detail
         )
     try:
-        head_ms = min(patience.silence_ms, timeout_ms)
+        head_ms = min(timeouts.silence_ms, timeout_ms)
         async with asyncio.timeout(head_ms / 1000.0):
             fault = await exchange.read_head()
             if fault is None and exchange.status != _OK:
@@ -250,15 +254,15 @@
         raise
     if fault is not None:
         exchange.close()
-        return _lost(outcomes.Reason.TARGET_LOST, fault.detail)
+        return _make_lost(outcomes.Reason.TARGET_LOST, fault.detail)
     report = load.parse_header(target.target_id, exchange.headers)
-    return Stream(exchange, stream_id, position, report, patience.silence_ms)
+    return Stream(exchange, stream_id, position, report, timeouts.silence_ms)
 
 
 async def _read_refusal(exchange: client.Exchange) -> outcomes.NotServed:
     body = await exchange.read_all()
     if isinstance(body, client.Fault):
-        return _lost(outcomes.Reason.TARGET_LOST, body.detail)
+        return _make_lost(outcomes.Reason.TARGET_LOST, body.detail)
     answer = client.WholeAnswer(exchange.status, exchange.headers, body)
     document = answer.json()
     started = _private.get(document, "started", bool, True)
--- a/src/ruddergate/agent/target_task.py
+++ b/src/ruddergate/agent/target_task.py
@@ -73,17 +73,17 @@
             sweeps = now_ms - swept_ms >= self._config.sweep_ms and (
                 self._is_sweeper(target)
             )
-            account = await loads.fetch_account(
+            result = await loads.poll_target(
                 self._env, target, after_event, sweeps, _TIMEOUT_MS
             )
-            if isinstance(account, loads.Account):
-                if account.events:
-                    after_event = account.events[-1].number
-                await self._feed.push_loads([account.report], account.events)
-                await self._orders.consider(target, account.loaded)
+            if isinstance(result, loads.PollResult):
+                if result.events:
+                    after_event = result.events[-1].number
+                await self._feed.push_loads([result.report], result.events)
+                await self._orders.consider(target, result.loaded)
                 if sweeps:
                     swept_ms = now_ms
-                    await self._sweep(target, account)
+                    await self._sweep(target, result)
             await self._rest()
 
     def _is_sweeper(self, target: targets.Target) -> bool:
@@ -92,9 +92,9 @@
         return self._config.vm_id in rendezvous.choose(key, live, _SWEEPERS)
 
     async def _sweep(
-        self, target: targets.Target, account: loads.Account
+        self, target: targets.Target, result: loads.PollResult
     ) -> None:
-        lapsed = sweeping.find_expired(account.held)
+        lapsed = sweeping.find_expired(result.held)
         if lapsed:
             await control.cancel(self._env, target, lapsed, _TIMEOUT_MS)
             self._metrics.swept_items.add({}, len(lapsed))
--- a/src/ruddergate/cli/entry.py
+++ b/src/ruddergate/cli/entry.py
@@ -73,7 +73,9 @@
         peer_key=peer_key.encode(),
         policy=policy,
         stop_lag_ms=stop_lag_ms,
-        engine_timeouts=stream.Patience(engine_connect_ms, engine_silence_ms),
+        engine_timeouts=stream.EngineTimeouts(
+            engine_connect_ms, engine_silence_ms
+        ),
         limits=server.Limits(
             header_bytes_max=header_bytes_max,
             body_bytes_max=body_bytes_max,
--- a/src/ruddergate/entry/config.py
+++ b/src/ruddergate/entry/config.py
@@ -45,6 +45,6 @@
     stop_lag_ms: float = 5_000.0
     suspend_gap_ms: float = 2_000.0
     suspend_refresh_max_ms: float = 3_000.0
-    engine_timeouts: stream.Patience = stream.Patience()
+    engine_timeouts: stream.EngineTimeouts = stream.EngineTimeouts()
     limits: server.Limits = server.Limits()
     bounds: ledger.Bounds = ledger.Bounds()
