--- a/src/ruddergate/agent/knowledge.py
+++ b/src/ruddergate/agent/agent_state.py
@@ -15,10 +15,10 @@
 
 _NEVER = float("-inf")
 _WATCHERS_PER_HALL = 2
-_PEER_LOAD_MS = 4_000.0
+_PEER_LOAD_MAX_AGE_MS = 4_000.0
 
 
-class Knowledge:
+class AgentState:
     """State of one agent; its tasks change it only by these methods.
 
     Attributes:
@@ -41,7 +41,7 @@
         self.tree_since_ms = _NEVER
         self.listing = listings.EMPTY
         self.members = membership.Members(config.vm_id, config.hall)
-        self.answered: set[str] = set()
+        self.answered_peers: set[str] = set()
         self.seen_halls: set[str] = set()
         self.incarnation = int(env.wall_ms())
         self.own_dispatched: tuple[dispatched.Dispatched, ...] = ()
@@ -53,7 +53,7 @@
         self._listing_confirmed_ms = _NEVER
         self._settled_since_ms = env.now_ms()
         self._service_answered_ms = _NEVER
-        self._hall_service_ms = _NEVER
+        self._hall_service_answered_ms = _NEVER
         self._peer_loads: dict[
             str, tuple[float, tuple[dispatched.Dispatched, ...]]
         ] = {}
@@ -69,7 +69,7 @@
             self.changed.set()
         return newer
 
-    def take_listing(self, offered: listings.Listing, age_ms: float) -> None:
+    def merge_listing(self, offered: listings.Listing, age_ms: float) -> None:
         """Takes in a list, never an older one.
 
         Args:
@@ -85,7 +85,7 @@
         self._listing_confirmed_ms = max(
             self._listing_confirmed_ms, confirmed_ms
         )
-        if _vm_names(before) != _vm_names(self.listing):
+        if _vm_ids(before) != _vm_ids(self.listing):
             self._settled_since_ms = now_ms
         self.seen_halls |= {vm.hall for vm in self.listing.vms}
         self.members.forget_unlisted(self.listing, now_ms)
@@ -111,7 +111,7 @@
     def note_service_answer(self) -> None:
         """Notes that the configuration service answered this agent."""
         self._service_answered_ms = self._env.now_ms()
-        self._hall_service_ms = self._service_answered_ms
+        self._hall_service_answered_ms = self._service_answered_ms
 
     def service_age_ms(self) -> float:
         """Returns the time since the service answered this agent."""
@@ -119,7 +119,7 @@
 
     def hall_service_age_ms(self) -> float:
         """Returns the time since the service answered anyone of the hall."""
-        return self._env.now_ms() - self._hall_service_ms
+        return self._env.now_ms() - self._hall_service_answered_ms
 
     def own_row(self) -> gossip.MemberRow:
         """Returns this agent's row with the next heartbeat."""
@@ -135,7 +135,7 @@
             service_age_ms=min(self.service_age_ms(), 1e12),
         )
 
-    def hear(self, digest: gossip.Gossip) -> None:
+    def merge_digest(self, digest: gossip.Gossip) -> None:
         """Takes in a peer's digest."""
         now_ms = self._env.now_ms()
         self.members.merge(digest.members, now_ms)
@@ -144,7 +144,9 @@
         for row in digest.members:
             if row.hall == self._config.hall:
                 answered_ms = now_ms - row.service_age_ms
-                self._hall_service_ms = max(self._hall_service_ms, answered_ms)
+                self._hall_service_answered_ms = max(
+                    self._hall_service_answered_ms, answered_ms
+                )
             is_own = row.vm_id == self._config.vm_id
             if is_own and row.incarnation > self.incarnation:
                 # A clock set back: this run must count as the later one.
@@ -154,8 +156,8 @@
         """Returns the sum of what other VMs have on each target."""
         now_ms = self._env.now_ms()
         total: dict[str, dispatched.Dispatched] = {}
-        for heard_ms, rows in self._peer_loads.values():
-            if now_ms - heard_ms <= _PEER_LOAD_MS:
+        for received_ms, rows in self._peer_loads.values():
+            if now_ms - received_ms <= _PEER_LOAD_MAX_AGE_MS:
                 for row in rows:
                     total[row.target_id] = _add(total.get(row.target_id), row)
         return tuple(total[name] for name in sorted(total))
@@ -194,7 +196,7 @@
         ]
 
 
-def _vm_names(listing: listings.Listing) -> set[str]:
+def _vm_ids(listing: listings.Listing) -> set[str]:
     return {vm.vm_id for vm in listing.vms}
 
 
--- a/src/ruddergate/agent/feed_server.py
+++ b/src/ruddergate/agent/feed_server.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable
 
 from ruddergate import environment
+from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
-from ruddergate.agent import knowledge as knowledge_types
 from ruddergate.agent import settings_sync as settings_syncs
 from ruddergate.agent import share_task
 from ruddergate.decisions import subset
@@ -32,13 +32,13 @@
         self,
         env: environment.Environment,
         config: configs.AgentConfig,
-        knowledge: knowledge_types.Knowledge,
+        state: agent_state.AgentState,
         settings_sync: settings_syncs.SettingsSync,
         shares: share_task.Shares,
     ) -> None:
         self._env = env
         self._config = config
-        self._knowledge = knowledge
+        self._state = state
         self._settings_sync = settings_sync
         self._shares = shares
         self._log = logs.make_logger("feed")
@@ -84,8 +84,8 @@
                 case frames.Closed():
                     return
                 case entry_load.EntryLoad():
-                    self._knowledge.own_dispatched = message.dispatched
-                    self._knowledge.is_stopping = message.stopping
+                    self._state.own_dispatched = message.dispatched
+                    self._state.is_stopping = message.stopping
                     self._shares.take_demand(message.demand)
                 case tree_parts.TreeParts():
                     self._settings_sync.take_parts(message)
@@ -100,21 +100,21 @@
         told_listing = listings.EMPTY
         viewed_ms = float("-inf")
         while True:
-            in_force = self._knowledge.in_force
+            in_force = self._state.in_force
             if in_force.manifest.revision > told_revision:
-                parts = make_parts(self._knowledge, told_digests)
+                parts = make_parts(self._state, told_digests)
                 if await stream.send(parts) is not None:
                     return
                 told_revision = in_force.manifest.revision
                 told_digests = frozenset(in_force.shards)
-            listing = self._knowledge.listing
+            listing = self._state.listing
             due = self._env.now_ms() - viewed_ms >= _VIEW_MS
             if listing.vms and (due or listing != told_listing):
                 await stream.send(self._make_view())
                 told_listing = listing
                 viewed_ms = self._env.now_ms()
             await stream.send(self._shares.make_message())
-            peers = self._knowledge.peer_loads()
+            peers = self._state.peer_loads()
             if peers:
                 await stream.send(loads.Loads((), peers, ()))
             await self._rest()
@@ -122,27 +122,27 @@
     async def _rest(self) -> None:
         try:
             async with asyncio.timeout(_ROUND_MS / 1000.0):
-                await self._knowledge.changed.wait()
+                await self._state.changed.wait()
         except TimeoutError:
             return
         # The gossip task clears the event; don't spin until it has.
         await asyncio.sleep(_ROUND_MS / 10_000.0)
 
     def _make_view(self) -> fleet_view.FleetView:
-        listing = self._knowledge.listing
+        listing = self._state.listing
         chosen = subset.choose_all(self._config.vm_id, listing)
         return fleet_view.FleetView(
             listing=listings.Listing(listing.version, listing.vms, chosen),
-            age_ms=min(self._knowledge.listing_age_ms(), 1e12),
-            settled_ms=self._knowledge.settled_ms(),
+            age_ms=min(self._state.listing_age_ms(), 1e12),
+            settled_ms=self._state.settled_ms(),
         )
 
 
 def make_parts(
-    knowledge: knowledge_types.Knowledge, known_digests: Iterable[str]
+    state: agent_state.AgentState, known_digests: Iterable[str]
 ) -> tree_parts.TreeParts:
     """Returns the settings in force, less the shards that are known."""
-    in_force = knowledge.in_force
+    in_force = state.in_force
     known = set(known_digests)
     shards = {
         digest: data
--- a/src/ruddergate/agent/gossip_task.py
+++ b/src/ruddergate/agent/gossip_task.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from ruddergate import environment
+from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
-from ruddergate.agent import knowledge as knowledge_types
 from ruddergate.agent import links as link_types
 from ruddergate.agent import list_sync as list_syncs
 from ruddergate.agent import settings_sync as settings_syncs
@@ -28,14 +28,14 @@
         self,
         env: environment.Environment,
         config: configs.AgentConfig,
-        knowledge: knowledge_types.Knowledge,
+        state: agent_state.AgentState,
         links: link_types.Links,
         settings_sync: settings_syncs.SettingsSync,
         list_sync: list_syncs.ListSync,
     ) -> None:
         self._env = env
         self._config = config
-        self._knowledge = knowledge
+        self._state = state
         self._links = links
         self._settings_sync = settings_sync
         self._list_sync = list_sync
@@ -46,7 +46,7 @@
     async def run(self) -> None:
         """Runs rounds until cancelled."""
         while True:
-            self._knowledge.changed.clear()
+            self._state.changed.clear()
             for peer in self._pick_peers():
                 self._tell_soon(peer)
             await self._rest()
@@ -62,39 +62,37 @@
     def make_digest(self) -> gossip.Gossip:
         """Returns this agent's digest."""
         now_ms = self._env.now_ms()
-        rows = self._knowledge.members.pick_rows(
-            self._knowledge.own_row(), now_ms, self._env.random
+        rows = self._state.members.pick_rows(
+            self._state.own_row(), now_ms, self._env.random
         )
         largest = sorted(
-            self._knowledge.own_dispatched,
+            self._state.own_dispatched,
             key=lambda row: -row.all_pending_tokens - row.held_tokens,
         )
         return gossip.Gossip(
             sender=self._config.vm_id,
             hall=self._config.hall,
-            revision=self._knowledge.in_force.manifest.revision,
-            listing_version=self._knowledge.listing.version,
-            listing_age_ms=min(self._knowledge.listing_age_ms(), 1e12),
+            revision=self._state.in_force.manifest.revision,
+            listing_version=self._state.listing.version,
+            listing_age_ms=min(self._state.listing_age_ms(), 1e12),
             members=rows,
             dispatched=tuple(largest[: self._dispatched_rows()]),
         )
 
     def _dispatched_rows(self) -> int:
-        known = len(self._knowledge.members.list_known())
+        known = len(self._state.members.list_known())
         if known > membership.ROWS_PER_DIGEST:
             return DISPATCHED_ROWS_LARGE_HALL
         return DISPATCHED_ROWS
 
     def take_digest(self, digest: gossip.Gossip) -> None:
         """Takes in a peer's digest and catches up where it is ahead."""
-        self._knowledge.hear(digest)
-        peer = self._knowledge.find_vm(digest.sender)
+        self._state.merge_digest(digest)
+        peer = self._state.find_vm(digest.sender)
         if peer is None or peer.vm_id in self._catching_up_from:
             return
-        newer_tree = adoption.is_wanted(
-            self._knowledge.in_force, digest.revision
-        )
-        newer_list = digest.listing_version > self._knowledge.listing.version
+        newer_tree = adoption.is_wanted(self._state.in_force, digest.revision)
+        newer_list = digest.listing_version > self._state.listing.version
         if not newer_tree and not newer_list:
             return
         self._catching_up_from.add(peer.vm_id)
@@ -118,14 +116,16 @@
     async def _tell(self, peer: vms.Vm) -> None:
         answer = await self._links.ask(peer, self.make_digest())
         if isinstance(answer, gossip.Gossip):
-            self._knowledge.answered.add(answer.sender)
+            self._state.answered_peers.add(answer.sender)
             self.take_digest(answer)
 
     def _pick_peers(self) -> list[vms.Vm]:
-        near = self._knowledge.peers(own_hall=True)
-        far = self._knowledge.peers(own_hall=False)
+        near = self._state.peers(own_hall=True)
+        far = self._state.peers(own_hall=False)
         unanswered = [
-            peer for peer in near if peer.vm_id not in self._knowledge.answered
+            peer
+            for peer in near
+            if peer.vm_id not in self._state.answered_peers
         ]
         chance = self._env.random
         # Those that have not answered yet come first: this VM's part of the
@@ -146,6 +146,6 @@
         wait_ms = self._config.gossip_ms * jitter - _LEAST_ROUND_MS
         try:
             async with asyncio.timeout(wait_ms / 1000.0):
-                await self._knowledge.changed.wait()
+                await self._state.changed.wait()
         except TimeoutError:
             pass
--- a/src/ruddergate/agent/list_sync.py
+++ b/src/ruddergate/agent/list_sync.py
@@ -4,8 +4,8 @@
 
 from ruddergate import environment
 from ruddergate.adapters.vm_list import client as vm_list
+from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
-from ruddergate.agent import knowledge as knowledge_types
 from ruddergate.agent import links as link_types
 from ruddergate.fleet import vm as vms
 from ruddergate.messages import fleet_view
@@ -20,13 +20,13 @@
         self,
         env: environment.Environment,
         config: configs.AgentConfig,
-        knowledge: knowledge_types.Knowledge,
+        state: agent_state.AgentState,
         links: link_types.Links,
         metrics: metric_types.AgentMetrics,
     ) -> None:
         self._env = env
         self._config = config
-        self._knowledge = knowledge
+        self._state = state
         self._links = links
         self._metrics = metrics
 
@@ -49,18 +49,18 @@
         )
         if not isinstance(answer, vm_list.Unavailable):
             age_ms = self._env.now_ms() - began_ms
-            self._knowledge.take_listing(answer, age_ms)
+            self._state.merge_listing(answer, age_ms)
 
     async def fetch_from_peer(self, peer: vms.Vm) -> None:
         """Takes a peer's list if it is newer."""
-        wanted = listing_wanted.ListingWanted(self._knowledge.listing.version)
+        wanted = listing_wanted.ListingWanted(self._state.listing.version)
         answer = await self._links.ask(peer, wanted)
         if isinstance(answer, fleet_view.FleetView):
-            self._knowledge.take_listing(answer.listing, answer.age_ms)
+            self._state.merge_listing(answer.listing, answer.age_ms)
 
     def _must_look(self) -> bool:
-        if not self._knowledge.listing.vms:
+        if not self._state.listing.vms:
             return True
-        if self._knowledge.is_watcher("list"):
+        if self._state.is_watcher("list"):
             return True
-        return self._knowledge.listing_age_ms() > self._config.late_ms
+        return self._state.listing_age_ms() > self._config.late_ms
--- a/src/ruddergate/agent/order_task.py
+++ b/src/ruddergate/agent/order_task.py
@@ -2,8 +2,8 @@
 
 from ruddergate import environment
 from ruddergate.adapters.engines import control
+from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
-from ruddergate.agent import knowledge as knowledge_types
 from ruddergate.decisions import orders
 from ruddergate.fleet import target as targets
 from ruddergate.settings import effective
@@ -19,17 +19,17 @@
         self,
         env: environment.Environment,
         config: configs.AgentConfig,
-        knowledge: knowledge_types.Knowledge,
+        state: agent_state.AgentState,
         metrics: metric_types.AgentMetrics,
     ) -> None:
         self._env = env
         self._config = config
-        self._knowledge = knowledge
+        self._state = state
         self._metrics = metrics
         self._log = logs.make_logger("orders")
         self._owner_since_ms: dict[str, float] = {}
         self._budgets: dict[str, orders.WeightReadBudget] = {}
-        self._index = indexes.Index(knowledge.in_force.tree)
+        self._index = indexes.Index(state.in_force.tree)
 
     async def consider(
         self, target: targets.Target, loaded: orders.LoadedState
@@ -40,7 +40,7 @@
             return
         if not self._may_order(target, pool):
             return
-        revision = self._knowledge.in_force.manifest.revision
+        revision = self._state.in_force.manifest.revision
         order = orders.make_order(pool, revision, loaded.generation)
         if not orders.is_needed(order, loaded):
             return
@@ -56,14 +56,14 @@
         )
 
     def _find_pool(self, target: targets.Target) -> effective.Pool | None:
-        tree = self._knowledge.in_force.tree
+        tree = self._state.in_force.tree
         if self._index.tree is not tree:
             self._index = indexes.Index(tree)
         return self._index.find_pool(target.pool)
 
     def _may_order(self, target: targets.Target, pool: effective.Pool) -> bool:
         now_ms = self._env.now_ms()
-        live = set(self._knowledge.live_in_hall()) | {self._config.vm_id}
+        live = set(self._state.live_in_hall()) | {self._config.vm_id}
         owners = orders.find_owners(target, live, pool.checks_fence)
         is_owner = self._config.vm_id in owners
         if not is_owner:
@@ -75,8 +75,8 @@
             is_owner,
             pool.checks_fence,
             now_ms - since_ms,
-            now_ms - self._knowledge.tree_since_ms,
-            self._knowledge.listing_age_ms(),
+            now_ms - self._state.tree_since_ms,
+            self._state.listing_age_ms(),
         )
 
     def _reads_store(
@@ -88,7 +88,7 @@
     def _take_read(self, pool: effective.Pool) -> bool:
         """Takes a read out of this VM's part of the store's limit."""
         now_ms = self._env.now_ms()
-        listed = max(1, len(self._knowledge.listing.vms))
+        listed = max(1, len(self._state.listing.vms))
         rate = pool.weight_reads_per_s_max / listed
         budget = self._budgets.get(pool.name)
         if budget is None:
--- a/src/ruddergate/agent/peer_server.py
+++ b/src/ruddergate/agent/peer_server.py
@@ -2,10 +2,10 @@
 
 import asyncio
 
+from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
 from ruddergate.agent import feed_server
 from ruddergate.agent import gossip_task
-from ruddergate.agent import knowledge as knowledge_types
 from ruddergate.agent import share_task
 from ruddergate.messages import fleet_view
 from ruddergate.messages import gossip
@@ -27,13 +27,13 @@
     def __init__(
         self,
         config: configs.AgentConfig,
-        knowledge: knowledge_types.Knowledge,
+        state: agent_state.AgentState,
         gossip_: gossip_task.Gossip,
         shares: share_task.Shares,
     ) -> None:
         self.total_bytes = 0
         self._config = config
-        self._knowledge = knowledge
+        self._state = state
         self._gossip = gossip_
         self._shares = shares
         self._log = logs.make_logger("peers")
@@ -68,12 +68,12 @@
                 self._gossip.take_digest(asked)
                 return self._gossip.make_digest()
             case tree_wanted.TreeWanted():
-                return feed_server.make_parts(self._knowledge, asked.digests)
+                return feed_server.make_parts(self._state, asked.digests)
             case listing_wanted.ListingWanted():
                 return fleet_view.FleetView(
-                    self._knowledge.listing,
-                    min(self._knowledge.listing_age_ms(), 1e12),
-                    self._knowledge.settled_ms(),
+                    self._state.listing,
+                    min(self._state.listing_age_ms(), 1e12),
+                    self._state.settled_ms(),
                 )
             case lend.LendWanted():
                 return self._shares.answer(asked)
--- a/src/ruddergate/agent/program.py
+++ b/src/ruddergate/agent/program.py
@@ -4,10 +4,10 @@
 
 from ruddergate import _private
 from ruddergate import environment
+from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
 from ruddergate.agent import feed_server
 from ruddergate.agent import gossip_task
-from ruddergate.agent import knowledge as knowledge_types
 from ruddergate.agent import links as link_types
 from ruddergate.agent import list_sync
 from ruddergate.agent import order_task
@@ -38,9 +38,9 @@
         self._config = config
         self._log = logs.make_logger("agent")
         self.metrics = metric_types.AgentMetrics()
-        self.knowledge = knowledge_types.Knowledge(env, config)
+        self.state = agent_state.AgentState(env, config)
         self._links = link_types.Links(env, config.peer_key)
-        parts = (env, config, self.knowledge)
+        parts = (env, config, self.state)
         self._settings = settings_sync.SettingsSync(
             *parts, self._links, self.metrics
         )
@@ -57,7 +57,7 @@
             *parts, self._feed, self._orders, self.metrics
         )
         self._peers = peer_server.PeerServer(
-            config, self.knowledge, self._gossip, self._shares
+            config, self.state, self._gossip, self._shares
         )
 
     def peer_bytes(self) -> int:
@@ -91,14 +91,14 @@
         """Serves the operators' pages, if an address is set."""
         if self._config.status_listen is None:
             return []
-        handle = status.make_status_handler(self.knowledge, self.metrics)
+        handle = status.make_status_handler(self.state, self.metrics)
         handler = http_server.make_stream_handler(handle, http_server.Limits())
         return [await self._env.serve(handler, self._config.status_listen)]
 
     async def _begin(self) -> None:
         """Looks for the list first, since it names the peers to ask."""
         await self._list.look()
-        while not self.knowledge.listing.vms:
+        while not self.state.listing.vms:
             await asyncio.sleep(_LIST_RETRY_MS / 1000.0)
             await self._list.look()
         await asyncio.gather(
--- a/src/ruddergate/agent/settings_sync.py
+++ b/src/ruddergate/agent/settings_sync.py
@@ -4,8 +4,8 @@
 
 from ruddergate import environment
 from ruddergate.adapters.configuration import client as configuration
+from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
-from ruddergate.agent import knowledge as knowledge_types
 from ruddergate.agent import links as link_types
 from ruddergate.decisions import adoption
 from ruddergate.fleet import vm as vms
@@ -28,13 +28,13 @@
         self,
         env: environment.Environment,
         config: configs.AgentConfig,
-        knowledge: knowledge_types.Knowledge,
+        state: agent_state.AgentState,
         links: link_types.Links,
         metrics: metric_types.AgentMetrics,
     ) -> None:
         self._env = env
         self._config = config
-        self._knowledge = knowledge
+        self._state = state
         self._links = links
         self._metrics = metrics
         self._log = logs.make_logger("settings")
@@ -50,21 +50,21 @@
                 await asyncio.sleep(_LOOK_MS / 1000.0)
 
     def _must_watch(self) -> bool:
-        if self._knowledge.is_watcher("settings"):
+        if self._state.is_watcher("settings"):
             return True
-        age_ms = self._knowledge.hall_service_age_ms()
+        age_ms = self._state.hall_service_age_ms()
         if age_ms <= self._config.late_ms + self._config.watch_ms:
             return False
         # The watchers are late. Few look at once: one in the live ones.
-        live = max(1, len(self._knowledge.live_in_hall()))
+        live = max(1, len(self._state.live_in_hall()))
         return self._env.random.random() < 1.0 / live
 
     async def _ask_peers_first(self) -> None:
         """A fresh process trusts its peers before a possibly stale service."""
         for _ in range(_START_TRIES):
             peers = [
-                *self._knowledge.peers(own_hall=True),
-                *self._knowledge.peers(own_hall=False),
+                *self._state.peers(own_hall=True),
+                *self._state.peers(own_hall=False),
             ]
             count = min(len(peers), _ASKED_AT_START)
             asked = self._env.random.sample(peers, count)
@@ -77,7 +77,7 @@
 
     async def fetch_from_peer(self, peer: vms.Vm) -> bool:
         """Takes a peer's settings if newer; returns whether it answered."""
-        in_force = self._knowledge.in_force
+        in_force = self._state.in_force
         wanted = tree_wanted.TreeWanted(
             in_force.manifest.revision, tuple(sorted(in_force.shards))
         )
@@ -90,7 +90,7 @@
     def take_parts(self, parts: tree_parts.TreeParts) -> None:
         """Considers settings that a peer or the entry has handed over."""
         found = adoption.evaluate_offer(
-            self._knowledge.in_force, parts.manifest, parts.shards
+            self._state.in_force, parts.manifest, parts.shards
         )
         if isinstance(found, adoption.InForce):
             self._adopt(found)
@@ -100,7 +100,7 @@
         answer = await configuration.watch_manifest(
             self._env,
             self._config.configuration,
-            self._knowledge.in_force.manifest.revision,
+            self._state.in_force.manifest.revision,
             self._config.watch_ms,
             self._config.platform_timeout_ms,
         )
@@ -108,12 +108,12 @@
             self._log.debug("Service unavailable: {}.", answer.detail)
             await self._pause()
             return
-        self._knowledge.note_service_answer()
+        self._state.note_service_answer()
         if isinstance(answer, manifests.Manifest):
             await self._fetch_from_service(answer)
 
     async def _fetch_from_service(self, offered: manifests.Manifest) -> None:
-        in_force = self._knowledge.in_force
+        in_force = self._state.in_force
         if not adoption.is_wanted(in_force, offered.revision):
             # A stale or refused revision: don't ask for it without a pause.
             await self._pause()
@@ -128,9 +128,7 @@
                     return
                 shards[digest] = data
         # What is in force may have changed while the shards came.
-        found = adoption.evaluate_offer(
-            self._knowledge.in_force, offered, shards
-        )
+        found = adoption.evaluate_offer(self._state.in_force, offered, shards)
         if isinstance(found, adoption.InForce):
             self._adopt(found)
         else:
@@ -147,8 +145,8 @@
         return None if isinstance(data, configuration.Unavailable) else data
 
     def _adopt(self, found: adoption.InForce) -> None:
-        before = self._knowledge.in_force
-        if self._knowledge.adopt(found):
+        before = self._state.in_force
+        if self._state.adopt(found):
             self._log.info("Settings {} in force.", found.manifest.revision)
         elif found.refused_revision > before.refused_revision:
             self._log.error(
--- a/src/ruddergate/agent/share_task.py
+++ b/src/ruddergate/agent/share_task.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterator
 
 from ruddergate import environment
+from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
-from ruddergate.agent import knowledge as knowledge_types
 from ruddergate.agent import links as link_types
 from ruddergate.decisions import shares as decisions
 from ruddergate.fleet import vm as vms
@@ -32,13 +32,13 @@
         self,
         env: environment.Environment,
         config: configs.AgentConfig,
-        knowledge: knowledge_types.Knowledge,
+        state: agent_state.AgentState,
         links: link_types.Links,
     ) -> None:
         self.demand: dict[str, float] = {}
         self._env = env
         self._config = config
-        self._knowledge = knowledge
+        self._state = state
         self._links = links
         self._book = decisions.LoanBook()
 
@@ -83,7 +83,7 @@
         if wanted <= own * _BORROW_ABOVE:
             return
         missing = wanted / _BORROW_ABOVE - own
-        peers = self._knowledge.peers(own_hall=True)
+        peers = self._state.peers(own_hall=True)
         count = min(len(peers), _PEERS_ASKED)
         for peer in self._env.random.sample(peers, count):
             if missing < _LEAST_LOAN:
@@ -115,24 +115,22 @@
     def _base(self, workspace: str) -> float:
         """Returns this VM's base part of a workspace's limits."""
         hall = self._config.hall
-        listed = {
-            vm.vm_id for vm in self._knowledge.listing.vms if vm.hall == hall
-        }
+        listed = {vm.vm_id for vm in self._state.listing.vms if vm.hall == hall}
         in_hall = decisions.base_fraction(
             listed,
-            self._knowledge.members.list_known(),
-            self._knowledge.answered,
+            self._state.members.list_known(),
+            self._state.answered_peers,
             self._config.vm_id,
         )
-        branch = self._knowledge.in_force.tree.branches.get(workspace)
+        branch = self._state.in_force.tree.branches.get(workspace)
         percent = branch.hall_percent if branch is not None else {}
-        halls = self._knowledge.seen_halls
+        halls = self._state.seen_halls
         return in_hall * decisions.hall_fraction(hall, percent, halls)
 
     def _special(self, now_ms: float) -> Iterator[str]:
         """Yields the workspaces whose part is not the base."""
         yield from self._book.list_open_loans(now_ms)
-        tree = self._knowledge.in_force.tree
+        tree = self._state.in_force.tree
         for branch in tree.of_kind(kinds.Kind.WORKSPACE):
             if branch.hall_percent:
                 yield branch.name
--- a/src/ruddergate/agent/target_task.py
+++ b/src/ruddergate/agent/target_task.py
@@ -5,9 +5,9 @@
 from ruddergate import environment
 from ruddergate.adapters.engines import control
 from ruddergate.adapters.engines import load as loads
+from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
 from ruddergate.agent import feed_server
-from ruddergate.agent import knowledge as knowledge_types
 from ruddergate.agent import order_task
 from ruddergate.decisions import rendezvous
 from ruddergate.decisions import subset
@@ -26,14 +26,14 @@
         self,
         env: environment.Environment,
         config: configs.AgentConfig,
-        knowledge: knowledge_types.Knowledge,
+        state: agent_state.AgentState,
         feed: feed_server.FeedServer,
         orders: order_task.Orders,
         metrics: metric_types.AgentMetrics,
     ) -> None:
         self._env = env
         self._config = config
-        self._knowledge = knowledge
+        self._state = state
         self._feed = feed
         self._orders = orders
         self._metrics = metrics
@@ -54,9 +54,7 @@
             if task.done():
                 # Ended by a fault, since they go on until cancelled.
                 task.result()
-        wanted = set(
-            subset.choose_all(self._config.vm_id, self._knowledge.listing)
-        )
+        wanted = set(subset.choose_all(self._config.vm_id, self._state.listing))
         for target in set(self._tasks) - wanted:
             self._tasks.pop(target).cancel()
         for target in sorted(
@@ -87,7 +85,7 @@
             await self._rest()
 
     def _is_sweeper(self, target: targets.Target) -> bool:
-        live = set(self._knowledge.live_in_hall()) | {self._config.vm_id}
+        live = set(self._state.live_in_hall()) | {self._config.vm_id}
         key = f"sweep {target.target_id}"
         return self._config.vm_id in rendezvous.choose(key, live, _SWEEPERS)
 
--- a/standins/slopes.py
+++ b/standins/slopes.py
@@ -118,7 +118,7 @@
     await asyncio.sleep(_SETTLE_S)
     agents = [node.agent for node in cluster.vms.values()]
     for agent in agents:
-        agent.knowledge.own_dispatched = _BUSY
+        agent.state.own_dispatched = _BUSY
     before = sum(agent.peer_bytes() for agent in agents)
     calls = sum(cluster.configuration.calls.values())
     list_calls = cluster.vm_list.calls
@@ -130,7 +130,7 @@
     calls = sum(cluster.configuration.calls.values()) - calls
     list_calls = cluster.vm_list.calls - list_calls
     wrongly = sum(
-        len(cluster.vms) // _HALLS - len(agent.knowledge.live_in_hall())
+        len(cluster.vms) // _HALLS - len(agent.state.live_in_hall())
         for agent in agents
     )
     change_s = await _wait_for_change(cluster)
@@ -155,7 +155,7 @@
         behind = [
             node
             for node in cluster.vms.values()
-            if node.agent.knowledge.in_force.manifest.revision < revision
+            if node.agent.state.in_force.manifest.revision < revision
         ]
         if not behind:
             return passed
@@ -175,7 +175,7 @@
             for node in cluster.vms.values()
             if node.hall == dead.hall
             and node is not dead
-            and dead.name in node.agent.knowledge.live_in_hall()
+            and dead.name in node.agent.state.live_in_hall()
         ]
         if not believing:
             return passed
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -42,7 +42,7 @@
 
 def _revisions(cluster: clusters.Cluster) -> set[int]:
     return {
-        node.agent.knowledge.in_force.manifest.revision
+        node.agent.state.in_force.manifest.revision
         for node in cluster.vms.values()
         if not node.process.is_dead
     }
@@ -95,7 +95,7 @@
             _do(f, "cut", "hall-2")
             cluster.configuration.publish(_tree(2.0))
             await asyncio.sleep(60.0)
-            in_hall = cluster.vms["vm-2"].agent.knowledge
+            in_hall = cluster.vms["vm-2"].agent.state
             self.assertEqual(in_hall.in_force.manifest.revision, 1)
             _do(f, "heal", "hall-2")
             await asyncio.sleep(_WITHIN_S)
@@ -110,7 +110,7 @@
             await asyncio.sleep(_WITHIN_S)
             self.assertEqual(_revisions(cluster), {3})
             weights = {
-                node.agent.knowledge.in_force.tree.branches["w"].own["weight"]
+                node.agent.state.in_force.tree.branches["w"].own["weight"]
                 for node in cluster.vms.values()
             }
             self.assertEqual(weights, {3.0})
@@ -150,7 +150,7 @@
         async def story(cluster: clusters.Cluster, f: faults.Faults) -> None:
             _do(f, "kill", "vm-4")
             await asyncio.sleep(6.0)
-            hall = cluster.vms["vm-1"].agent.knowledge
+            hall = cluster.vms["vm-1"].agent.state
             self.assertNotIn("vm-4", hall.live_in_hall())
             self.assertIn("vm-7", hall.live_in_hall())
 
@@ -169,7 +169,7 @@
                 node.hall
                 for node in cluster.vms.values()
                 if not node.process.is_dead
-                and node.agent.knowledge.in_force.manifest.revision < 2
+                and node.agent.state.in_force.manifest.revision < 2
             }
             self.assertEqual(behind, {"hall-2"})
             _do(f, "heal", "hall-2")
