--- a/src/ruddergate/agent/gossip_task.py
+++ b/src/ruddergate/agent/gossip_task.py
@@ -5,8 +5,8 @@
 from ruddergate import environment
 from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
-from ruddergate.agent import links as link_types
 from ruddergate.agent import list_sync as list_syncs
+from ruddergate.agent import peer_connections
 from ruddergate.agent import settings_sync as settings_syncs
 from ruddergate.decisions import adoption
 from ruddergate.decisions import membership
@@ -29,14 +29,14 @@
         env: environment.Environment,
         config: configs.AgentConfig,
         state: agent_state.AgentState,
-        links: link_types.Links,
+        connections: peer_connections.PeerConnections,
         settings_sync: settings_syncs.SettingsSync,
         list_sync: list_syncs.ListSync,
     ) -> None:
         self._env = env
         self._config = config
         self._state = state
-        self._links = links
+        self._peer_connections = connections
         self._settings_sync = settings_sync
         self._list_sync = list_sync
         self._telling: dict[str, asyncio.Task] = {}
@@ -114,7 +114,7 @@
             self._catching_up_from.discard(peer.vm_id)
 
     async def _tell(self, peer: vms.Vm) -> None:
-        answer = await self._links.ask(peer, self.make_digest())
+        answer = await self._peer_connections.request(peer, self.make_digest())
         if isinstance(answer, gossip.Gossip):
             self._state.answered_peers.add(answer.sender)
             self.take_digest(answer)
--- a/src/ruddergate/agent/list_sync.py
+++ b/src/ruddergate/agent/list_sync.py
@@ -6,7 +6,7 @@
 from ruddergate.adapters.vm_list import client as vm_list
 from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
-from ruddergate.agent import links as link_types
+from ruddergate.agent import peer_connections
 from ruddergate.fleet import vm as vms
 from ruddergate.messages import fleet_view
 from ruddergate.messages import listing_wanted
@@ -21,13 +21,13 @@
         env: environment.Environment,
         config: configs.AgentConfig,
         state: agent_state.AgentState,
-        links: link_types.Links,
+        connections: peer_connections.PeerConnections,
         metrics: metric_types.AgentMetrics,
     ) -> None:
         self._env = env
         self._config = config
         self._state = state
-        self._links = links
+        self._peer_connections = connections
         self._metrics = metrics
 
     async def run(self) -> None:
@@ -54,7 +54,7 @@
     async def fetch_from_peer(self, peer: vms.Vm) -> None:
         """Takes a peer's list if it is newer."""
         wanted = listing_wanted.ListingWanted(self._state.listing.version)
-        answer = await self._links.ask(peer, wanted)
+        answer = await self._peer_connections.request(peer, wanted)
         if isinstance(answer, fleet_view.FleetView):
             self._state.merge_listing(answer.listing, answer.age_ms)
 
--- a/src/ruddergate/agent/links.py
+++ b/src/ruddergate/agent/peer_connections.py
@@ -8,11 +8,11 @@
 from ruddergate.wire import codec
 from ruddergate.wire import frames
 
-LINKS_MAX = 24
-ASK_TIMEOUT_MS = 1_000.0
+MAX_CONNECTIONS = 24
+REQUEST_TIMEOUT_MS = 1_000.0
 
 
-class Links:
+class PeerConnections:
     """Open streams to peers; the least recently used is closed first.
 
     Attributes:
@@ -30,15 +30,15 @@
         )
         self._locks: dict[str, asyncio.Lock] = {}
 
-    async def ask(
+    async def request(
         self, vm: vms.Vm, message: codec.Message
     ) -> codec.Message | frames.Closed:
         """Sends a message to a VM's agent and returns its answer."""
         name = f"{vm.vm_id} {vm.agent_peer}"
         lock = self._locks.setdefault(name, asyncio.Lock())
         try:
-            async with asyncio.timeout(ASK_TIMEOUT_MS / 1000.0), lock:
-                answer = await self._ask(name, vm, message)
+            async with asyncio.timeout(REQUEST_TIMEOUT_MS / 1000.0), lock:
+                answer = await self._exchange(name, vm, message)
         except (OSError, TimeoutError):
             answer = frames.Closed("no answer in time")
         if isinstance(answer, frames.Closed):
@@ -48,37 +48,37 @@
 
     def total_bytes(self) -> int:
         """Returns all bytes exchanged so far."""
-        live = sum(
+        open_bytes = sum(
             stream.sent_bytes + stream.received_bytes
             for stream in self._open.values()
         )
-        return self.sent_bytes + self.received_bytes + live
+        return self.sent_bytes + self.received_bytes + open_bytes
 
     def close(self) -> None:
         """Closes all streams."""
         for name in list(self._open):
             self._drop(name)
 
-    async def _ask(
+    async def _exchange(
         self, name: str, vm: vms.Vm, message: codec.Message
     ) -> codec.Message | frames.Closed:
         stream = self._open.get(name)
         if stream is None:
-            pair = await self._env.connect(vm.agent_peer)
-            stream = frames.FrameStream(*pair, self._key)
+            endpoints = await self._env.connect(vm.agent_peer)
+            stream = frames.FrameStream(*endpoints, self._key)
             self._open[name] = stream
             closed = await stream.greet()
             if closed is not None:
                 return closed
-            self._close_oldest()
+            self._close_least_recent()
         self._open.move_to_end(name)
         closed = await stream.send(message)
         if closed is not None:
             return closed
         return await stream.receive()
 
-    def _close_oldest(self) -> None:
-        while len(self._open) > LINKS_MAX:
+    def _close_least_recent(self) -> None:
+        while len(self._open) > MAX_CONNECTIONS:
             oldest = next(iter(self._open))
             self._drop(oldest)
             self._locks.pop(oldest, None)
--- a/src/ruddergate/agent/program.py
+++ b/src/ruddergate/agent/program.py
@@ -8,9 +8,9 @@
 from ruddergate.agent import config as configs
 from ruddergate.agent import feed_server
 from ruddergate.agent import gossip_task
-from ruddergate.agent import links as link_types
 from ruddergate.agent import list_sync
 from ruddergate.agent import order_task
+from ruddergate.agent import peer_connections
 from ruddergate.agent import peer_server
 from ruddergate.agent import settings_sync
 from ruddergate.agent import share_task
@@ -39,16 +39,20 @@
         self._log = logs.make_logger("agent")
         self.metrics = metric_types.AgentMetrics()
         self.state = agent_state.AgentState(env, config)
-        self._links = link_types.Links(env, config.peer_key)
+        self._peer_connections = peer_connections.PeerConnections(
+            env, config.peer_key
+        )
         parts = (env, config, self.state)
         self._settings = settings_sync.SettingsSync(
-            *parts, self._links, self.metrics
+            *parts, self._peer_connections, self.metrics
+        )
+        self._list = list_sync.ListSync(
+            *parts, self._peer_connections, self.metrics
         )
-        self._list = list_sync.ListSync(*parts, self._links, self.metrics)
         self._gossip = gossip_task.Gossip(
-            *parts, self._links, self._settings, self._list
+            *parts, self._peer_connections, self._settings, self._list
         )
-        self._shares = share_task.Shares(*parts, self._links)
+        self._shares = share_task.Shares(*parts, self._peer_connections)
         self._feed = feed_server.FeedServer(
             *parts, self._settings, self._shares
         )
@@ -62,7 +66,7 @@
 
     def peer_bytes(self) -> int:
         """Returns all bytes exchanged with other agents so far."""
-        return self._links.total_bytes() + self._peers.total_bytes
+        return self._peer_connections.total_bytes() + self._peers.total_bytes
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serves until `stop` is set."""
@@ -80,7 +84,7 @@
         finally:
             for task in tasks:
                 task.cancel()
-            self._links.close()
+            self._peer_connections.close()
             for page_server in pages:
                 page_server.close()
             peers.close()
--- a/src/ruddergate/agent/settings_sync.py
+++ b/src/ruddergate/agent/settings_sync.py
@@ -6,7 +6,7 @@
 from ruddergate.adapters.configuration import client as configuration
 from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
-from ruddergate.agent import links as link_types
+from ruddergate.agent import peer_connections
 from ruddergate.decisions import adoption
 from ruddergate.fleet import vm as vms
 from ruddergate.messages import tree_parts
@@ -29,13 +29,13 @@
         env: environment.Environment,
         config: configs.AgentConfig,
         state: agent_state.AgentState,
-        links: link_types.Links,
+        connections: peer_connections.PeerConnections,
         metrics: metric_types.AgentMetrics,
     ) -> None:
         self._env = env
         self._config = config
         self._state = state
-        self._links = links
+        self._peer_connections = connections
         self._metrics = metrics
         self._log = logs.make_logger("settings")
         self._fetching = False
@@ -81,7 +81,7 @@
         wanted = tree_wanted.TreeWanted(
             in_force.manifest.revision, tuple(sorted(in_force.shards))
         )
-        answer = await self._links.ask(peer, wanted)
+        answer = await self._peer_connections.request(peer, wanted)
         if not isinstance(answer, tree_parts.TreeParts):
             return False
         self.take_parts(answer)
--- a/src/ruddergate/agent/share_task.py
+++ b/src/ruddergate/agent/share_task.py
@@ -6,7 +6,7 @@
 from ruddergate import environment
 from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
-from ruddergate.agent import links as link_types
+from ruddergate.agent import peer_connections
 from ruddergate.decisions import shares as decisions
 from ruddergate.fleet import vm as vms
 from ruddergate.messages import entry_load
@@ -33,13 +33,13 @@
         env: environment.Environment,
         config: configs.AgentConfig,
         state: agent_state.AgentState,
-        links: link_types.Links,
+        connections: peer_connections.PeerConnections,
     ) -> None:
         self.demand: dict[str, float] = {}
         self._env = env
         self._config = config
         self._state = state
-        self._links = links
+        self._peer_connections = connections
         self._book = decisions.LoanBook()
 
     async def run(self) -> None:
@@ -101,7 +101,7 @@
         wanted = lend.LendWanted(
             self._config.vm_id, workspace, missing, valid_ms
         )
-        answer = await self._links.ask(peer, wanted)
+        answer = await self._peer_connections.request(peer, wanted)
         if not isinstance(answer, lend.Lent) or answer.workspace != workspace:
             return 0.0
         self._book.borrow(workspace, answer.fraction, asked_ms, valid_ms)
