--- a/src/ruddergate/agent/feed_server.py
+++ b/src/ruddergate/agent/feed_server.py
@@ -34,7 +34,7 @@
         config: configs.AgentConfig,
         state: agent_state.AgentState,
         settings_sync: settings_syncs.SettingsSync,
-        shares: share_task.Shares,
+        shares: share_task.ShareTask,
     ) -> None:
         self._env = env
         self._config = config
--- a/src/ruddergate/agent/gossip_task.py
+++ b/src/ruddergate/agent/gossip_task.py
@@ -15,13 +15,13 @@
 
 # Rows of the entry's work that a digest carries at most, largest first. In a
 # large hall each target has few VMs, and load rides on answers instead.
-DISPATCHED_ROWS = 24
-DISPATCHED_ROWS_LARGE_HALL = 8
-_OTHER_HALLS_FAN_OUT = 1
-_LEAST_ROUND_MS = 50.0
+MAX_DISPATCHED_ROWS = 24
+MAX_DISPATCHED_ROWS_LARGE_HALL = 8
+_REMOTE_FAN_OUT = 1
+_MIN_ROUND_MS = 50.0
 
 
-class Gossip:
+class GossipTask:
     """The task that tells peers, at once when something has changed."""
 
     def __init__(
@@ -39,8 +39,8 @@
         self._peer_connections = connections
         self._settings_sync = settings_sync
         self._list_sync = list_sync
-        self._telling: dict[str, asyncio.Task] = {}
-        self._catching_up: set[asyncio.Task] = set()
+        self._exchanges: dict[str, asyncio.Task] = {}
+        self._catch_up_tasks: set[asyncio.Task] = set()
         self._catching_up_from: set[str] = set()
 
     async def run(self) -> None:
@@ -48,16 +48,16 @@
         while True:
             self._state.changed.clear()
             for peer in self._pick_peers():
-                self._tell_soon(peer)
-            await self._rest()
+                self._start_exchange(peer)
+            await self._wait_for_round()
 
-    def _tell_soon(self, peer: vms.Vm) -> None:
+    def _start_exchange(self, peer: vms.Vm) -> None:
         """Tells a peer without waiting: a silent one must not hold others."""
-        if peer.vm_id in self._telling:
+        if peer.vm_id in self._exchanges:
             return
-        task = asyncio.ensure_future(self._tell(peer))
-        self._telling[peer.vm_id] = task
-        task.add_done_callback(lambda _: self._telling.pop(peer.vm_id, None))
+        task = asyncio.ensure_future(self._exchange_digests(peer))
+        self._exchanges[peer.vm_id] = task
+        task.add_done_callback(lambda _: self._exchanges.pop(peer.vm_id, None))
 
     def make_digest(self) -> gossip.Gossip:
         """Returns this agent's digest."""
@@ -76,74 +76,76 @@
             listing_version=self._state.listing.version,
             listing_age_ms=min(self._state.listing_age_ms(), 1e12),
             members=rows,
-            dispatched=tuple(largest[: self._dispatched_rows()]),
+            dispatched=tuple(largest[: self._max_dispatched_rows()]),
         )
 
-    def _dispatched_rows(self) -> int:
+    def _max_dispatched_rows(self) -> int:
         known = len(self._state.members.list_known())
         if known > membership.ROWS_PER_DIGEST:
-            return DISPATCHED_ROWS_LARGE_HALL
-        return DISPATCHED_ROWS
+            return MAX_DISPATCHED_ROWS_LARGE_HALL
+        return MAX_DISPATCHED_ROWS
 
-    def take_digest(self, digest: gossip.Gossip) -> None:
+    def receive_digest(self, digest: gossip.Gossip) -> None:
         """Takes in a peer's digest and catches up where it is ahead."""
         self._state.merge_digest(digest)
         peer = self._state.find_vm(digest.sender)
         if peer is None or peer.vm_id in self._catching_up_from:
             return
-        newer_tree = adoption.is_wanted(self._state.in_force, digest.revision)
-        newer_list = digest.listing_version > self._state.listing.version
-        if not newer_tree and not newer_list:
+        has_newer_tree = adoption.is_wanted(
+            self._state.in_force, digest.revision
+        )
+        has_newer_list = digest.listing_version > self._state.listing.version
+        if not has_newer_tree and not has_newer_list:
             return
         self._catching_up_from.add(peer.vm_id)
         task = asyncio.ensure_future(
-            self._catch_up(peer, newer_tree, newer_list)
+            self._catch_up(peer, has_newer_tree, has_newer_list)
         )
-        self._catching_up.add(task)
-        task.add_done_callback(self._catching_up.discard)
+        self._catch_up_tasks.add(task)
+        task.add_done_callback(self._catch_up_tasks.discard)
 
     async def _catch_up(
-        self, peer: vms.Vm, newer_tree: bool, newer_list: bool
+        self, peer: vms.Vm, has_newer_tree: bool, has_newer_list: bool
     ) -> None:
         try:
-            if newer_tree:
+            if has_newer_tree:
                 await self._settings_sync.fetch_from_peer(peer)
-            if newer_list:
+            if has_newer_list:
                 await self._list_sync.fetch_from_peer(peer)
         finally:
             self._catching_up_from.discard(peer.vm_id)
 
-    async def _tell(self, peer: vms.Vm) -> None:
+    async def _exchange_digests(self, peer: vms.Vm) -> None:
         answer = await self._peer_connections.request(peer, self.make_digest())
         if isinstance(answer, gossip.Gossip):
             self._state.answered_peers.add(answer.sender)
-            self.take_digest(answer)
+            self.receive_digest(answer)
 
     def _pick_peers(self) -> list[vms.Vm]:
-        near = self._state.peers(own_hall=True)
-        far = self._state.peers(own_hall=False)
+        local = self._state.peers(own_hall=True)
+        remote = self._state.peers(own_hall=False)
         unanswered = [
             peer
-            for peer in near
+            for peer in local
             if peer.vm_id not in self._state.answered_peers
         ]
-        chance = self._env.random
+        rng = self._env.random
         # Those that have not answered yet come first: this VM's part of the
         # limits waits for them.
-        first = chance.sample(
+        first = rng.sample(
             unanswered, min(len(unanswered), self._config.fan_out)
         )
-        rest = [peer for peer in near if peer not in first]
+        rest = [peer for peer in local if peer not in first]
         count = min(len(rest), self._config.fan_out - len(first))
-        chosen = first + chance.sample(rest, max(0, count))
-        others = min(len(far), _OTHER_HALLS_FAN_OUT)
-        return chosen + chance.sample(far, others)
+        chosen = first + rng.sample(rest, max(0, count))
+        remote_count = min(len(remote), _REMOTE_FAN_OUT)
+        return chosen + rng.sample(remote, remote_count)
 
-    async def _rest(self) -> None:
+    async def _wait_for_round(self) -> None:
         """Waits for the next round, or for a change."""
-        await asyncio.sleep(_LEAST_ROUND_MS / 1000.0)
+        await asyncio.sleep(_MIN_ROUND_MS / 1000.0)
         jitter = self._env.random.uniform(0.8, 1.2)
-        wait_ms = self._config.gossip_ms * jitter - _LEAST_ROUND_MS
+        wait_ms = self._config.gossip_ms * jitter - _MIN_ROUND_MS
         try:
             async with asyncio.timeout(wait_ms / 1000.0):
                 await self._state.changed.wait()
--- a/src/ruddergate/agent/order_task.py
+++ b/src/ruddergate/agent/order_task.py
@@ -12,7 +12,7 @@
 from ruddergate.telemetry import metrics as metric_types
 
 
-class Orders:
+class OrderTask:
     """Decides for each look at an engine whether it is to get an order."""
 
     def __init__(
--- a/src/ruddergate/agent/peer_server.py
+++ b/src/ruddergate/agent/peer_server.py
@@ -28,8 +28,8 @@
         self,
         config: configs.AgentConfig,
         state: agent_state.AgentState,
-        gossip_: gossip_task.Gossip,
-        shares: share_task.Shares,
+        gossip_: gossip_task.GossipTask,
+        shares: share_task.ShareTask,
     ) -> None:
         self.total_bytes = 0
         self._config = config
@@ -65,7 +65,7 @@
     def _answer(self, asked: codec.Message) -> codec.Message | None:
         match asked:
             case gossip.Gossip():
-                self._gossip.take_digest(asked)
+                self._gossip.receive_digest(asked)
                 return self._gossip.make_digest()
             case tree_wanted.TreeWanted():
                 return feed_server.make_parts(self._state, asked.digests)
--- a/src/ruddergate/agent/program.py
+++ b/src/ruddergate/agent/program.py
@@ -49,15 +49,15 @@
         self._list = list_sync.ListSync(
             *parts, self._peer_connections, self.metrics
         )
-        self._gossip = gossip_task.Gossip(
+        self._gossip = gossip_task.GossipTask(
             *parts, self._peer_connections, self._settings, self._list
         )
-        self._shares = share_task.Shares(*parts, self._peer_connections)
+        self._shares = share_task.ShareTask(*parts, self._peer_connections)
         self._feed = feed_server.FeedServer(
             *parts, self._settings, self._shares
         )
-        self._orders = order_task.Orders(*parts, self.metrics)
-        self._targets = target_task.Targets(
+        self._orders = order_task.OrderTask(*parts, self.metrics)
+        self._targets = target_task.TargetPoller(
             *parts, self._feed, self._orders, self.metrics
         )
         self._peers = peer_server.PeerServer(
--- a/src/ruddergate/agent/share_task.py
+++ b/src/ruddergate/agent/share_task.py
@@ -21,7 +21,7 @@
 _LEAST_LOAN = 0.005
 
 
-class Shares:
+class ShareTask:
     """The task that works out this VM's parts and borrows for its demand.
 
     Attributes:
--- a/src/ruddergate/agent/target_task.py
+++ b/src/ruddergate/agent/target_task.py
@@ -19,7 +19,7 @@
 _SWEEPERS = 2
 
 
-class Targets:
+class TargetPoller:
     """One small task for each target that this VM deals with."""
 
     def __init__(
@@ -28,7 +28,7 @@
         config: configs.AgentConfig,
         state: agent_state.AgentState,
         feed: feed_server.FeedServer,
-        orders: order_task.Orders,
+        orders: order_task.OrderTask,
         metrics: metric_types.AgentMetrics,
     ) -> None:
         self._env = env
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -77,7 +77,7 @@
         self.assertEqual(found.held_tokens, 0)
 
     def test_held_without_the_sweep(self) -> None:
-        with mock.patch.object(target_task.Targets, "_sweep"):
+        with mock.patch.object(target_task.TargetPoller, "_sweep"):
             found = virtual.play(self.lines)
         self.assertGreater(found.held_tokens, 0)
 
@@ -346,7 +346,7 @@
         ]
         with (
             mock.patch.object(canceller.Canceller, "post"),
-            mock.patch.object(target_task.Targets, "_sweep"),
+            mock.patch.object(target_task.TargetPoller, "_sweep"),
         ):
             found = virtual.play(lines)
         self.assertGreater(found.held_tokens, 0)
