--- a/src/ruddergate/agent/config.py
+++ b/src/ruddergate/agent/config.py
@@ -40,7 +40,7 @@
     fan_out: int = 3
     watch_ms: float = 20_000.0
     list_poll_ms: float = 1_000.0
-    late_ms: float = 3_000.0
+    watcher_timeout_ms: float = 3_000.0
     load_poll_ms: float = 1_000.0
     sweep_ms: float = 5_000.0
     platform_timeout_ms: float = 2_000.0
--- a/src/ruddergate/agent/feed_server.py
+++ b/src/ruddergate/agent/feed_server.py
@@ -20,9 +20,9 @@
 from ruddergate.telemetry import logs
 from ruddergate.wire import frames
 
-_ROUND_MS = 250.0
+_MAX_WAIT_MS = 250.0
 # With no change, the list's age is told this often.
-_VIEW_MS = 500.0
+_VIEW_INTERVAL_MS = 500.0
 
 
 class FeedServer:
@@ -53,18 +53,18 @@
         if await stream.greet() is not None:
             stream.close()
             return
-        feeding: asyncio.Future | None = None
+        feed_task: asyncio.Future | None = None
         try:
             hello = await stream.receive()
             if not isinstance(hello, entry_hello.EntryHello):
                 return
             self._streams.add(stream)
-            feeding = asyncio.ensure_future(self._feed(stream, hello))
+            feed_task = asyncio.ensure_future(self._feed(stream, hello))
             await self._receive(stream)
         finally:
             self._streams.discard(stream)
-            if feeding is not None:
-                feeding.cancel()
+            if feed_task is not None:
+                feed_task.cancel()
             stream.close()
 
     async def push_loads(
@@ -86,47 +86,47 @@
                 case entry_load.EntryLoad():
                     self._state.own_dispatched = message.dispatched
                     self._state.is_stopping = message.stopping
-                    self._shares.take_demand(message.demand)
+                    self._shares.update_demand(message.demand)
                 case tree_parts.TreeParts():
-                    self._settings_sync.take_parts(message)
+                    self._settings_sync.consider_parts(message)
                 case _:
                     self._log.warning("Unexpected message from the entry.")
 
     async def _feed(
         self, stream: frames.FrameStream, hello: entry_hello.EntryHello
     ) -> None:
-        told_revision = hello.revision
-        told_digests: frozenset[str] = frozenset()
-        told_listing = listings.EMPTY
-        viewed_ms = float("-inf")
+        sent_revision = hello.revision
+        sent_digests: frozenset[str] = frozenset()
+        sent_listing = listings.EMPTY
+        view_sent_ms = float("-inf")
         while True:
             in_force = self._state.in_force
-            if in_force.manifest.revision > told_revision:
-                parts = make_parts(self._state, told_digests)
+            if in_force.manifest.revision > sent_revision:
+                parts = make_tree_parts(self._state, sent_digests)
                 if await stream.send(parts) is not None:
                     return
-                told_revision = in_force.manifest.revision
-                told_digests = frozenset(in_force.shards)
+                sent_revision = in_force.manifest.revision
+                sent_digests = frozenset(in_force.shards)
             listing = self._state.listing
-            due = self._env.now_ms() - viewed_ms >= _VIEW_MS
-            if listing.vms and (due or listing != told_listing):
+            is_due = self._env.now_ms() - view_sent_ms >= _VIEW_INTERVAL_MS
+            if listing.vms and (is_due or listing != sent_listing):
                 await stream.send(self._make_view())
-                told_listing = listing
-                viewed_ms = self._env.now_ms()
+                sent_listing = listing
+                view_sent_ms = self._env.now_ms()
             await stream.send(self._shares.make_message())
             peers = self._state.peer_loads()
             if peers:
                 await stream.send(loads.Loads((), peers, ()))
-            await self._rest()
+            await self._wait_for_change()
 
-    async def _rest(self) -> None:
+    async def _wait_for_change(self) -> None:
         try:
-            async with asyncio.timeout(_ROUND_MS / 1000.0):
+            async with asyncio.timeout(_MAX_WAIT_MS / 1000.0):
                 await self._state.changed.wait()
         except TimeoutError:
             return
         # The gossip task clears the event; don't spin until it has.
-        await asyncio.sleep(_ROUND_MS / 10_000.0)
+        await asyncio.sleep(_MAX_WAIT_MS / 10_000.0)
 
     def _make_view(self) -> fleet_view.FleetView:
         listing = self._state.listing
@@ -138,7 +138,7 @@
         )
 
 
-def make_parts(
+def make_tree_parts(
     state: agent_state.AgentState, known_digests: Iterable[str]
 ) -> tree_parts.TreeParts:
     """Returns the settings in force, less the shards that are known."""
--- a/src/ruddergate/agent/list_sync.py
+++ b/src/ruddergate/agent/list_sync.py
@@ -33,12 +33,12 @@
     async def run(self) -> None:
         """Looks again and again until cancelled."""
         while True:
-            if self._must_look():
-                await self.look()
+            if self._is_fetch_due():
+                await self.fetch()
             jitter = self._env.random.uniform(0.8, 1.2)
             await asyncio.sleep(self._config.list_poll_ms * jitter / 1000.0)
 
-    async def look(self) -> None:
+    async def fetch(self) -> None:
         """Looks at the platform's list once."""
         self._metrics.platform_calls.inc({"service": "list"})
         began_ms = self._env.now_ms()
@@ -53,14 +53,14 @@
 
     async def fetch_from_peer(self, peer: vms.Vm) -> None:
         """Takes a peer's list if it is newer."""
-        wanted = listing_wanted.ListingWanted(self._state.listing.version)
-        answer = await self._peer_connections.request(peer, wanted)
+        request = listing_wanted.ListingWanted(self._state.listing.version)
+        answer = await self._peer_connections.request(peer, request)
         if isinstance(answer, fleet_view.FleetView):
             self._state.merge_listing(answer.listing, answer.age_ms)
 
-    def _must_look(self) -> bool:
+    def _is_fetch_due(self) -> bool:
         if not self._state.listing.vms:
             return True
         if self._state.is_watcher("list"):
             return True
-        return self._state.listing_age_ms() > self._config.late_ms
+        return self._state.listing_age_ms() > self._config.watcher_timeout_ms
--- a/src/ruddergate/agent/order_task.py
+++ b/src/ruddergate/agent/order_task.py
@@ -31,7 +31,7 @@
         self._budgets: dict[str, orders.WeightReadBudget] = {}
         self._index = indexes.Index(state.in_force.tree)
 
-    async def consider(
+    async def order_if_due(
         self, target: targets.Target, loaded: orders.LoadedState
     ) -> None:
         """Gives the engine its order if it is due and this VM's to give."""
@@ -44,7 +44,9 @@
         order = orders.make_order(pool, revision, loaded.generation)
         if not orders.is_needed(order, loaded):
             return
-        if self._reads_store(order, loaded) and not self._take_read(pool):
+        if self._reads_store(order, loaded) and not self._consume_weight_read(
+            pool
+        ):
             return
         answer = await control.order(
             self._env, target, order, orders.ORDER_TIMEOUT_MS
@@ -82,10 +84,10 @@
     def _reads_store(
         self, order: orders.Order, loaded: orders.LoadedState
     ) -> bool:
-        has = (loaded.model, loaded.version, loaded.adapters)
-        return has != (order.model, order.version, order.adapters)
+        current = (loaded.model, loaded.version, loaded.adapters)
+        return current != (order.model, order.version, order.adapters)
 
-    def _take_read(self, pool: effective.Pool) -> bool:
+    def _consume_weight_read(self, pool: effective.Pool) -> bool:
         """Takes a read out of this VM's part of the store's limit."""
         now_ms = self._env.now_ms()
         listed = max(1, len(self._state.listing.vms))
--- a/src/ruddergate/agent/peer_server.py
+++ b/src/ruddergate/agent/peer_server.py
@@ -48,12 +48,12 @@
                 return
             while True:
                 counted = stream.sent_bytes + stream.received_bytes
-                asked = await stream.receive()
-                if isinstance(asked, frames.Closed):
-                    if asked.detail:
-                        self._log.warning("Peer refused: {}.", asked.detail)
+                request = await stream.receive()
+                if isinstance(request, frames.Closed):
+                    if request.detail:
+                        self._log.warning("Peer refused: {}.", request.detail)
                     return
-                answer = self._answer(asked)
+                answer = self._handle(request)
                 if answer is None:
                     return
                 await stream.send(answer)
@@ -62,13 +62,13 @@
         finally:
             stream.close()
 
-    def _answer(self, asked: codec.Message) -> codec.Message | None:
-        match asked:
+    def _handle(self, request: codec.Message) -> codec.Message | None:
+        match request:
             case gossip.Gossip():
-                self._gossip.receive_digest(asked)
+                self._gossip.receive_digest(request)
                 return self._gossip.make_digest()
             case tree_wanted.TreeWanted():
-                return feed_server.make_parts(self._state, asked.digests)
+                return feed_server.make_tree_parts(self._state, request.digests)
             case listing_wanted.ListingWanted():
                 return fleet_view.FleetView(
                     self._state.listing,
@@ -76,7 +76,7 @@
                     self._state.settled_ms(),
                 )
             case lend.LendWanted():
-                return self._shares.answer(asked)
+                return self._shares.handle_loan_request(request)
             case _:
                 self._log.warning("Unexpected message from a peer.")
                 return None
--- a/src/ruddergate/agent/program.py
+++ b/src/ruddergate/agent/program.py
@@ -42,23 +42,23 @@
         self._peer_connections = peer_connections.PeerConnections(
             env, config.peer_key
         )
-        parts = (env, config, self.state)
+        common = (env, config, self.state)
         self._settings = settings_sync.SettingsSync(
-            *parts, self._peer_connections, self.metrics
+            *common, self._peer_connections, self.metrics
         )
         self._list = list_sync.ListSync(
-            *parts, self._peer_connections, self.metrics
+            *common, self._peer_connections, self.metrics
         )
         self._gossip = gossip_task.GossipTask(
-            *parts, self._peer_connections, self._settings, self._list
+            *common, self._peer_connections, self._settings, self._list
         )
-        self._shares = share_task.ShareTask(*parts, self._peer_connections)
+        self._shares = share_task.ShareTask(*common, self._peer_connections)
         self._feed = feed_server.FeedServer(
-            *parts, self._settings, self._shares
+            *common, self._settings, self._shares
         )
-        self._orders = order_task.OrderTask(*parts, self.metrics)
+        self._orders = order_task.OrderTask(*common, self.metrics)
         self._targets = target_task.TargetPoller(
-            *parts, self._feed, self._orders, self.metrics
+            *common, self._feed, self._orders, self.metrics
         )
         self._peers = peer_server.PeerServer(
             config, self.state, self._gossip, self._shares
@@ -76,22 +76,22 @@
         peers = await self._env.serve(
             self._peers.handle, self._config.peer_listen
         )
-        pages = await self._serve_pages()
+        status_servers = await self._serve_status()
         self._log.info("Feeding the entry at {}.", self._config.feed_listen)
-        tasks = [asyncio.ensure_future(self._begin())]
+        tasks = [asyncio.ensure_future(self._run_tasks())]
         try:
             await _private.wait_while_running(stop.wait(), tasks)
         finally:
             for task in tasks:
                 task.cancel()
             self._peer_connections.close()
-            for page_server in pages:
-                page_server.close()
+            for status_server in status_servers:
+                status_server.close()
             peers.close()
             feed.close()
         self._log.info("Agent ends.")
 
-    async def _serve_pages(self) -> list[asyncio.Server]:
+    async def _serve_status(self) -> list[asyncio.Server]:
         """Serves the operators' pages, if an address is set."""
         if self._config.status_listen is None:
             return []
@@ -99,12 +99,12 @@
         handler = http_server.make_stream_handler(handle, http_server.Limits())
         return [await self._env.serve(handler, self._config.status_listen)]
 
-    async def _begin(self) -> None:
+    async def _run_tasks(self) -> None:
         """Looks for the list first, since it names the peers to ask."""
-        await self._list.look()
+        await self._list.fetch()
         while not self.state.listing.vms:
             await asyncio.sleep(_LIST_RETRY_MS / 1000.0)
-            await self._list.look()
+            await self._list.fetch()
         await asyncio.gather(
             self._list.run(),
             self._gossip.run(),
--- a/src/ruddergate/agent/settings_sync.py
+++ b/src/ruddergate/agent/settings_sync.py
@@ -15,9 +15,9 @@
 from ruddergate.telemetry import logs
 from ruddergate.telemetry import metrics as metric_types
 
-_PAUSE_MS = 500.0
-_LOOK_MS = 1_000.0
-_ASKED_AT_START = 8
+_RETRY_DELAY_MS = 500.0
+_CHECK_INTERVAL_MS = 1_000.0
+_START_PEERS = 8
 _START_TRIES = 4
 
 
@@ -38,56 +38,56 @@
         self._peer_connections = connections
         self._metrics = metrics
         self._log = logs.make_logger("settings")
-        self._fetching = False
+        self._is_fetching = False
 
     async def run(self) -> None:
         """Watches until cancelled; asks the peers first."""
-        await self._ask_peers_first()
+        await self._fetch_from_peers()
         while True:
-            if self._must_watch():
+            if self._is_watch_due():
                 await self._watch_once()
             else:
-                await asyncio.sleep(_LOOK_MS / 1000.0)
+                await asyncio.sleep(_CHECK_INTERVAL_MS / 1000.0)
 
-    def _must_watch(self) -> bool:
+    def _is_watch_due(self) -> bool:
         if self._state.is_watcher("settings"):
             return True
         age_ms = self._state.hall_service_age_ms()
-        if age_ms <= self._config.late_ms + self._config.watch_ms:
+        if age_ms <= self._config.watcher_timeout_ms + self._config.watch_ms:
             return False
         # The watchers are late. Few look at once: one in the live ones.
         live = max(1, len(self._state.live_in_hall()))
         return self._env.random.random() < 1.0 / live
 
-    async def _ask_peers_first(self) -> None:
+    async def _fetch_from_peers(self) -> None:
         """A fresh process trusts its peers before a possibly stale service."""
         for _ in range(_START_TRIES):
             peers = [
                 *self._state.peers(own_hall=True),
                 *self._state.peers(own_hall=False),
             ]
-            count = min(len(peers), _ASKED_AT_START)
-            asked = self._env.random.sample(peers, count)
+            count = min(len(peers), _START_PEERS)
+            chosen = self._env.random.sample(peers, count)
             answers = await asyncio.gather(
-                *(self.fetch_from_peer(peer) for peer in asked)
+                *(self.fetch_from_peer(peer) for peer in chosen)
             )
             if any(answers):
                 return
-            await asyncio.sleep(_PAUSE_MS / 1000.0)
+            await asyncio.sleep(_RETRY_DELAY_MS / 1000.0)
 
     async def fetch_from_peer(self, peer: vms.Vm) -> bool:
         """Takes a peer's settings if newer; returns whether it answered."""
         in_force = self._state.in_force
-        wanted = tree_wanted.TreeWanted(
+        request = tree_wanted.TreeWanted(
             in_force.manifest.revision, tuple(sorted(in_force.shards))
         )
-        answer = await self._peer_connections.request(peer, wanted)
+        answer = await self._peer_connections.request(peer, request)
         if not isinstance(answer, tree_parts.TreeParts):
             return False
-        self.take_parts(answer)
+        self.consider_parts(answer)
         return True
 
-    def take_parts(self, parts: tree_parts.TreeParts) -> None:
+    def consider_parts(self, parts: tree_parts.TreeParts) -> None:
         """Considers settings that a peer or the entry has handed over."""
         found = adoption.evaluate_offer(
             self._state.in_force, parts.manifest, parts.shards
@@ -106,7 +106,7 @@
         )
         if isinstance(answer, configuration.Unavailable):
             self._log.debug("Service unavailable: {}.", answer.detail)
-            await self._pause()
+            await self._wait_before_retry()
             return
         self._state.note_service_answer()
         if isinstance(answer, manifests.Manifest):
@@ -116,7 +116,7 @@
         in_force = self._state.in_force
         if not adoption.is_wanted(in_force, offered.revision):
             # A stale or refused revision: don't ask for it without a pause.
-            await self._pause()
+            await self._wait_before_retry()
             return
         shards: dict[str, bytes] = {}
         found = adoption.evaluate_offer(in_force, offered, shards)
@@ -124,7 +124,7 @@
             for digest in found.digests:
                 data = await self._fetch_shard(digest)
                 if data is None:
-                    await self._pause()
+                    await self._wait_before_retry()
                     return
                 shards[digest] = data
         # What is in force may have changed while the shards came.
@@ -132,7 +132,7 @@
         if isinstance(found, adoption.InForce):
             self._adopt(found)
         else:
-            await self._pause()
+            await self._wait_before_retry()
 
     async def _fetch_shard(self, digest: str) -> bytes | None:
         self._metrics.platform_calls.inc({"service": "shard"})
@@ -155,6 +155,6 @@
                 "; ".join(str(each) for each in found.problems[:3]),
             )
 
-    async def _pause(self) -> None:
+    async def _wait_before_retry(self) -> None:
         jitter = self._env.random.uniform(0.5, 1.5)
-        await asyncio.sleep(_PAUSE_MS * jitter / 1000.0)
+        await asyncio.sleep(_RETRY_DELAY_MS * jitter / 1000.0)
--- a/src/ruddergate/agent/target_task.py
+++ b/src/ruddergate/agent/target_task.py
@@ -16,7 +16,7 @@
 from ruddergate.telemetry import metrics as metric_types
 
 _TIMEOUT_MS = 1_500.0
-_SWEEPERS = 2
+_SWEEPERS_PER_TARGET = 2
 
 
 class TargetPoller:
@@ -43,13 +43,13 @@
         """Starts and ends the small tasks as the list changes."""
         try:
             while True:
-                self._match_list()
+                self._sync_tasks()
                 await asyncio.sleep(self._config.load_poll_ms / 1000.0)
         finally:
             for task in self._tasks.values():
                 task.cancel()
 
-    def _match_list(self) -> None:
+    def _sync_tasks(self) -> None:
         for task in self._tasks.values():
             if task.done():
                 # Ended by a fault, since they go on until cancelled.
@@ -60,43 +60,45 @@
         for target in sorted(
             wanted - set(self._tasks), key=lambda each: each.target_id
         ):
-            self._tasks[target] = asyncio.ensure_future(self._look_at(target))
+            self._tasks[target] = asyncio.ensure_future(self._poll(target))
 
-    async def _look_at(self, target: targets.Target) -> None:
+    async def _poll(self, target: targets.Target) -> None:
         after_event = -1
         swept_ms = self._env.now_ms()
-        await self._rest()
+        await self._wait()
         while True:
             now_ms = self._env.now_ms()
-            sweeps = now_ms - swept_ms >= self._config.sweep_ms and (
+            is_sweeping = now_ms - swept_ms >= self._config.sweep_ms and (
                 self._is_sweeper(target)
             )
             result = await loads.poll_target(
-                self._env, target, after_event, sweeps, _TIMEOUT_MS
+                self._env, target, after_event, is_sweeping, _TIMEOUT_MS
             )
             if isinstance(result, loads.PollResult):
                 if result.events:
                     after_event = result.events[-1].number
                 await self._feed.push_loads([result.report], result.events)
-                await self._orders.consider(target, result.loaded)
-                if sweeps:
+                await self._orders.order_if_due(target, result.loaded)
+                if is_sweeping:
                     swept_ms = now_ms
                     await self._sweep(target, result)
-            await self._rest()
+            await self._wait()
 
     def _is_sweeper(self, target: targets.Target) -> bool:
         live = set(self._state.live_in_hall()) | {self._config.vm_id}
         key = f"sweep {target.target_id}"
-        return self._config.vm_id in rendezvous.choose(key, live, _SWEEPERS)
+        return self._config.vm_id in rendezvous.choose(
+            key, live, _SWEEPERS_PER_TARGET
+        )
 
     async def _sweep(
         self, target: targets.Target, result: loads.PollResult
     ) -> None:
-        lapsed = sweeping.find_expired(result.held)
-        if lapsed:
-            await control.cancel(self._env, target, lapsed, _TIMEOUT_MS)
-            self._metrics.swept_items.add({}, len(lapsed))
+        expired = sweeping.find_expired(result.held)
+        if expired:
+            await control.cancel(self._env, target, expired, _TIMEOUT_MS)
+            self._metrics.swept_items.add({}, len(expired))
 
-    async def _rest(self) -> None:
+    async def _wait(self) -> None:
         jitter = self._env.random.uniform(0.8, 1.2)
         await asyncio.sleep(self._config.load_poll_ms * jitter / 1000.0)
