--- a/src/ruddergate/cli/_private.py
+++ b/src/ruddergate/cli/_private.py
@@ -17,8 +17,8 @@
 
 USAGE_STATUS = 2
 # What the names of all variables with settings begin with.
-VARIABLES = "RUDDERGATE_"
-KEY_LENGTH_LEAST = 16
+ENV_PREFIX = "RUDDERGATE_"
+MIN_KEY_LENGTH = 16
 
 
 def make_app(name: str, help_: str) -> cyclopts.App:
@@ -26,7 +26,7 @@
     return cyclopts.App(
         name=name,
         help=help_,
-        config=cyclopts.config.Env(VARIABLES, command=False),
+        config=cyclopts.config.Env(ENV_PREFIX, command=False),
     )
 
 
@@ -37,7 +37,7 @@
     settings leaves it so where there is nothing to fill in.
     """
     for name, value in list(os.environ.items()):
-        if name.startswith(VARIABLES) and not value:
+        if name.startswith(ENV_PREFIX) and not value:
             del os.environ[name]
     try:
         app(exit_on_error=False, print_error=False)
@@ -62,14 +62,14 @@
 
 
 def _check_key(type_: object, value: str) -> None:
-    if len(value) < KEY_LENGTH_LEAST:
-        raise ValueError(f"expected at least {KEY_LENGTH_LEAST} characters")
+    if len(value) < MIN_KEY_LENGTH:
+        raise ValueError(f"expected at least {MIN_KEY_LENGTH} characters")
 
 
-def number(least: float, most: float) -> cyclopts.Parameter:
+def number(minimum: float, maximum: float) -> cyclopts.Parameter:
     """Returns a parameter with bounds."""
     return cyclopts.Parameter(
-        validator=cyclopts.validators.Number(gte=least, lte=most)
+        validator=cyclopts.validators.Number(gte=minimum, lte=maximum)
     )
 
 
--- a/src/ruddergate/cli/_replay.py
+++ b/src/ruddergate/cli/_replay.py
@@ -19,10 +19,10 @@
     """Returns the key of each workspace; raises ValueError or OSError."""
     if path is None:
         return {}
-    named = orjson.loads(path.read_bytes())
-    if not isinstance(named, dict):
+    keys_by_workspace = orjson.loads(path.read_bytes())
+    if not isinstance(keys_by_workspace, dict):
         raise ValueError(f"{path}: expected an object of keys by workspace")
-    return named
+    return keys_by_workspace
 
 
 async def run(
@@ -35,18 +35,16 @@
     """Sends the requests, writes the outcomes, returns a table."""
     env = environment.make_system_environment()
     began_ms = env.now_ms()
-    sending = []
+    tasks = []
     requests = [x for x in lines if isinstance(x, trace.TracedRequest)]
     for number, request in enumerate(requests):
         wait_ms = began_ms + request.at_ms / speed - env.now_ms()
         await asyncio.sleep(max(0.0, wait_ms) / 1000.0)
         address = addresses[number % len(addresses)]
-        sending.append(
-            asyncio.ensure_future(_send(env, address, request, keys))
-        )
-    found = await asyncio.gather(*sending)
-    once = frozenset(x.id for x in requests if not x.repeatable)
-    summary = summaries.summarize(found, once)
+        tasks.append(asyncio.ensure_future(_send(env, address, request, keys)))
+    found = await asyncio.gather(*tasks)
+    not_repeatable = frozenset(x.id for x in requests if not x.repeatable)
+    summary = summaries.summarize(found, not_repeatable)
     out.mkdir(parents=True, exist_ok=True)
     outcomes.write_outcomes(out / "outcomes.jsonl", found)
     document = orjson.dumps(
--- a/src/ruddergate/cli/_tree.py
+++ b/src/ruddergate/cli/_tree.py
@@ -11,7 +11,7 @@
 from ruddergate.settings import problem
 from ruddergate.settings import tree as trees
 
-_USED_BY = {
+_USER_KINDS = {
     kinds.Kind.CLASS: kinds.Kind.CLASS,
     kinds.Kind.POOL: kinds.Kind.POOL,
 }
@@ -31,7 +31,7 @@
     return check.parse_tree(1, shards)
 
 
-def read_right(path: pathlib.Path, program: str) -> trees.Tree:
+def read_valid(path: pathlib.Path, program: str) -> trees.Tree:
     """Returns a checked tree; ends with its problems if it has any."""
     checked = read(path, program)
     if isinstance(checked, tuple):
@@ -44,7 +44,7 @@
 def render_explained(whole: trees.Tree, name: str) -> Iterator[str]:
     """Yields a line for each effective value and where it comes from."""
     kind = whole.branches[name].kind
-    used_by = _USED_BY.get(kind, kinds.Kind.WORKLOAD)
+    used_by = _USER_KINDS.get(kind, kinds.Kind.WORKLOAD)
     for row in effective.explain(whole, name, used_by):
         yield f"{row.name:<24} {row.value!s:<20} {row.branch}"
 
--- a/src/ruddergate/cli/ctl.py
+++ b/src/ruddergate/cli/ctl.py
@@ -45,7 +45,7 @@
         tree: File with the tree, or folder with its shards.
         branch: A workload, class or pool.
     """
-    whole = _tree.read_right(tree, _PROGRAM)
+    whole = _tree.read_valid(tree, _PROGRAM)
     if branch not in whole.branches:
         _private.fail(_PROGRAM, f"{tree} has no branch {branch!r}")
     for line in _tree.render_explained(whole, branch):
@@ -60,8 +60,8 @@
         old: File or folder of the tree before.
         new: File or folder of the tree after.
     """
-    before = _tree.read_right(old, _PROGRAM)
-    after = _tree.read_right(new, _PROGRAM)
+    before = _tree.read_valid(old, _PROGRAM)
+    after = _tree.read_valid(new, _PROGRAM)
     for kind in (kinds.Kind.WORKLOAD, kinds.Kind.CLASS, kinds.Kind.POOL):
         for line in _tree.render_difference(before, after, kind):
             print(line)
--- a/src/ruddergate/cli/gateway.py
+++ b/src/ruddergate/cli/gateway.py
@@ -32,24 +32,24 @@
 _KEY_MARGIN_MS = 1_200.0
 # From this part of that time on, a call with a key earns nothing here, so that
 # callers had better go to another VM.
-_READY_PART = 0.5
+_READY_FRACTION = 0.5
 # Answers to orders come in a few milliseconds, and connections are as soon up;
 # renewals come every 800 ms.
-_ORDER_LIMITS = client.TimeLimits(150.0, 500.0, 500.0)
+_ORDER_TIMEOUTS = client.TimeLimits(150.0, 500.0, 500.0)
 # Of the second sends for each first one; first sends are counted here as they
 # begin, and by the fleet's operators in windows that need not match.
-_RETRY_PART = 0.75
+_RETRY_FRACTION = 0.75
 # Calls of the store are paid for, so they are as far apart as what they tell
 # must be known; the rest is for the call itself and a request on its way.
-_STORE_PART = 0.65
+_POLL_FRACTION = 0.65
 # And of the age at which this VM is not ready any more: a call that takes long
 # is not to take it out.
-_FRESH_PART = 0.8
+_READY_POLL_FRACTION = 0.8
 # The store is up in a few milliseconds where it can be reached. Packets to one
 # that can't are sent again after a second, when a new try has long begun.
 _STORE_CONNECT_MS = 500.0
 # An answer that keeps coming: a megabyte over a link of 1 Mbit/s takes 8 s.
-_STORE_WHOLE_MS = 15_000.0
+_STORE_TOTAL_MS = 15_000.0
 # The balancer takes a VM out after two questions, a second apart.
 _STOP_LAG_MS = 2_600.0
 # What is left of the time for a stop when it is given up.
@@ -127,7 +127,7 @@
     )
     is_lenient = strict_revoke == "false"
     key_age_max_ms = revoke_ms - _KEY_MARGIN_MS
-    ready_age_max_ms = math.inf if is_lenient else revoke_ms * _READY_PART
+    ready_age_max_ms = math.inf if is_lenient else revoke_ms * _READY_FRACTION
     gateway_config = gateways.GatewayConfig(
         ready_listen=environment.parse_address(ready_listen),
         metrics_listen=environment.parse_address(metrics_listen),
@@ -136,8 +136,8 @@
         certain_age_max_ms=key_age_max_ms,
         stop_lag_ms=_STOP_LAG_MS,
         stop_limit_ms=grace_s * 1_000.0 - _STOP_MARGIN_MS,
-        polling=make_pace(min(apply_ms, leave_ms), ready_age_max_ms),
-        retry_ratio=retry_ratio * _RETRY_PART,
+        polling=make_poll_config(min(apply_ms, leave_ms), ready_age_max_ms),
+        retry_ratio=retry_ratio * _RETRY_FRACTION,
         retry_slack=retry_slack,
         peers=peer_gossip.PeerConfig(
             environment.parse_address(peer_listen),
@@ -147,13 +147,15 @@
     )
     platform = gateways.Platform(
         caller_protocol=callers.make_door(),
-        make_send=lambda hear: replicas.make_send(env, hear),
-        make_orders=lambda hear: orders.make_orders(env, _ORDER_LIMITS, hear),
+        make_send=lambda on_hints: replicas.make_send(env, on_hints),
+        make_orders=lambda on_hints: orders.make_orders(
+            env, _ORDER_TIMEOUTS, on_hints
+        ),
         source=store.make_source(
             env,
             environment.parse_address(store_address),
             client.TimeLimits(
-                _STORE_CONNECT_MS, store_timeout_ms, _STORE_WHOLE_MS
+                _STORE_CONNECT_MS, store_timeout_ms, _STORE_TOTAL_MS
             ),
         ),
     )
@@ -161,13 +163,13 @@
     gateway = gateways.Gateway(env, config, gateway_config, platform, tracer)
 
     async def run_gateway(stop: asyncio.Event) -> None:
-        _note_reloads()
+        _log_reloads()
         await gateway.run(stop)
 
     _private.run_program(run_gateway)
 
 
-def make_pace(
+def make_poll_config(
     bound_ms: float, ready_age_max_ms: float
 ) -> poll_config.PollConfig:
     """Returns how often the store is asked.
@@ -176,7 +178,9 @@
         bound_ms: Time within which what it publishes must be in force.
         ready_age_max_ms: Oldest settings with which this VM is ready.
     """
-    every_ms = min(bound_ms * _STORE_PART, ready_age_max_ms * _FRESH_PART)
+    every_ms = min(
+        bound_ms * _POLL_FRACTION, ready_age_max_ms * _READY_POLL_FRACTION
+    )
     two_rounds_ms = 2.0 * every_ms
     return poll_config.PollConfig(
         interval_ms=every_ms,
@@ -192,7 +196,7 @@
     return tuple(environment.Address(host, port) for host in hosts)
 
 
-def _note_reloads() -> None:
+def _log_reloads() -> None:
     """Logs that the settings were given anew; all of them hold from a start."""
     log = logs.make_logger("entry")
     loop = asyncio.get_running_loop()
--- a/tests/test_gateway_store.py
+++ b/tests/test_gateway_store.py
@@ -115,7 +115,7 @@
             (4_000.0, 2_500.0, 2_000.0),
             (4_000.0, math.inf, 2_600.0),
         ):
-            pace = gateway_cli.make_pace(bound_ms, ready_age_ms)
+            pace = gateway_cli.make_poll_config(bound_ms, ready_age_ms)
             self.assertAlmostEqual(pace.interval_ms, every_ms)
             # A VM that is asked in time is never taken for behind.
             self.assertGreaterEqual(pace.full_read_age_ms, 2.0 * every_ms - 0.1)
