--- a/src/ruddergate/cli/_replay.py
+++ b/src/ruddergate/cli/_replay.py
@@ -69,4 +69,4 @@
     )
     if found is not None:
         return found
-    return caller.make_unsent(request)
+    return caller.make_unsent_outcome(request)
--- a/src/ruddergate/cli/ctl.py
+++ b/src/ruddergate/cli/ctl.py
@@ -135,7 +135,7 @@
         speed: How much faster than the trace requests are sent.
     """
     lines = trace.read_trace(trace_file)
-    if isinstance(lines, trace.WrongLine):
+    if isinstance(lines, trace.MalformedLine):
         where = f"{trace_file}: line {lines.number}"
         _private.fail(_PROGRAM, f"{where}: {lines.detail}")
     try:
--- a/src/ruddergate/experiments/caller.py
+++ b/src/ruddergate/experiments/caller.py
@@ -13,7 +13,7 @@
 from ruddergate.http import message
 
 # A caller waits this much longer than its time limit.
-PATIENCE_MS = 2_000.0
+RESPONSE_GRACE_MS = 2_000.0
 _CONNECT_MS = 1_000.0
 _EVENT_END = b"\n\n"
 _BYTES_PER_TOKEN = 4
@@ -88,7 +88,7 @@
     address: environment.Address,
     request: trace.TracedRequest,
     outgoing: message.OutgoingRequest,
-    is_right: Callable[[str], bool],
+    is_correct: Callable[[str], bool],
 ) -> outcomes.TracedOutcome | None:
     """Sends a request; None if it could not even be connected.
 
@@ -104,7 +104,7 @@
     if isinstance(exchange, client.Fault):
         return None
     received = _Received()
-    wait_ms = request.time_limit_ms + PATIENCE_MS
+    wait_ms = request.time_limit_ms + RESPONSE_GRACE_MS
     try:
         async with asyncio.timeout(wait_ms / 1000.0):
             await _receive(exchange, env, began_ms, received)
@@ -113,10 +113,10 @@
     finally:
         exchange.close()
     total_ms = env.now_ms() - began_ms
-    return _make_outcome(request, received, total_ms, is_right)
+    return _make_outcome(request, received, total_ms, is_correct)
 
 
-def make_unsent(request: trace.TracedRequest) -> outcomes.TracedOutcome:
+def make_unsent_outcome(request: trace.TracedRequest) -> outcomes.TracedOutcome:
     """Returns the outcome of a request that no entry could be given."""
     error = {"reason": "no_entry", "ran": "not_run"}
     received = _Received(error=error)
@@ -148,7 +148,7 @@
             return
         *events, buffer = (buffer + part).split(_EVENT_END)
         for event in events:
-            _take_event(event, received, env.now_ms() - began_ms)
+            _apply_event(event, received, env.now_ms() - began_ms)
 
 
 async def _receive_whole(
@@ -172,7 +172,7 @@
     received.is_whole = True
 
 
-def _take_event(event: bytes, received: _Received, now_ms: float) -> None:
+def _apply_event(event: bytes, received: _Received, now_ms: float) -> None:
     data = event.removeprefix(b"data: ")
     if data == b"[DONE]":
         received.is_whole = received.tokens >= 0
@@ -193,7 +193,7 @@
     request: trace.TracedRequest,
     received: _Received,
     total_ms: float,
-    is_right: Callable[[str], bool],
+    is_correct: Callable[[str], bool],
 ) -> outcomes.TracedOutcome:
     error = received.error
     status = "finished"
@@ -208,7 +208,7 @@
         if received.ttft_ms is None
         else round(received.ttft_ms, 3),
         total_ms=round(total_ms, 3),
-        answer_ok=error is None and is_right(received.text),
+        answer_ok=error is None and is_correct(received.text),
         executions=-1,
         prompt_tokens=request.prompt_tokens,
         workspace=request.workspace,
--- a/src/ruddergate/experiments/expectation.py
+++ b/src/ruddergate/experiments/expectation.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Checked:
+class CheckResult:
     """One stated outcome.
 
     Attributes:
@@ -23,8 +23,8 @@
     """
 
     path: str
-    least: float | None
-    most: float | None
+    minimum: float | None
+    maximum: float | None
     found: float | None
 
     @property
@@ -32,31 +32,36 @@
         """Whether the value is there and within its bounds."""
         if self.found is None:
             return False
-        above = self.least is None or self.found >= self.least
-        return above and (self.most is None or self.found <= self.most)
+        is_above_minimum = self.minimum is None or self.found >= self.minimum
+        return is_above_minimum and (
+            self.maximum is None or self.found <= self.maximum
+        )
 
     def __str__(self) -> str:
         verdict = "holds" if self.holds else "FAILS"
-        bounds = f"[{self.least}, {self.most}]"
+        bounds = f"[{self.minimum}, {self.maximum}]"
         return f"{verdict}: {self.path} = {self.found} in {bounds}"
 
 
 def check(
-    stated: Mapping[str, Mapping[str, float]], summary: Mapping[str, object]
-) -> tuple[Checked, ...]:
+    expectations: Mapping[str, Mapping[str, float]],
+    summary: Mapping[str, object],
+) -> tuple[CheckResult, ...]:
     """Returns each stated outcome with what was found."""
     return tuple(
-        Checked(path, row.get("least"), row.get("most"), _find(summary, path))
-        for path, row in stated.items()
+        CheckResult(
+            path, row.get("least"), row.get("most"), _find(summary, path)
+        )
+        for path, row in expectations.items()
     )
 
 
 def check_file(path: pathlib.Path, summary: Mapping[str, object]) -> int:
     """Prints each stated outcome; returns 1 if one fails, else 0."""
-    checked = check(orjson.loads(path.read_bytes()), summary)
-    for each in checked:
+    results = check(orjson.loads(path.read_bytes()), summary)
+    for each in results:
         print(each)
-    return 0 if all(each.holds for each in checked) else 1
+    return 0 if all(each.holds for each in results) else 1
 
 
 def _find(summary: Mapping[str, object], path: str) -> float | None:
--- a/src/ruddergate/experiments/plots.py
+++ b/src/ruddergate/experiments/plots.py
@@ -61,8 +61,8 @@
         cells = []
         for name in summaries.LENGTHS:
             row = run.document["by_length"].get(name, {})
-            cells.append(f" {_show(row.get('ttft_p95_ms')):>9}")
-        slowdown = _show(run.document.get("short_slowdown_p99"))
+            cells.append(f" {_format(row.get('ttft_p95_ms')):>9}")
+        slowdown = _format(run.document.get("short_slowdown_p99"))
         finished = run.document["all"]["finished"]
         lines.append(
             f"{run.trace:<34} {run.policy:<16} {finished:>8} {slowdown:>9}"
@@ -76,12 +76,12 @@
         f"{'figure':<34} " + "".join(f"{x:>12}" for x in document["sizes"])
     ]
     for name, values in document["figures"].items():
-        cells = "".join(f"{_show(value):>12}" for value in values)
+        cells = "".join(f"{_format(value):>12}" for value in values)
         lines.append(f"{name:<34} {cells}")
     return "\n".join(lines) + "\n"
 
 
-def _show(value: float | None) -> str:
+def _format(value: float | None) -> str:
     return "-" if value is None else f"{value:.3g}"
 
 
--- a/src/ruddergate/experiments/summary.py
+++ b/src/ruddergate/experiments/summary.py
@@ -87,10 +87,10 @@
         without_long: Outcomes of the same trace without long requests.
     """
     short_p99 = _short_p99(found)
-    alone_p99 = _short_p99(without_long)
+    baseline_p99 = _short_p99(without_long)
     slowdown = None
-    if short_p99 is not None and alone_p99:
-        slowdown = round(short_p99 / alone_p99, 3)
+    if short_p99 is not None and baseline_p99:
+        slowdown = round(short_p99 / baseline_p99, 3)
     return Summary(
         all=_make_row(found),
         by_length=_group(
@@ -193,8 +193,8 @@
     for name, row in rows.items():
         lines.append(
             f"{name:>12} {row.count:>7} {row.finished:>8} {row.refused:>7}"
-            f" {row.failed:>6} {_show(row.ttft_p50_ms)}"
-            f" {_show(row.ttft_p95_ms)} {_show(row.ttft_p99_ms)}"
+            f" {row.failed:>6} {_format(row.ttft_p50_ms)}"
+            f" {_format(row.ttft_p95_ms)} {_format(row.ttft_p99_ms)}"
         )
     lines.append(
         f"late {summary.late}, wrong answers {summary.wrong_answers}, "
@@ -207,5 +207,5 @@
     return "\n".join(lines)
 
 
-def _show(value: float | None) -> str:
+def _format(value: float | None) -> str:
     return f"{'-' if value is None else round(value, 1):>10}"
--- a/src/ruddergate/experiments/trace.py
+++ b/src/ruddergate/experiments/trace.py
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WrongLine:
+class MalformedLine:
     """A line that is no part of a trace.
 
     Attributes:
@@ -83,7 +83,7 @@
     detail: str
 
 
-def read_trace(path: pathlib.Path) -> tuple[Line, ...] | WrongLine:
+def read_trace(path: pathlib.Path) -> tuple[Line, ...] | MalformedLine:
     """Returns the lines of a trace file in order of time."""
     lines: list[Line] = []
     for number, text in enumerate(path.read_bytes().splitlines(), 1):
@@ -91,7 +91,7 @@
             continue
         line = _parse_line(text)
         if isinstance(line, str):
-            return WrongLine(number, line)
+            return MalformedLine(number, line)
         lines.append(line)
     lines.sort(key=lambda line: line.at_ms)
     return tuple(lines)
--- a/standins/replay.py
+++ b/standins/replay.py
@@ -134,7 +134,7 @@
                 )
                 if found is not None:
                     return found
-            return caller.make_unsent(request)
+            return caller.make_unsent_outcome(request)
 
         return send
 
@@ -252,7 +252,7 @@
         slowdown: Also replay the trace without its long requests.
     """
     lines = trace.read_trace(trace_file)
-    if isinstance(lines, trace.WrongLine):
+    if isinstance(lines, trace.MalformedLine):
         sys.exit(f"{trace_file}: line {lines.number}: {lines.detail}")
     layout = clusters.Layout(
         vms=vms,
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -70,7 +70,7 @@
     def test_wrong_lines_are_named(self) -> None:
         for text in ("{", "[]", '{"at_ms":1,"fault":"melt"}', '{"at_ms":1}'):
             found = self.read("\n" + text)
-            self.assertIsInstance(found, trace.WrongLine)
+            self.assertIsInstance(found, trace.MalformedLine)
             self.assertEqual(found.number, 2)
 
 
