--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -111,7 +111,7 @@
                 "refused: no_target",
             ],
         )
-        self.assertEqual((fates[0].sends, fates[0].helpers), (1, 1))
+        self.assertEqual((fates[0].attempt_count, fates[0].helpers), (1, 1))
         text = "\n".join(outcome_summary.render(fates))
         self.assertIn("ask                          4       1", text)
         self.assertIn("     4                       3       0", text)
