--- a/src/ruddergate/entry/crash_detector.py
+++ b/src/ruddergate/entry/crash_detector.py
@@ -70,7 +70,7 @@
         probe = self._probes.pop(target.life)
         if not _has_ended(target.life, result):
             return
-        self._metrics.lost_targets.inc({})
+        self._metrics.ended_targets.inc({})
         self._on_target_ended(target)
         streams = max(each.streams for each in probe.lost)
         streams = max(streams, float(len(probe.lost)))
--- a/src/ruddergate/entry/rate_limiter.py
+++ b/src/ruddergate/entry/rate_limiter.py
@@ -281,7 +281,7 @@
     def _refuse(
         self, target_id: str, role: str, retry_ms: float
     ) -> outcomes.NotServed:
-        self._metrics.sends_withheld.inc({"reason": "rate_limit", "part": role})
+        self._metrics.skipped_sends.inc({"reason": "rate_limit", "part": role})
         if math.isinf(retry_ms):
             retry_ms = _RETRY_MS
         return outcomes.refuse(
--- a/src/ruddergate/entry/target_availability.py
+++ b/src/ruddergate/entry/target_availability.py
@@ -115,7 +115,7 @@
             if self._drain_state.accepts_requests(target.life, now_ms):
                 continue
             is_leaving = self._drain_state.may_be_draining(target.life)
-            self._metrics.sends_withheld.inc(
+            self._metrics.skipped_sends.inc(
                 {
                     "reason": "leaving" if is_leaving else "quiet",
                     "part": "helper" if number else "writer",
--- a/src/ruddergate/telemetry/metrics.py
+++ b/src/ruddergate/telemetry/metrics.py
@@ -52,7 +52,7 @@
         self.attempts = self._counter(
             "ruddergate_attempts_total", "Attempts on targets, by result."
         )
-        self.lost_targets = self._counter(
+        self.ended_targets = self._counter(
             "ruddergate_targets_ended_total",
             "Targets found to have ended while they had calls of this VM.",
         )
@@ -92,7 +92,7 @@
             "ruddergate_leavings_denied_total",
             "Targets that were said to leave, were asked, and do not.",
         )
-        self.sends_withheld = self._counter(
+        self.skipped_sends = self._counter(
             "ruddergate_sends_withheld_total",
             "Calls that were not sent as a target took none, by reason and by "
             "whether it was to answer or to help.",
--- a/standins/withdrawal_ways.py
+++ b/standins/withdrawal_ways.py
@@ -34,7 +34,7 @@
             ways[f"heard by {labels['from']}"] += int(count)
         for _, count in metrics.drains_refuted.get_all():
             ways[DENIED] += int(count)
-        for labels, count in metrics.sends_withheld.get_all():
+        for labels, count in metrics.skipped_sends.get_all():
             name = f"{WITHHELD}, {labels['reason']} {labels['part']}"
             ways[name] += int(count)
     return ways
