--- a/src/ruddergate/telemetry/line_writer.py
+++ b/src/ruddergate/telemetry/line_writer.py
@@ -1,8 +1,8 @@
-"""Writes log lines without ever holding up whoever logs.
+"""Writes log lines without ever blocking the thread that logs.
 
-A thread of its own writes what stands in a bounded line-up. What does not fit,
-because the reader of the output is slow or because too much is logged at once,
-is left out and counted.
+A background thread writes the lines of a bounded queue. Lines are dropped and
+counted when the queue is full, because the reader of the output is slow, or
+when they exceed the rate limit.
 """
 
 import collections
@@ -12,22 +12,23 @@
 
 import orjson
 
-# Lines that wait to be written; some 300 bytes each.
+# Longest queue; a line takes about 300 bytes.
 MAX_QUEUED_LINES = 2_000
-# Lines a second over a longer time, and lines at once: ten times what a VM logs
-# at the sites of today (about 40 a second in a burst).
+# Token bucket: lines per second on average, and lines in a burst. A VM at the
+# current sites logs about 40 lines per second in a burst, a tenth of this rate.
 LINES_PER_S = 400.0
 LINES_BURST = 1_200.0
-# A process that ends waits so long for its last lines.
+# Longest wait for the last lines when the process exits.
 _FLUSH_TIMEOUT_S = 0.3
+# Pause between two writes, so that lines are written in batches.
 _WRITE_INTERVAL_S = 0.05
 
 
 class LineWriter:
-    """Takes lines from one thread and writes them in another.
+    """Accepts lines in one thread and writes them in another.
 
     Attributes:
-        left_out: Lines that were not written, in all.
+        dropped: Total number of lines that were not written.
     """
 
     def __init__(self, sink: TextIO) -> None:
@@ -42,7 +43,7 @@
         self._thread.start()
 
     def write(self, line: str) -> None:
-        """Takes a line, or leaves it out; never waits."""
+        """Queues a line, or drops it; never blocks."""
         if len(self._queue) >= MAX_QUEUED_LINES or not self._take_token():
             self.dropped += 1
             return
@@ -50,7 +51,7 @@
         self._wake.set()
 
     def flush(self) -> None:
-        """Waits a moment for what stands in the line-up."""
+        """Waits for the queue to empty, for at most `_FLUSH_TIMEOUT_S`."""
         until_s = time.monotonic() + _FLUSH_TIMEOUT_S
         while self._queue and time.monotonic() < until_s:
             self._wake.set()
@@ -79,13 +80,13 @@
                 self._sink.write("".join(lines))
                 self._sink.flush()
             except (OSError, ValueError):
-                # Nobody reads any more; the lines count as left out.
+                # The reader has closed the output; the lines count as dropped.
                 self.dropped += len(lines)
             time.sleep(_WRITE_INTERVAL_S)
 
     def _render_dropped(self) -> str:
         self._reported_dropped = self.dropped
-        document = {"event": "Log lines left out.", "part": "log"}
+        document = {"event": "Log lines dropped.", "part": "log"}
         return (
             orjson.dumps({**document, "count": self._reported_dropped}).decode()
             + "\n"
--- a/src/ruddergate/telemetry/logs.py
+++ b/src/ruddergate/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: short sentences, each with the prefix of its part."""
+"""Structured logs: short messages, each bound to a component (`part`)."""
 
 import atexit
 import datetime as dt
@@ -21,12 +21,12 @@
 )
 
 
-# Writers of this process; one a call of `configure`.
+# Writers of this process, one for each call of `configure`.
 _WRITERS: list[line_writer.LineWriter] = []
 
 
 def count_dropped_lines() -> int:
-    """Returns how many log lines were not written."""
+    """Returns how many log lines of this process were not written."""
     return sum(writer.dropped for writer in _WRITERS)
 
 
@@ -34,9 +34,9 @@
     """Sends logs to a sink, as text or as JSON lines.
 
     Args:
-        level: Least severe level that is logged.
-        as_json: Whether a line is a JSON object.
-        sink: Where lines go; standard error if None.
+        level: Lowest level that is logged.
+        as_json: Whether each line is a JSON object.
+        sink: Stream that lines are written to; standard error if None.
     """
     chosen = sink if sink is not None else sys.stderr
     writer = line_writer.LineWriter(chosen)
@@ -49,7 +49,7 @@
             lambda line: writer.write(_render(line.record)),
             level=level,
             format="{message}",
-            # Formatting of variables in tracebacks costs more than it tells.
+            # Formatting the variables of tracebacks is slow for what it adds.
             backtrace=False,
             diagnose=False,
         )
@@ -60,7 +60,7 @@
 
 
 def _render(record: "loguru.Record") -> str:
-    """Returns one line: time, level, sentence, then what was bound to it."""
+    """Returns one JSON line: time, level, message, then the bound values."""
     time = record["time"].astimezone(dt.UTC)
     document = {
         "at": time.isoformat(timespec="milliseconds"),
@@ -80,5 +80,5 @@
 
 
 def make_logger(part: str) -> "Logger":
-    """Returns a logger whose lines begin with the part's name."""
+    """Returns a logger that binds the name of a component to its lines."""
     return loguru.logger.bind(part=part, request_id="")
--- a/src/ruddergate/telemetry/metrics.py
+++ b/src/ruddergate/telemetry/metrics.py
@@ -28,7 +28,7 @@
 
 
 def length_bucket(prompt_tokens: int) -> str:
-    """Returns the length bucket that a prompt counts in."""
+    """Returns the name of a prompt's length bucket, its upper bound."""
     for bound, name in _LENGTH_BUCKETS:
         if prompt_tokens <= bound:
             return name
@@ -42,119 +42,122 @@
         self.registry = aioprometheus.Registry()
         self.first_token_s = aioprometheus.Histogram(
             "ruddergate_first_token_seconds",
-            "Time to first token by length of prompt.",
+            "Time to first token, by prompt length.",
             registry=self.registry,
             buckets=_TTFT_BUCKETS_S,
         )
         self.outcomes = self._counter(
-            "ruddergate_outcomes_total", "Requests ended, by reason and ran."
+            "ruddergate_outcomes_total",
+            "Requests that ended, by reason and by whether they ran.",
         )
         self.attempts = self._counter(
-            "ruddergate_attempts_total", "Attempts on targets, by result."
+            "ruddergate_attempts_total", "Attempts at targets, by result."
         )
         self.ended_targets = self._counter(
             "ruddergate_targets_ended_total",
-            "Targets found to have ended while they had calls of this VM.",
+            "Targets that ended while they served requests of this VM.",
         )
         self.tokens = self._counter(
             "ruddergate_tokens_total", "Tokens delivered."
         )
         self.waiting_cost_ms = self._gauge(
-            "ruddergate_waiting_cost_ms", "Cost waiting, by class."
+            "ruddergate_waiting_cost_ms",
+            "Estimated cost of the queued requests, by class.",
         )
         self.view_age_ms = self._gauge(
-            "ruddergate_view_age_ms", "Age of the view of the fleet."
+            "ruddergate_view_age_ms", "Age of this VM's view of the fleet."
         )
         self.settings_age_ms = self._gauge(
             "ruddergate_settings_age_ms",
-            "Time since the settings were certainly the newest.",
+            "Time since the settings were last known to be current.",
         )
         self.store_epoch = self._gauge(
             "ruddergate_store_epoch",
-            "Epoch of the platform's store, 0 if it names none.",
+            "Epoch of the platform's store, 0 if it reports none.",
         )
         self.retries_left = self._gauge(
-            "ruddergate_retries_left", "Second sends that may be made now."
+            "ruddergate_retries_left",
+            "Retries that the retry budget allows now.",
         )
         self.quarantined = self._gauge(
             "ruddergate_quarantined_contents",
-            "Contents that are sent to no target, since they end targets.",
+            "Fingerprints of quarantined requests, which crash targets.",
         )
         self.rejected_entries = self._gauge(
             "ruddergate_entries_refused",
-            "Entries in the list of targets that are none of a target, in all.",
+            "Entries of the target list that do not describe a target, total.",
         )
         self.drains_detected = self._counter(
             "ruddergate_leavings_heard_total",
-            "Targets found to leave by other ways than the list, by way.",
+            "Targets found to be draining before the list said so, by source.",
         )
         self.drains_refuted = self._counter(
             "ruddergate_leavings_denied_total",
-            "Targets that were said to leave, were asked, and do not.",
+            "Targets that were reported as draining, but a probe refuted it.",
         )
         self.skipped_sends = self._counter(
             "ruddergate_sends_withheld_total",
-            "Calls that were not sent as a target took none, by reason and by "
-            "whether it was to answer or to help.",
+            "Requests not sent because a target accepted none, by reason and "
+            "by whether the target was to answer or to help.",
         )
         self.backing_off_targets = self._gauge(
             "ruddergate_quiet_targets",
-            "Targets that want no calls of this VM for a while.",
+            "Targets that asked this VM to back off.",
         )
         self.rate_limits = self._gauge(
             "ruddergate_target_rate_limit",
-            "Requests a second that a target takes from all VMs, by target.",
+            "Requests per second that a target accepts from all VMs.",
         )
         self.rate_limit_shares = self._gauge(
             "ruddergate_target_rate_limit_share",
-            "This VM's part of a target's rate limit, by target.",
+            "This VM's share of a target's rate limit, by target.",
         )
         self.rate_limit_changes = self._counter(
             "ruddergate_target_rate_limit_changes_total",
-            "Rate limits of targets that came, changed or ended.",
+            "Rate limits of targets that were set, changed or removed.",
         )
         self.malformed_hints = self._counter(
             "ruddergate_statements_unread_total",
-            "What targets said of themselves that has no meaning.",
+            "Response hints of targets that are malformed.",
         )
         self.reservations = self._gauge(
-            "ruddergate_reservations", "Reservations held on engines."
+            "ruddergate_reservations", "Reservations held at engines."
         )
         self.log_lines_dropped = self._gauge(
-            "ruddergate_log_lines_left_out", "Log lines not written, in all."
+            "ruddergate_log_lines_left_out", "Log lines dropped, in total."
         )
         self.pause_s = aioprometheus.Histogram(
             "ruddergate_longest_pause_seconds",
-            "Longest pause of each stream by length of prompt.",
+            "Longest pause of each stream, by prompt length.",
             registry=self.registry,
             buckets=_TTFT_BUCKETS_S,
         )
         self.wait_s = aioprometheus.Histogram(
             "ruddergate_place_wait_seconds",
-            "Time until a call was given a place, by length of prompt.",
+            "Time until a request was placed on a target, by prompt length.",
             registry=self.registry,
             buckets=_TTFT_BUCKETS_S,
         )
         self.revision = self._gauge(
-            "ruddergate_settings_revision", "Revision of settings in force."
+            "ruddergate_settings_revision", "Revision of the settings in use."
         )
 
     def record_outcome(self, reason: str, ran: str) -> None:
-        """Counts a request that ended."""
+        """Records the outcome of a request."""
         self.outcomes.inc({"reason": reason, "ran": ran})
 
     def record_first_token(self, prompt_tokens: int, took_ms: float) -> None:
-        """Counts a time to first token."""
+        """Records a time to first token."""
         labels = {"length": length_bucket(prompt_tokens)}
         self.first_token_s.observe(labels, took_ms / 1000.0)
 
     def record_pause(self, prompt_tokens: int, pause_ms: float) -> None:
-        """Counts the longest pause of a stream."""
+        """Records the longest pause of a stream."""
         labels = {"length": length_bucket(prompt_tokens)}
         self.pause_s.observe(labels, pause_ms / 1000.0)
 
     def record_wait(self, prompt_tokens: int, waited_ms: float) -> None:
-        """Counts the time until a call was given a place."""
+        """Records the time until a request was placed on a target."""
         labels = {"length": length_bucket(prompt_tokens)}
         self.wait_s.observe(labels, waited_ms / 1000.0)
 
@@ -182,18 +185,18 @@
         )
         self.orders = aioprometheus.Counter(
             "ruddergate_orders_total",
-            "Orders given to engines, by result.",
+            "Orders sent to engines, by result.",
             registry=self.registry,
         )
         self.swept_items = aioprometheus.Counter(
             "ruddergate_swept_total",
-            "Lapsed items freed on engines.",
+            "Expired items freed at engines.",
             registry=self.registry,
         )
 
 
 def render(registry: aioprometheus.Registry) -> message.Response:
-    """Returns the registry in Prometheus's text format."""
+    """Returns a registry's metrics in the Prometheus text format."""
     body, headers = aioprometheus.render(registry, [])
     lowered = {name.lower(): value for name, value in headers.items()}
     return message.Response(200, lowered, body)
--- a/src/ruddergate/telemetry/outcome_summary.py
+++ b/src/ruddergate/telemetry/outcome_summary.py
@@ -1,8 +1,8 @@
-"""What became of requests, summed up from the logs of several VMs.
+"""Summary of request outcomes, from the logs of several VMs.
 
-It answers where callers were not served in time: on which route, at which
-moment, after which decision, for which reason. Calls that reached no VM stand
-in no log and are not counted.
+It shows where callers were not served in time: on which route, at which time,
+after how many attempts with how many helpers, and for which reason. Requests
+that reached no VM appear in no log and are not counted.
 """
 
 import collections
@@ -15,30 +15,32 @@
 IN_TIME = "in time"
 LATE_FIRST = "late first token"
 LATE_PAUSE = "late pause"
-# How an end and a refusal begin in the logs; the reason follows.
+# Prefixes of the log messages that are evaluated. The reason follows the
+# first two.
 _ENDED = "Request ended: "
 _REFUSED = "Request refused: "
 _ATTEMPT_BEGAN = "Attempt begins at "
 _PREFIXES = (_ENDED, _REFUSED, _ATTEMPT_BEGAN)
 _FINISHED = "finished"
-# Length of one moment in the table by time, in seconds.
+# Width of a row of the table by time, in seconds.
 BUCKET_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestOutcome:
-    """What became of one request.
+    """Outcome of one request.
 
     Attributes:
-        request_id: The request.
-        route: Its route; empty where it was refused before that was known.
-        ended_s: When it ended, in seconds of the day.
+        request_id: ID of the request.
+        route: Its route; empty if it was refused before its route was known.
+        ended_s: Time at which it ended, in seconds since midnight.
         prompt_tokens: Length of its prompt.
         outcome: `in time`, `late first token`, `late pause`, or a reason.
-        sends: How many targets it was sent to.
-        helpers: Engines that helped to read its prompt at the first send.
-        waited_ms: Time from its arrival to its first send.
-        first_ms: Time from its arrival to its first event, if there was one.
+        attempt_count: Number of its attempts.
+        helpers: Number of engines that helped to prefill its prompt in the
+            first attempt.
+        waited_ms: Time from its arrival to its first attempt.
+        first_ms: Time from its arrival to its first event, or None.
     """
 
     request_id: str
@@ -53,14 +55,14 @@
 
 
 def read_outcomes(sources: Iterable[Iterable[str]]) -> list[RequestOutcome]:
-    """Returns the fate of each request that ended, in order of time."""
+    """Returns the outcome of each request that ended, sorted by end time."""
     attempts: dict[str, list[request_timeline.LogLine]] = (
         collections.defaultdict(list)
     )
     ended: dict[str, request_timeline.LogLine] = {}
     for lines in sources:
         for line in lines:
-            if not any(mark in line for mark in _PREFIXES):
+            if not any(prefix in line for prefix in _PREFIXES):
                 continue
             parsed = request_timeline.parse_line(line, "")
             if parsed is None or not parsed[0]:
@@ -116,22 +118,25 @@
     return IN_TIME
 
 
-def _parse_reason(event: str, start: str) -> str:
-    return event.removeprefix(start).split(" ")[0].rstrip(".")
+def _parse_reason(event: str, prefix: str) -> str:
+    return event.removeprefix(prefix).split(" ")[0].rstrip(".")
 
 
 def _parse_time_s(at: str) -> float:
-    """Returns the seconds of the day of a time such as 2026-01-01T07:44:10."""
-    clock = at.partition("T")[2][:12].rstrip("+Z")
+    """Returns the seconds since midnight of a time in ISO 8601 format.
+
+    Returns 0.0 if the text is malformed.
+    """
+    time_text = at.partition("T")[2][:12].rstrip("+Z")
     try:
-        hours, minutes, seconds = clock.split(":")
+        hours, minutes, seconds = time_text.split(":")
         return int(hours) * 3_600.0 + int(minutes) * 60.0 + float(seconds)
     except ValueError:
         return 0.0
 
 
 def render(outcomes: list[RequestOutcome]) -> list[str]:
-    """Returns tables by route, by moment and by decision, as lines."""
+    """Returns tables by route, by time and by decision, as lines of text."""
     if not outcomes:
         return ["no request ended in these logs"]
     began_s = outcomes[0].ended_s
@@ -142,7 +147,7 @@
             lambda each: f"{_floor(each.ended_s - began_s, BUCKET_S):6.0f}",
         ),
         (
-            "sends, helpers",
+            "attempts, helpers",
             lambda each: f"{each.attempt_count}, {each.helpers}",
         ),
     ]
@@ -166,11 +171,11 @@
     )
     for each in outcomes:
         rows[key(each)][each.outcome] += 1
-    lines = ["", f"{title:24} asked in time  lost"]
+    lines = ["", f"{title:24} total in time  lost"]
     for name in sorted(rows):
         counts = rows[name]
-        asked = sum(counts.values())
+        total = sum(counts.values())
         in_time = counts.pop(IN_TIME, 0)
         lost = ", ".join(f"{text} {n}" for text, n in counts.most_common())
-        lines.append(f"{name:24} {asked:5} {in_time:7}  {lost}")
+        lines.append(f"{name:24} {total:5} {in_time:7}  {lost}")
     return lines
--- a/src/ruddergate/telemetry/repeat_filter.py
+++ b/src/ruddergate/telemetry/repeat_filter.py
@@ -1,18 +1,18 @@
-"""Tells whether a sentence on a matter is another than the last one."""
+"""Filters out log messages that repeat the previous one."""
 
-# Matters of which the last sentence is kept; what comes after is told each
-# time. A name and a sentence take about 200 bytes.
+# Keys whose last message is kept; messages of further keys always count as
+# new. A key and its message take about 200 bytes.
 _MAX_KEYS = 1_024
 
 
 class RepeatFilter:
-    """The last sentence on each matter, so that logs tell changes only."""
+    """Keeps the last message for each key, so that only changes are logged."""
 
     def __init__(self) -> None:
         self._last: dict[str, str] = {}
 
     def is_new(self, key: str, message: str) -> bool:
-        """Returns whether a sentence is to be told, and notes it."""
+        """Returns whether a message differs from the key's last; records it."""
         if self._last.get(key) == message:
             return False
         if key in self._last or len(self._last) < _MAX_KEYS:
@@ -20,5 +20,5 @@
         return True
 
     def forget(self, key: str) -> None:
-        """Has the next sentence on a matter told, whatever it is."""
+        """Drops a key's last message, so that the next one counts as new."""
         self._last.pop(key, None)
--- a/src/ruddergate/telemetry/request_timeline.py
+++ b/src/ruddergate/telemetry/request_timeline.py
@@ -1,11 +1,11 @@
-"""One request's way, put together from the logs of several VMs."""
+"""Timeline of one request, collected from the logs of several VMs."""
 
 from collections.abc import Iterable
 import dataclasses
 
 import orjson
 
-# Fields of every line; the rest is what decided.
+# Fields of every line. All other fields are inputs of the logged decision.
 _COMMON_FIELDS = frozenset({"at", "level", "event", "part", "request_id"})
 
 
@@ -14,11 +14,11 @@
     """One log line that names a request.
 
     Attributes:
-        at: When it was written, in text that sorts by time.
-        source: Where it was read from.
-        part: Which part of the program wrote it.
+        at: Time at which it was written, as text that sorts by time.
+        source: Name of the log that contains it.
+        part: Component of the program that wrote it.
         event: What happened.
-        inputs: What decided it, by name.
+        inputs: Inputs of the decision, by name.
     """
 
     at: str
@@ -28,8 +28,8 @@
     inputs: dict[str, object]
 
     def __str__(self) -> str:
-        told = " ".join(f"{name}={self.inputs[name]}" for name in self.inputs)
-        return f"{self.at} {self.source} {self.part}: {self.event} {told}"
+        inputs = " ".join(f"{name}={self.inputs[name]}" for name in self.inputs)
+        return f"{self.at} {self.source} {self.part}: {self.event} {inputs}"
 
 
 def collect_lines(
@@ -39,14 +39,14 @@
 
     Args:
         request_id: The request.
-        sources: Name and lines of each log. What stands before the first
-            brace of a line is passed over, so that collected logs may carry
-            a prefix.
+        sources: Name and lines of each log. Text before the first brace of a
+            line is ignored, so log collectors may add a prefix.
     """
     found = []
     for name, lines in sources:
         for line in lines:
-            # Most lines are others'; only those that may match are parsed.
+            # Most lines belong to other requests; a substring test avoids
+            # parsing them.
             if request_id in line:
                 parsed = parse_line(line, name)
                 if parsed is not None and parsed[0] == request_id:
@@ -55,7 +55,12 @@
 
 
 def parse_line(line: str, source: str) -> tuple[str, LogLine] | None:
-    """Returns a line's request and what it says, or None for other text."""
+    """Returns a line's request ID and content, or None if it is not a log line.
+
+    Args:
+        line: A line of text.
+        source: Name of the log that contains it.
+    """
     start = line.find("{")
     try:
         document = orjson.loads(line[start:]) if start >= 0 else None
--- a/src/ruddergate/telemetry/traces.py
+++ b/src/ruddergate/telemetry/traces.py
@@ -1,7 +1,7 @@
-"""OpenTelemetry spans, one a hop, with `traceparent` in and out.
+"""OpenTelemetry spans, one per hop; propagates `traceparent`.
 
-The library is only loaded where spans are wanted: it takes an eighth of a
-process's start, and VMs start often.
+The library is imported only if spans are exported: importing it takes an eighth
+of a process's start time, and VMs start often.
 """
 
 from collections.abc import Iterator
@@ -15,7 +15,7 @@
 
 
 class Tracer:
-    """Starts spans; with no exporter chosen it starts none."""
+    """Starts spans; without a provider it starts none."""
 
     def __init__(self, provider: "sdk.TracerProvider | None") -> None:
         self._provider = provider
@@ -23,11 +23,14 @@
 
     @contextlib.contextmanager
     def span(self, name: str, traceparent: str) -> Iterator[str]:
-        """Covers one hop; gives the `traceparent` for the next hop.
+        """Opens a span for one hop.
 
         Args:
             name: Name of the hop.
-            traceparent: The hop before, or empty.
+            traceparent: Trace context of the previous hop, or empty.
+
+        Yields:
+            The `traceparent` for the next hop.
         """
         if self._tracer is None:
             yield traceparent
@@ -46,7 +49,7 @@
             span.end()
 
     def close(self) -> None:
-        """Hands over the spans that are still held."""
+        """Exports the spans that are still buffered."""
         if self._provider is not None:
             self._provider.shutdown()
 
@@ -55,10 +58,10 @@
     """Returns a tracer.
 
     Args:
-        exporter: `off`, `console` (standard error) or `otlp`, which takes
-            its address from OpenTelemetry's own environment variables.
+        exporter: `off`, `console` (standard error) or `otlp`, which reads its
+            endpoint from the environment variables of OpenTelemetry.
         service: Name of the program.
-        vm_id: The VM.
+        vm_id: ID of the VM.
     """
     if exporter == "off":
         return Tracer(None)
