--- a/src/ruddergate/adapters/__init__.py
+++ b/src/ruddergate/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""One package for each outside system; only these know a wire format."""
+"""One package per external system; only these packages know wire formats."""
--- a/src/ruddergate/adapters/_private.py
+++ b/src/ruddergate/adapters/_private.py
@@ -1,4 +1,4 @@
-"""Reading documents that an outside system sent, without trusting them."""
+"""Reads fields of untrusted JSON documents from external systems."""
 
 from typing import TypeVar
 
@@ -6,8 +6,12 @@
 
 
 def get(document: object, key: str, type_: type[T], default: T) -> T:
-    """Returns a field of that exact type, or the default."""
-    # By type and not by protocol: this runs for every event of a stream.
+    """Returns a field if it has exactly the given type, else the default.
+
+    An integer also counts as a float.
+    """
+    # `type(...) is dict` is cheaper than a protocol check, and this runs for
+    # every event of a stream.
     if type(document) is not dict:
         return default
     value = document.get(key, default)
--- a/src/ruddergate/adapters/callers/__init__.py
+++ b/src/ruddergate/adapters/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Callers: OpenAI-compatible HTTP and the path of plain services."""
+"""The HTTP API for callers: OpenAI-compatible, and a path for services."""
--- a/src/ruddergate/adapters/callers/call.py
+++ b/src/ruddergate/adapters/callers/call.py
@@ -1,28 +1,29 @@
-"""A caller's HTTP request in terms of the system, before the tree is asked."""
+"""A caller's parsed HTTP request, before the settings tree is consulted."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """A call that is well formed.
+    """A well-formed call.
 
     Attributes:
         key: The bearer key.
-        workload: Name of the workload as the caller gave it.
-        prompt: Prompt text, or the body of a plain service's call.
-        prompt_tokens: Length of the prompt, told or estimated.
-        output_tokens_max: Greatest length of the answer, or None.
+        workload: Name of the workload, as the caller gave it.
+        prompt: Prompt text, or the request body of a plain service's call.
+        prompt_tokens: Length of the prompt, declared or estimated.
+        output_tokens_max: Maximum length of the output, or None.
         prefix_name: Name of the shared prefix, or empty.
-        prefix_tokens: Its length.
-        time_limit_ms: Time limit the caller asks for, or None.
-        repeatable: The caller's word on it, or None.
-        idempotency_key: Key for all resends, or empty.
+        prefix_tokens: Length of the shared prefix.
+        time_limit_ms: Time limit that the caller requests, or None.
+        repeatable: Whether the caller declares that the call may run more than
+            once, or None if it does not say.
+        idempotency_key: Idempotency key shared by all resends, or empty.
         key_age_ms: Time since the caller first used the key.
-        ticket: Ticket under which this is sent, or empty.
+        ticket: Ticket under which the call is sent, or empty.
         service_path: Path at a plain service; empty for a model.
-        stream: Whether the answer is to be streamed.
-        is_chat: Whether the chat form of the API was used.
+        stream: Whether to stream the response.
+        is_chat: Whether the chat endpoint was used.
         traceparent: W3C trace context, or empty.
     """
 
--- a/src/ruddergate/adapters/callers/parse.py
+++ b/src/ruddergate/adapters/callers/parse.py
@@ -1,4 +1,4 @@
-"""Reads a caller's HTTP request; anything wrong gets one clear sentence."""
+"""Parses a caller's HTTP request; a malformed one gets a one-line error."""
 
 from collections.abc import Mapping
 import hashlib
@@ -13,22 +13,23 @@
 CHAT = "/v1/chat/completions"
 SERVICES = "/services/"
 
-# Without a caller's word, a token is taken to be this many bytes of prompt.
+# Estimated size of a token if the caller does not declare the prompt's length.
 BYTES_PER_TOKEN = 4
-# A caller's word below this many tokens for its bytes is not believed.
+# A declared prompt length is raised to at least one token per this many bytes.
 MAX_BYTES_PER_TOKEN = 64
-# The leading part by which prompts without a named prefix are compared.
+# Prompts without a named prefix are compared by their first characters, up to
+# this many.
 PREFIX_BYTES = 4_096
 TOKENS_MAX = 100_000_000
 KEY_LENGTH_MAX = 200
-# Taken when a caller gives a key but not its age; see docs/CALLERS.md.
+# Assumed if a caller sends a key without its age; see docs/CALLERS.md.
 KEY_AGE_DEFAULT_MS = 30_000.0
 
 
 def parse_call(
     incoming: message.IncomingRequest,
 ) -> calls.Call | outcomes.NotServed:
-    """Returns the call, or why it is not one."""
+    """Returns the parsed call, or a BAD_REQUEST outcome if it is malformed."""
     try:
         if incoming.path.startswith(SERVICES):
             return _parse_service(incoming)
@@ -38,18 +39,20 @@
 
 
 class _BadRequestError(ValueError):
-    """Ends the parsing of one call; never leaves this module."""
+    """A malformed call; caught in this module."""
 
 
 def _parse_service(incoming: message.IncomingRequest) -> calls.Call:
     path_below = incoming.path.removeprefix(SERVICES)
     workload, _, path = path_below.partition("/")
     if not workload:
-        raise _BadRequestError("name a workload: /services/WORKLOAD/...")
+        raise _BadRequestError(
+            "the path lacks a workload: expected /services/WORKLOAD/..."
+        )
     try:
         body = incoming.body.decode()
     except UnicodeDecodeError:
-        raise _BadRequestError("the body must be UTF-8") from None
+        raise _BadRequestError("the body is not valid UTF-8") from None
     query = f"?{incoming.query}" if incoming.query else ""
     return _make_call(
         incoming, workload, body, 0, None, False, False, f"/{path}{query}"
@@ -63,7 +66,9 @@
     workload = incoming.headers.get("ruddergate-workload", "")
     workload = workload or _read_field(document, "model", str, "")
     if not workload:
-        raise _BadRequestError("name a workload: header Ruddergate-Workload")
+        raise _BadRequestError(
+            "no workload: set the header Ruddergate-Workload"
+        )
     output_tokens = _read_output_tokens(document)
     stream = _read_field(document, "stream", bool, False)
     tokens = _count_tokens(incoming.headers, prompt)
@@ -86,32 +91,32 @@
     try:
         document = orjson.loads(body)
     except orjson.JSONDecodeError:
-        raise _BadRequestError("the body must be JSON") from None
+        raise _BadRequestError("the body is not valid JSON") from None
     if not isinstance(document, dict):
-        raise _BadRequestError("the body must be a JSON object")
+        raise _BadRequestError("the body is not a JSON object")
     return document
 
 
 def _read_prompt(document: Mapping[str, object]) -> str:
     prompt = _read_field(document, "prompt", str, None)
     if not prompt:
-        raise _BadRequestError("prompt: expected text")
+        raise _BadRequestError("prompt: expected a non-empty string")
     return prompt
 
 
 def _read_messages(document: Mapping[str, object]) -> str:
     messages = _read_field(document, "messages", list, None)
     if not messages:
-        raise _BadRequestError("messages: expected a list that is not empty")
+        raise _BadRequestError("messages: expected a non-empty list")
     lines = []
     for each in messages:
         if not isinstance(each, dict):
-            raise _BadRequestError("messages: expected objects")
+            raise _BadRequestError("messages: expected a list of objects")
         role = _read_field(each, "role", str, None)
         content = _read_field(each, "content", str, None)
         if role is None or content is None:
             raise _BadRequestError(
-                "messages: expected role and content as text"
+                "messages: expected strings for role and content"
             )
         lines.append(f"{role}: {content}\n")
     return "".join(lines)
@@ -166,7 +171,7 @@
 
 
 def read_key(headers: Mapping[str, str]) -> str | None:
-    """Returns the bearer key, or None without one."""
+    """Returns the bearer key of the Authorization header, or None."""
     scheme, _, key = headers.get("authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not key.strip():
         return None
@@ -176,7 +181,7 @@
 def _read_key(headers: Mapping[str, str]) -> str:
     key = read_key(headers)
     if key is None:
-        raise _BadRequestError("Authorization: expected Bearer and a key")
+        raise _BadRequestError("Authorization: expected a bearer key")
     return key
 
 
--- a/src/ruddergate/adapters/callers/render.py
+++ b/src/ruddergate/adapters/callers/render.py
@@ -1,4 +1,4 @@
-"""Turns outcomes and tokens into HTTP answers."""
+"""Renders outcomes and tokens as HTTP responses."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -30,14 +30,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResponseFormat:
-    """How one caller wants its answer.
+    """Format and common fields of the response to one request.
 
     Attributes:
-        request_id: Name of the request.
-        model: Model or workload, as the answer names it.
-        is_chat: Whether to use the chat form.
-        prompt_tokens: Length of the prompt, for the usage.
-        created_s: Wall-clock time of the answer, in seconds.
+        request_id: ID of the request.
+        model: Model or workload that the response names.
+        is_chat: Whether to use the format of the chat endpoint.
+        prompt_tokens: Length of the prompt, for the `usage` field.
+        created_s: Wall-clock time of the response, in seconds.
     """
 
     request_id: str
@@ -50,7 +50,7 @@
 def make_error_response(
     failure: outcomes.NotServed, request_id: str = ""
 ) -> message.Response:
-    """Returns the answer for a request that was not served."""
+    """Returns the error response to a request that was not served."""
     status = _STATUS_BY_REASON.get(failure.reason, _DEFAULT_STATUS)
     headers = {}
     if failure.retry_after_ms is not None:
@@ -63,7 +63,7 @@
 
 
 def make_error_document(failure: outcomes.NotServed) -> dict[str, object]:
-    """Returns the JSON form of a failure."""
+    """Returns the JSON document of an outcome that was not served."""
     return {
         "reason": failure.reason.value,
         "ran": failure.ran.value,
@@ -75,7 +75,7 @@
 def make_full_response(
     response_format: ResponseFormat, text: str, finished: outcomes.Finished
 ) -> message.Response:
-    """Returns a whole answer as one JSON document."""
+    """Returns a complete response that is not streamed."""
     choice: dict[str, object] = {
         "index": 0,
         "finish_reason": finished.finish_reason,
@@ -98,7 +98,7 @@
 
 
 def make_stream_headers(response_format: ResponseFormat) -> dict[str, str]:
-    """Returns the headers of a streamed answer."""
+    """Returns the headers of a streamed response."""
     return {
         "content-type": message.EVENT_STREAM_TYPE,
         "cache-control": "no-store",
@@ -107,19 +107,19 @@
 
 
 def render_tokens(response_format: ResponseFormat, text: str) -> bytes:
-    """Returns one event with some text."""
+    """Returns one server-sent event with a piece of the text."""
     return _render(response_format, text, None)
 
 
 def render_end(
     response_format: ResponseFormat, finished: outcomes.Finished
 ) -> bytes:
-    """Returns the events that properly end a stream."""
+    """Returns the events that end a complete stream."""
     return _render(response_format, "", finished) + _DONE
 
 
 def render_error(failure: outcomes.NotServed) -> bytes:
-    """Returns the event that ends a broken stream; no `[DONE]` follows."""
+    """Returns the event that ends a failed stream; no `[DONE]` follows."""
     document = {"error": make_error_document(failure)}
     return b"data: " + orjson.dumps(document) + b"\n\n"
 
--- a/src/ruddergate/adapters/configuration/__init__.py
+++ b/src/ruddergate/adapters/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's configuration service: read and watched, never written."""
+"""The platform's configuration service, which is only read and watched."""
--- a/src/ruddergate/adapters/configuration/client.py
+++ b/src/ruddergate/adapters/configuration/client.py
@@ -3,7 +3,7 @@
     GET /v1/manifest?after=R&wait_ms=W   200 with a manifest, or 204
     GET /v1/shards/DIGEST                200 with the shard's bytes
 
-A waiting watch is one call.
+A watch is one long-polling request.
 """
 
 import dataclasses
@@ -19,12 +19,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unchanged:
-    """The service answered and has nothing newer."""
+    """The service responded that it has no newer revision."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The service did not answer, or not with sense; `detail` is for logs."""
+    """The service did not respond, or its response is malformed.
+
+    Attributes:
+        detail: Reason, for logs.
+    """
 
     detail: str
 
@@ -36,7 +40,15 @@
     wait_ms: float,
     timeout_ms: float,
 ) -> manifests.Manifest | Unchanged | Unavailable:
-    """Returns a manifest newer than `after_revision`, waiting for it."""
+    """Returns a manifest newer than `after_revision`, by long polling.
+
+    Args:
+        env: Clock and streams.
+        address: The service.
+        after_revision: Revision that the caller has.
+        wait_ms: Time for which the service waits for a newer revision.
+        timeout_ms: Time beyond that for the request to complete.
+    """
     target = f"/v1/manifest?after={after_revision}&wait_ms={wait_ms:.0f}"
     request = client.make_json_request("GET", target)
     answer = await client.fetch(env, address, request, wait_ms + timeout_ms)
@@ -45,7 +57,7 @@
     if answer.status == _NO_CONTENT:
         return Unchanged()
     if answer.status != _OK:
-        return Unavailable(f"status {answer.status}")
+        return Unavailable(f"unexpected status {answer.status}")
     return _parse_manifest(answer.json())
 
 
@@ -54,7 +66,7 @@
     shards = _private.get(document, "shards", dict, {})
     is_valid = all(isinstance(digest, str) for digest in shards.values())
     if revision < 0 or not is_valid:
-        return Unavailable("a malformed manifest")
+        return Unavailable("the manifest is malformed")
     shard_list = [
         manifests.Shard(name, shards[name]) for name in sorted(shards)
     ]
@@ -73,5 +85,5 @@
     if isinstance(answer, client.Fault):
         return Unavailable(answer.detail)
     if answer.status != _OK:
-        return Unavailable(f"status {answer.status}")
+        return Unavailable(f"unexpected status {answer.status}")
     return answer.body
--- a/src/ruddergate/adapters/engines/control.py
+++ b/src/ruddergate/adapters/engines/control.py
@@ -1,9 +1,9 @@
-"""What engines are told: cancels, reservations, prefill of parts, orders.
+"""Control requests to engines: cancel, reserve, prefill a segment, order.
 
-POST /v1/cancel    {"ids": [...]}           frees whatever they name
-POST /v1/reserve   {"reservation", ...}     200, or 409 without memory
-POST /v1/prefill   {"reservation", ...}     200 when the part is done
-POST /v1/orders    {"revision", ...}        200, or 409 for an old fence
+POST /v1/cancel    {"ids": [...]}           frees the items with these IDs
+POST /v1/reserve   {"reservation", ...}     200, or 409 without free memory
+POST /v1/prefill   {"reservation", ...}     200 when the segment is prefilled
+POST /v1/orders    {"revision", ...}        200, or 409 for an old fencing token
 """
 
 from collections.abc import Sequence
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """The engine answered no.
+    """The engine refused the request.
 
     Attributes:
         status: HTTP status.
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Done:
-    """The engine answered yes."""
+    """The engine executed the request."""
 
 
 Answer = Done | Refused | client.Fault
@@ -44,7 +44,7 @@
     item_ids: Sequence[str],
     timeout_ms: float,
 ) -> Answer:
-    """Frees streams and reservations; unknown ones count as freed."""
+    """Frees streams and reservations; unknown IDs count as freed."""
     document = {"ids": list(item_ids)}
     return await _post(env, target, "/v1/cancel", document, timeout_ms)
 
@@ -58,7 +58,7 @@
     expiry_age_ms: float,
     timeout_ms: float,
 ) -> Answer:
-    """Reserves memory for one part of a gang's prompt."""
+    """Reserves memory for one segment of a gang's prompt."""
     document = {
         "reservation": reservation,
         "owner": owner,
@@ -76,7 +76,7 @@
     kv_parts: Sequence[generation_request.KvPart],
     timeout_ms: float,
 ) -> Answer:
-    """Has an engine prefill one part, importing the KV cache before it."""
+    """Prefills one segment after importing the KV cache of those before it."""
     document = {
         "reservation": reservation,
         "first_token": segment.first_token,
@@ -95,7 +95,7 @@
     wanted: orders.Order,
     timeout_ms: float,
 ) -> Answer:
-    """Gives an engine an order; the engine judges the fence."""
+    """Sends an engine an order; the engine checks the fencing token."""
     document = dataclasses.asdict(wanted)
     return await _post(env, target, "/v1/orders", document, timeout_ms)
 
--- a/src/ruddergate/adapters/engines/generation_request.py
+++ b/src/ruddergate/adapters/engines/generation_request.py
@@ -1,4 +1,4 @@
-"""What an engine is asked to generate."""
+"""A request to an engine to generate an answer."""
 
 import dataclasses
 
@@ -10,8 +10,8 @@
     """Part of a prompt's KV cache that another engine holds.
 
     Attributes:
-        address: The holding engine, as `host:port`.
-        reservation: Its name there.
+        address: Address of that engine, as `host:port`.
+        reservation: ID of the reservation that holds it there.
     """
 
     address: str
@@ -20,24 +20,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GenerationRequest:
-    """One attempt to have an answer generated.
+    """One attempt at generating an answer.
 
     Attributes:
-        stream_id: Name of the attempt; unique.
+        stream_id: Unique ID of the attempt.
         owner: VM and incarnation that may cancel it.
-        request_id: The request that it serves.
+        request_id: ID of the request that it serves.
         prompt: Prompt text.
         prompt_tokens: Length of the prompt.
-        first_token: Position from which this engine prefills; those before
+        first_token: Position from which this engine prefills; the tokens before
             it are in `kv_parts`.
-        output_tokens_max: Length of the whole answer at most.
-        delivered: Tokens of the answer that the caller already has; the
-            engine goes on behind them.
-        priority: Higher goes first.
+        output_tokens_max: Maximum length of the whole answer.
+        delivered: Tokens of the answer that the caller already has; the engine
+            continues after them.
+        priority: Requests with a higher priority are scheduled first.
         prefix: Shared prefix, if any.
-        lapse_ms: Time after which nobody needs the stream.
-        key: Key by which the engine refuses a second run, or empty.
-        reservation: Memory reserved for it on the engine, or empty.
+        expiry_age_ms: Age from which the stream is no longer needed.
+        key: Idempotency key by which the engine refuses a second run, or empty.
+        reservation: ID of its memory reservation at the engine, or empty.
         kv_parts: KV cache held by the other engines of a gang.
         traceparent: W3C trace context, or empty.
     """
--- a/src/ruddergate/adapters/engines/load.py
+++ b/src/ruddergate/adapters/engines/load.py
@@ -1,10 +1,11 @@
 """Load reports, cache events and held memory, as engines publish them.
 
-    GET /v1/load?after=N   load and cache events behind the N-th
-      ...&held=1           with the memory held
+    GET /v1/load?after=N   load, and the cache events after the N-th
+      ...&held=1           also the items held in memory
     x-engine-load          generation;running;waiting;held;draining;age_ms
 
-Every answer to a generation carries the header, so that load rides on work.
+Every response to a generation request carries the header, so that load reports
+are piggybacked on regular traffic.
 """
 
 from collections.abc import Mapping
@@ -26,13 +27,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PollResult:
-    """All that one poll of an engine brings.
+    """Response of an engine or plain service to a poll.
 
     Attributes:
         report: Its load.
-        events: Changes in its prefix cache since the last poll.
-        held: Streams, reservations and exports in its memory, if asked for.
-        loaded: Model, version, adapters and role that it has.
+        events: Changes of its prefix cache since the last poll.
+        held: Streams, reservations and exports in its memory, if requested.
+        loaded: The model, version, adapters and role that it has loaded.
     """
 
     report: load_report.LoadReport
@@ -48,7 +49,15 @@
     with_held: bool,
     timeout_ms: float,
 ) -> PollResult | client.Fault:
-    """Polls an engine or a plain service for its load."""
+    """Polls an engine or a plain service for its load.
+
+    Args:
+        env: Clock and streams.
+        target: The engine or service.
+        after_event: Number of the last cache event received, or -1.
+        with_held: Whether to request the items held in memory.
+        timeout_ms: Longest wait for the response.
+    """
     query = f"after={after_event}" + ("&held=1" if with_held else "")
     request = client.make_json_request("GET", f"/v1/load?{query}")
     answer = await client.fetch(env, target.address, request, timeout_ms)
@@ -56,7 +65,7 @@
         return answer
     document = answer.json()
     if answer.status != _OK or not isinstance(document, Mapping):
-        return client.Fault(True, False, f"status {answer.status}")
+        return client.Fault(True, False, f"unexpected status {answer.status}")
     return _parse_poll_result(target.target_id, document)
 
 
@@ -115,7 +124,10 @@
 def parse_header(
     target_id: str, headers: Mapping[str, str]
 ) -> load_report.LoadReport | None:
-    """Returns the load that came with an answer, or None."""
+    """Returns the load report in a response's headers, or None.
+
+    A malformed header counts as none.
+    """
     fields = headers.get(HEADER, "").split(";")
     if len(fields) != _FIELDS or not all(x.isdigit() for x in fields[1:]):
         return None
--- a/src/ruddergate/adapters/engines/stream.py
+++ b/src/ruddergate/adapters/engines/stream.py
@@ -1,11 +1,12 @@
-"""An engine's stream of tokens, checked piece by piece.
+"""An engine's stream of tokens, with a check of every event.
 
     POST /v1/generate            starts a stream
-    GET  /v1/streams/ID?after=N  resumes it behind the N-th token
+    GET  /v1/streams/ID?after=N  resumes it after the N-th token
 
-The answer is server-sent events. Each names its stream and the position of
-its first token, so that late, doubled, reordered and foreign pieces show; the
-last tells the number of tokens, so that a truncated answer shows.
+The response is a sequence of server-sent events. Each event carries the ID of
+its stream and the position of its first token, which reveals late, duplicate,
+reordered and misrouted events. The last event carries the number of tokens,
+which reveals a truncated answer.
 """
 
 import asyncio
@@ -35,8 +36,8 @@
     """How long to wait for an engine.
 
     Attributes:
-        connect_ms: For a connection.
-        silence_ms: Between two signs of life.
+        connect_ms: Longest wait for a connection.
+        silence_ms: Longest wait for the next data, a token or a keepalive.
     """
 
     connect_ms: float = 1_000.0
@@ -47,7 +48,7 @@
     """One engine's stream; owned by the task of one attempt.
 
     Attributes:
-        report: Load that the engine told with its answer, if it did.
+        report: Load report in the engine's response headers, or None.
         position: Position of the next token.
     """
 
@@ -69,11 +70,11 @@
     async def next_event(
         self, left_ms: Callable[[], float]
     ) -> stream_event.Tokens | stream_event.End | outcomes.NotServed:
-        """Returns what comes next, or why nothing does.
+        """Returns the next tokens, the end, or why the stream failed.
 
         Args:
-            left_ms: What is left of the time limit; asked before each wait,
-                since signs of life come and go without any token.
+            left_ms: Returns the remaining time limit. It is called before each
+                wait, since keepalives may arrive without any token.
         """
         texts: list[str] = []
         first = self.position
@@ -81,7 +82,8 @@
             found = self._parse_buffered(texts)
             if found is not None:
                 if texts and isinstance(found, stream_event.End):
-                    # The end is told again by the next call.
+                    # The tokens are returned first. The end goes back into the
+                    # buffer for the next call.
                     self._buffer = _encode_end(self._stream_id, found)
                     return stream_event.Tokens(first, tuple(texts))
                 return found
@@ -92,7 +94,7 @@
                 return fault
 
     def close(self) -> None:
-        """Closes the connection; the engine may go on holding the stream."""
+        """Closes the connection; the engine may still hold the stream."""
         self._exchange.close()
 
     async def _read_more(self, timeout_ms: float) -> outcomes.NotServed | None:
@@ -102,21 +104,26 @@
                 data = await self._exchange.read_part()
         except TimeoutError:
             if timeout_ms <= self._silence_ms:
-                return _make_lost(outcomes.Reason.TIME_LIMIT, "time is up")
+                return _make_lost(
+                    outcomes.Reason.TIME_LIMIT, "the time limit is exceeded"
+                )
             return _make_lost(
-                outcomes.Reason.TARGET_LOST, "the engine fell silent"
+                outcomes.Reason.TARGET_LOST,
+                "the engine sent no data for too long",
             )
         if isinstance(data, client.Fault):
             return _make_lost(outcomes.Reason.TARGET_LOST, data.detail)
         if not data:
-            return _make_lost(outcomes.Reason.TARGET_LOST, "a truncated answer")
+            return _make_lost(
+                outcomes.Reason.TARGET_LOST, "the engine's stream was truncated"
+            )
         self._buffer += data
         return None
 
     def _parse_buffered(
         self, texts: list[str]
     ) -> stream_event.End | outcomes.NotServed | None:
-        """Adds buffered tokens to `texts`; returns an end or a fault."""
+        """Appends buffered tokens to `texts`; returns an end or a failure."""
         *events, self._buffer = self._buffer.split(_EVENT_END)
         for event in events:
             if event.startswith(b":"):
@@ -132,19 +139,20 @@
         try:
             document = orjson.loads(event.removeprefix(_DATA))
         except orjson.JSONDecodeError:
-            return _make_protocol_error("an event that is not JSON")
+            return _make_protocol_error("an event is not valid JSON")
         if _private.get(document, "stream", str, "") != self._stream_id:
-            return _make_protocol_error("an event of another stream")
+            return _make_protocol_error("an event belongs to another stream")
         end = _private.get(document, "end", str, "")
         if end:
             return self._check_end(end, document)
         first = _private.get(document, "first", int, -1)
         tokens = _private.get(document, "tokens", list, [])
         if first < 0 or not all(type(text) is str for text in tokens):
-            return _make_protocol_error("a malformed event")
+            return _make_protocol_error("an event is malformed")
         if first > self.position:
-            return _make_protocol_error("a gap in the tokens")
-        # What is behind the position has come before: late or doubled.
+            return _make_protocol_error("tokens are missing")
+        # Tokens before the position arrived earlier; this event is late or a
+        # duplicate.
         new_tokens = tokens[self.position - first :]
         texts.extend(new_tokens)
         self.position += len(new_tokens)
@@ -156,7 +164,7 @@
         count = _private.get(document, "count", int, -1)
         if count != self.position:
             return _make_protocol_error(
-                f"an end at {self.position} of {count} tokens"
+                f"the stream ended after {self.position} of {count} tokens"
             )
         return stream_event.End(end, count)
 
@@ -187,7 +195,7 @@
     timeouts: EngineTimeouts,
     timeout_ms: float,
 ) -> Stream | outcomes.NotServed:
-    """Starts a stream; an outcome of `not_run` is certain."""
+    """Starts a stream; an outcome with `not_run` guarantees it did not run."""
     request = client.make_json_request(
         "POST", "/v1/generate", _make_document(generation)
     )
@@ -214,7 +222,16 @@
     timeouts: EngineTimeouts,
     timeout_ms: float,
 ) -> Stream | outcomes.NotServed:
-    """Takes up a stream that the engine still holds."""
+    """Resumes a stream that the engine still holds.
+
+    Args:
+        env: Clock and streams.
+        target: The engine.
+        stream_id: ID of the stream.
+        after: Number of tokens received so far.
+        timeouts: How long to wait for the engine.
+        timeout_ms: Remaining time limit.
+    """
     request = client.make_json_request(
         "GET", f"/v1/streams/{stream_id}?after={after}"
     )
@@ -248,7 +265,7 @@
                 exchange.close()
                 return refusal
     except TimeoutError:
-        fault = client.Fault(True, True, "no answer from the engine")
+        fault = client.Fault(True, True, "the engine did not respond in time")
     except asyncio.CancelledError:
         exchange.close()
         raise
--- a/src/ruddergate/adapters/engines/stream_event.py
+++ b/src/ruddergate/adapters/engines/stream_event.py
@@ -1,14 +1,14 @@
-"""What an engine's stream brings."""
+"""Events of an engine's stream."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tokens:
-    """Some tokens in order.
+    """Consecutive tokens of an answer.
 
     Attributes:
-        first: Position of the first of them in the answer.
+        first: Position of the first token in the answer.
         texts: Text of each token.
     """
 
@@ -18,11 +18,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class End:
-    """The proper end of a stream.
+    """The regular end of a stream.
 
     Attributes:
         finish_reason: Why the engine ended it, such as `stop`.
-        count: Tokens in the whole answer.
+        count: Number of tokens in the whole answer.
     """
 
     finish_reason: str
--- a/src/ruddergate/adapters/services/__init__.py
+++ b/src/ruddergate/adapters/services/__init__.py
@@ -1,1 +1,1 @@
-"""Plain services, which stand beside the engines."""
+"""Plain services: targets that are not engines."""
--- a/src/ruddergate/adapters/services/call.py
+++ b/src/ruddergate/adapters/services/call.py
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceAnswer:
-    """A service's whole answer, to be passed on as it is.
+    """A service's complete response, forwarded unchanged.
 
     Attributes:
         status: HTTP status.
-        content_type: Type of the body.
+        content_type: Content type of the body.
         body: The body.
     """
 
@@ -34,7 +34,7 @@
     wanted: requests.Request,
     timeout_ms: float,
 ) -> ServiceAnswer | outcomes.NotServed:
-    """Calls a service; an outcome of `not_run` is certain."""
+    """Calls a service; an outcome with `not_run` guarantees it did not run."""
     headers = {
         "content-type": message.JSON_TYPE,
         "x-request-id": wanted.request_id,
@@ -64,5 +64,7 @@
     started = _private.get(answer.json(), "started", bool, True)
     ran = outcomes.Ran.UNKNOWN if started else outcomes.Ran.NOT_RUN
     return outcomes.NotServed(
-        outcomes.Reason.TARGET_REFUSED, ran, f"status {answer.status}"
+        outcomes.Reason.TARGET_REFUSED,
+        ran,
+        f"the service responded with status {answer.status}",
     )
--- a/src/ruddergate/adapters/vm_list/__init__.py
+++ b/src/ruddergate/adapters/vm_list/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's lagging list of VMs and targets."""
+"""The platform's eventually consistent list of VMs and targets."""
--- a/src/ruddergate/adapters/vm_list/client.py
+++ b/src/ruddergate/adapters/vm_list/client.py
@@ -22,7 +22,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The list did not come, or made no sense; `detail` is for logs."""
+    """The list could not be fetched, or is malformed.
+
+    Attributes:
+        detail: Reason, for logs.
+    """
 
     detail: str
 
@@ -32,21 +36,21 @@
     address: environment.Address,
     timeout_ms: float,
 ) -> listings.Listing | Unavailable:
-    """Returns the list as the platform publishes it now."""
+    """Returns the list that the platform publishes now."""
     request = client.make_json_request("GET", "/v1/vms")
     answer = await client.fetch(env, address, request, timeout_ms)
     if isinstance(answer, client.Fault):
         return Unavailable(answer.detail)
     if answer.status != _OK:
-        return Unavailable(f"status {answer.status}")
+        return Unavailable(f"unexpected status {answer.status}")
     return parse_listing(answer.json())
 
 
 def parse_listing(document: object) -> listings.Listing | Unavailable:
-    """Returns the list in a document, leaving out rows without sense."""
+    """Returns the list in a document, without its malformed rows."""
     version = _private.get(document, "version", int, -1)
     if version < 0:
-        return Unavailable("a malformed list")
+        return Unavailable("the list is malformed")
     vm_rows = _private.get(document, "vms", list, [])
     target_rows = _private.get(document, "targets", list, [])
     found_vms = [_parse_vm(row) for row in vm_rows]
@@ -92,7 +96,10 @@
 
 
 def _parse_condition(row: object) -> condition.Condition:
-    """Takes anything but `live` as leaving: no new work is the safe side."""
+    """Reads a row's condition; anything but `live` counts as leaving.
+
+    It is safe to send such a VM or target no new work.
+    """
     if _private.get(row, "state", str, "") == condition.Condition.LIVE:
         return condition.Condition.LIVE
     return condition.Condition.LEAVING
--- a/src/ruddergate/telemetry/metrics.py
+++ b/src/ruddergate/telemetry/metrics.py
@@ -51,7 +51,8 @@
             "Requests that ended, by reason and by whether they ran.",
         )
         self.attempts = self._counter(
-            "ruddergate_attempts_total", "Attempts at targets, by result."
+            "ruddergate_attempts_total",
+            "Failed attempts at targets, by result.",
         )
         self.ended_targets = self._counter(
             "ruddergate_targets_ended_total",
