--- a/src/ruddergate/adapters/callers/parse.py
+++ b/src/ruddergate/adapters/callers/parse.py
@@ -181,7 +181,7 @@
 def _read_key(headers: Mapping[str, str]) -> str:
     key = read_key(headers)
     if key is None:
-        raise _BadRequestError("Authorization: expected a bearer key")
+        raise _BadRequestError("Authorization: expected Bearer KEY")
     return key
 
 
