--- a/src/ruddergate/agent/__init__.py
+++ b/src/ruddergate/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent: reads the platform, talks to peers, feeds its entry."""
+"""The agent: reads the platform, gossips with peers, feeds its entry."""
--- a/src/ruddergate/agent/agent_state.py
+++ b/src/ruddergate/agent/agent_state.py
@@ -1,4 +1,4 @@
-"""What one agent knows; all of it soft state that a fresh one rebuilds."""
+"""State of one agent. All of it is soft state, rebuilt after a restart."""
 
 import asyncio
 import itertools
@@ -14,24 +14,25 @@
 from ruddergate.messages import gossip
 
 _NEVER = float("-inf")
+# Agents of a hall that read the platform for all others.
 _WATCHERS_PER_HALL = 2
 _PEER_LOAD_MAX_AGE_MS = 4_000.0
 
 
 class AgentState:
-    """State of one agent; its tasks change it only by these methods.
+    """State of one agent, shared by its tasks.
 
     Attributes:
         in_force: Settings in force.
-        tree_since_ms: When they came into force here.
-        listing: Published list.
-        members: Other VMs, from gossip.
-        answered: VMs that have answered this incarnation.
+        tree_since_ms: Time at which they came into force here.
+        listing: The published list of VMs and targets.
+        members: Other VMs, as known from gossip.
+        answered_peers: VMs that have answered this incarnation.
         seen_halls: Every hall ever seen in the list.
-        incarnation: This run of the agent; a later one is higher.
-        own_dispatched: The entry's work on targets.
+        incarnation: Incarnation of this agent; a later one is higher.
+        own_dispatched: Work that this VM's entry has dispatched to targets.
         is_stopping: Whether the entry is in a planned stop.
-        changed: Set whenever settings or list have changed.
+        changed: Set whenever the settings or the list have changed.
     """
 
     def __init__(
@@ -59,7 +60,7 @@
         ] = {}
 
     def adopt(self, found: adoption.InForce) -> bool:
-        """Puts settings in force; returns whether they are newer."""
+        """Replaces the settings in force; returns whether they are newer."""
         newer = found.manifest.revision > self.in_force.manifest.revision
         refused = found.refused_revision > self.in_force.refused_revision
         self.in_force = found
@@ -70,7 +71,7 @@
         return newer
 
     def merge_listing(self, offered: listings.Listing, age_ms: float) -> None:
-        """Takes in a list, never an older one.
+        """Merges a list; an older one does not replace the current one.
 
         Args:
             offered: The list.
@@ -93,7 +94,12 @@
             self.changed.set()
 
     def confirm_listing(self, version: int, age_ms: float) -> None:
-        """Notes that a peer's equal list was confirmed some time ago."""
+        """Records when a peer's list was confirmed, if it is the same version.
+
+        Args:
+            version: Version of the peer's list.
+            age_ms: Time since the platform confirmed it.
+        """
         if version == self.listing.version:
             confirmed_ms = self._env.now_ms() - age_ms
             self._listing_confirmed_ms = max(
@@ -105,24 +111,24 @@
         return self._env.now_ms() - self._listing_confirmed_ms
 
     def settled_ms(self) -> float:
-        """Returns for how long the listed VMs have been the same."""
+        """Returns the time for which the listed VMs have been the same."""
         return self._env.now_ms() - self._settled_since_ms
 
     def note_service_answer(self) -> None:
-        """Notes that the configuration service answered this agent."""
+        """Records a response of the configuration service to this agent."""
         self._service_answered_ms = self._env.now_ms()
         self._hall_service_answered_ms = self._service_answered_ms
 
     def service_age_ms(self) -> float:
-        """Returns the time since the service answered this agent."""
+        """Returns the time since the service last responded to this agent."""
         return self._env.now_ms() - self._service_answered_ms
 
     def hall_service_age_ms(self) -> float:
-        """Returns the time since the service answered anyone of the hall."""
+        """Returns the time since it last responded to an agent of the hall."""
         return self._env.now_ms() - self._hall_service_answered_ms
 
     def own_row(self) -> gossip.MemberRow:
-        """Returns this agent's row with the next heartbeat."""
+        """Returns this agent's row; each call increments the heartbeat."""
         self._heartbeat += 1
         return gossip.MemberRow(
             vm_id=self._config.vm_id,
@@ -136,7 +142,7 @@
         )
 
     def merge_digest(self, digest: gossip.Gossip) -> None:
-        """Takes in a peer's digest."""
+        """Merges a peer's digest."""
         now_ms = self._env.now_ms()
         self.members.merge(digest.members, now_ms)
         self._peer_loads[digest.sender] = (now_ms, digest.dispatched)
@@ -149,11 +155,12 @@
                 )
             is_own = row.vm_id == self._config.vm_id
             if is_own and row.incarnation > self.incarnation:
-                # A clock set back: this run must count as the later one.
+                # The clock was set back, so an earlier run has a higher
+                # incarnation. This run must count as the later one.
                 self.incarnation = row.incarnation + 1
 
     def peer_loads(self) -> tuple[dispatched.Dispatched, ...]:
-        """Returns the sum of what other VMs have on each target."""
+        """Returns, for each target, the sum of other VMs' dispatched work."""
         now_ms = self._env.now_ms()
         total: dict[str, dispatched.Dispatched] = {}
         for received_ms, rows in self._peer_loads.values():
@@ -163,7 +170,7 @@
         return tuple(total[name] for name in sorted(total))
 
     def live_in_hall(self) -> list[str]:
-        """Returns the listed VMs of the hall that are not suspect."""
+        """Returns the listed VMs of the hall that are not suspected dead."""
         return membership.find_live(
             self.listing,
             self._config.hall,
@@ -173,21 +180,25 @@
         )
 
     def is_watcher(self, subject: str) -> bool:
-        """Returns whether this agent watches for its hall."""
+        """Returns whether this agent is one of its hall's watchers.
+
+        Args:
+            subject: What is watched, `settings` or `list`.
+        """
         key = f"watch {subject} {self._config.hall}"
         live = set(self.live_in_hall()) | {self._config.vm_id}
         chosen = rendezvous.choose(key, live, _WATCHERS_PER_HALL)
         return self._config.vm_id in chosen
 
     def find_vm(self, vm_id: str) -> vms.Vm | None:
-        """Returns a listed VM."""
+        """Returns the listed VM with an ID, or None."""
         for vm in self.listing.vms:
             if vm.vm_id == vm_id:
                 return vm
         return None
 
     def peers(self, own_hall: bool) -> list[vms.Vm]:
-        """Returns the other listed VMs, of the own hall or of all others."""
+        """Returns the other listed VMs, of this hall or of all other halls."""
         return [
             vm
             for vm in self.listing.vms
--- a/src/ruddergate/agent/config.py
+++ b/src/ruddergate/agent/config.py
@@ -10,22 +10,23 @@
     """Settings of an agent.
 
     Attributes:
-        vm_id: Name of this VM in the published list.
+        vm_id: ID of this VM in the published list.
         hall: Data hall of this VM.
-        feed_listen: Where the VM's entry is fed.
-        peer_listen: Where other agents are served.
-        configuration: The platform's configuration service.
-        vm_list: The platform's VM list.
+        feed_listen: Address at which the VM's entry connects to its feed.
+        peer_listen: Address at which other agents are served.
+        configuration: Address of the platform's configuration service.
+        vm_list: Address of the platform's VM list.
         peer_key: Key shared by the system's own processes.
-        status_listen: Where operators' pages are served, or None.
-        gossip_ms: Time between rounds of gossip.
-        fan_out: Peers of the own hall told in a round.
-        watch_ms: Time that one watch of the service waits.
-        list_poll_ms: Time between two looks at the list.
-        late_ms: Silence of the hall's watchers after which others look.
-        load_poll_ms: Time between two looks at a target's load.
-        sweep_ms: Time between two looks at the memory a target holds.
-        platform_timeout_ms: Longest wait for the platform.
+        status_listen: Address of the status and metrics pages, or None.
+        gossip_ms: Time between gossip rounds.
+        fan_out: Peers of this VM's hall to gossip with in a round.
+        watch_ms: Time for which one watch of the configuration service waits.
+        list_poll_ms: Time between polls of the VM list.
+        watcher_timeout_ms: Time without news from the hall's watchers after
+            which other agents fetch, too.
+        load_poll_ms: Time between polls of a target's load.
+        sweep_ms: Time between sweeps of the items that a target holds.
+        platform_timeout_ms: Longest wait for a response of the platform.
     """
 
     vm_id: str
--- a/src/ruddergate/agent/feed_server.py
+++ b/src/ruddergate/agent/feed_server.py
@@ -1,4 +1,4 @@
-"""The agent's side of the feed to its entry."""
+"""Server side of the feed from an agent to its entry."""
 
 import asyncio
 from collections.abc import Iterable
@@ -20,13 +20,14 @@
 from ruddergate.telemetry import logs
 from ruddergate.wire import frames
 
+# Longest time between two updates of the entry.
 _MAX_WAIT_MS = 250.0
-# With no change, the list's age is told this often.
+# Without a change, the list and its age are sent at this interval.
 _VIEW_INTERVAL_MS = 500.0
 
 
 class FeedServer:
-    """Feeds whatever entry is connected; it may come and go."""
+    """Feeds the connected entry, which may disconnect and reconnect."""
 
     def __init__(
         self,
@@ -48,7 +49,7 @@
     async def handle(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serves one entry until its stream ends."""
+        """Serves one entry until its connection closes."""
         stream = frames.FrameStream(reader, writer, self._config.peer_key)
         if await stream.greet() is not None:
             stream.close()
@@ -72,7 +73,7 @@
         reports: Iterable[load_report.LoadReport],
         events: Iterable[cache_event.CacheEvent],
     ) -> None:
-        """Passes news of targets on to the entry."""
+        """Sends new load reports and cache events of targets to the entry."""
         message = loads.Loads(tuple(reports), (), tuple(events))
         for stream in list(self._streams):
             await stream.send(message)
@@ -90,7 +91,9 @@
                 case tree_parts.TreeParts():
                     self._settings_sync.consider_parts(message)
                 case _:
-                    self._log.warning("Unexpected message from the entry.")
+                    self._log.warning(
+                        "Ignoring an unexpected message from the entry."
+                    )
 
     async def _feed(
         self, stream: frames.FrameStream, hello: entry_hello.EntryHello
@@ -125,7 +128,8 @@
                 await self._state.changed.wait()
         except TimeoutError:
             return
-        # The gossip task clears the event; don't spin until it has.
+        # Only the gossip task clears the event; the delay avoids a busy loop
+        # until it does.
         await asyncio.sleep(_MAX_WAIT_MS / 10_000.0)
 
     def _make_view(self) -> fleet_view.FleetView:
@@ -141,7 +145,12 @@
 def make_tree_parts(
     state: agent_state.AgentState, known_digests: Iterable[str]
 ) -> tree_parts.TreeParts:
-    """Returns the settings in force, less the shards that are known."""
+    """Returns the settings in force, without the shards that are known.
+
+    Args:
+        state: The agent's state.
+        known_digests: Digests of the shards that the recipient has.
+    """
     in_force = state.in_force
     known = set(known_digests)
     shards = {
--- a/src/ruddergate/agent/gossip_task.py
+++ b/src/ruddergate/agent/gossip_task.py
@@ -1,4 +1,4 @@
-"""Exchanges digests with a few peers in each round."""
+"""Gossip: exchanges digests with a few peers in each round."""
 
 import asyncio
 
@@ -13,8 +13,9 @@
 from ruddergate.fleet import vm as vms
 from ruddergate.messages import gossip
 
-# Rows of the entry's work that a digest carries at most, largest first. In a
-# large hall each target has few VMs, and load rides on answers instead.
+# Maximum number of rows of dispatched work in a digest, largest first. In a
+# large hall few VMs use each target, and load reports come with the targets'
+# responses instead.
 MAX_DISPATCHED_ROWS = 24
 MAX_DISPATCHED_ROWS_LARGE_HALL = 8
 _REMOTE_FAN_OUT = 1
@@ -22,7 +23,7 @@
 
 
 class GossipTask:
-    """The task that tells peers, at once when something has changed."""
+    """Gossips with peers at intervals, and at once after a change."""
 
     def __init__(
         self,
@@ -52,7 +53,11 @@
             await self._wait_for_round()
 
     def _start_exchange(self, peer: vms.Vm) -> None:
-        """Tells a peer without waiting: a silent one must not hold others."""
+        """Starts an exchange with a peer unless one is in progress.
+
+        It runs in the background, since a peer that does not respond must not
+        delay the exchanges with others.
+        """
         if peer.vm_id in self._exchanges:
             return
         task = asyncio.ensure_future(self._exchange_digests(peer))
@@ -86,7 +91,7 @@
         return MAX_DISPATCHED_ROWS
 
     def receive_digest(self, digest: gossip.Gossip) -> None:
-        """Takes in a peer's digest and catches up where it is ahead."""
+        """Merges a peer's digest; fetches what the peer has newer."""
         self._state.merge_digest(digest)
         peer = self._state.find_vm(digest.sender)
         if peer is None or peer.vm_id in self._catching_up_from:
@@ -116,10 +121,10 @@
             self._catching_up_from.discard(peer.vm_id)
 
     async def _exchange_digests(self, peer: vms.Vm) -> None:
-        answer = await self._peer_connections.request(peer, self.make_digest())
-        if isinstance(answer, gossip.Gossip):
-            self._state.answered_peers.add(answer.sender)
-            self.receive_digest(answer)
+        reply = await self._peer_connections.request(peer, self.make_digest())
+        if isinstance(reply, gossip.Gossip):
+            self._state.answered_peers.add(reply.sender)
+            self.receive_digest(reply)
 
     def _pick_peers(self) -> list[vms.Vm]:
         local = self._state.peers(own_hall=True)
@@ -130,8 +135,8 @@
             if peer.vm_id not in self._state.answered_peers
         ]
         rng = self._env.random
-        # Those that have not answered yet come first: this VM's part of the
-        # limits waits for them.
+        # Peers that have not answered yet come first: this VM's share of the
+        # limits is zero until all of its hall have answered.
         first = rng.sample(
             unanswered, min(len(unanswered), self._config.fan_out)
         )
@@ -142,7 +147,7 @@
         return chosen + rng.sample(remote, remote_count)
 
     async def _wait_for_round(self) -> None:
-        """Waits for the next round, or for a change."""
+        """Waits until the next round is due or something has changed."""
         await asyncio.sleep(_MIN_ROUND_MS / 1000.0)
         jitter = self._env.random.uniform(0.8, 1.2)
         wait_ms = self._config.gossip_ms * jitter - _MIN_ROUND_MS
--- a/src/ruddergate/agent/list_sync.py
+++ b/src/ruddergate/agent/list_sync.py
@@ -1,4 +1,4 @@
-"""Brings the list of VMs and targets in, from the platform or from peers."""
+"""Fetches the list of VMs and targets, from the platform or from peers."""
 
 import asyncio
 
@@ -14,7 +14,11 @@
 
 
 class ListSync:
-    """The task that looks at the list for its hall."""
+    """Polls the platform's list if this agent is a watcher of its hall.
+
+    Other agents get the list by gossip. They poll only if they have none or if
+    it is too old.
+    """
 
     def __init__(
         self,
@@ -31,7 +35,7 @@
         self._metrics = metrics
 
     async def run(self) -> None:
-        """Looks again and again until cancelled."""
+        """Polls until cancelled."""
         while True:
             if self._is_fetch_due():
                 await self.fetch()
@@ -39,24 +43,24 @@
             await asyncio.sleep(self._config.list_poll_ms * jitter / 1000.0)
 
     async def fetch(self) -> None:
-        """Looks at the platform's list once."""
+        """Fetches the platform's list once."""
         self._metrics.platform_calls.inc({"service": "list"})
         began_ms = self._env.now_ms()
-        answer = await vm_list.fetch_listing(
+        response = await vm_list.fetch_listing(
             self._env,
             self._config.vm_list,
             self._config.platform_timeout_ms,
         )
-        if not isinstance(answer, vm_list.Unavailable):
+        if not isinstance(response, vm_list.Unavailable):
             age_ms = self._env.now_ms() - began_ms
-            self._state.merge_listing(answer, age_ms)
+            self._state.merge_listing(response, age_ms)
 
     async def fetch_from_peer(self, peer: vms.Vm) -> None:
-        """Takes a peer's list if it is newer."""
+        """Fetches a peer's list and adopts it if it is newer."""
         request = listing_wanted.ListingWanted(self._state.listing.version)
-        answer = await self._peer_connections.request(peer, request)
-        if isinstance(answer, fleet_view.FleetView):
-            self._state.merge_listing(answer.listing, answer.age_ms)
+        response = await self._peer_connections.request(peer, request)
+        if isinstance(response, fleet_view.FleetView):
+            self._state.merge_listing(response.listing, response.age_ms)
 
     def _is_fetch_due(self) -> bool:
         if not self._state.listing.vms:
--- a/src/ruddergate/agent/order_task.py
+++ b/src/ruddergate/agent/order_task.py
@@ -1,4 +1,4 @@
-"""Gives engines the orders that the settings imply."""
+"""Sends engines the orders that the settings imply."""
 
 from ruddergate import environment
 from ruddergate.adapters.engines import control
@@ -13,7 +13,7 @@
 
 
 class OrderTask:
-    """Decides for each look at an engine whether it is to get an order."""
+    """Decides after each poll of an engine whether to send it an order."""
 
     def __init__(
         self,
@@ -34,7 +34,12 @@
     async def order_if_due(
         self, target: targets.Target, loaded: orders.LoadedState
     ) -> None:
-        """Gives the engine its order if it is due and this VM's to give."""
+        """Sends an engine its order if one is needed and this VM may send it.
+
+        Args:
+            target: The engine.
+            loaded: What the engine reports to have loaded.
+        """
         pool = self._find_pool(target)
         if pool is None or pool.pool_kind != "engine" or not pool.model_version:
             return
@@ -48,13 +53,16 @@
             pool
         ):
             return
-        answer = await control.order(
+        response = await control.order(
             self._env, target, order, orders.ORDER_TIMEOUT_MS
         )
-        result = type(answer).__name__.lower()
+        result = type(response).__name__.lower()
         self._metrics.orders.inc({"result": result})
         self._log.info(
-            "Order {} to {}: {}.", revision, target.target_id, result
+            "Order of revision {} to {}: {}.",
+            revision,
+            target.target_id,
+            result,
         )
 
     def _find_pool(self, target: targets.Target) -> effective.Pool | None:
@@ -88,7 +96,10 @@
         return current != (order.model, order.version, order.adapters)
 
     def _consume_weight_read(self, pool: effective.Pool) -> bool:
-        """Takes a read out of this VM's part of the store's limit."""
+        """Consumes a read from this VM's share of the weight store's limit.
+
+        Returns whether one was available.
+        """
         now_ms = self._env.now_ms()
         listed = max(1, len(self._state.listing.vms))
         rate = pool.weight_reads_per_s_max / listed
--- a/src/ruddergate/agent/peer_connections.py
+++ b/src/ruddergate/agent/peer_connections.py
@@ -1,4 +1,4 @@
-"""Streams to other agents, kept open and used one question at a time."""
+"""Persistent connections to other agents, with one request at a time each."""
 
 import asyncio
 import collections
@@ -13,11 +13,11 @@
 
 
 class PeerConnections:
-    """Open streams to peers; the least recently used is closed first.
+    """Connections to peers; the least recently used is closed first.
 
     Attributes:
-        sent_bytes: Bytes of frames sent on streams closed so far.
-        received_bytes: Bytes of frames received on them.
+        sent_bytes: Bytes of frames sent on connections that are closed.
+        received_bytes: Bytes of frames received on connections that are closed.
     """
 
     def __init__(self, env: environment.Environment, key: bytes) -> None:
@@ -33,21 +33,26 @@
     async def request(
         self, vm: vms.Vm, message: codec.Message
     ) -> codec.Message | frames.Closed:
-        """Sends a message to a VM's agent and returns its answer."""
+        """Sends a message to a VM's agent and returns its reply.
+
+        Returns `frames.Closed` if the agent can't be reached or does not reply
+        in time.
+        """
         name = f"{vm.vm_id} {vm.agent_peer}"
         lock = self._locks.setdefault(name, asyncio.Lock())
         try:
             async with asyncio.timeout(REQUEST_TIMEOUT_MS / 1000.0), lock:
-                answer = await self._exchange(name, vm, message)
+                reply = await self._exchange(name, vm, message)
         except (OSError, TimeoutError):
-            answer = frames.Closed("no answer in time")
-        if isinstance(answer, frames.Closed):
-            # An answer that comes late must not be taken for the next one's.
+            reply = frames.Closed("no reply in time")
+        if isinstance(reply, frames.Closed):
+            # A late reply must not be mistaken for the reply to the next
+            # request.
             self._drop(name)
-        return answer
+        return reply
 
     def total_bytes(self) -> int:
-        """Returns all bytes exchanged so far."""
+        """Returns the total bytes exchanged, on open and closed connections."""
         open_bytes = sum(
             stream.sent_bytes + stream.received_bytes
             for stream in self._open.values()
@@ -55,7 +60,7 @@
         return self.sent_bytes + self.received_bytes + open_bytes
 
     def close(self) -> None:
-        """Closes all streams."""
+        """Closes all connections."""
         for name in list(self._open):
             self._drop(name)
 
--- a/src/ruddergate/agent/peer_server.py
+++ b/src/ruddergate/agent/peer_server.py
@@ -1,4 +1,4 @@
-"""Answers other agents."""
+"""Server for requests of other agents."""
 
 import asyncio
 
@@ -18,10 +18,10 @@
 
 
 class PeerServer:
-    """Serves streams from other agents, one answer a question.
+    """Serves connections from other agents, with one reply per request.
 
     Attributes:
-        total_bytes: Bytes exchanged on streams that peers opened.
+        total_bytes: Bytes exchanged on connections that peers opened.
     """
 
     def __init__(
@@ -41,24 +41,27 @@
     async def handle(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serves one peer until its stream ends."""
+        """Serves one peer until its connection closes."""
         stream = frames.FrameStream(reader, writer, self._config.peer_key)
         try:
             if await stream.greet() is not None:
                 return
             while True:
-                counted = stream.sent_bytes + stream.received_bytes
+                bytes_before = stream.sent_bytes + stream.received_bytes
                 request = await stream.receive()
                 if isinstance(request, frames.Closed):
                     if request.detail:
-                        self._log.warning("Peer refused: {}.", request.detail)
+                        self._log.warning(
+                            "Closing the connection of a peer: {}.",
+                            request.detail,
+                        )
                     return
-                answer = self._handle(request)
-                if answer is None:
+                reply = self._handle(request)
+                if reply is None:
                     return
-                await stream.send(answer)
-                total = stream.sent_bytes + stream.received_bytes
-                self.total_bytes += total - counted
+                await stream.send(reply)
+                bytes_after = stream.sent_bytes + stream.received_bytes
+                self.total_bytes += bytes_after - bytes_before
         finally:
             stream.close()
 
@@ -78,5 +81,7 @@
             case lend.LendWanted():
                 return self._shares.handle_loan_request(request)
             case _:
-                self._log.warning("Unexpected message from a peer.")
+                self._log.warning(
+                    "Closing the connection of a peer: unexpected message."
+                )
                 return None
--- a/src/ruddergate/agent/program.py
+++ b/src/ruddergate/agent/program.py
@@ -1,4 +1,4 @@
-"""Wires one agent together and runs it."""
+"""Assembles one agent and runs it."""
 
 import asyncio
 
@@ -27,7 +27,7 @@
     """One agent process.
 
     Attributes:
-        knowledge: What it knows.
+        state: State that its tasks share.
         metrics: Its metrics.
     """
 
@@ -65,7 +65,7 @@
         )
 
     def peer_bytes(self) -> int:
-        """Returns all bytes exchanged with other agents so far."""
+        """Returns the total bytes exchanged with other agents."""
         return self._peer_connections.total_bytes() + self._peers.total_bytes
 
     async def run(self, stop: asyncio.Event) -> None:
@@ -77,7 +77,9 @@
             self._peers.handle, self._config.peer_listen
         )
         status_servers = await self._serve_status()
-        self._log.info("Feeding the entry at {}.", self._config.feed_listen)
+        self._log.info(
+            "Serving the entry's feed at {}.", self._config.feed_listen
+        )
         tasks = [asyncio.ensure_future(self._run_tasks())]
         try:
             await _private.wait_while_running(stop.wait(), tasks)
@@ -89,10 +91,10 @@
                 status_server.close()
             peers.close()
             feed.close()
-        self._log.info("Agent ends.")
+        self._log.info("Agent stopped.")
 
     async def _serve_status(self) -> list[asyncio.Server]:
-        """Serves the operators' pages, if an address is set."""
+        """Serves the status and metrics pages if an address is configured."""
         if self._config.status_listen is None:
             return []
         handle = status.make_status_handler(self.state, self.metrics)
@@ -100,7 +102,7 @@
         return [await self._env.serve(handler, self._config.status_listen)]
 
     async def _run_tasks(self) -> None:
-        """Looks for the list first, since it names the peers to ask."""
+        """Fetches the list, which names the peers, and then runs all tasks."""
         await self._list.fetch()
         while not self.state.listing.vms:
             await asyncio.sleep(_LIST_RETRY_MS / 1000.0)
--- a/src/ruddergate/agent/settings_sync.py
+++ b/src/ruddergate/agent/settings_sync.py
@@ -1,4 +1,4 @@
-"""Brings newer settings in, from peers or from the service."""
+"""Fetches newer settings, from peers or from the configuration service."""
 
 import asyncio
 
@@ -22,7 +22,11 @@
 
 
 class SettingsSync:
-    """The task that watches the service, or looks only when it must."""
+    """Watches the configuration service if this agent is a watcher of its hall.
+
+    Other agents get new settings from peers. They watch only if the hall's
+    watchers have been silent for too long.
+    """
 
     def __init__(
         self,
@@ -41,7 +45,7 @@
         self._is_fetching = False
 
     async def run(self) -> None:
-        """Watches until cancelled; asks the peers first."""
+        """Fetches from peers once, then watches until cancelled."""
         await self._fetch_from_peers()
         while True:
             if self._is_watch_due():
@@ -55,12 +59,16 @@
         age_ms = self._state.hall_service_age_ms()
         if age_ms <= self._config.watcher_timeout_ms + self._config.watch_ms:
             return False
-        # The watchers are late. Few look at once: one in the live ones.
+        # The watchers are late. On average one of the live agents takes over,
+        # so that they don't all query the service at once.
         live = max(1, len(self._state.live_in_hall()))
         return self._env.random.random() < 1.0 / live
 
     async def _fetch_from_peers(self) -> None:
-        """A fresh process trusts its peers before a possibly stale service."""
+        """Fetches from a few peers at the start.
+
+        The service may be stale, so a fresh process asks its peers first.
+        """
         for _ in range(_START_TRIES):
             peers = [
                 *self._state.peers(own_hall=True),
@@ -76,19 +84,19 @@
             await asyncio.sleep(_RETRY_DELAY_MS / 1000.0)
 
     async def fetch_from_peer(self, peer: vms.Vm) -> bool:
-        """Takes a peer's settings if newer; returns whether it answered."""
+        """Adopts a peer's settings if newer; returns whether it replied."""
         in_force = self._state.in_force
         request = tree_wanted.TreeWanted(
             in_force.manifest.revision, tuple(sorted(in_force.shards))
         )
-        answer = await self._peer_connections.request(peer, request)
-        if not isinstance(answer, tree_parts.TreeParts):
+        response = await self._peer_connections.request(peer, request)
+        if not isinstance(response, tree_parts.TreeParts):
             return False
-        self.consider_parts(answer)
+        self.consider_parts(response)
         return True
 
     def consider_parts(self, parts: tree_parts.TreeParts) -> None:
-        """Considers settings that a peer or the entry has handed over."""
+        """Adopts settings sent by a peer or the entry if they are newer."""
         found = adoption.evaluate_offer(
             self._state.in_force, parts.manifest, parts.shards
         )
@@ -97,25 +105,27 @@
 
     async def _watch_once(self) -> None:
         self._metrics.platform_calls.inc({"service": "manifest"})
-        answer = await configuration.watch_manifest(
+        response = await configuration.watch_manifest(
             self._env,
             self._config.configuration,
             self._state.in_force.manifest.revision,
             self._config.watch_ms,
             self._config.platform_timeout_ms,
         )
-        if isinstance(answer, configuration.Unavailable):
-            self._log.debug("Service unavailable: {}.", answer.detail)
+        if isinstance(response, configuration.Unavailable):
+            self._log.debug(
+                "Configuration service unavailable: {}.", response.detail
+            )
             await self._wait_before_retry()
             return
         self._state.note_service_answer()
-        if isinstance(answer, manifests.Manifest):
-            await self._fetch_from_service(answer)
+        if isinstance(response, manifests.Manifest):
+            await self._fetch_from_service(response)
 
     async def _fetch_from_service(self, offered: manifests.Manifest) -> None:
         in_force = self._state.in_force
         if not adoption.is_wanted(in_force, offered.revision):
-            # A stale or refused revision: don't ask for it without a pause.
+            # The revision is stale or was refused; wait before asking again.
             await self._wait_before_retry()
             return
         shards: dict[str, bytes] = {}
@@ -127,7 +137,7 @@
                     await self._wait_before_retry()
                     return
                 shards[digest] = data
-        # What is in force may have changed while the shards came.
+        # The settings in force may have changed while the shards were fetched.
         found = adoption.evaluate_offer(self._state.in_force, offered, shards)
         if isinstance(found, adoption.InForce):
             self._adopt(found)
@@ -147,10 +157,12 @@
     def _adopt(self, found: adoption.InForce) -> None:
         before = self._state.in_force
         if self._state.adopt(found):
-            self._log.info("Settings {} in force.", found.manifest.revision)
+            self._log.info(
+                "Settings revision {} is in force.", found.manifest.revision
+            )
         elif found.refused_revision > before.refused_revision:
             self._log.error(
-                "Settings {} refused: {}.",
+                "Settings revision {} refused: {}.",
                 found.refused_revision,
                 "; ".join(str(each) for each in found.problems[:3]),
             )
--- a/src/ruddergate/agent/share_task.py
+++ b/src/ruddergate/agent/share_task.py
@@ -1,4 +1,4 @@
-"""Divides fleet-wide limits: this VM's part, and lending."""
+"""Divides fleet-wide limits: this VM's shares, and loans between VMs."""
 
 import asyncio
 from collections.abc import Iterator
@@ -16,16 +16,17 @@
 
 _INTERVAL_MS = 500.0
 _MAX_LENDERS = 2
-# A VM borrows when its demand takes more than this much of its part.
+# A VM borrows when its demand exceeds this fraction of its share.
 _BORROW_THRESHOLD = 0.9
 _MIN_LOAN = 0.005
 
 
 class ShareTask:
-    """The task that works out this VM's parts and borrows for its demand.
+    """Calculates this VM's shares, and borrows quota to match its demand.
 
     Attributes:
-        demand: Recent demand of the entry, as parts of the limits.
+        demand: Recent demand of the entry by workspace, as a fraction of the
+            fleet-wide limit.
     """
 
     def __init__(
@@ -43,18 +44,21 @@
         self._loans = decisions.LoanBook()
 
     async def run(self) -> None:
-        """Borrows where demand is above the part, until cancelled."""
+        """Borrows for workspaces whose demand exceeds the share.
+
+        Runs until cancelled.
+        """
         while True:
-            for workspace, wanted in sorted(self.demand.items()):
-                await self._borrow(workspace, wanted)
+            for workspace, demand in sorted(self.demand.items()):
+                await self._borrow(workspace, demand)
             await asyncio.sleep(_INTERVAL_MS / 1000.0)
 
     def update_demand(self, rows: tuple[entry_load.Demand, ...]) -> None:
-        """Takes in the entry's demand."""
+        """Replaces the entry's demand."""
         self.demand = {row.workspace: row.fraction for row in rows}
 
     def make_message(self) -> messages.Shares:
-        """Returns this VM's parts, for its entry."""
+        """Returns this VM's shares, for its entry."""
         now_ms = self._env.now_ms()
         rows = []
         for workspace in sorted(set(self._list_special_workspaces(now_ms))):
@@ -65,7 +69,10 @@
         return messages.Shares(self._base_fraction(""), tuple(rows))
 
     def handle_loan_request(self, request: lend.LendWanted) -> lend.Lent:
-        """Lends what this VM does not need; its own part shrinks at once."""
+        """Lends quota that this VM does not need.
+
+        Its own share shrinks before the reply is sent.
+        """
         now_ms = self._env.now_ms()
         fraction = self._loans.lend(
             request.workspace,
@@ -77,12 +84,12 @@
         )
         return lend.Lent(request.workspace, fraction)
 
-    async def _borrow(self, workspace: str, wanted: float) -> None:
+    async def _borrow(self, workspace: str, demand: float) -> None:
         now_ms = self._env.now_ms()
         own_fraction = self._current_fraction(workspace, now_ms)
-        if wanted <= own_fraction * _BORROW_THRESHOLD:
+        if demand <= own_fraction * _BORROW_THRESHOLD:
             return
-        needed = wanted / _BORROW_THRESHOLD - own_fraction
+        needed = demand / _BORROW_THRESHOLD - own_fraction
         peers = self._state.peers(own_hall=True)
         count = min(len(peers), _MAX_LENDERS)
         for peer in self._env.random.sample(peers, count):
@@ -98,14 +105,14 @@
     ) -> float:
         requested_ms = self._env.now_ms()
         valid_ms = decisions.LOAN_VALID_MS
-        wanted = lend.LendWanted(
+        request = lend.LendWanted(
             self._config.vm_id, workspace, needed, valid_ms
         )
-        answer = await self._peer_connections.request(peer, wanted)
-        if not isinstance(answer, lend.Lent) or answer.workspace != workspace:
+        reply = await self._peer_connections.request(peer, request)
+        if not isinstance(reply, lend.Lent) or reply.workspace != workspace:
             return 0.0
-        self._loans.borrow(workspace, answer.fraction, requested_ms, valid_ms)
-        return answer.fraction
+        self._loans.borrow(workspace, reply.fraction, requested_ms, valid_ms)
+        return reply.fraction
 
     def _current_fraction(self, workspace: str, now_ms: float) -> float:
         return self._loans.find_fraction(
@@ -113,7 +120,7 @@
         )
 
     def _base_fraction(self, workspace: str) -> float:
-        """Returns this VM's base part of a workspace's limits."""
+        """Returns this VM's base share of a workspace's limits."""
         hall = self._config.hall
         listed = {vm.vm_id for vm in self._state.listing.vms if vm.hall == hall}
         in_hall = decisions.base_fraction(
@@ -128,7 +135,10 @@
         return in_hall * decisions.hall_fraction(hall, percent, halls)
 
     def _list_special_workspaces(self, now_ms: float) -> Iterator[str]:
-        """Yields the workspaces whose part is not the base."""
+        """Yields the workspaces whose share may differ from the default.
+
+        A workspace may be yielded twice.
+        """
         yield from self._loans.list_open_loans(now_ms)
         tree = self._state.in_force.tree
         for branch in tree.of_kind(kinds.Kind.WORKSPACE):
--- a/src/ruddergate/agent/status.py
+++ b/src/ruddergate/agent/status.py
@@ -1,4 +1,4 @@
-"""The agent's pages for operators."""
+"""The agent's status and metrics pages for operators."""
 
 from ruddergate.agent import agent_state
 from ruddergate.http import message
@@ -17,7 +17,7 @@
                 return metric_types.render(metrics.registry)
             case "/status":
                 return _make_status(state)
-        return message.make_json_response(404, {"detail": "no such page"})
+        return message.make_json_response(404, {"detail": "page not found"})
 
     return handle
 
--- a/src/ruddergate/agent/target_task.py
+++ b/src/ruddergate/agent/target_task.py
@@ -1,4 +1,4 @@
-"""Looks at targets: load for the entry, lapsed memory, due orders."""
+"""Polls targets: load for the entry, expired items to free, due orders."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class TargetPoller:
-    """One small task for each target that this VM deals with."""
+    """Runs one polling task for each target that this VM handles."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._tasks: dict[targets.Target, asyncio.Future] = {}
 
     async def run(self) -> None:
-        """Starts and ends the small tasks as the list changes."""
+        """Starts and cancels polling tasks as the list changes."""
         try:
             while True:
                 self._sync_tasks()
@@ -52,7 +52,8 @@
     def _sync_tasks(self) -> None:
         for task in self._tasks.values():
             if task.done():
-                # Ended by a fault, since they go on until cancelled.
+                # The tasks run until cancelled, so this one has failed;
+                # result() raises its exception.
                 task.result()
         wanted = set(subset.choose_all(self._config.vm_id, self._state.listing))
         for target in set(self._tasks) - wanted:
