--- a/deploy/gateway.py
+++ b/deploy/gateway.py
@@ -1,4 +1,4 @@
-"""Runs ruddergate-gateway from a checkout, without installing it."""
+"""Runs ruddergate-gateway from a checkout, without installation."""
 
 import pathlib
 import sys
--- a/src/ruddergate/cli/__init__.py
+++ b/src/ruddergate/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command lines of the three programs."""
+"""Command lines of the programs."""
--- a/src/ruddergate/cli/_private.py
+++ b/src/ruddergate/cli/_private.py
@@ -1,4 +1,4 @@
-"""What the three command lines share."""
+"""Code shared by the command lines."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -16,13 +16,16 @@
 from ruddergate import event_loop
 
 USAGE_STATUS = 2
-# What the names of all variables with settings begin with.
+# Prefix of the environment variables that set parameters.
 ENV_PREFIX = "RUDDERGATE_"
 MIN_KEY_LENGTH = 16
 
 
 def make_app(name: str, help_: str) -> cyclopts.App:
-    """Returns a command line whose every setting is also a variable."""
+    """Returns a command line that also reads environment variables.
+
+    Every parameter can be set by a variable of its name with the prefix.
+    """
     return cyclopts.App(
         name=name,
         help=help_,
@@ -31,10 +34,10 @@
 
 
 def run_app(app: cyclopts.App) -> None:
-    """Runs a command line; a wrong setting gets one line and status 2.
+    """Runs a command line; an invalid parameter gets one line and status 2.
 
-    A variable that is empty counts as not given: a template that fills in
-    settings leaves it so where there is nothing to fill in.
+    An empty environment variable counts as unset, since templates of settings
+    leave variables empty for which there is no value.
     """
     for name, value in list(os.environ.items()):
         if name.startswith(ENV_PREFIX) and not value:
@@ -44,14 +47,14 @@
     except cyclopts.CycloptsError as error:
         fail(app.name[0], " ".join(str(error).split()))
     except BrokenPipeError:
-        # Whoever read the output has seen enough.
+        # The reader of the output has closed the pipe, as `head` does.
         sys.stderr.close()
     except OSError as error:
         fail(app.name[0], str(error))
 
 
 def fail(program: str, text: str) -> None:
-    """Ends the process with one line on standard error and status 2."""
+    """Prints one line to standard error and exits with status 2."""
     print(f"{program}: {text}", file=sys.stderr)
     sys.exit(USAGE_STATUS)
 
@@ -67,7 +70,7 @@
 
 
 def number(minimum: float, maximum: float) -> cyclopts.Parameter:
-    """Returns a parameter with bounds."""
+    """Returns a numeric parameter with inclusive bounds."""
     return cyclopts.Parameter(
         validator=cyclopts.validators.Number(gte=minimum, lte=maximum)
     )
@@ -83,7 +86,7 @@
 
 
 def run_program(serve: Callable[[asyncio.Event], Awaitable[None]]) -> None:
-    """Runs a program; SIGTERM or SIGINT begins its planned stop."""
+    """Runs a program; SIGTERM or SIGINT starts its planned stop."""
 
     async def run() -> None:
         stop = asyncio.Event()
--- a/src/ruddergate/cli/_replay.py
+++ b/src/ruddergate/cli/_replay.py
@@ -16,12 +16,17 @@
 
 
 def read_keys(path: pathlib.Path | None) -> Mapping[str, str]:
-    """Returns the key of each workspace; raises ValueError or OSError."""
+    """Returns the key of each workspace; an empty mapping without a file.
+
+    Raises:
+        ValueError: The file is malformed.
+        OSError: The file can't be read.
+    """
     if path is None:
         return {}
     keys_by_workspace = orjson.loads(path.read_bytes())
     if not isinstance(keys_by_workspace, dict):
-        raise ValueError(f"{path}: expected an object of keys by workspace")
+        raise ValueError(f"{path}: expected a JSON object of keys by workspace")
     return keys_by_workspace
 
 
@@ -32,7 +37,7 @@
     out: pathlib.Path,
     speed: float,
 ) -> str:
-    """Sends the requests, writes the outcomes, returns a table."""
+    """Sends the requests and writes the outcomes; returns a table of them."""
     env = environment.make_system_environment()
     began_ms = env.now_ms()
     tasks = []
--- a/src/ruddergate/cli/_status.py
+++ b/src/ruddergate/cli/_status.py
@@ -7,7 +7,7 @@
 
 
 async def fetch(address: environment.Address) -> list[str] | str:
-    """Returns the lines to show, or why there are none."""
+    """Returns the lines to print, or an error message."""
     env = environment.make_system_environment()
     request = client.make_json_request("GET", "/status")
     answer = await client.fetch(env, address, request, _TIMEOUT_MS)
@@ -15,7 +15,7 @@
         return answer.detail
     document = answer.json()
     if not isinstance(document, dict) or "targets" not in document:
-        return f"{address} is no entry"
+        return f"{address} is not an entry"
     targets = document.pop("targets")
     lines = [f"{name:<20} {value}" for name, value in document.items()]
     lines.append(
--- a/src/ruddergate/cli/_tree.py
+++ b/src/ruddergate/cli/_tree.py
@@ -1,4 +1,4 @@
-"""Reads and shows settings trees for `ruddergatectl`."""
+"""Reads and renders settings trees for `ruddergatectl`."""
 
 from collections.abc import Iterator
 import pathlib
@@ -20,7 +20,7 @@
 def read(
     path: pathlib.Path, program: str
 ) -> trees.Tree | tuple[problem.Problem, ...]:
-    """Returns a checked tree or its problems; ends if it can't be read."""
+    """Returns a checked tree or its problems; exits if it can't be read."""
     try:
         if path.is_dir():
             shards = {x.stem: x.read_bytes() for x in path.glob("*.json")}
@@ -32,7 +32,7 @@
 
 
 def read_valid(path: pathlib.Path, program: str) -> trees.Tree:
-    """Returns a checked tree; ends with its problems if it has any."""
+    """Returns a checked tree; if it has problems, prints them and exits."""
     checked = read(path, program)
     if isinstance(checked, tuple):
         for each in checked:
@@ -42,7 +42,7 @@
 
 
 def render_explained(whole: trees.Tree, name: str) -> Iterator[str]:
-    """Yields a line for each effective value and where it comes from."""
+    """Yields a line for each effective value, with the branch that sets it."""
     kind = whole.branches[name].kind
     used_by = _USER_KINDS.get(kind, kinds.Kind.WORKLOAD)
     for row in effective.explain(whole, name, used_by):
@@ -52,7 +52,7 @@
 def render_difference(
     before: trees.Tree, after: trees.Tree, kind: kinds.Kind
 ) -> Iterator[str]:
-    """Yields a line for each effective value that differs."""
+    """Yields a line for each branch or effective value that differs."""
     old = {branch.name for branch in before.of_kind(kind)}
     new = {branch.name for branch in after.of_kind(kind)}
     for name in sorted(old - new):
--- a/src/ruddergate/cli/agent.py
+++ b/src/ruddergate/cli/agent.py
@@ -9,7 +9,8 @@
 from ruddergate.telemetry import logs
 
 APP = _private.make_app(
-    "ruddergate-agent", "Reads the platform, talks to peers, feeds its entry."
+    "ruddergate-agent",
+    "Reads the platform, gossips with peers, feeds its entry.",
 )
 
 
@@ -33,25 +34,25 @@
     log_level: _private.LogLevel = "INFO",
     log_format: _private.LogFormat = "text",
 ) -> None:
-    """Reads the platform, talks to peers, feeds its entry.
+    """Reads the platform, gossips with peers, feeds its entry.
 
     Args:
-        vm_id: Name of this VM in the platform's list.
+        vm_id: ID of this VM in the platform's list.
         hall: Data hall of this VM.
-        feed_listen: Where the VM's entry is fed (HOST:PORT).
-        peer_listen: Where other agents are served (HOST:PORT).
-        configuration: The platform's configuration service (HOST:PORT).
-        vm_list: The platform's VM list (HOST:PORT).
+        feed_listen: Address of the feed for this VM's entry (HOST:PORT).
+        peer_listen: Address for connections of other agents (HOST:PORT).
+        configuration: Address of the configuration service (HOST:PORT).
+        vm_list: Address of the platform's VM list (HOST:PORT).
         peer_key: Key shared by the system's processes (16 characters or more).
-        status_listen: Where /metrics and /status are served (HOST:PORT).
-        gossip_ms: Time between rounds of gossip (ms).
-        fan_out: Peers of the own hall told in a round.
-        watch_ms: Time that one watch of the service waits (ms).
-        list_poll_ms: Time between two looks at the list (ms).
-        load_poll_ms: Time between two looks at a target's load (ms).
-        sweep_ms: Time between two looks at a target's memory (ms).
-        log_level: Least severe level that is logged.
-        log_format: Form of the logs.
+        status_listen: Address of /metrics and /status (HOST:PORT).
+        gossip_ms: Time between gossip rounds (ms).
+        fan_out: Peers of this VM's hall to gossip with in a round.
+        watch_ms: Time for which one watch of the settings waits (ms).
+        list_poll_ms: Time between polls of the VM list (ms).
+        load_poll_ms: Time between polls of a target's load (ms).
+        sweep_ms: Time between checks of a target for expired items (ms).
+        log_level: Lowest level that is logged.
+        log_format: Format of the logs.
     """
     logs.configure(log_level, log_format == "json")
     config = configs.AgentConfig(
--- a/src/ruddergate/cli/ctl.py
+++ b/src/ruddergate/cli/ctl.py
@@ -18,7 +18,8 @@
 
 _PROGRAM = "ruddergatectl"
 APP = _private.make_app(
-    _PROGRAM, "Checks, explains and compares settings; replays; reports."
+    _PROGRAM,
+    "Checks, explains and compares settings; evaluates logs; replays traces.",
 )
 
 
@@ -27,7 +28,7 @@
     """Checks a settings tree.
 
     Args:
-        tree: File with the tree, or folder with one file for each shard.
+        tree: File with the tree, or folder with one file per shard.
     """
     checked = _tree.read(tree, _PROGRAM)
     if isinstance(checked, tuple):
@@ -57,8 +58,8 @@
     """Shows which effective values differ between two trees.
 
     Args:
-        old: File or folder of the tree before.
-        new: File or folder of the tree after.
+        old: File or folder of the old tree.
+        new: File or folder of the new tree.
     """
     before = _tree.read_valid(old, _PROGRAM)
     after = _tree.read_valid(new, _PROGRAM)
@@ -69,10 +70,10 @@
 
 @APP.command
 def status(entry: _private.AddressText) -> None:
-    """Shows what an entry goes by: its view, the view's age, its peers.
+    """Shows the state of an entry: its view, the view's age, its peers.
 
     Args:
-        entry: Where the entry serves callers (HOST:PORT).
+        entry: Address at which the entry serves callers (HOST:PORT).
     """
     lines = asyncio.run(_status.fetch(environment.parse_address(entry)))
     if isinstance(lines, str):
@@ -82,10 +83,10 @@
 
 @APP.command(name="trace")
 def trace_request(request_id: str, logs: list[pathlib.Path]) -> None:
-    """Prints one request's way in order, from the logs of several VMs.
+    """Prints the timeline of one request, from the logs of several VMs.
 
     Args:
-        request_id: The request, as its caller named it.
+        request_id: ID of the request.
         logs: Files of JSON log lines.
     """
     sources = [(path.name, _read_log(path)) for path in logs]
@@ -98,7 +99,7 @@
 
 @APP.command(name="losses")
 def sum_losses(logs: list[pathlib.Path]) -> None:
-    """Sums up what became of requests, from the logs of several VMs.
+    """Summarizes the outcomes of requests, from the logs of several VMs.
 
     Args:
         logs: Files of JSON log lines.
@@ -127,12 +128,12 @@
     """Replays a trace against running entries; faults are skipped.
 
     Args:
-        trace_file: Trace, JSON lines.
+        trace_file: Trace, a file of JSON lines.
         entry: Entries to send to in turn (HOST:PORT[,HOST:PORT...]).
         out: Folder for outcomes.jsonl and summary.json.
-        keys: JSON file with the key of each workspace; without it the key
-            of a workspace is `demo-` and its name.
-        speed: How much faster than the trace requests are sent.
+        keys: JSON file with the key of each workspace; without it the key of a
+            workspace is `demo-` followed by its name.
+        speed: Factor by which requests are sent faster than in the trace.
     """
     lines = trace.read_trace(trace_file)
     if isinstance(lines, trace.MalformedLine):
@@ -149,10 +150,10 @@
 
 @APP.command
 def report(folders: list[pathlib.Path], *, out: pathlib.Path) -> None:
-    """Draws time to first token by length and slowdown by load.
+    """Plots time to first token by prompt length, and slowdown by load.
 
     Args:
-        folders: Folders that replays have written, or that of `slopes`.
+        folders: Folders written by replays or by `slopes`.
         out: Folder for the plots and report.txt.
     """
     try:
--- a/src/ruddergate/cli/entry.py
+++ b/src/ruddergate/cli/entry.py
@@ -45,23 +45,24 @@
     """Serves callers: admits, queues, routes and streams.
 
     Args:
-        vm_id: Name of this VM in the platform's list.
+        vm_id: ID of this VM in the platform's list.
         hall: Data hall of this VM.
-        listen: Where callers are served (HOST:PORT).
-        peer_listen: Where other entries are served (HOST:PORT).
-        agent: Where this VM's agent feeds its entry (HOST:PORT).
+        listen: Address for callers (HOST:PORT).
+        peer_listen: Address for other entries (HOST:PORT).
+        agent: Address of the feed of this VM's agent (HOST:PORT).
         peer_key: Key shared by the system's processes (16 characters or more).
         policy: Routing policy.
-        stop_lag_ms: Time for the balancer to see a planned stop (ms).
-        engine_silence_ms: Silence after which an engine is given up (ms).
+        stop_lag_ms: Time for the load balancer to notice a planned stop (ms).
+        engine_silence_ms: Time without data after which an engine counts as
+            lost (ms).
         engine_connect_ms: Longest wait for a connection to an engine (ms).
-        header_bytes_max: Longest request line and headers (bytes).
-        body_bytes_max: Longest body (bytes).
-        read_timeout_ms: Time for a whole request to arrive (ms).
-        connections_max: Connections open at once.
-        log_level: Least severe level that is logged.
-        log_format: Form of the logs.
-        traces_to: Where spans go.
+        header_bytes_max: Maximum size of the request line and headers (bytes).
+        body_bytes_max: Maximum size of a request body (bytes).
+        read_timeout_ms: Longest time for a whole request to arrive (ms).
+        connections_max: Maximum number of open connections.
+        log_level: Lowest level that is logged.
+        log_format: Format of the logs.
+        traces_to: Exporter of trace spans.
     """
     logs.configure(log_level, log_format == "json")
     config = configs.EntryConfig(
--- a/src/ruddergate/cli/gateway.py
+++ b/src/ruddergate/cli/gateway.py
@@ -25,34 +25,38 @@
 
 APP = _private.make_app(
     "ruddergate-gateway",
-    "Serves callers by the platform's store: admits, queues, routes, retries.",
+    "Gateway on the platform's store: admits, queues, routes, retries.",
 )
-# Of the time within which a removed key must be refused, this is kept back:
-# the store's watches may be a second late, and answers take time.
+# Reserve of the time within which a removed key must be refused: the store's
+# watches may be a second late, and responses take time.
 _KEY_MARGIN_MS = 1_200.0
-# From this part of that time on, a call with a key earns nothing here, so that
-# callers had better go to another VM.
+# From this fraction of that time on, a request with a key earns nothing at this
+# VM. It then reports that it is not ready, so that callers go to another VM.
 _READY_FRACTION = 0.5
-# Answers to orders come in a few milliseconds, and connections are as soon up;
-# renewals come every 800 ms.
+# Orders are answered and connections accepted within a few milliseconds;
+# renewals are sent every 800 ms.
 _ORDER_TIMEOUTS = client.TimeLimits(150.0, 500.0, 500.0)
-# Of the second sends for each first one; first sends are counted here as they
-# begin, and by the fleet's operators in windows that need not match.
+# Fraction of the permitted retry ratio that is used. First attempts are counted
+# here when they start, and by the fleet's operators in windows that may differ.
 _RETRY_FRACTION = 0.75
-# Calls of the store are paid for, so they are as far apart as what they tell
-# must be known; the rest is for the call itself and a request on its way.
+# Calls of the store are billed, so the poll interval is as long as the bound on
+# applying a change allows: this fraction of it. The rest is for the call itself
+# and for a request in flight.
 _POLL_FRACTION = 0.65
-# And of the age at which this VM is not ready any more: a call that takes long
-# is not to take it out.
+# The poll interval is also at most this fraction of the age at which this VM is
+# no longer ready, so that one slow call does not make it unready.
 _READY_POLL_FRACTION = 0.8
-# The store is up in a few milliseconds where it can be reached. Packets to one
-# that can't are sent again after a second, when a new try has long begun.
+# A reachable store accepts a connection within a few milliseconds. Packets to
+# an unreachable one are retransmitted after a second, when a new attempt has
+# long started.
 _STORE_CONNECT_MS = 500.0
-# An answer that keeps coming: a megabyte over a link of 1 Mbit/s takes 8 s.
+# Longest time for a whole response while data keeps arriving: a megabyte takes
+# 8 s over a link of 1 Mbit/s.
 _STORE_TOTAL_MS = 15_000.0
-# The balancer takes a VM out after two questions, a second apart.
+# The load balancer removes a VM after two readiness checks, a second apart.
 _STOP_LAG_MS = 2_600.0
-# What is left of the time for a stop when it is given up.
+# A planned stop ends this long before its time limit, even if requests are
+# still open.
 _STOP_MARGIN_MS = 400.0
 StrictRevoke: TypeAlias = Literal["true", "false"]
 
@@ -83,34 +87,36 @@
     log_format: _private.LogFormat = "json",
     traces_to: _private.TraceExporter = "off",
 ) -> None:
-    """Serves callers by the platform's store.
+    """Serves callers according to the platform's store.
 
     Args:
-        vm_id: Name of this VM.
+        vm_id: ID of this VM.
         hall: Data hall of this VM.
-        listen: Where callers are served (HOST:PORT).
-        ready_listen: Where the balancer asks for readiness (HOST:PORT).
-        metrics_listen: Where metrics are served (HOST:PORT).
-        peer_listen: Where this VM takes datagrams of peers (HOST:PORT).
-        seeds: Some VMs, as HOST:PORT with commas between; peers take datagrams
-            there at the same port as this VM.
-        store_address: Where the store serves (HOST:PORT).
+        listen: Address for callers (HOST:PORT).
+        ready_listen: Address of the load balancer's readiness check
+            (HOST:PORT).
+        metrics_listen: Address of the metrics page (HOST:PORT).
+        peer_listen: Address for datagrams of peers (HOST:PORT).
+        seeds: Addresses of some VMs, as HOST:PORT separated by commas; only the
+            hosts are used, with this VM's port for datagrams of peers.
+        store_address: Address of the store (HOST:PORT).
         revoke_ms: Time within which a removed key must be refused (ms).
-        strict_revoke: Whether a removed key is refused within that time also
-            by a VM that does not hear of its removal: such a VM refuses all
-            keys then. Without it, it goes on by the last settings.
-        grace_s: Time for a planned stop (s).
-        retry_ratio: Second sends that the fleet may make for each first one.
-        retry_slack: Second sends that the fleet may make besides in a while.
+        strict_revoke: Whether a removed key is refused within that time even by
+            a VM that can't learn of its removal. Such a VM then refuses all
+            keys; otherwise it continues with its last settings.
+        grace_s: Time limit of a planned stop (s).
+        retry_ratio: Retries that the fleet may make per first attempt.
+        retry_slack: Retries that the fleet may make in addition per window.
         apply_ms: Time within which new settings must be in force (ms).
-        leave_ms: Time within which a leaving target gets no more work (ms).
-        link_mbps: This VM's link (Mbit/s); fast ones pass digests on.
-        store_timeout_ms: Longest silence in an answer of the store (ms).
-        body_bytes_max: Longest body (bytes).
-        connections_max: Connections of callers open at once.
-        log_level: Least severe level that is logged.
-        log_format: Form of the logs.
-        traces_to: Where spans go.
+        leave_ms: Time within which a draining target gets no new work (ms).
+        link_mbps: Bandwidth of this VM's link (Mbit/s); VMs with fast links
+            relay digests.
+        store_timeout_ms: Longest pause in a response of the store (ms).
+        body_bytes_max: Maximum size of a request body (bytes).
+        connections_max: Maximum number of open connections of callers.
+        log_level: Lowest level that is logged.
+        log_format: Format of the logs.
+        traces_to: Exporter of trace spans.
     """
     logs.configure(log_level, log_format == "json", sys.stdout)
     env = environment.make_system_environment()
@@ -172,11 +178,11 @@
 def make_poll_config(
     bound_ms: float, ready_age_max_ms: float
 ) -> poll_config.PollConfig:
-    """Returns how often the store is asked.
+    """Returns how often the store is polled.
 
     Args:
-        bound_ms: Time within which what it publishes must be in force.
-        ready_age_max_ms: Oldest settings with which this VM is ready.
+        bound_ms: Time within which a published change must be in force.
+        ready_age_max_ms: Maximum age of settings with which this VM is ready.
     """
     every_ms = min(
         bound_ms * _POLL_FRACTION, ready_age_max_ms * _READY_POLL_FRACTION
@@ -190,19 +196,24 @@
 
 
 def _parse_seeds(text: str, port: int) -> tuple[environment.Address, ...]:
-    """Returns where the VMs behind the seeds take datagrams."""
+    """Returns the addresses at which the seeds receive datagrams."""
     found = filter(None, (each.strip() for each in text.split(",")))
     hosts = [environment.parse_address(each).host for each in found]
     return tuple(environment.Address(host, port) for host in hosts)
 
 
 def _log_reloads() -> None:
-    """Logs that the settings were given anew; all of them hold from a start."""
+    """Handles SIGHUP by logging that it has no effect.
+
+    Parameters are only read at the start.
+    """
     log = logs.make_logger("entry")
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(
         signal.SIGHUP,
-        lambda: log.info("Settings given anew, those of the start stay."),
+        lambda: log.info(
+            "SIGHUP ignored: parameters are only read at the start."
+        ),
     )
 
 
--- a/src/ruddergate/experiments/__init__.py
+++ b/src/ruddergate/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Traces of requests, their outcomes, tables and plots."""
+"""Replay of request traces: outcomes, tables and plots."""
--- a/src/ruddergate/experiments/caller.py
+++ b/src/ruddergate/experiments/caller.py
@@ -1,4 +1,4 @@
-"""Sends a trace's requests over HTTP and notes what came back."""
+"""Sends the requests of a trace over HTTP and records their outcomes."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 from ruddergate.http import client
 from ruddergate.http import message
 
-# A caller waits this much longer than its time limit.
+# A caller waits this long beyond its time limit.
 RESPONSE_GRACE_MS = 2_000.0
 _CONNECT_MS = 1_000.0
 _EVENT_END = b"\n\n"
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Received:
-    """What has come back so far."""
+    """What has been received of a response so far."""
 
     text: str = ""
     tokens: int = -1
@@ -32,7 +32,7 @@
 
 
 def make_prompt(request: trace.TracedRequest, full_size: bool) -> str:
-    """Returns a prompt text, unlike that of any other request."""
+    """Returns a prompt text that is unique to the request."""
     if not full_size:
         return request.id
     length = request.prompt_tokens * _BYTES_PER_TOKEN
@@ -47,14 +47,15 @@
     key_age_ms: float,
     full_size: bool = False,
 ) -> message.OutgoingRequest:
-    """Returns the HTTP request of a trace's line.
+    """Returns the HTTP request for a request of a trace.
 
     Args:
-        request: The line.
+        request: The request of the trace.
         key: The workspace's key.
-        idempotency_key: Key for all resends, or empty.
-        key_age_ms: Time since it was first used.
-        full_size: Whether the prompt has as many bytes as its tokens need.
+        idempotency_key: Idempotency key shared by all resends, or empty.
+        key_age_ms: Time since the idempotency key was first used.
+        full_size: Whether the prompt has as many bytes as its tokens need;
+            otherwise it is just the request's ID.
     """
     headers = {
         "authorization": f"Bearer {key}",
@@ -90,14 +91,14 @@
     outgoing: message.OutgoingRequest,
     is_correct: Callable[[str], bool],
 ) -> outcomes.TracedOutcome | None:
-    """Sends a request; None if it could not even be connected.
+    """Sends a request; returns None if the entry could not be reached.
 
     Args:
         env: Clock and streams.
-        address: The entry.
-        request: The trace's line.
+        address: Address of the entry.
+        request: The request of the trace.
         outgoing: Its HTTP request.
-        is_right: Whether a whole answer's text is the right one.
+        is_correct: Returns whether the text of a complete answer is correct.
     """
     began_ms = env.now_ms()
     exchange = await client.start(env, address, outgoing, _CONNECT_MS)
@@ -117,7 +118,7 @@
 
 
 def make_unsent_outcome(request: trace.TracedRequest) -> outcomes.TracedOutcome:
-    """Returns the outcome of a request that no entry could be given."""
+    """Returns the outcome of a request that could be sent to no entry."""
     error = {"reason": "no_entry", "ran": "not_run"}
     received = _Received(error=error)
     return _make_outcome(request, received, 0.0, lambda _: False)
--- a/src/ruddergate/experiments/expectation.py
+++ b/src/ruddergate/experiments/expectation.py
@@ -1,7 +1,7 @@
-"""Outcomes stated beside a trace, checked against a replay's summary.
+"""Expectations of a trace, checked against a replay's summary.
 
-The file is a JSON object: a dotted path into the summary to an object with
-`least`, `most` or both.
+The file is a JSON object. It maps dotted paths into the summary to objects with
+`least`, `most` or both: the minimum and maximum of the value, inclusive.
 """
 
 from collections.abc import Mapping
@@ -13,13 +13,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CheckResult:
-    """One stated outcome.
+    """Result of checking one expectation.
 
     Attributes:
-        path: Where it stands in the summary.
-        least: Least value allowed, or None.
-        most: Greatest value allowed, or None.
-        found: Value found, or None.
+        path: Dotted path of the value in the summary.
+        minimum: Smallest value allowed, or None.
+        maximum: Largest value allowed, or None.
+        found: Value in the summary, or None if it has none.
     """
 
     path: str
@@ -29,7 +29,7 @@
 
     @property
     def holds(self) -> bool:
-        """Whether the value is there and within its bounds."""
+        """Whether the value exists and is within its bounds."""
         if self.found is None:
             return False
         is_above_minimum = self.minimum is None or self.found >= self.minimum
@@ -47,7 +47,7 @@
     expectations: Mapping[str, Mapping[str, float]],
     summary: Mapping[str, object],
 ) -> tuple[CheckResult, ...]:
-    """Returns each stated outcome with what was found."""
+    """Returns the result of each expectation."""
     return tuple(
         CheckResult(
             path, row.get("least"), row.get("most"), _find(summary, path)
@@ -57,7 +57,7 @@
 
 
 def check_file(path: pathlib.Path, summary: Mapping[str, object]) -> int:
-    """Prints each stated outcome; returns 1 if one fails, else 0."""
+    """Prints the result of each expectation; returns 1 if one fails, else 0."""
     results = check(orjson.loads(path.read_bytes()), summary)
     for each in results:
         print(each)
--- a/src/ruddergate/experiments/outcome.py
+++ b/src/ruddergate/experiments/outcome.py
@@ -1,4 +1,4 @@
-"""What became of one request of a trace."""
+"""Outcomes of the requests of a trace."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -9,22 +9,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TracedOutcome:
-    """The outcome of one line of a trace.
+    """Outcome of one request of a trace.
 
     Attributes:
-        id: The request.
+        id: ID of the request.
         status: `finished`, `refused` or `failed`.
         ran: `not_run`, `ran` or `unknown`.
         reason: Why it did not finish, or empty.
         ttft_ms: Time to first token, or None.
         total_ms: Time to the end of the answer, or None.
-        answer_ok: Whether a finished answer was whole and its own.
-        executions: Runs counted by the targets; -1 where nobody counts.
+        answer_ok: Whether a finished answer was complete and belonged to this
+            request.
+        executions: Number of runs counted by the targets; -1 if they are not
+            counted.
         prompt_tokens: Length of the prompt.
-        workspace: Who sent it.
-        workload: As what.
+        workspace: Workspace that sent it.
+        workload: Workload that it was sent as.
         time_limit_ms: Its time limit.
-        retry_after_ms: When it was told to come back, or None.
+        retry_after_ms: Delay before a retry that the response asked for, or
+            None.
     """
 
     id: str
@@ -52,6 +55,6 @@
 
 
 def read_outcomes(path: pathlib.Path) -> tuple[TracedOutcome, ...]:
-    """Returns the outcomes of a file that `write_outcomes` made."""
+    """Returns the outcomes in a file written by `write_outcomes`."""
     lines = path.read_bytes().splitlines()
     return tuple(TracedOutcome(**orjson.loads(line)) for line in lines)
--- a/src/ruddergate/experiments/plots.py
+++ b/src/ruddergate/experiments/plots.py
@@ -1,4 +1,4 @@
-"""Reports of replays and slopes: a text table, plots where possible."""
+"""Reports of replays and slopes: a text table, and plots with matplotlib."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """One replay's summary as read from its folder.
+    """Summary of one replay, read from its folder.
 
     Attributes:
         trace: Name of the trace file.
@@ -31,7 +31,7 @@
 
 
 def write_report(folders: Sequence[pathlib.Path], out: pathlib.Path) -> str:
-    """Writes report.txt and plots; returns the text."""
+    """Writes report.txt and, with matplotlib, plots; returns the text."""
     out.mkdir(parents=True, exist_ok=True)
     slopes = [x for x in folders if (x / _SLOPES_FILE).exists()]
     runs = [_read_run(x) for x in folders if x not in slopes]
@@ -104,8 +104,8 @@
         values = [rows[name]["ttft_p95_ms"] for name in names]
         axes.plot(names, values, marker="o", label=f"{run.trace} {run.policy}")
     axes.set_yscale("log")
-    axes.set_xlabel("length of prompt, tokens at most")
-    axes.set_ylabel("time to first token, p95, ms")
+    axes.set_xlabel("prompt length (tokens, upper bound)")
+    axes.set_ylabel("time to first token, p95 (ms)")
     axes.legend(fontsize=7)
     figure.savefig(out / "ttft_by_length.png", dpi=120)
     plt.close(figure)
--- a/src/ruddergate/experiments/summary.py
+++ b/src/ruddergate/experiments/summary.py
@@ -1,4 +1,4 @@
-"""Tables of outcomes: by length of prompt, by class of workload."""
+"""Tables of outcomes, by prompt length and by workload."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -18,14 +18,15 @@
     """Outcomes of one group of requests.
 
     Attributes:
-        count: Requests.
-        finished: Those that finished.
-        refused: Those refused before they ran.
-        failed: All others.
+        count: Number of requests.
+        finished: Number of requests that finished.
+        refused: Number of requests that were refused before they ran.
+        failed: Number of all other requests.
         ttft_p50_ms: Median time to first token, or None.
-        ttft_p95_ms: 95th percentile, or None.
-        ttft_p99_ms: 99th percentile, or None.
-        total_p95_ms: 95th percentile of the time to the end, or None.
+        ttft_p95_ms: 95th percentile of it, or None.
+        ttft_p99_ms: 99th percentile of it, or None.
+        total_p95_ms: 95th percentile of the total time of finished requests, or
+            None.
     """
 
     count: int
@@ -40,21 +41,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Summary:
-    """A whole replay.
+    """Summary of a replay.
 
     Attributes:
         all: All requests.
         by_length: Requests by length bucket.
-        by_workload: Requests by workload's short name.
-        by_reason: Count by reason of those that did not finish.
+        by_workload: Requests by name of the workload.
+        by_reason: Number of unfinished requests, by reason.
         goodput_tokens: Prompt tokens of finished requests.
-        late: Requests that ended later than their time limit allows.
-        wrong_answers: Finished requests whose answer was not right.
-        not_run_but_ran: Requests told not run that had run.
-        run_twice: Requests that may not repeat and ran more than once.
-        short_ttft_p99_ms: 99th percentile of short prompts, or None.
-        short_slowdown_p99: Ratio of it to the same trace without its long
-            requests; None where that was not replayed.
+        late: Requests that ended after their time limit and a grace period.
+        wrong_answers: Finished requests whose answer was not correct.
+        not_run_but_ran: Requests that were reported as not run, but had run.
+        run_twice: Requests that are not repeatable, but ran more than once.
+        short_ttft_p99_ms: 99th percentile of the time to first token of short
+            prompts, or None.
+        short_slowdown_p99: Ratio of that to the same trace without its long
+            requests; None if that was not replayed.
     """
 
     all: Row
@@ -70,7 +72,7 @@
     short_slowdown_p99: float | None
 
 
-# Beyond the time limit, for the way back to the caller.
+# Allowed beyond the time limit, for the transfer of the response.
 LATE_GRACE_MS = 250.0
 
 
@@ -79,11 +81,11 @@
     not_repeatable: frozenset[str],
     without_long: Sequence[outcomes.TracedOutcome] = (),
 ) -> Summary:
-    """Returns the tables.
+    """Returns the summary of a replay.
 
     Args:
         found: Outcomes of the trace.
-        not_repeatable: Names of the requests that may run once only.
+        not_repeatable: IDs of the requests that may run only once.
         without_long: Outcomes of the same trace without long requests.
     """
     short_p99 = _short_p99(found)
@@ -184,7 +186,7 @@
 
 
 def render_table(summary: Summary) -> str:
-    """Returns a table for a terminal."""
+    """Returns the summary as a table of text."""
     lines = [
         f"{'':>12} {'count':>7} {'finished':>8} {'refused':>7} {'failed':>6}"
         f" {'ttft p50':>10} {'p95':>10} {'p99':>10} ms"
@@ -198,7 +200,7 @@
         )
     lines.append(
         f"late {summary.late}, wrong answers {summary.wrong_answers}, "
-        f"told not run but ran {summary.not_run_but_ran}, "
+        f"reported not run but ran {summary.not_run_but_ran}, "
         f"run twice {summary.run_twice}, "
         f"short slowdown {summary.short_slowdown_p99}"
     )
--- a/src/ruddergate/experiments/trace.py
+++ b/src/ruddergate/experiments/trace.py
@@ -1,4 +1,4 @@
-"""Traces: JSON lines, one request or fault a line, sorted by time."""
+"""Traces: files of JSON lines with one request or fault per line."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -24,17 +24,17 @@
     """A request of a trace.
 
     Attributes:
-        at_ms: When the caller sends it, from the trace's begin.
-        id: Name; lines with the same name are resends of one request.
-        workspace: Who sends it.
-        workload: As what.
+        at_ms: Time at which the caller sends it, from the start of the trace.
+        id: ID; lines with the same ID are resends of one request.
+        workspace: Workspace that sends it.
+        workload: Workload that it is sent as.
         prompt_tokens: Length of the prompt; 0 for a plain service's call.
         output_tokens: Length of the answer.
         prefix: Name of the shared prefix, or empty.
-        prefix_tokens: Its length.
-        repeatable: Whether a second run does no harm.
+        prefix_tokens: Length of the shared prefix.
+        repeatable: Whether it may run more than once.
         time_limit_ms: Its time limit.
-        vm: Send it to this VM, or to any if empty.
+        vm: VM to send it to; any VM if empty.
     """
 
     at_ms: float
@@ -55,10 +55,11 @@
     """A fault of a trace.
 
     Attributes:
-        at_ms: When it happens.
+        at_ms: Time at which it happens, from the start of the trace.
         fault: One of `FAULTS`.
         on: What it happens to, such as `vm-1`.
-        from_: For a cut, the one that `on` is cut from; else everything.
+        from_: For a cut, the node that `on` is disconnected from; if empty, all
+            other nodes.
     """
 
     at_ms: float
@@ -72,7 +73,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MalformedLine:
-    """A line that is no part of a trace.
+    """A malformed line of a trace.
 
     Attributes:
         number: Number of the line, from 1.
@@ -84,7 +85,10 @@
 
 
 def read_trace(path: pathlib.Path) -> tuple[Line, ...] | MalformedLine:
-    """Returns the lines of a trace file in order of time."""
+    """Returns the lines of a trace file sorted by time.
+
+    Returns the first malformed line instead if there is one.
+    """
     lines: list[Line] = []
     for number, text in enumerate(path.read_bytes().splitlines(), 1):
         if not text.strip():
@@ -101,13 +105,13 @@
     try:
         document = orjson.loads(text)
     except orjson.JSONDecodeError as error:
-        return f"not JSON: {error}"
+        return f"invalid JSON: {error}"
     if not isinstance(document, dict):
-        return "not an object"
+        return "not a JSON object"
     if "fault" in document:
         return _parse_fault(document)
     known = {field.name for field in dataclasses.fields(TracedRequest)}
-    # A trace of a later version may say more than this one knows.
+    # Unknown fields are ignored: traces of later versions may have more.
     fields = {key: document[key] for key in known if key in document}
     try:
         request = TracedRequest(**fields)
@@ -122,15 +126,15 @@
         return f"unknown fault {fault!r}, expected one of {', '.join(FAULTS)}"
     on = document.get("on")
     if not isinstance(on, str):
-        return "a fault without `on`"
+        return "the fault lacks `on`"
     at_ms = document.get("at_ms")
     if not isinstance(at_ms, (int, float)):
-        return "a fault without `at_ms`"
+        return "the fault lacks `at_ms`"
     return TracedFault(float(at_ms), fault, on, str(document.get("from", "")))
 
 
 def write_trace(path: pathlib.Path, lines: Iterable[Line]) -> None:
-    """Writes a trace file; fields that have their default are left out."""
+    """Writes a trace file; fields with their default value are omitted."""
     defaults = {
         field.name: field.default for field in dataclasses.fields(TracedRequest)
     }
