--- a/src/ruddergate/adapters/engines/control.py
+++ b/src/ruddergate/adapters/engines/control.py
@@ -92,11 +92,11 @@
 async def order(
     env: environment.Environment,
     target: targets.Target,
-    wanted: orders.Order,
+    new_order: orders.Order,
     timeout_ms: float,
 ) -> Answer:
     """Sends an engine an order; the engine checks the fencing token."""
-    document = dataclasses.asdict(wanted)
+    document = dataclasses.asdict(new_order)
     return await _post(env, target, "/v1/orders", document, timeout_ms)
 
 
--- a/src/ruddergate/adapters/engines/stream.py
+++ b/src/ruddergate/adapters/engines/stream.py
@@ -68,13 +68,13 @@
         self._buffer = b""
 
     async def next_event(
-        self, left_ms: Callable[[], float]
+        self, get_remaining_ms: Callable[[], float]
     ) -> stream_event.Tokens | stream_event.End | outcomes.NotServed:
         """Returns the next tokens, the end, or why the stream failed.
 
         Args:
-            left_ms: Returns the remaining time limit. It is called before each
-                wait, since keepalives may arrive without any token.
+            get_remaining_ms: Returns the remaining time limit. It is called
+                before each wait, since keepalives may arrive without tokens.
         """
         texts: list[str] = []
         first = self.position
@@ -89,7 +89,7 @@
                 return found
             if texts:
                 return stream_event.Tokens(first, tuple(texts))
-            fault = await self._read_more(left_ms())
+            fault = await self._read_more(get_remaining_ms())
             if fault is not None:
                 return fault
 
--- a/src/ruddergate/adapters/services/call.py
+++ b/src/ruddergate/adapters/services/call.py
@@ -31,20 +31,20 @@
 async def call(
     env: environment.Environment,
     target: targets.Target,
-    wanted: requests.Request,
+    request: requests.Request,
     timeout_ms: float,
 ) -> ServiceAnswer | outcomes.NotServed:
     """Calls a service; an outcome with `not_run` guarantees it did not run."""
     headers = {
         "content-type": message.JSON_TYPE,
-        "x-request-id": wanted.request_id,
+        "x-request-id": request.request_id,
     }
-    if wanted.traceparent:
-        headers["traceparent"] = wanted.traceparent
-    if wanted.idempotency_key and wanted.workload.pool.checks_key:
-        headers["idempotency-key"] = wanted.idempotency_key
+    if request.traceparent:
+        headers["traceparent"] = request.traceparent
+    if request.idempotency_key and request.workload.pool.checks_key:
+        headers["idempotency-key"] = request.idempotency_key
     outgoing = message.OutgoingRequest(
-        "POST", wanted.service_path, headers, wanted.prompt.encode()
+        "POST", request.service_path, headers, request.prompt.encode()
     )
     answer = await client.fetch(env, target.address, outgoing, timeout_ms)
     if isinstance(answer, client.Fault):
--- a/src/ruddergate/agent/config.py
+++ b/src/ruddergate/agent/config.py
@@ -22,8 +22,8 @@
         fan_out: Peers of this VM's hall to gossip with in a round.
         watch_ms: Time for which one watch of the configuration service waits.
         list_poll_ms: Time between polls of the VM list.
-        watcher_timeout_ms: Time without news from the hall's watchers after
-            which other agents fetch, too.
+        watcher_timeout_ms: Time without an update from the hall's watchers
+            after which other agents fetch from the platform, too.
         load_poll_ms: Time between polls of a target's load.
         sweep_ms: Time between sweeps of the items that a target holds.
         platform_timeout_ms: Longest wait for a response of the platform.
--- a/src/ruddergate/agent/target_task.py
+++ b/src/ruddergate/agent/target_task.py
@@ -55,11 +55,13 @@
                 # The tasks run until cancelled, so this one has failed;
                 # result() raises its exception.
                 task.result()
-        wanted = set(subset.choose_all(self._config.vm_id, self._state.listing))
-        for target in set(self._tasks) - wanted:
+        assigned = set(
+            subset.choose_all(self._config.vm_id, self._state.listing)
+        )
+        for target in set(self._tasks) - assigned:
             self._tasks.pop(target).cancel()
         for target in sorted(
-            wanted - set(self._tasks), key=lambda each: each.target_id
+            assigned - set(self._tasks), key=lambda each: each.target_id
         ):
             self._tasks[target] = asyncio.ensure_future(self._poll(target))
 
--- a/src/ruddergate/experiments/caller.py
+++ b/src/ruddergate/experiments/caller.py
@@ -28,7 +28,7 @@
     tokens: int = -1
     ttft_ms: float | None = None
     error: dict | None = None
-    is_whole: bool = False
+    is_complete: bool = False
 
 
 def make_prompt(request: trace.TracedRequest, full_size: bool) -> str:
@@ -138,21 +138,21 @@
         message.EVENT_STREAM_TYPE
     )
     if not is_stream:
-        await _receive_whole(exchange, env, began_ms, received)
+        await _receive_full(exchange, env, began_ms, received)
         return
     buffer = b""
     while True:
-        part = await exchange.read_part()
-        if isinstance(part, client.Fault) or not part:
-            if not received.is_whole and received.error is None:
+        chunk = await exchange.read_part()
+        if isinstance(chunk, client.Fault) or not chunk:
+            if not received.is_complete and received.error is None:
                 received.error = {"reason": "connection_lost", "ran": "unknown"}
             return
-        *events, buffer = (buffer + part).split(_EVENT_END)
+        *events, buffer = (buffer + chunk).split(_EVENT_END)
         for event in events:
             _apply_event(event, received, env.now_ms() - began_ms)
 
 
-async def _receive_whole(
+async def _receive_full(
     exchange: client.Exchange,
     env: environment.Environment,
     began_ms: float,
@@ -170,13 +170,13 @@
         return
     received.ttft_ms = env.now_ms() - began_ms
     received.text = body.decode()
-    received.is_whole = True
+    received.is_complete = True
 
 
 def _apply_event(event: bytes, received: _Received, now_ms: float) -> None:
     data = event.removeprefix(b"data: ")
     if data == b"[DONE]":
-        received.is_whole = received.tokens >= 0
+        received.is_complete = received.tokens >= 0
         return
     document = orjson.loads(data)
     if "error" in document:
--- a/src/ruddergate/experiments/expectation.py
+++ b/src/ruddergate/experiments/expectation.py
@@ -28,7 +28,7 @@
     found: float | None
 
     @property
-    def holds(self) -> bool:
+    def is_met(self) -> bool:
         """Whether the value exists and is within its bounds."""
         if self.found is None:
             return False
@@ -38,7 +38,7 @@
         )
 
     def __str__(self) -> str:
-        verdict = "holds" if self.holds else "FAILS"
+        verdict = "holds" if self.is_met else "FAILS"
         bounds = f"[{self.minimum}, {self.maximum}]"
         return f"{verdict}: {self.path} = {self.found} in {bounds}"
 
@@ -61,7 +61,7 @@
     results = check(orjson.loads(path.read_bytes()), summary)
     for each in results:
         print(each)
-    return 0 if all(each.holds for each in results) else 1
+    return 0 if all(each.is_met for each in results) else 1
 
 
 def _find(summary: Mapping[str, object], path: str) -> float | None:
--- a/src/ruddergate/telemetry/logs.py
+++ b/src/ruddergate/telemetry/logs.py
@@ -79,6 +79,6 @@
     return "".join(lines)
 
 
-def make_logger(part: str) -> "Logger":
+def make_logger(component: str) -> "Logger":
     """Returns a logger that binds the name of a component to its lines."""
-    return loguru.logger.bind(part=part, request_id="")
+    return loguru.logger.bind(part=component, request_id="")
--- a/src/ruddergate/telemetry/outcome_summary.py
+++ b/src/ruddergate/telemetry/outcome_summary.py
@@ -123,9 +123,9 @@
 
 
 def _parse_time_s(at: str) -> float:
-    """Returns the seconds since midnight of a time in ISO 8601 format.
+    """Returns the seconds since midnight of a time.
 
-    Returns 0.0 if the text is malformed.
+    The format is that of 2026-01-01T07:44:10. Malformed text gives 0.0.
     """
     time_text = at.partition("T")[2][:12].rstrip("+Z")
     try:
