--- a/src/ruddergate/agent/gossip_task.py
+++ b/src/ruddergate/agent/gossip_task.py
@@ -18,6 +18,7 @@
 # responses instead.
 MAX_DISPATCHED_ROWS = 24
 MAX_DISPATCHED_ROWS_LARGE_HALL = 8
+# Peers of other halls to gossip with in a round.
 _REMOTE_FAN_OUT = 1
 _MIN_ROUND_MS = 50.0
 
--- a/src/ruddergate/agent/settings_sync.py
+++ b/src/ruddergate/agent/settings_sync.py
@@ -17,6 +17,7 @@
 
 _RETRY_DELAY_MS = 500.0
 _CHECK_INTERVAL_MS = 1_000.0
+# Peers to fetch from at the start, and how often to try.
 _START_PEERS = 8
 _START_TRIES = 4
 
--- a/src/ruddergate/agent/target_task.py
+++ b/src/ruddergate/agent/target_task.py
@@ -16,6 +16,7 @@
 from ruddergate.telemetry import metrics as metric_types
 
 _TIMEOUT_MS = 1_500.0
+# VMs of a hall that free the expired items of a target.
 _SWEEPERS_PER_TARGET = 2
 
 
--- a/src/ruddergate/cli/_tree.py
+++ b/src/ruddergate/cli/_tree.py
@@ -11,7 +11,9 @@
 from ruddergate.settings import problem
 from ruddergate.settings import tree as trees
 
-_USER_KINDS = {
+# Kind whose effective values are shown for a branch; a workload's for all other
+# kinds.
+_EXPLAINED_AS = {
     kinds.Kind.CLASS: kinds.Kind.CLASS,
     kinds.Kind.POOL: kinds.Kind.POOL,
 }
@@ -41,28 +43,28 @@
     return checked
 
 
-def render_explained(whole: trees.Tree, name: str) -> Iterator[str]:
+def render_explained(tree: trees.Tree, name: str) -> Iterator[str]:
     """Yields a line for each effective value, with the branch that sets it."""
-    kind = whole.branches[name].kind
-    used_by = _USER_KINDS.get(kind, kinds.Kind.WORKLOAD)
-    for row in effective.explain(whole, name, used_by):
+    kind = tree.branches[name].kind
+    used_by = _EXPLAINED_AS.get(kind, kinds.Kind.WORKLOAD)
+    for row in effective.explain(tree, name, used_by):
         yield f"{row.name:<24} {row.value!s:<20} {row.branch}"
 
 
 def render_difference(
-    before: trees.Tree, after: trees.Tree, kind: kinds.Kind
+    old_tree: trees.Tree, new_tree: trees.Tree, kind: kinds.Kind
 ) -> Iterator[str]:
     """Yields a line for each branch or effective value that differs."""
-    old = {branch.name for branch in before.of_kind(kind)}
-    new = {branch.name for branch in after.of_kind(kind)}
-    for name in sorted(old - new):
+    old_names = {branch.name for branch in old_tree.of_kind(kind)}
+    new_names = {branch.name for branch in new_tree.of_kind(kind)}
+    for name in sorted(old_names - new_names):
         yield f"- {name}"
-    for name in sorted(new - old):
+    for name in sorted(new_names - old_names):
         yield f"+ {name}"
-    for name in sorted(old & new):
-        was = effective.explain(before, name, kind)
-        now = effective.explain(after, name, kind)
-        for first, second in zip(was, now, strict=True):
-            if first.value != second.value:
-                change = f"{first.value} -> {second.value}"
-                yield f"  {name}: {first.name}: {change} ({second.branch})"
+    for name in sorted(old_names & new_names):
+        old_rows = effective.explain(old_tree, name, kind)
+        new_rows = effective.explain(new_tree, name, kind)
+        for old_row, new_row in zip(old_rows, new_rows, strict=True):
+            if old_row.value != new_row.value:
+                change = f"{old_row.value} -> {new_row.value}"
+                yield f"  {name}: {old_row.name}: {change} ({new_row.branch})"
--- a/src/ruddergate/cli/gateway.py
+++ b/src/ruddergate/cli/gateway.py
@@ -169,7 +169,7 @@
     gateway = gateways.Gateway(env, config, gateway_config, platform, tracer)
 
     async def run_gateway(stop: asyncio.Event) -> None:
-        _log_reloads()
+        _handle_reloads()
         await gateway.run(stop)
 
     _private.run_program(run_gateway)
@@ -184,12 +184,12 @@
         bound_ms: Time within which a published change must be in force.
         ready_age_max_ms: Maximum age of settings with which this VM is ready.
     """
-    every_ms = min(
+    interval_ms = min(
         bound_ms * _POLL_FRACTION, ready_age_max_ms * _READY_POLL_FRACTION
     )
-    two_rounds_ms = 2.0 * every_ms
+    two_rounds_ms = 2.0 * interval_ms
     return poll_config.PollConfig(
-        interval_ms=every_ms,
+        interval_ms=interval_ms,
         full_read_age_ms=max(poll_config.MIN_FULL_READ_AGE_MS, two_rounds_ms),
         outage_ms=max(poll_config.MIN_FULL_READ_AGE_MS, two_rounds_ms),
     )
@@ -202,7 +202,7 @@
     return tuple(environment.Address(host, port) for host in hosts)
 
 
-def _log_reloads() -> None:
+def _handle_reloads() -> None:
     """Handles SIGHUP by logging that it has no effect.
 
     Parameters are only read at the start.
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -83,7 +83,7 @@
             "c": {"most": 1},
         }
         found = expectation.check(stated, summary)
-        self.assertEqual([x.holds for x in found], [True, False, False])
+        self.assertEqual([x.is_met for x in found], [True, False, False])
 
 
 class BucketTest(unittest.TestCase):
