--- a/src/ruddergate/adapters/engines/control.py
+++ b/src/ruddergate/adapters/engines/control.py
@@ -1,16 +1,16 @@
-"""What engines are told: cancels, reservations, prefill of parts, orders.
+"""Control requests to engines: cancel, reserve, prefill a segment, order.
 
-POST /v1/cancel    {"ids": [...]}           frees whatever they name
-POST /v1/reserve   {"reservation", ...}     200, or 409 without memory
-POST /v1/prefill   {"reservation", ...}     200 when the part is done
-POST /v1/orders    {"revision", ...}        200, or 409 for an old fence
+POST /v1/cancel    {"ids": [...]}           frees the items with these IDs
+POST /v1/reserve   {"reservation", ...}     200, or 409 without free memory
+POST /v1/prefill   {"reservation", ...}     200 when the segment is prefilled
+POST /v1/orders    {"revision", ...}        200, or 409 for an old fencing token
 """
 
 from collections.abc import Sequence
 import dataclasses
 
 from ruddergate import environment
-from ruddergate.adapters.engines import generation as generations
+from ruddergate.adapters.engines import generation_request
 from ruddergate.decisions import gangs
 from ruddergate.decisions import orders
 from ruddergate.fleet import target as targets
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """The engine answered no.
+    """The engine refused the request.
 
     Attributes:
         status: HTTP status.
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Done:
-    """The engine answered yes."""
+    """The engine executed the request."""
 
 
 Answer = Done | Refused | client.Fault
@@ -44,7 +44,7 @@
     item_ids: Sequence[str],
     timeout_ms: float,
 ) -> Answer:
-    """Frees streams and reservations; unknown ones count as freed."""
+    """Frees streams and reservations; unknown IDs count as freed."""
     document = {"ids": list(item_ids)}
     return await _post(env, target, "/v1/cancel", document, timeout_ms)
 
@@ -55,15 +55,15 @@
     reservation: str,
     owner: str,
     held_tokens: int,
-    lapse_ms: float,
+    expiry_age_ms: float,
     timeout_ms: float,
 ) -> Answer:
-    """Reserves memory for one part of a gang's prompt."""
+    """Reserves memory for one segment of a gang's prompt."""
     document = {
         "reservation": reservation,
         "owner": owner,
         "tokens": held_tokens,
-        "lapse_ms": lapse_ms,
+        "lapse_ms": expiry_age_ms,
     }
     return await _post(env, target, "/v1/reserve", document, timeout_ms)
 
@@ -73,10 +73,10 @@
     target: targets.Target,
     reservation: str,
     segment: gangs.Segment,
-    kv_parts: Sequence[generations.KvPart],
+    kv_parts: Sequence[generation_request.KvPart],
     timeout_ms: float,
 ) -> Answer:
-    """Has an engine prefill one part, importing the KV cache before it."""
+    """Prefills one segment after importing the KV cache of those before it."""
     document = {
         "reservation": reservation,
         "first_token": segment.first_token,
@@ -92,11 +92,11 @@
 async def order(
     env: environment.Environment,
     target: targets.Target,
-    wanted: orders.Order,
+    new_order: orders.Order,
     timeout_ms: float,
 ) -> Answer:
-    """Gives an engine an order; the engine judges the fence."""
-    document = dataclasses.asdict(wanted)
+    """Sends an engine an order; the engine checks the fencing token."""
+    document = dataclasses.asdict(new_order)
     return await _post(env, target, "/v1/orders", document, timeout_ms)
 
 
--- a/src/ruddergate/adapters/engines/load.py
+++ b/src/ruddergate/adapters/engines/load.py
@@ -1,10 +1,11 @@
 """Load reports, cache events and held memory, as engines publish them.
 
-    GET /v1/load?after=N   load and cache events behind the N-th
-      ...&held=1           with the memory held
+    GET /v1/load?after=N   load, and the cache events after the N-th
+      ...&held=1           also the items held in memory
     x-engine-load          generation;running;waiting;held;draining;age_ms
 
-Every answer to a generation carries the header, so that load rides on work.
+Every response to a generation request carries the header, so that load reports
+are piggybacked on regular traffic.
 """
 
 from collections.abc import Mapping
@@ -25,14 +26,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Account:
-    """All that one poll of an engine brings.
+class PollResult:
+    """Response of an engine or plain service to a poll.
 
     Attributes:
         report: Its load.
-        events: Changes in its prefix cache since the last poll.
-        held: Streams, reservations and exports in its memory, if asked for.
-        loaded: Model, version, adapters and role that it has.
+        events: Changes of its prefix cache since the last poll.
+        held: Streams, reservations and exports in its memory, if requested.
+        loaded: The model, version, adapters and role that it has loaded.
     """
 
     report: load_report.LoadReport
@@ -41,14 +42,22 @@
     loaded: orders.LoadedState
 
 
-async def fetch_account(
+async def poll_target(
     env: environment.Environment,
     target: targets.Target,
     after_event: int,
     with_held: bool,
     timeout_ms: float,
-) -> Account | client.Fault:
-    """Polls an engine or a plain service for its load."""
+) -> PollResult | client.Fault:
+    """Polls an engine or a plain service for its load.
+
+    Args:
+        env: Clock and streams.
+        target: The engine or service.
+        after_event: Number of the last cache event received, or -1.
+        with_held: Whether to request the items held in memory.
+        timeout_ms: Longest wait for the response.
+    """
     query = f"after={after_event}" + ("&held=1" if with_held else "")
     request = client.make_json_request("GET", f"/v1/load?{query}")
     answer = await client.fetch(env, target.address, request, timeout_ms)
@@ -56,11 +65,11 @@
         return answer
     document = answer.json()
     if answer.status != _OK or not isinstance(document, Mapping):
-        return client.Fault(True, False, f"status {answer.status}")
-    return _parse_account(target.target_id, document)
+        return client.Fault(True, False, f"unexpected status {answer.status}")
+    return _parse_poll_result(target.target_id, document)
 
 
-def _parse_account(target_id: str, document: object) -> Account:
+def _parse_poll_result(target_id: str, document: object) -> PollResult:
     generation = _private.get(document, "generation", str, "")
     report = load_report.LoadReport(
         target_id=target_id,
@@ -73,7 +82,7 @@
     )
     events = _private.get(document, "events", list, [])
     held = _private.get(document, "held", list, [])
-    return Account(
+    return PollResult(
         report,
         tuple(_parse_event(target_id, row) for row in events),
         tuple(_parse_held(row) for row in held),
@@ -115,7 +124,10 @@
 def parse_header(
     target_id: str, headers: Mapping[str, str]
 ) -> load_report.LoadReport | None:
-    """Returns the load that came with an answer, or None."""
+    """Returns the load report in a response's headers, or None.
+
+    A malformed header counts as none.
+    """
     fields = headers.get(HEADER, "").split(";")
     if len(fields) != _FIELDS or not all(x.isdigit() for x in fields[1:]):
         return None
--- a/src/ruddergate/adapters/engines/stream.py
+++ b/src/ruddergate/adapters/engines/stream.py
@@ -1,11 +1,12 @@
-"""An engine's stream of tokens, checked piece by piece.
+"""An engine's stream of tokens, with a check of every event.
 
     POST /v1/generate            starts a stream
-    GET  /v1/streams/ID?after=N  resumes it behind the N-th token
+    GET  /v1/streams/ID?after=N  resumes it after the N-th token
 
-The answer is server-sent events. Each names its stream and the position of
-its first token, so that late, doubled, reordered and foreign pieces show; the
-last tells the number of tokens, so that a truncated answer shows.
+The response is a sequence of server-sent events. Each event carries the ID of
+its stream and the position of its first token, which reveals late, duplicate,
+reordered and misrouted events. The last event carries the number of tokens,
+which reveals a truncated answer.
 """
 
 import asyncio
@@ -17,9 +18,9 @@
 from ruddergate import environment
 from ruddergate import outcomes
 from ruddergate.adapters import _private
-from ruddergate.adapters.engines import generation as generations
+from ruddergate.adapters.engines import generation_request
 from ruddergate.adapters.engines import load
-from ruddergate.adapters.engines import part
+from ruddergate.adapters.engines import stream_event
 from ruddergate.fleet import load_report
 from ruddergate.fleet import target as targets
 from ruddergate.http import client
@@ -31,12 +32,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Patience:
+class EngineTimeouts:
     """How long to wait for an engine.
 
     Attributes:
-        connect_ms: For a connection.
-        silence_ms: Between two signs of life.
+        connect_ms: Longest wait for a connection.
+        silence_ms: Longest wait for the next data, a token or a keepalive.
     """
 
     connect_ms: float = 1_000.0
@@ -47,7 +48,7 @@
     """One engine's stream; owned by the task of one attempt.
 
     Attributes:
-        report: Load that the engine told with its answer, if it did.
+        report: Load report in the engine's response headers, or None.
         position: Position of the next token.
     """
 
@@ -66,33 +67,34 @@
         self._silence_ms = silence_ms
         self._buffer = b""
 
-    async def next_part(
-        self, left_ms: Callable[[], float]
-    ) -> part.Tokens | part.End | outcomes.NotServed:
-        """Returns what comes next, or why nothing does.
+    async def next_event(
+        self, get_remaining_ms: Callable[[], float]
+    ) -> stream_event.Tokens | stream_event.End | outcomes.NotServed:
+        """Returns the next tokens, the end, or why the stream failed.
 
         Args:
-            left_ms: What is left of the time limit; asked before each wait,
-                since signs of life come and go without any token.
+            get_remaining_ms: Returns the remaining time limit. It is called
+                before each wait, since keepalives may arrive without tokens.
         """
         texts: list[str] = []
         first = self.position
         while True:
-            found = self._take_buffered(texts)
+            found = self._parse_buffered(texts)
             if found is not None:
-                if texts and isinstance(found, part.End):
-                    # The end is told again by the next call.
+                if texts and isinstance(found, stream_event.End):
+                    # The tokens are returned first. The end goes back into the
+                    # buffer for the next call.
                     self._buffer = _encode_end(self._stream_id, found)
-                    return part.Tokens(first, tuple(texts))
+                    return stream_event.Tokens(first, tuple(texts))
                 return found
             if texts:
-                return part.Tokens(first, tuple(texts))
-            fault = await self._read_more(left_ms())
+                return stream_event.Tokens(first, tuple(texts))
+            fault = await self._read_more(get_remaining_ms())
             if fault is not None:
                 return fault
 
     def close(self) -> None:
-        """Closes the connection; the engine may go on holding the stream."""
+        """Closes the connection; the engine may still hold the stream."""
         self._exchange.close()
 
     async def _read_more(self, timeout_ms: float) -> outcomes.NotServed | None:
@@ -102,62 +104,72 @@
                 data = await self._exchange.read_chunk()
         except TimeoutError:
             if timeout_ms <= self._silence_ms:
-                return _lost(outcomes.Reason.TIME_LIMIT, "time is up")
-            return _lost(outcomes.Reason.TARGET_LOST, "the engine fell silent")
+                return _make_lost(
+                    outcomes.Reason.TIME_LIMIT, "the time limit is exceeded"
+                )
+            return _make_lost(
+                outcomes.Reason.TARGET_LOST,
+                "the engine sent no data for too long",
+            )
         if isinstance(data, client.Fault):
-            return _lost(outcomes.Reason.TARGET_LOST, data.detail)
+            return _make_lost(outcomes.Reason.TARGET_LOST, data.detail)
         if not data:
-            return _lost(outcomes.Reason.TARGET_LOST, "a truncated answer")
+            return _make_lost(
+                outcomes.Reason.TARGET_LOST, "the engine's stream was truncated"
+            )
         self._buffer += data
         return None
 
-    def _take_buffered(
+    def _parse_buffered(
         self, texts: list[str]
-    ) -> part.End | outcomes.NotServed | None:
-        """Adds buffered tokens to `texts`; returns an end or a fault."""
+    ) -> stream_event.End | outcomes.NotServed | None:
+        """Appends buffered tokens to `texts`; returns an end or a failure."""
         *events, self._buffer = self._buffer.split(_EVENT_END)
         for event in events:
             if event.startswith(b":"):
                 continue
-            found = self._take_event(event, texts)
+            found = self._parse_event(event, texts)
             if found is not None:
                 return found
         return None
 
-    def _take_event(
+    def _parse_event(
         self, event: bytes, texts: list[str]
-    ) -> part.End | outcomes.NotServed | None:
+    ) -> stream_event.End | outcomes.NotServed | None:
         try:
             document = orjson.loads(event.removeprefix(_DATA))
         except orjson.JSONDecodeError:
-            return _broke("an event that is not JSON")
+            return _make_protocol_error("an event is not valid JSON")
         if _private.get(document, "stream", str, "") != self._stream_id:
-            return _broke("an event of another stream")
+            return _make_protocol_error("an event belongs to another stream")
         end = _private.get(document, "end", str, "")
         if end:
             return self._check_end(end, document)
         first = _private.get(document, "first", int, -1)
         tokens = _private.get(document, "tokens", list, [])
         if first < 0 or not all(type(text) is str for text in tokens):
-            return _broke("a malformed event")
+            return _make_protocol_error("an event is malformed")
         if first > self.position:
-            return _broke("a gap in the tokens")
-        # What is behind the position has come before: late or doubled.
-        fresh = tokens[self.position - first :]
-        texts.extend(fresh)
-        self.position += len(fresh)
+            return _make_protocol_error("tokens are missing")
+        # Tokens before the position arrived earlier; this event is late or a
+        # duplicate.
+        new_tokens = tokens[self.position - first :]
+        texts.extend(new_tokens)
+        self.position += len(new_tokens)
         return None
 
     def _check_end(
         self, end: str, document: object
-    ) -> part.End | outcomes.NotServed:
+    ) -> stream_event.End | outcomes.NotServed:
         count = _private.get(document, "count", int, -1)
         if count != self.position:
-            return _broke(f"an end at {self.position} of {count} tokens")
-        return part.End(end, count)
+            return _make_protocol_error(
+                f"the stream ended after {self.position} of {count} tokens"
+            )
+        return stream_event.End(end, count)
 
 
-def _encode_end(stream_id: str, end: part.End) -> bytes:
+def _encode_end(stream_id: str, end: stream_event.End) -> bytes:
     document = {
         "stream": stream_id,
         "end": end.finish_reason,
@@ -166,11 +178,11 @@
     return _DATA + orjson.dumps(document) + _EVENT_END
 
 
-def _lost(reason: outcomes.Reason, detail: str) -> outcomes.NotServed:
+def _make_lost(reason: outcomes.Reason, detail: str) -> outcomes.NotServed:
     return outcomes.NotServed(reason, outcomes.Ran.UNKNOWN, detail)
 
 
-def _broke(detail: str) -> outcomes.NotServed:
+def _make_protocol_error(detail: str) -> outcomes.NotServed:
     return outcomes.NotServed(
         outcomes.Reason.TARGET_BROKE_PROTOCOL, outcomes.Ran.RAN, detail
     )
@@ -179,25 +191,25 @@
 async def generate(
     env: environment.Environment,
     target: targets.Target,
-    wanted: generations.Generation,
-    patience: Patience,
+    generation: generation_request.GenerationRequest,
+    timeouts: EngineTimeouts,
     timeout_ms: float,
 ) -> Stream | outcomes.NotServed:
-    """Starts a stream; an outcome of `not_run` is certain."""
+    """Starts a stream; an outcome with `not_run` guarantees it did not run."""
     request = client.make_json_request(
-        "POST", "/v1/generate", _make_document(wanted)
+        "POST", "/v1/generate", _make_document(generation)
     )
-    if wanted.traceparent:
-        headers = {**request.headers, "traceparent": wanted.traceparent}
+    if generation.traceparent:
+        headers = {**request.headers, "traceparent": generation.traceparent}
         request = dataclasses.replace(request, headers=headers)
-    position = len(wanted.delivered)
+    position = len(generation.delivered)
     return await _open(
         env,
         target,
         request,
-        wanted.stream_id,
+        generation.stream_id,
         position,
-        patience,
+        timeouts,
         timeout_ms,
     )
 
@@ -207,15 +219,24 @@
     target: targets.Target,
     stream_id: str,
     after: int,
-    patience: Patience,
+    timeouts: EngineTimeouts,
     timeout_ms: float,
 ) -> Stream | outcomes.NotServed:
-    """Takes up a stream that the engine still holds."""
+    """Resumes a stream that the engine still holds.
+
+    Args:
+        env: Clock and streams.
+        target: The engine.
+        stream_id: ID of the stream.
+        after: Number of tokens received so far.
+        timeouts: How long to wait for the engine.
+        timeout_ms: Remaining time limit.
+    """
     request = client.make_json_request(
         "GET", f"/v1/streams/{stream_id}?after={after}"
     )
     return await _open(
-        env, target, request, stream_id, after, patience, timeout_ms
+        env, target, request, stream_id, after, timeouts, timeout_ms
     )
 
 
@@ -225,10 +246,10 @@
     request: message.OutgoingRequest,
     stream_id: str,
     position: int,
-    patience: Patience,
+    timeouts: EngineTimeouts,
     timeout_ms: float,
 ) -> Stream | outcomes.NotServed:
-    connect_ms = min(patience.connect_ms, timeout_ms)
+    connect_ms = min(timeouts.connect_ms, timeout_ms)
     exchange = await client.start(env, target.address, request, connect_ms)
     if isinstance(exchange, client.Fault):
         ran = outcomes.Ran.UNKNOWN if exchange.sent else outcomes.Ran.NOT_RUN
@@ -236,7 +257,7 @@
             outcomes.Reason.TARGET_LOST, ran, exchange.detail
         )
     try:
-        head_ms = min(patience.silence_ms, timeout_ms)
+        head_ms = min(timeouts.silence_ms, timeout_ms)
         async with asyncio.timeout(head_ms / 1000.0):
             fault = await exchange.read_head()
             if fault is None and exchange.status != _OK:
@@ -244,21 +265,21 @@
                 exchange.close()
                 return refusal
     except TimeoutError:
-        fault = client.Fault(True, True, "no answer from the engine")
+        fault = client.Fault(True, True, "the engine did not respond in time")
     except asyncio.CancelledError:
         exchange.close()
         raise
     if fault is not None:
         exchange.close()
-        return _lost(outcomes.Reason.TARGET_LOST, fault.detail)
+        return _make_lost(outcomes.Reason.TARGET_LOST, fault.detail)
     report = load.parse_header(target.target_id, exchange.headers)
-    return Stream(exchange, stream_id, position, report, patience.silence_ms)
+    return Stream(exchange, stream_id, position, report, timeouts.silence_ms)
 
 
 async def _read_refusal(exchange: client.Exchange) -> outcomes.NotServed:
     body = await exchange.read_all()
     if isinstance(body, client.Fault):
-        return _lost(outcomes.Reason.TARGET_LOST, body.detail)
+        return _make_lost(outcomes.Reason.TARGET_LOST, body.detail)
     answer = client.CompleteResponse(exchange.status, exchange.headers, body)
     document = answer.json()
     started = _private.get(document, "started", bool, True)
@@ -269,25 +290,27 @@
     )
 
 
-def _make_document(wanted: generations.Generation) -> dict[str, object]:
-    prefix = wanted.prefix
+def _make_document(
+    generation: generation_request.GenerationRequest,
+) -> dict[str, object]:
+    prefix = generation.prefix
     return {
-        "stream": wanted.stream_id,
-        "owner": wanted.owner,
-        "request": wanted.request_id,
-        "prompt": wanted.prompt,
-        "prompt_tokens": wanted.prompt_tokens,
-        "first_token": wanted.first_token,
-        "output_tokens_max": wanted.output_tokens_max,
-        "delivered": wanted.delivered,
-        "priority": wanted.priority,
+        "stream": generation.stream_id,
+        "owner": generation.owner,
+        "request": generation.request_id,
+        "prompt": generation.prompt,
+        "prompt_tokens": generation.prompt_tokens,
+        "first_token": generation.first_token,
+        "output_tokens_max": generation.output_tokens_max,
+        "delivered": generation.delivered,
+        "priority": generation.priority,
         "prefix": prefix.name if prefix else "",
         "prefix_tokens": prefix.tokens if prefix else 0,
-        "lapse_ms": wanted.lapse_ms,
-        "key": wanted.key,
-        "reservation": wanted.reservation,
+        "lapse_ms": generation.expiry_age_ms,
+        "key": generation.key,
+        "reservation": generation.reservation,
         "kv_parts": [
             {"engine": each.address, "reservation": each.reservation}
-            for each in wanted.kv_parts
+            for each in generation.kv_parts
         ],
     }
--- a/src/ruddergate/adapters/services/call.py
+++ b/src/ruddergate/adapters/services/call.py
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceAnswer:
-    """A service's whole answer, to be passed on as it is.
+    """A service's complete response, forwarded unchanged.
 
     Attributes:
         status: HTTP status.
-        content_type: Type of the body.
+        content_type: Content type of the body.
         body: The body.
     """
 
@@ -31,20 +31,20 @@
 async def call(
     env: environment.Environment,
     target: targets.Target,
-    wanted: requests.Request,
+    request: requests.Request,
     timeout_ms: float,
 ) -> ServiceAnswer | outcomes.NotServed:
-    """Calls a service; an outcome of `not_run` is certain."""
+    """Calls a service; an outcome with `not_run` guarantees it did not run."""
     headers = {
         "content-type": message.JSON_TYPE,
-        "x-request-id": wanted.request_id,
+        "x-request-id": request.request_id,
     }
-    if wanted.traceparent:
-        headers["traceparent"] = wanted.traceparent
-    if wanted.idempotency_key and wanted.workload.pool.checks_key:
-        headers["idempotency-key"] = wanted.idempotency_key
+    if request.traceparent:
+        headers["traceparent"] = request.traceparent
+    if request.idempotency_key and request.workload.pool.checks_key:
+        headers["idempotency-key"] = request.idempotency_key
     outgoing = message.OutgoingRequest(
-        "POST", wanted.service_path, headers, wanted.prompt.encode()
+        "POST", request.service_path, headers, request.prompt.encode()
     )
     answer = await client.fetch(env, target.address, outgoing, timeout_ms)
     if isinstance(answer, client.Fault):
@@ -64,5 +64,7 @@
     started = _private.get(answer.json(), "started", bool, True)
     ran = outcomes.Ran.UNKNOWN if started else outcomes.Ran.NOT_RUN
     return outcomes.NotServed(
-        outcomes.Reason.TARGET_REFUSED, ran, f"status {answer.status}"
+        outcomes.Reason.TARGET_REFUSED,
+        ran,
+        f"the service responded with status {answer.status}",
     )
--- a/src/ruddergate/agent/feed_server.py
+++ b/src/ruddergate/agent/feed_server.py
@@ -1,11 +1,11 @@
-"""The agent's side of the feed to its entry."""
+"""Server side of the feed from an agent to its entry."""
 
 import asyncio
 from collections.abc import Iterable
 
 from ruddergate import environment
+from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
-from ruddergate.agent import knowledge as knowledge_types
 from ruddergate.agent import settings_sync as settings_syncs
 from ruddergate.agent import share_task
 from ruddergate.decisions import subset
@@ -20,25 +20,26 @@
 from ruddergate.telemetry import logs
 from ruddergate.wire import frames
 
-_ROUND_MS = 250.0
-# With no change, the list's age is told this often.
-_VIEW_MS = 500.0
+# Longest time between two updates of the entry.
+_MAX_WAIT_MS = 250.0
+# Without a change, the list and its age are sent at this interval.
+_VIEW_INTERVAL_MS = 500.0
 
 
 class FeedServer:
-    """Feeds whatever entry is connected; it may come and go."""
+    """Feeds the connected entry, which may disconnect and reconnect."""
 
     def __init__(
         self,
         env: environment.Environment,
         config: configs.AgentConfig,
-        knowledge: knowledge_types.Knowledge,
+        state: agent_state.AgentState,
         settings_sync: settings_syncs.SettingsSync,
-        shares: share_task.Shares,
+        shares: share_task.ShareTask,
     ) -> None:
         self._env = env
         self._config = config
-        self._knowledge = knowledge
+        self._state = state
         self._settings_sync = settings_sync
         self._shares = shares
         self._log = logs.make_logger("feed")
@@ -48,23 +49,23 @@
     async def handle(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serves one entry until its stream ends."""
+        """Serves one entry until its connection closes."""
         stream = frames.FrameStream(reader, writer, self._config.peer_key)
         if await stream.greet() is not None:
             stream.close()
             return
-        feeding: asyncio.Future | None = None
+        feed_task: asyncio.Future | None = None
         try:
             hello = await stream.receive()
             if not isinstance(hello, entry_hello.EntryHello):
                 return
             self._streams.add(stream)
-            feeding = asyncio.ensure_future(self._feed(stream, hello))
+            feed_task = asyncio.ensure_future(self._feed(stream, hello))
             await self._receive(stream)
         finally:
             self._streams.discard(stream)
-            if feeding is not None:
-                feeding.cancel()
+            if feed_task is not None:
+                feed_task.cancel()
             stream.close()
 
     async def push_loads(
@@ -72,7 +73,7 @@
         reports: Iterable[load_report.LoadReport],
         events: Iterable[cache_event.CacheEvent],
     ) -> None:
-        """Passes news of targets on to the entry."""
+        """Sends new load reports and cache events of targets to the entry."""
         message = loads.Loads(tuple(reports), (), tuple(events))
         for stream in list(self._streams):
             await stream.send(message)
@@ -84,65 +85,73 @@
                 case frames.Closed():
                     return
                 case entry_load.EntryLoad():
-                    self._knowledge.own_dispatched = message.dispatched
-                    self._knowledge.is_stopping = message.stopping
-                    self._shares.take_demand(message.demand)
+                    self._state.own_dispatched = message.dispatched
+                    self._state.is_stopping = message.stopping
+                    self._shares.update_demand(message.demand)
                 case tree_parts.TreeParts():
-                    self._settings_sync.take_parts(message)
+                    self._settings_sync.consider_parts(message)
                 case _:
-                    self._log.warning("Unexpected message from the entry.")
+                    self._log.warning(
+                        "Ignoring an unexpected message from the entry."
+                    )
 
     async def _feed(
         self, stream: frames.FrameStream, hello: entry_hello.EntryHello
     ) -> None:
-        told_revision = hello.revision
-        told_digests: frozenset[str] = frozenset()
-        told_listing = listings.EMPTY
-        viewed_ms = float("-inf")
+        sent_revision = hello.revision
+        sent_digests: frozenset[str] = frozenset()
+        sent_listing = listings.EMPTY
+        view_sent_ms = float("-inf")
         while True:
-            in_force = self._knowledge.in_force
-            if in_force.manifest.revision > told_revision:
-                parts = make_parts(self._knowledge, told_digests)
+            in_force = self._state.in_force
+            if in_force.manifest.revision > sent_revision:
+                parts = make_tree_parts(self._state, sent_digests)
                 if await stream.send(parts) is not None:
                     return
-                told_revision = in_force.manifest.revision
-                told_digests = frozenset(in_force.shards)
-            listing = self._knowledge.listing
-            due = self._env.now_ms() - viewed_ms >= _VIEW_MS
-            if listing.vms and (due or listing != told_listing):
+                sent_revision = in_force.manifest.revision
+                sent_digests = frozenset(in_force.shards)
+            listing = self._state.listing
+            is_due = self._env.now_ms() - view_sent_ms >= _VIEW_INTERVAL_MS
+            if listing.vms and (is_due or listing != sent_listing):
                 await stream.send(self._make_view())
-                told_listing = listing
-                viewed_ms = self._env.now_ms()
+                sent_listing = listing
+                view_sent_ms = self._env.now_ms()
             await stream.send(self._shares.make_message())
-            peers = self._knowledge.peer_loads()
+            peers = self._state.peer_loads()
             if peers:
                 await stream.send(loads.Loads((), peers, ()))
-            await self._rest()
+            await self._wait_for_change()
 
-    async def _rest(self) -> None:
+    async def _wait_for_change(self) -> None:
         try:
-            async with asyncio.timeout(_ROUND_MS / 1000.0):
-                await self._knowledge.changed.wait()
+            async with asyncio.timeout(_MAX_WAIT_MS / 1000.0):
+                await self._state.changed.wait()
         except TimeoutError:
             return
-        # The gossip task clears the event; don't spin until it has.
-        await asyncio.sleep(_ROUND_MS / 10_000.0)
+        # Only the gossip task clears the event; the delay avoids a busy loop
+        # until it does.
+        await asyncio.sleep(_MAX_WAIT_MS / 10_000.0)
 
     def _make_view(self) -> fleet_view.FleetView:
-        listing = self._knowledge.listing
+        listing = self._state.listing
         chosen = subset.choose_all(self._config.vm_id, listing)
         return fleet_view.FleetView(
             listing=listings.Listing(listing.version, listing.vms, chosen),
-            age_ms=min(self._knowledge.listing_age_ms(), 1e12),
-            settled_ms=self._knowledge.settled_ms(),
+            age_ms=min(self._state.listing_age_ms(), 1e12),
+            settled_ms=self._state.settled_ms(),
         )
 
 
-def make_parts(
-    knowledge: knowledge_types.Knowledge, known_digests: Iterable[str]
+def make_tree_parts(
+    state: agent_state.AgentState, known_digests: Iterable[str]
 ) -> tree_parts.TreeParts:
-    """Returns the settings in force, less the shards that are known."""
-    in_force = knowledge.in_force
+    """Returns the settings in force, without the shards that are known.
+
+    Args:
+        state: The agent's state.
+        known_digests: Digests of the shards that the recipient has.
+    """
+    in_force = state.in_force
     known = set(known_digests)
     shards = {
         digest: data
--- a/src/ruddergate/agent/list_sync.py
+++ b/src/ruddergate/agent/list_sync.py
@@ -1,12 +1,12 @@
-"""Brings the list of VMs and targets in, from the platform or from peers."""
+"""Fetches the list of VMs and targets, from the platform or from peers."""
 
 import asyncio
 
 from ruddergate import environment
 from ruddergate.adapters.vm_list import client as vm_list
+from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
-from ruddergate.agent import knowledge as knowledge_types
-from ruddergate.agent import links as link_types
+from ruddergate.agent import peer_connections
 from ruddergate.fleet import vm as vms
 from ruddergate.messages import fleet_view
 from ruddergate.messages import listing_request
@@ -14,53 +14,57 @@
 
 
 class ListSync:
-    """The task that looks at the list for its hall."""
+    """Polls the platform's list if this agent is a watcher of its hall.
+
+    Other agents get the list by gossip. They poll only if they have none or if
+    it is too old.
+    """
 
     def __init__(
         self,
         env: environment.Environment,
         config: configs.AgentConfig,
-        knowledge: knowledge_types.Knowledge,
-        links: link_types.Links,
+        state: agent_state.AgentState,
+        connections: peer_connections.PeerConnections,
         metrics: metric_types.AgentMetrics,
     ) -> None:
         self._env = env
         self._config = config
-        self._knowledge = knowledge
-        self._links = links
+        self._state = state
+        self._peer_connections = connections
         self._metrics = metrics
 
     async def run(self) -> None:
-        """Looks again and again until cancelled."""
+        """Polls until cancelled."""
         while True:
-            if self._must_look():
-                await self.look()
+            if self._is_fetch_due():
+                await self.fetch()
             jitter = self._env.random.uniform(0.8, 1.2)
             await asyncio.sleep(self._config.list_poll_ms * jitter / 1000.0)
 
-    async def look(self) -> None:
-        """Looks at the platform's list once."""
+    async def fetch(self) -> None:
+        """Fetches the platform's list once."""
         self._metrics.platform_calls.inc({"service": "list"})
         began_ms = self._env.now_ms()
-        answer = await vm_list.fetch_listing(
+        response = await vm_list.fetch_listing(
             self._env,
             self._config.vm_list,
             self._config.platform_timeout_ms,
         )
-        if not isinstance(answer, vm_list.Unavailable):
+        if not isinstance(response, vm_list.Unavailable):
             age_ms = self._env.now_ms() - began_ms
-            self._knowledge.take_listing(answer, age_ms)
+            self._state.merge_listing(response, age_ms)
 
     async def fetch_from_peer(self, peer: vms.Vm) -> None:
-        """Takes a peer's list if it is newer."""
-        wanted = listing_request.ListingRequest(self._knowledge.listing.version)
-        answer = await self._links.ask(peer, wanted)
-        if isinstance(answer, fleet_view.FleetView):
-            self._knowledge.take_listing(answer.listing, answer.age_ms)
+        """Fetches a peer's list and adopts it if it is newer."""
+        request = listing_request.ListingRequest(self._state.listing.version)
+        response = await self._peer_connections.request(peer, request)
+        if isinstance(response, fleet_view.FleetView):
+            self._state.merge_listing(response.listing, response.age_ms)
 
-    def _must_look(self) -> bool:
-        if not self._knowledge.listing.vms:
+    def _is_fetch_due(self) -> bool:
+        if not self._state.listing.vms:
             return True
-        if self._knowledge.is_watcher("list"):
+        if self._state.is_watcher("list"):
             return True
-        return self._knowledge.listing_age_ms() > self._config.late_ms
+        return self._state.listing_age_ms() > self._config.watcher_timeout_ms
--- a/src/ruddergate/agent/peer_server.py
+++ b/src/ruddergate/agent/peer_server.py
@@ -1,11 +1,11 @@
-"""Answers other agents."""
+"""Server for requests of other agents."""
 
 import asyncio
 
+from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
 from ruddergate.agent import feed_server
 from ruddergate.agent import gossip_task
-from ruddergate.agent import knowledge as knowledge_types
 from ruddergate.agent import share_task
 from ruddergate.messages import fleet_view
 from ruddergate.messages import gossip
@@ -18,22 +18,22 @@
 
 
 class PeerServer:
-    """Serves streams from other agents, one answer a question.
+    """Serves connections from other agents, with one reply per request.
 
     Attributes:
-        total_bytes: Bytes exchanged on streams that peers opened.
+        total_bytes: Bytes exchanged on connections that peers opened.
     """
 
     def __init__(
         self,
         config: configs.AgentConfig,
-        knowledge: knowledge_types.Knowledge,
-        gossip_: gossip_task.Gossip,
-        shares: share_task.Shares,
+        state: agent_state.AgentState,
+        gossip_: gossip_task.GossipTask,
+        shares: share_task.ShareTask,
     ) -> None:
         self.total_bytes = 0
         self._config = config
-        self._knowledge = knowledge
+        self._state = state
         self._gossip = gossip_
         self._shares = shares
         self._log = logs.make_logger("peers")
@@ -41,42 +41,47 @@
     async def handle(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serves one peer until its stream ends."""
+        """Serves one peer until its connection closes."""
         stream = frames.FrameStream(reader, writer, self._config.peer_key)
         try:
             if await stream.greet() is not None:
                 return
             while True:
-                counted = stream.sent_bytes + stream.received_bytes
-                asked = await stream.receive()
-                if isinstance(asked, frames.Closed):
-                    if asked.detail:
-                        self._log.warning("Peer refused: {}.", asked.detail)
+                bytes_before = stream.sent_bytes + stream.received_bytes
+                request = await stream.receive()
+                if isinstance(request, frames.Closed):
+                    if request.detail:
+                        self._log.warning(
+                            "Closing the connection of a peer: {}.",
+                            request.detail,
+                        )
                     return
-                answer = self._answer(asked)
-                if answer is None:
+                reply = self._handle(request)
+                if reply is None:
                     return
-                await stream.send(answer)
-                total = stream.sent_bytes + stream.received_bytes
-                self.total_bytes += total - counted
+                await stream.send(reply)
+                bytes_after = stream.sent_bytes + stream.received_bytes
+                self.total_bytes += bytes_after - bytes_before
         finally:
             stream.close()
 
-    def _answer(self, asked: codec.Message) -> codec.Message | None:
-        match asked:
+    def _handle(self, request: codec.Message) -> codec.Message | None:
+        match request:
             case gossip.Gossip():
-                self._gossip.take_digest(asked)
+                self._gossip.receive_digest(request)
                 return self._gossip.make_digest()
             case tree_request.TreeRequest():
-                return feed_server.make_parts(self._knowledge, asked.digests)
+                return feed_server.make_tree_parts(self._state, request.digests)
             case listing_request.ListingRequest():
                 return fleet_view.FleetView(
-                    self._knowledge.listing,
-                    min(self._knowledge.listing_age_ms(), 1e12),
-                    self._knowledge.settled_ms(),
+                    self._state.listing,
+                    min(self._state.listing_age_ms(), 1e12),
+                    self._state.settled_ms(),
                 )
             case quota_loan.QuotaLoanRequest():
-                return self._shares.answer(asked)
+                return self._shares.handle_loan_request(request)
             case _:
-                self._log.warning("Unexpected message from a peer.")
+                self._log.warning(
+                    "Closing the connection of a peer: unexpected message."
+                )
                 return None
--- a/src/ruddergate/agent/program.py
+++ b/src/ruddergate/agent/program.py
@@ -1,16 +1,16 @@
-"""Wires one agent together and runs it."""
+"""Assembles one agent and runs it."""
 
 import asyncio
 
 from ruddergate import _private
 from ruddergate import environment
+from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
 from ruddergate.agent import feed_server
 from ruddergate.agent import gossip_task
-from ruddergate.agent import knowledge as knowledge_types
-from ruddergate.agent import links as link_types
 from ruddergate.agent import list_sync
 from ruddergate.agent import order_task
+from ruddergate.agent import peer_connections
 from ruddergate.agent import peer_server
 from ruddergate.agent import settings_sync
 from ruddergate.agent import share_task
@@ -27,7 +27,7 @@
     """One agent process.
 
     Attributes:
-        knowledge: What it knows.
+        state: State that its tasks share.
         metrics: Its metrics.
     """
 
@@ -38,31 +38,35 @@
         self._config = config
         self._log = logs.make_logger("agent")
         self.metrics = metric_types.AgentMetrics()
-        self.knowledge = knowledge_types.Knowledge(env, config)
-        self._links = link_types.Links(env, config.peer_key)
-        parts = (env, config, self.knowledge)
+        self.state = agent_state.AgentState(env, config)
+        self._peer_connections = peer_connections.PeerConnections(
+            env, config.peer_key
+        )
+        common = (env, config, self.state)
         self._settings = settings_sync.SettingsSync(
-            *parts, self._links, self.metrics
+            *common, self._peer_connections, self.metrics
+        )
+        self._list = list_sync.ListSync(
+            *common, self._peer_connections, self.metrics
         )
-        self._list = list_sync.ListSync(*parts, self._links, self.metrics)
-        self._gossip = gossip_task.Gossip(
-            *parts, self._links, self._settings, self._list
+        self._gossip = gossip_task.GossipTask(
+            *common, self._peer_connections, self._settings, self._list
         )
-        self._shares = share_task.Shares(*parts, self._links)
+        self._shares = share_task.ShareTask(*common, self._peer_connections)
         self._feed = feed_server.FeedServer(
-            *parts, self._settings, self._shares
+            *common, self._settings, self._shares
         )
-        self._orders = order_task.Orders(*parts, self.metrics)
-        self._targets = target_task.Targets(
-            *parts, self._feed, self._orders, self.metrics
+        self._orders = order_task.OrderTask(*common, self.metrics)
+        self._targets = target_task.TargetPoller(
+            *common, self._feed, self._orders, self.metrics
         )
         self._peers = peer_server.PeerServer(
-            config, self.knowledge, self._gossip, self._shares
+            config, self.state, self._gossip, self._shares
         )
 
     def peer_bytes(self) -> int:
-        """Returns all bytes exchanged with other agents so far."""
-        return self._links.total_bytes() + self._peers.total_bytes
+        """Returns the total bytes exchanged with other agents."""
+        return self._peer_connections.total_bytes() + self._peers.total_bytes
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serves until `stop` is set."""
@@ -72,35 +76,37 @@
         peers = await self._env.serve(
             self._peers.handle, self._config.peer_listen
         )
-        pages = await self._serve_pages()
-        self._log.info("Feeding the entry at {}.", self._config.feed_listen)
-        tasks = [asyncio.ensure_future(self._begin())]
+        status_servers = await self._serve_status()
+        self._log.info(
+            "Serving the entry's feed at {}.", self._config.feed_listen
+        )
+        tasks = [asyncio.ensure_future(self._run_tasks())]
         try:
             await _private.wait_while_running(stop.wait(), tasks)
         finally:
             for task in tasks:
                 task.cancel()
-            self._links.close()
-            for page_server in pages:
-                page_server.close()
+            self._peer_connections.close()
+            for status_server in status_servers:
+                status_server.close()
             peers.close()
             feed.close()
-        self._log.info("Agent ends.")
+        self._log.info("Agent stopped.")
 
-    async def _serve_pages(self) -> list[asyncio.Server]:
-        """Serves the operators' pages, if an address is set."""
+    async def _serve_status(self) -> list[asyncio.Server]:
+        """Serves the status and metrics pages if an address is configured."""
         if self._config.status_listen is None:
             return []
-        handle = status.make_status_handler(self.knowledge, self.metrics)
+        handle = status.make_status_handler(self.state, self.metrics)
         handler = http_server.make_stream_handler(handle, http_server.Limits())
         return [await self._env.serve(handler, self._config.status_listen)]
 
-    async def _begin(self) -> None:
-        """Looks for the list first, since it names the peers to ask."""
-        await self._list.look()
-        while not self.knowledge.listing.vms:
+    async def _run_tasks(self) -> None:
+        """Fetches the list, which names the peers, and then runs all tasks."""
+        await self._list.fetch()
+        while not self.state.listing.vms:
             await asyncio.sleep(_LIST_RETRY_MS / 1000.0)
-            await self._list.look()
+            await self._list.fetch()
         await asyncio.gather(
             self._list.run(),
             self._gossip.run(),
--- a/src/ruddergate/agent/share_task.py
+++ b/src/ruddergate/agent/share_task.py
@@ -1,12 +1,12 @@
-"""Divides fleet-wide limits: this VM's part, and lending."""
+"""Divides fleet-wide limits: this VM's shares, and loans between VMs."""
 
 import asyncio
 from collections.abc import Iterator
 
 from ruddergate import environment
+from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
-from ruddergate.agent import knowledge as knowledge_types
-from ruddergate.agent import links as link_types
+from ruddergate.agent import peer_connections
 from ruddergate.decisions import shares as decisions
 from ruddergate.fleet import vm as vms
 from ruddergate.messages import entry_load
@@ -14,130 +14,138 @@
 from ruddergate.messages import shares as messages
 from ruddergate.settings import kind as kinds
 
-_ROUND_MS = 500.0
-_PEERS_ASKED = 2
-# A VM borrows when its demand takes more than this much of its part.
-_BORROW_ABOVE = 0.9
-_LEAST_LOAN = 0.005
+_INTERVAL_MS = 500.0
+_MAX_LENDERS = 2
+# A VM borrows when its demand exceeds this fraction of its share.
+_BORROW_THRESHOLD = 0.9
+_MIN_LOAN = 0.005
 
 
-class Shares:
-    """The task that works out this VM's parts and borrows for its demand.
+class ShareTask:
+    """Calculates this VM's shares, and borrows quota to match its demand.
 
     Attributes:
-        demand: Recent demand of the entry, as parts of the limits.
+        demand: Recent demand of the entry by workspace, as a fraction of the
+            fleet-wide limit.
     """
 
     def __init__(
         self,
         env: environment.Environment,
         config: configs.AgentConfig,
-        knowledge: knowledge_types.Knowledge,
-        links: link_types.Links,
+        state: agent_state.AgentState,
+        connections: peer_connections.PeerConnections,
     ) -> None:
         self.demand: dict[str, float] = {}
         self._env = env
         self._config = config
-        self._knowledge = knowledge
-        self._links = links
-        self._book = decisions.LoanBook()
+        self._state = state
+        self._peer_connections = connections
+        self._loans = decisions.LoanBook()
 
     async def run(self) -> None:
-        """Borrows where demand is above the part, until cancelled."""
+        """Borrows for workspaces whose demand exceeds the share.
+
+        Runs until cancelled.
+        """
         while True:
-            for workspace, wanted in sorted(self.demand.items()):
-                await self._borrow(workspace, wanted)
-            await asyncio.sleep(_ROUND_MS / 1000.0)
+            for workspace, demand in sorted(self.demand.items()):
+                await self._borrow(workspace, demand)
+            await asyncio.sleep(_INTERVAL_MS / 1000.0)
 
-    def take_demand(self, rows: tuple[entry_load.Demand, ...]) -> None:
-        """Takes in the entry's demand."""
+    def update_demand(self, rows: tuple[entry_load.Demand, ...]) -> None:
+        """Replaces the entry's demand."""
         self.demand = {row.workspace: row.fraction for row in rows}
 
     def make_message(self) -> messages.Shares:
-        """Returns this VM's parts, for its entry."""
+        """Returns this VM's shares, for its entry."""
         now_ms = self._env.now_ms()
         rows = []
-        for workspace in sorted(set(self._special(now_ms))):
-            fraction = self._fraction(workspace, now_ms)
-            until_ms = self._book.find_next_expiry_ms(workspace, now_ms)
+        for workspace in sorted(set(self._list_special_workspaces(now_ms))):
+            fraction = self._current_fraction(workspace, now_ms)
+            until_ms = self._loans.find_next_expiry_ms(workspace, now_ms)
             valid_ms = min(until_ms - now_ms, decisions.LOAN_VALID_MS)
             rows.append(messages.Share(workspace, fraction, valid_ms))
-        return messages.Shares(self._base(""), tuple(rows))
+        return messages.Shares(self._base_fraction(""), tuple(rows))
 
-    def answer(
-        self, wanted: quota_loan.QuotaLoanRequest
+    def handle_loan_request(
+        self, request: quota_loan.QuotaLoanRequest
     ) -> quota_loan.QuotaLoanReply:
-        """Lends what this VM does not need; its own part shrinks at once."""
+        """Lends quota that this VM does not need.
+
+        Its own share shrinks before the reply is sent.
+        """
         now_ms = self._env.now_ms()
-        fraction = self._book.lend(
-            wanted.workspace,
-            self._base(wanted.workspace),
-            self.demand.get(wanted.workspace, 0.0),
-            wanted.fraction,
-            min(wanted.valid_ms, decisions.LOAN_VALID_MS),
+        fraction = self._loans.lend(
+            request.workspace,
+            self._base_fraction(request.workspace),
+            self.demand.get(request.workspace, 0.0),
+            request.fraction,
+            min(request.valid_ms, decisions.LOAN_VALID_MS),
             now_ms,
         )
-        return quota_loan.QuotaLoanReply(wanted.workspace, fraction)
+        return quota_loan.QuotaLoanReply(request.workspace, fraction)
 
-    async def _borrow(self, workspace: str, wanted: float) -> None:
+    async def _borrow(self, workspace: str, demand: float) -> None:
         now_ms = self._env.now_ms()
-        own = self._fraction(workspace, now_ms)
-        if wanted <= own * _BORROW_ABOVE:
+        own_fraction = self._current_fraction(workspace, now_ms)
+        if demand <= own_fraction * _BORROW_THRESHOLD:
             return
-        missing = wanted / _BORROW_ABOVE - own
-        peers = self._knowledge.peers(own_hall=True)
-        count = min(len(peers), _PEERS_ASKED)
+        needed = demand / _BORROW_THRESHOLD - own_fraction
+        peers = self._state.peers(own_hall=True)
+        count = min(len(peers), _MAX_LENDERS)
         for peer in self._env.random.sample(peers, count):
-            if missing < _LEAST_LOAN:
+            if needed < _MIN_LOAN:
                 return
-            missing -= await self._borrow_from(peer, workspace, missing)
+            needed -= await self._borrow_from(peer, workspace, needed)
 
     async def _borrow_from(
         self,
         peer: vms.Vm,
         workspace: str,
-        missing: float,
+        needed: float,
     ) -> float:
-        asked_ms = self._env.now_ms()
+        requested_ms = self._env.now_ms()
         valid_ms = decisions.LOAN_VALID_MS
-        wanted = quota_loan.QuotaLoanRequest(
-            self._config.vm_id, workspace, missing, valid_ms
+        request = quota_loan.QuotaLoanRequest(
+            self._config.vm_id, workspace, needed, valid_ms
         )
-        answer = await self._links.ask(peer, wanted)
+        reply = await self._peer_connections.request(peer, request)
         if (
-            not isinstance(answer, quota_loan.QuotaLoanReply)
-            or answer.workspace != workspace
+            not isinstance(reply, quota_loan.QuotaLoanReply)
+            or reply.workspace != workspace
         ):
             return 0.0
-        self._book.borrow(workspace, answer.fraction, asked_ms, valid_ms)
-        return answer.fraction
+        self._loans.borrow(workspace, reply.fraction, requested_ms, valid_ms)
+        return reply.fraction
 
-    def _fraction(self, workspace: str, now_ms: float) -> float:
-        return self._book.find_fraction(
-            workspace, self._base(workspace), now_ms
+    def _current_fraction(self, workspace: str, now_ms: float) -> float:
+        return self._loans.find_fraction(
+            workspace, self._base_fraction(workspace), now_ms
         )
 
-    def _base(self, workspace: str) -> float:
-        """Returns this VM's base part of a workspace's limits."""
+    def _base_fraction(self, workspace: str) -> float:
+        """Returns this VM's base share of a workspace's limits."""
         hall = self._config.hall
-        listed = {
-            vm.vm_id for vm in self._knowledge.listing.vms if vm.hall == hall
-        }
+        listed = {vm.vm_id for vm in self._state.listing.vms if vm.hall == hall}
         in_hall = decisions.base_fraction(
             listed,
-            self._knowledge.members.list_known(),
-            self._knowledge.answered,
+            self._state.members.list_known(),
+            self._state.answered_peers,
             self._config.vm_id,
         )
-        branch = self._knowledge.in_force.tree.branches.get(workspace)
+        branch = self._state.in_force.tree.branches.get(workspace)
         percent = branch.hall_percent if branch is not None else {}
-        halls = self._knowledge.seen_halls
+        halls = self._state.seen_halls
         return in_hall * decisions.hall_fraction(hall, percent, halls)
 
-    def _special(self, now_ms: float) -> Iterator[str]:
-        """Yields the workspaces whose part is not the base."""
-        yield from self._book.list_open_loans(now_ms)
-        tree = self._knowledge.in_force.tree
+    def _list_special_workspaces(self, now_ms: float) -> Iterator[str]:
+        """Yields the workspaces whose share may differ from the default.
+
+        A workspace may be yielded twice.
+        """
+        yield from self._loans.list_open_loans(now_ms)
+        tree = self._state.in_force.tree
         for branch in tree.of_kind(kinds.Kind.WORKSPACE):
             if branch.hall_percent:
                 yield branch.name
--- a/src/ruddergate/cli/_replay.py
+++ b/src/ruddergate/cli/_replay.py
@@ -16,13 +16,18 @@
 
 
 def read_keys(path: pathlib.Path | None) -> Mapping[str, str]:
-    """Returns the key of each workspace; raises ValueError or OSError."""
+    """Returns the key of each workspace; an empty mapping without a file.
+
+    Raises:
+        ValueError: The file is malformed.
+        OSError: The file can't be read.
+    """
     if path is None:
         return {}
-    named = orjson.loads(path.read_bytes())
-    if not isinstance(named, dict):
-        raise ValueError(f"{path}: expected an object of keys by workspace")
-    return named
+    keys_by_workspace = orjson.loads(path.read_bytes())
+    if not isinstance(keys_by_workspace, dict):
+        raise ValueError(f"{path}: expected a JSON object of keys by workspace")
+    return keys_by_workspace
 
 
 async def run(
@@ -32,21 +37,19 @@
     out: pathlib.Path,
     speed: float,
 ) -> str:
-    """Sends the requests, writes the outcomes, returns a table."""
+    """Sends the requests and writes the outcomes; returns a table of them."""
     env = environment.make_system_environment()
     began_ms = env.now_ms()
-    sending = []
+    tasks = []
     requests = [x for x in lines if isinstance(x, trace.TracedRequest)]
     for number, request in enumerate(requests):
         wait_ms = began_ms + request.at_ms / speed - env.now_ms()
         await asyncio.sleep(max(0.0, wait_ms) / 1000.0)
         address = addresses[number % len(addresses)]
-        sending.append(
-            asyncio.ensure_future(_send(env, address, request, keys))
-        )
-    found = await asyncio.gather(*sending)
-    once = frozenset(x.id for x in requests if not x.repeatable)
-    summary = summaries.summarize(found, once)
+        tasks.append(asyncio.ensure_future(_send(env, address, request, keys)))
+    found = await asyncio.gather(*tasks)
+    not_repeatable = frozenset(x.id for x in requests if not x.repeatable)
+    summary = summaries.summarize(found, not_repeatable)
     out.mkdir(parents=True, exist_ok=True)
     outcomes.write_outcomes(out / "outcomes.jsonl", found)
     document = orjson.dumps(
@@ -71,4 +74,4 @@
     )
     if found is not None:
         return found
-    return caller.make_unsent(request)
+    return caller.make_unsent_outcome(request)
--- a/src/ruddergate/cli/_tree.py
+++ b/src/ruddergate/cli/_tree.py
@@ -1,4 +1,4 @@
-"""Reads and shows settings trees for `ruddergatectl`."""
+"""Reads and renders settings trees for `ruddergatectl`."""
 
 from collections.abc import Iterator
 import pathlib
@@ -11,7 +11,9 @@
 from ruddergate.settings import problem
 from ruddergate.settings import tree as trees
 
-_USED_BY = {
+# Kind whose effective values are shown for a branch; a workload's for all other
+# kinds.
+_EXPLAINED_AS = {
     kinds.Kind.CLASS: kinds.Kind.CLASS,
     kinds.Kind.POOL: kinds.Kind.POOL,
 }
@@ -20,7 +22,7 @@
 def read(
     path: pathlib.Path, program: str
 ) -> trees.Tree | tuple[problem.Problem, ...]:
-    """Returns a checked tree or its problems; ends if it can't be read."""
+    """Returns a checked tree or its problems; exits if it can't be read."""
     try:
         if path.is_dir():
             shards = {x.stem: x.read_bytes() for x in path.glob("*.json")}
@@ -31,8 +33,8 @@
     return check.parse_tree(1, shards)
 
 
-def read_right(path: pathlib.Path, program: str) -> trees.Tree:
-    """Returns a checked tree; ends with its problems if it has any."""
+def read_valid(path: pathlib.Path, program: str) -> trees.Tree:
+    """Returns a checked tree; if it has problems, prints them and exits."""
     checked = read(path, program)
     if isinstance(checked, tuple):
         for each in checked:
@@ -41,28 +43,28 @@
     return checked
 
 
-def render_explained(whole: trees.Tree, name: str) -> Iterator[str]:
-    """Yields a line for each effective value and where it comes from."""
-    kind = whole.branches[name].kind
-    used_by = _USED_BY.get(kind, kinds.Kind.WORKLOAD)
-    for row in effective.explain(whole, name, used_by):
+def render_explained(tree: trees.Tree, name: str) -> Iterator[str]:
+    """Yields a line for each effective value, with the branch that sets it."""
+    kind = tree.branches[name].kind
+    used_by = _EXPLAINED_AS.get(kind, kinds.Kind.WORKLOAD)
+    for row in effective.explain(tree, name, used_by):
         yield f"{row.name:<24} {row.value!s:<20} {row.branch}"
 
 
 def render_difference(
-    before: trees.Tree, after: trees.Tree, kind: kinds.Kind
+    old_tree: trees.Tree, new_tree: trees.Tree, kind: kinds.Kind
 ) -> Iterator[str]:
-    """Yields a line for each effective value that differs."""
-    old = {branch.name for branch in before.of_kind(kind)}
-    new = {branch.name for branch in after.of_kind(kind)}
-    for name in sorted(old - new):
+    """Yields a line for each branch or effective value that differs."""
+    old_names = {branch.name for branch in old_tree.of_kind(kind)}
+    new_names = {branch.name for branch in new_tree.of_kind(kind)}
+    for name in sorted(old_names - new_names):
         yield f"- {name}"
-    for name in sorted(new - old):
+    for name in sorted(new_names - old_names):
         yield f"+ {name}"
-    for name in sorted(old & new):
-        was = effective.explain(before, name, kind)
-        now = effective.explain(after, name, kind)
-        for first, second in zip(was, now, strict=True):
-            if first.value != second.value:
-                change = f"{first.value} -> {second.value}"
-                yield f"  {name}: {first.name}: {change} ({second.branch})"
+    for name in sorted(old_names & new_names):
+        old_rows = effective.explain(old_tree, name, kind)
+        new_rows = effective.explain(new_tree, name, kind)
+        for old_row, new_row in zip(old_rows, new_rows, strict=True):
+            if old_row.value != new_row.value:
+                change = f"{old_row.value} -> {new_row.value}"
+                yield f"  {name}: {old_row.name}: {change} ({new_row.branch})"
--- a/src/ruddergate/cli/ctl.py
+++ b/src/ruddergate/cli/ctl.py
@@ -13,12 +13,13 @@
 from ruddergate.experiments import plots
 from ruddergate.experiments import trace
 from ruddergate.settings import kind as kinds
-from ruddergate.telemetry import losses
-from ruddergate.telemetry import story
+from ruddergate.telemetry import outcome_summary
+from ruddergate.telemetry import request_timeline
 
 _PROGRAM = "ruddergatectl"
 APP = _private.make_app(
-    _PROGRAM, "Checks, explains and compares settings; replays; reports."
+    _PROGRAM,
+    "Checks, explains and compares settings; evaluates logs; replays traces.",
 )
 
 
@@ -27,7 +28,7 @@
     """Checks a settings tree.
 
     Args:
-        tree: File with the tree, or folder with one file for each shard.
+        tree: File with the tree, or folder with one file per shard.
     """
     checked = _tree.read(tree, _PROGRAM)
     if isinstance(checked, tuple):
@@ -45,7 +46,7 @@
         tree: File with the tree, or folder with its shards.
         branch: A workload, class or pool.
     """
-    whole = _tree.read_right(tree, _PROGRAM)
+    whole = _tree.read_valid(tree, _PROGRAM)
     if branch not in whole.branches:
         _private.fail(_PROGRAM, f"{tree} has no branch {branch!r}")
     for line in _tree.render_explained(whole, branch):
@@ -57,11 +58,11 @@
     """Shows which effective values differ between two trees.
 
     Args:
-        old: File or folder of the tree before.
-        new: File or folder of the tree after.
+        old: File or folder of the old tree.
+        new: File or folder of the new tree.
     """
-    before = _tree.read_right(old, _PROGRAM)
-    after = _tree.read_right(new, _PROGRAM)
+    before = _tree.read_valid(old, _PROGRAM)
+    after = _tree.read_valid(new, _PROGRAM)
     for kind in (kinds.Kind.WORKLOAD, kinds.Kind.CLASS, kinds.Kind.POOL):
         for line in _tree.render_difference(before, after, kind):
             print(line)
@@ -69,10 +70,10 @@
 
 @APP.command
 def status(entry: _private.AddressText) -> None:
-    """Shows what an entry goes by: its view, the view's age, its peers.
+    """Shows the state of an entry: its view, the view's age, its peers.
 
     Args:
-        entry: Where the entry serves callers (HOST:PORT).
+        entry: Address at which the entry serves callers (HOST:PORT).
     """
     lines = asyncio.run(_status.fetch(environment.parse_address(entry)))
     if isinstance(lines, str):
@@ -82,14 +83,14 @@
 
 @APP.command(name="trace")
 def trace_request(request_id: str, logs: list[pathlib.Path]) -> None:
-    """Prints one request's way in order, from the logs of several VMs.
+    """Prints the timeline of one request, from the logs of several VMs.
 
     Args:
-        request_id: The request, as its caller named it.
+        request_id: ID of the request.
         logs: Files of JSON log lines.
     """
     sources = [(path.name, _read_log(path)) for path in logs]
-    lines = story.tell(request_id, sources)
+    lines = request_timeline.collect_lines(request_id, sources)
     if not lines:
         _private.fail(_PROGRAM, f"no log names request {request_id}")
     for line in lines:
@@ -98,13 +99,13 @@
 
 @APP.command(name="losses")
 def sum_losses(logs: list[pathlib.Path]) -> None:
-    """Sums up what became of requests, from the logs of several VMs.
+    """Summarizes the outcomes of requests, from the logs of several VMs.
 
     Args:
         logs: Files of JSON log lines.
     """
-    found = losses.read(_read_log(path) for path in logs)
-    print("\n".join(losses.render(found)))
+    found = outcome_summary.read_outcomes(_read_log(path) for path in logs)
+    print("\n".join(outcome_summary.render(found)))
 
 
 def _read_log(path: pathlib.Path) -> list[str]:
@@ -127,15 +128,15 @@
     """Replays a trace against running entries; faults are skipped.
 
     Args:
-        trace_file: Trace, JSON lines.
+        trace_file: Trace, a file of JSON lines.
         entry: Entries to send to in turn (HOST:PORT[,HOST:PORT...]).
         out: Folder for outcomes.jsonl and summary.json.
-        keys: JSON file with the key of each workspace; without it the key
-            of a workspace is `demo-` and its name.
-        speed: How much faster than the trace requests are sent.
+        keys: JSON file with the key of each workspace; without it the key of a
+            workspace is `demo-` followed by its name.
+        speed: Factor by which requests are sent faster than in the trace.
     """
     lines = trace.read_trace(trace_file)
-    if isinstance(lines, trace.WrongLine):
+    if isinstance(lines, trace.MalformedLine):
         where = f"{trace_file}: line {lines.number}"
         _private.fail(_PROGRAM, f"{where}: {lines.detail}")
     try:
@@ -149,10 +150,10 @@
 
 @APP.command
 def report(folders: list[pathlib.Path], *, out: pathlib.Path) -> None:
-    """Draws time to first token by length and slowdown by load.
+    """Plots time to first token by prompt length, and slowdown by load.
 
     Args:
-        folders: Folders that replays have written, or that of `slopes`.
+        folders: Folders written by replays or by `slopes`.
         out: Folder for the plots and report.txt.
     """
     try:
--- a/src/ruddergate/entry/target_availability.py
+++ b/src/ruddergate/entry/target_availability.py
@@ -19,7 +19,7 @@
 from ruddergate.relay import hints as statements
 from ruddergate.telemetry import logs
 from ruddergate.telemetry import metrics as metric_types
-from ruddergate.telemetry import told_once
+from ruddergate.telemetry import repeat_filter
 
 # Jitter added to a backoff: up to this share of it, and at most this time. VMs
 # that got the same backoff at once must not all return together.
@@ -60,7 +60,7 @@
         self._drain_state = drain_state
         self._metrics = metrics
         self._on_draining = on_draining
-        self._logged = told_once.ToldOnce()
+        self._logged = repeat_filter.RepeatFilter()
         self._log = logs.make_logger("target")
 
     def on_hints(self, hints: statements.Hints) -> None:
@@ -92,7 +92,7 @@
                 incarnation, peer, now_ms, due_ms
             ):
                 is_new = True
-                self._metrics.leavings_heard.inc({"from": "peer"})
+                self._metrics.drains_detected.inc({"from": "peer"})
                 self._log.info(
                     "Target {} is draining, according to a peer.",
                     incarnation.target_id,
@@ -115,7 +115,7 @@
             if self._drain_state.accepts_requests(target.incarnation, now_ms):
                 continue
             is_leaving = self._drain_state.may_be_draining(target.incarnation)
-            self._metrics.sends_withheld.inc(
+            self._metrics.skipped_sends.inc(
                 {
                     "reason": "leaving" if is_leaving else "quiet",
                     "part": "helper" if number else "writer",
@@ -165,7 +165,7 @@
         )
         if not is_new:
             return
-        self._metrics.leavings_heard.inc({"from": "answer"})
+        self._metrics.drains_detected.inc({"from": "answer"})
         self._log.info(
             "Target {} reports that it is draining.",
             hints.incarnation.target_id,
@@ -193,7 +193,7 @@
             )
 
     def _report_unreadable(self, hints: statements.Hints, detail: str) -> None:
-        self._metrics.statements_unread.inc({})
+        self._metrics.malformed_hints.inc({})
         name = incarnations.format_incarnation(hints.incarnation)
         if self._logged.is_new(name, detail):
             self._log.warning(
--- a/src/ruddergate/experiments/caller.py
+++ b/src/ruddergate/experiments/caller.py
@@ -1,4 +1,4 @@
-"""Sends a trace's requests over HTTP and notes what came back."""
+"""Sends the requests of a trace over HTTP and records their outcomes."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,8 +12,8 @@
 from ruddergate.http import client
 from ruddergate.http import message
 
-# A caller waits this much longer than its time limit.
-PATIENCE_MS = 2_000.0
+# A caller waits this long beyond its time limit.
+RESPONSE_GRACE_MS = 2_000.0
 _CONNECT_MS = 1_000.0
 _EVENT_END = b"\n\n"
 _BYTES_PER_TOKEN = 4
@@ -22,17 +22,17 @@
 
 @dataclasses.dataclass(slots=True)
 class _Received:
-    """What has come back so far."""
+    """What has been received of a response so far."""
 
     text: str = ""
     tokens: int = -1
     ttft_ms: float | None = None
     error: dict | None = None
-    is_whole: bool = False
+    is_complete: bool = False
 
 
 def make_prompt(request: trace.TracedRequest, full_size: bool) -> str:
-    """Returns a prompt text, unlike that of any other request."""
+    """Returns a prompt text that is unique to the request."""
     if not full_size:
         return request.id
     length = request.prompt_tokens * _BYTES_PER_TOKEN
@@ -47,14 +47,15 @@
     key_age_ms: float,
     full_size: bool = False,
 ) -> message.OutgoingRequest:
-    """Returns the HTTP request of a trace's line.
+    """Returns the HTTP request for a request of a trace.
 
     Args:
-        request: The line.
+        request: The request of the trace.
         key: The workspace's key.
-        idempotency_key: Key for all resends, or empty.
-        key_age_ms: Time since it was first used.
-        full_size: Whether the prompt has as many bytes as its tokens need.
+        idempotency_key: Idempotency key shared by all resends, or empty.
+        key_age_ms: Time since the idempotency key was first used.
+        full_size: Whether the prompt has as many bytes as its tokens need;
+            otherwise it is just the request's ID.
     """
     headers = {
         "authorization": f"Bearer {key}",
@@ -88,23 +89,23 @@
     address: environment.Address,
     request: trace.TracedRequest,
     outgoing: message.OutgoingRequest,
-    is_right: Callable[[str], bool],
+    is_correct: Callable[[str], bool],
 ) -> outcomes.TracedOutcome | None:
-    """Sends a request; None if it could not even be connected.
+    """Sends a request; returns None if the entry could not be reached.
 
     Args:
         env: Clock and streams.
-        address: The entry.
-        request: The trace's line.
+        address: Address of the entry.
+        request: The request of the trace.
         outgoing: Its HTTP request.
-        is_right: Whether a whole answer's text is the right one.
+        is_correct: Returns whether the text of a complete answer is correct.
     """
     began_ms = env.now_ms()
     exchange = await client.start(env, address, outgoing, _CONNECT_MS)
     if isinstance(exchange, client.Fault):
         return None
     received = _Received()
-    wait_ms = request.time_limit_ms + PATIENCE_MS
+    wait_ms = request.time_limit_ms + RESPONSE_GRACE_MS
     try:
         async with asyncio.timeout(wait_ms / 1000.0):
             await _receive(exchange, env, began_ms, received)
@@ -113,11 +114,11 @@
     finally:
         exchange.close()
     total_ms = env.now_ms() - began_ms
-    return _make_outcome(request, received, total_ms, is_right)
+    return _make_outcome(request, received, total_ms, is_correct)
 
 
-def make_unsent(request: trace.TracedRequest) -> outcomes.TracedOutcome:
-    """Returns the outcome of a request that no entry could be given."""
+def make_unsent_outcome(request: trace.TracedRequest) -> outcomes.TracedOutcome:
+    """Returns the outcome of a request that could be sent to no entry."""
     error = {"reason": "no_entry", "ran": "not_run"}
     received = _Received(error=error)
     return _make_outcome(request, received, 0.0, lambda _: False)
@@ -137,21 +138,21 @@
         message.EVENT_STREAM_TYPE
     )
     if not is_stream:
-        await _receive_whole(exchange, env, began_ms, received)
+        await _receive_full(exchange, env, began_ms, received)
         return
     buffer = b""
     while True:
-        part = await exchange.read_chunk()
-        if isinstance(part, client.Fault) or not part:
-            if not received.is_whole and received.error is None:
+        chunk = await exchange.read_chunk()
+        if isinstance(chunk, client.Fault) or not chunk:
+            if not received.is_complete and received.error is None:
                 received.error = {"reason": "connection_lost", "ran": "unknown"}
             return
-        *events, buffer = (buffer + part).split(_EVENT_END)
+        *events, buffer = (buffer + chunk).split(_EVENT_END)
         for event in events:
-            _take_event(event, received, env.now_ms() - began_ms)
+            _apply_event(event, received, env.now_ms() - began_ms)
 
 
-async def _receive_whole(
+async def _receive_full(
     exchange: client.Exchange,
     env: environment.Environment,
     began_ms: float,
@@ -169,13 +170,13 @@
         return
     received.ttft_ms = env.now_ms() - began_ms
     received.text = body.decode()
-    received.is_whole = True
+    received.is_complete = True
 
 
-def _take_event(event: bytes, received: _Received, now_ms: float) -> None:
+def _apply_event(event: bytes, received: _Received, now_ms: float) -> None:
     data = event.removeprefix(b"data: ")
     if data == b"[DONE]":
-        received.is_whole = received.tokens >= 0
+        received.is_complete = received.tokens >= 0
         return
     document = orjson.loads(data)
     if "error" in document:
@@ -193,7 +194,7 @@
     request: trace.TracedRequest,
     received: _Received,
     total_ms: float,
-    is_right: Callable[[str], bool],
+    is_correct: Callable[[str], bool],
 ) -> outcomes.TracedOutcome:
     error = received.error
     status = "finished"
@@ -208,7 +209,7 @@
         if received.ttft_ms is None
         else round(received.ttft_ms, 3),
         total_ms=round(total_ms, 3),
-        answer_ok=error is None and is_right(received.text),
+        answer_ok=error is None and is_correct(received.text),
         executions=-1,
         prompt_tokens=request.prompt_tokens,
         workspace=request.workspace,
--- a/src/ruddergate/experiments/expectation.py
+++ b/src/ruddergate/experiments/expectation.py
@@ -1,7 +1,7 @@
-"""Outcomes stated beside a trace, checked against a replay's summary.
+"""Expectations of a trace, checked against a replay's summary.
 
-The file is a JSON object: a dotted path into the summary to an object with
-`least`, `most` or both.
+The file is a JSON object. It maps dotted paths into the summary to objects with
+`least`, `most` or both: the minimum and maximum of the value, inclusive.
 """
 
 from collections.abc import Mapping
@@ -12,51 +12,56 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Checked:
-    """One stated outcome.
+class CheckResult:
+    """Result of checking one expectation.
 
     Attributes:
-        path: Where it stands in the summary.
-        least: Least value allowed, or None.
-        most: Greatest value allowed, or None.
-        found: Value found, or None.
+        path: Dotted path of the value in the summary.
+        minimum: Smallest value allowed, or None.
+        maximum: Largest value allowed, or None.
+        found: Value in the summary, or None if it has none.
     """
 
     path: str
-    least: float | None
-    most: float | None
+    minimum: float | None
+    maximum: float | None
     found: float | None
 
     @property
-    def holds(self) -> bool:
-        """Whether the value is there and within its bounds."""
+    def is_met(self) -> bool:
+        """Whether the value exists and is within its bounds."""
         if self.found is None:
             return False
-        above = self.least is None or self.found >= self.least
-        return above and (self.most is None or self.found <= self.most)
+        is_above_minimum = self.minimum is None or self.found >= self.minimum
+        return is_above_minimum and (
+            self.maximum is None or self.found <= self.maximum
+        )
 
     def __str__(self) -> str:
-        verdict = "holds" if self.holds else "FAILS"
-        bounds = f"[{self.least}, {self.most}]"
+        verdict = "holds" if self.is_met else "FAILS"
+        bounds = f"[{self.minimum}, {self.maximum}]"
         return f"{verdict}: {self.path} = {self.found} in {bounds}"
 
 
 def check(
-    stated: Mapping[str, Mapping[str, float]], summary: Mapping[str, object]
-) -> tuple[Checked, ...]:
-    """Returns each stated outcome with what was found."""
+    expectations: Mapping[str, Mapping[str, float]],
+    summary: Mapping[str, object],
+) -> tuple[CheckResult, ...]:
+    """Returns the result of each expectation."""
     return tuple(
-        Checked(path, row.get("least"), row.get("most"), _find(summary, path))
-        for path, row in stated.items()
+        CheckResult(
+            path, row.get("least"), row.get("most"), _find(summary, path)
+        )
+        for path, row in expectations.items()
     )
 
 
 def check_file(path: pathlib.Path, summary: Mapping[str, object]) -> int:
-    """Prints each stated outcome; returns 1 if one fails, else 0."""
-    checked = check(orjson.loads(path.read_bytes()), summary)
-    for each in checked:
+    """Prints the result of each expectation; returns 1 if one fails, else 0."""
+    results = check(orjson.loads(path.read_bytes()), summary)
+    for each in results:
         print(each)
-    return 0 if all(each.holds for each in checked) else 1
+    return 0 if all(each.is_met for each in results) else 1
 
 
 def _find(summary: Mapping[str, object], path: str) -> float | None:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -44,7 +44,7 @@
 
 def _collect_revisions(cluster: clusters.Cluster) -> set[int]:
     return {
-        node.agent.knowledge.in_force.manifest.revision
+        node.agent.state.in_force.manifest.revision
         for node in cluster.vms.values()
         if not node.process.is_dead
     }
@@ -103,7 +103,7 @@
             _apply_fault(injector, "cut", "hall-2")
             cluster.configuration.publish(_make_tree(2.0))
             await asyncio.sleep(60.0)
-            in_hall = cluster.vms["vm-2"].agent.knowledge
+            in_hall = cluster.vms["vm-2"].agent.state
             self.assertEqual(in_hall.in_force.manifest.revision, 1)
             _apply_fault(injector, "heal", "hall-2")
             await asyncio.sleep(_MAX_DELAY_S)
@@ -118,9 +118,7 @@
             await asyncio.sleep(_MAX_DELAY_S)
             self.assertEqual(_collect_revisions(cluster), {3})
             weights = {
-                node.agent.knowledge.in_force.tree.branches["w"].overrides[
-                    "weight"
-                ]
+                node.agent.state.in_force.tree.branches["w"].overrides["weight"]
                 for node in cluster.vms.values()
             }
             self.assertEqual(weights, {3.0})
@@ -162,7 +160,7 @@
         ) -> None:
             _apply_fault(injector, "kill", "vm-4")
             await asyncio.sleep(6.0)
-            hall = cluster.vms["vm-1"].agent.knowledge
+            hall = cluster.vms["vm-1"].agent.state
             self.assertNotIn("vm-4", hall.live_in_hall())
             self.assertIn("vm-7", hall.live_in_hall())
 
@@ -185,7 +183,7 @@
                 node.hall
                 for node in cluster.vms.values()
                 if not node.process.is_dead
-                and node.agent.knowledge.in_force.manifest.revision < 2
+                and node.agent.state.in_force.manifest.revision < 2
             }
             self.assertEqual(behind, {"hall-2"})
             _apply_fault(injector, "heal", "hall-2")
--- a/tests/test_engine_stream.py
+++ b/tests/test_engine_stream.py
@@ -9,8 +9,8 @@
 import orjson
 
 from ruddergate import outcomes
-from ruddergate.adapters.engines import part
 from ruddergate.adapters.engines import stream
+from ruddergate.adapters.engines import stream_event
 
 
 class _Exchange:
@@ -36,9 +36,9 @@
         found = stream.Stream(exchange, "s", position, None, 1_000.0)
         events = []
         while True:
-            event = await found.next_part(lambda: 5_000.0)
+            event = await found.next_event(lambda: 5_000.0)
             events.append(event)
-            if not isinstance(event, part.Tokens):
+            if not isinstance(event, stream_event.Tokens):
                 return events
 
     return asyncio.run(read())
@@ -48,7 +48,7 @@
     return [
         text
         for event in events
-        if isinstance(event, part.Tokens)
+        if isinstance(event, stream_event.Tokens)
         for text in event.texts
     ]
 
@@ -61,13 +61,13 @@
             _event(first=2, tokens=["c"]) + _event(end="stop", count=3),
         )
         self.assertEqual(_collect_texts(events), ["a", "b", "c"])
-        self.assertEqual(events[-1], part.End("stop", 3))
+        self.assertEqual(events[-1], stream_event.End("stop", 3))
 
     def test_events_split_at_any_byte(self) -> None:
         data = _event(first=0, tokens=["a"]) + _event(end="stop", count=1)
         events = _read_events(*(data[n : n + 1] for n in range(len(data))))
         self.assertEqual(_collect_texts(events), ["a"])
-        self.assertIsInstance(events[-1], part.End)
+        self.assertIsInstance(events[-1], stream_event.End)
 
     def test_duplicate_tokens_are_dropped(self) -> None:
         events = _read_events(
@@ -117,7 +117,7 @@
 
         async def read() -> object:
             found = stream.Stream(Endless(), "s", 0, None, 1_000.0)
-            return await found.next_part(
+            return await found.next_event(
                 lambda: left_ms.pop(0) if len(left_ms) > 1 else left_ms[0]
             )
 
--- a/tests/test_gateway_store.py
+++ b/tests/test_gateway_store.py
@@ -117,7 +117,7 @@
             (4_000.0, 2_500.0, 2_000.0),
             (4_000.0, math.inf, 2_600.0),
         ):
-            poll = gateway_cli.make_pace(bound_ms, ready_age_ms)
+            poll = gateway_cli.make_poll_config(bound_ms, ready_age_ms)
             self.assertAlmostEqual(poll.interval_ms, interval_ms)
             # A VM that is polled on schedule is never treated as lagging.
             self.assertGreaterEqual(
--- a/tests/test_guarantees.py
+++ b/tests/test_guarantees.py
@@ -83,7 +83,7 @@
         self.assertEqual(found.held_tokens, 0)
 
     def test_held_without_the_sweep(self) -> None:
-        with mock.patch.object(target_task.Targets, "_sweep"):
+        with mock.patch.object(target_task.TargetPoller, "_sweep"):
             found = virtual_cluster.replay_trace(self.lines)
         self.assertGreater(found.held_tokens, 0)
 
@@ -373,7 +373,7 @@
         ]
         with (
             mock.patch.object(canceller.Canceller, "post"),
-            mock.patch.object(target_task.Targets, "_sweep"),
+            mock.patch.object(target_task.TargetPoller, "_sweep"),
         ):
             found = virtual_cluster.replay_trace(lines)
         self.assertGreater(found.held_tokens, 0)
--- a/tests/test_line_writer.py
+++ b/tests/test_line_writer.py
@@ -14,12 +14,12 @@
         sink = os.fdopen(write_end, "w")
         writer = line_writer.LineWriter(sink)
         line = "x" * 1_000 + "\n"
-        count = line_writer.WAITING_MAX + 500
+        count = line_writer.MAX_QUEUED_LINES + 500
         started_s = time.process_time()
         for _ in range(count):
             writer.write(line)
         self.assertLess(time.process_time() - started_s, 1.0)
-        self.assertGreaterEqual(writer.left_out, 500)
+        self.assertGreaterEqual(writer.dropped, 500)
         os.close(read_end)
 
     def test_lines_over_the_rate_limit_are_counted(self) -> None:
@@ -27,5 +27,5 @@
         writer = line_writer.LineWriter(sink)
         for number in range(int(line_writer.LINES_BURST) + 50):
             writer.write(f"{number}\n")
-        self.assertGreaterEqual(writer.left_out, 40)
+        self.assertGreaterEqual(writer.dropped, 40)
         writer.flush()
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -70,7 +70,7 @@
     def test_invalid_lines_are_reported_with_their_number(self) -> None:
         for text in ("{", "[]", '{"at_ms":1,"fault":"melt"}', '{"at_ms":1}'):
             found = self.read("\n" + text)
-            self.assertIsInstance(found, trace.WrongLine)
+            self.assertIsInstance(found, trace.MalformedLine)
             self.assertEqual(found.number, 2)
 
 
@@ -83,7 +83,7 @@
             "c": {"most": 1},
         }
         found = expectation.check(bounds, summary)
-        self.assertEqual([x.holds for x in found], [True, False, False])
+        self.assertEqual([x.is_met for x in found], [True, False, False])
 
 
 class BucketTest(unittest.TestCase):
--- a/tests/test_request_timeline.py
+++ b/tests/test_request_timeline.py
@@ -7,8 +7,8 @@
 import tempfile
 import unittest
 
-from ruddergate.telemetry import losses
-from ruddergate.telemetry import story
+from ruddergate.telemetry import outcome_summary
+from ruddergate.telemetry import request_timeline
 
 
 def _line(at: str, request_id: str, event: str, **inputs: object) -> str:
@@ -34,7 +34,9 @@
             "  12.5 vm-2 " + _line("2026-01-01T00:00:02", "r1", "Refused."),
             "no log line at all, though it names r1 {",
         ]
-        lines = story.tell("r1", [("vm-1", one), ("vm-2", two)])
+        lines = request_timeline.collect_lines(
+            "r1", [("vm-1", one), ("vm-2", two)]
+        )
         self.assertEqual(
             [each.event for each in lines],
             ["Attempt begins.", "Refused.", "Request ended."],
@@ -98,19 +100,23 @@
             _line(at + "6.300", "r5", "Request refused: no_target. None."),
             "no log line: Request ended",
         ]
-        outcomes = losses.read([lines])
+        outcomes = outcome_summary.read_outcomes([lines])
         self.assertEqual(
             [each.outcome for each in outcomes],
             [
-                losses.IN_TIME,
-                losses.LATE_FIRST,
-                losses.LATE_PAUSE,
+                outcome_summary.IN_TIME,
+                outcome_summary.LATE_FIRST,
+                outcome_summary.LATE_PAUSE,
                 "target_lost",
                 "refused: no_target",
             ],
         )
-        self.assertEqual((outcomes[0].sends, outcomes[0].helpers), (1, 1))
-        text = "\n".join(losses.render(outcomes))
+        self.assertEqual(
+            (outcomes[0].attempt_count, outcomes[0].helpers), (1, 1)
+        )
+        text = "\n".join(outcome_summary.render(outcomes))
         self.assertIn("ask                          4       1", text)
         self.assertIn("     4                       3       0", text)
-        self.assertEqual(losses.render([]), ["no request ended in these logs"])
+        self.assertEqual(
+            outcome_summary.render([]), ["no request ended in these logs"]
+        )
