--- a/standins/fatal_schedules.py
+++ b/standins/fatal_schedules.py
@@ -17,7 +17,7 @@
 
 from standins import gateway_caller
 from standins import gateway_cluster
-from standins import gateway_promises
+from standins import gateway_guarantees
 from standins import gateway_schedules
 from standins import virtual_process
 
@@ -72,7 +72,7 @@
         fault.cancel()
     # What was set aside for the last calls must lapse by itself.
     await asyncio.sleep(4.0)
-    broken = gateway_promises.find_broken(cluster, [*got, *tries])
+    broken = gateway_guarantees.find_broken(cluster, [*got, *tries])
     broken += _find_blamed(got)
     for body in _FATAL:
         broken += _find_late(cluster, body, tries)
--- a/standins/gateway_cluster.py
+++ b/standins/gateway_cluster.py
@@ -16,7 +16,7 @@
 from ruddergate.platform import replicas
 from ruddergate.platform import store as stores
 from ruddergate.telemetry import traces
-from standins import pass_engine
+from standins import iteration_engine
 from standins import platform_replica
 from standins import platform_store
 from standins import virtual_network
@@ -70,7 +70,7 @@
     seed: int = 1
     is_strict: bool = True
     connections_max: int = 3_000
-    figures: pass_engine.Figures = pass_engine.Figures()
+    engine_spec: iteration_engine.EngineSpec = iteration_engine.EngineSpec()
     aim_scale: float = 1.0
     keeps_names: bool = False
     epoch: str = "1"
@@ -256,11 +256,11 @@
         node.process = _make_process(node.name, node.hall)
         env = self.network.make_environment(node.process, node.starts)
         is_engine = node.name.startswith("engine")
-        figures = self.layout.figures if is_engine else None
+        engine_spec = self.layout.engine_spec if is_engine else None
         keeps_name = self.layout.keeps_names
         start = 1 if keeps_name else node.starts
         replica = platform_replica.PlatformReplica(
-            f"{node.name}.{start}", env, figures, self._engines
+            f"{node.name}.{start}", env, engine_spec, self._engines
         )
         replica.born_ms = int(env.wall_ms()) if keeps_name else 0
         replica.fatal = self.fatal
@@ -347,7 +347,7 @@
                 "service": "engines" if is_engine else "notices",
                 "address": f"{node.name}:{_REPLICA_PORT}",
                 "zone": node.hall,
-                "slots": self.layout.figures.slots if is_engine else 6,
+                "slots": self.layout.engine_spec.slots if is_engine else 6,
                 "state": state,
                 "sequence": node.sequence,
                 **replica.tell_born(),
@@ -376,7 +376,7 @@
     keys: dict[str, list[str]], revision: int, layout: Layout = _LAYOUT
 ) -> dict[str, object]:
     """Returns a configuration with keys by workspace."""
-    document = _make_configuration(keys, revision, layout.figures)
+    document = _make_configuration(keys, revision, layout.engine_spec)
     for route in document["routes"]:
         for name in ("target-latency-ms", "gap_aim_ms"):
             route[name] = round(route[name] * layout.aim_scale)
@@ -384,7 +384,7 @@
 
 
 def _make_configuration(
-    keys: dict[str, list[str]], revision: int, figures: pass_engine.Figures
+    keys: dict[str, list[str]], revision: int, engine_spec: iteration_engine.EngineSpec
 ) -> dict[str, object]:
     stream = {"route-type": "streaming", "resumable": True, "max-attempts": 2}
     return {
@@ -415,12 +415,12 @@
             {
                 "name": "engines",
                 "engine": {
-                    "slots": figures.slots,
-                    "kv-capacity": figures.memory_tokens,
-                    "step_ms": figures.step_ms,
-                    "stride": figures.stride,
-                    "read_per_s": figures.read_per_ms * 1000.0,
-                    "pairs_per_m": figures.pairs_ms_per_m,
+                    "slots": engine_spec.slots,
+                    "kv-capacity": engine_spec.memory_tokens,
+                    "step_ms": engine_spec.step_ms,
+                    "stride": engine_spec.stride,
+                    "read_per_s": engine_spec.prefill_tokens_per_ms * 1000.0,
+                    "pairs_per_m": engine_spec.attention_ms_per_m_pairs,
                     "hop_ms": 0.1,
                 },
             },
--- a/standins/gateway_schedules.py
+++ b/standins/gateway_schedules.py
@@ -19,8 +19,8 @@
 
 from standins import gateway_caller
 from standins import gateway_cluster
-from standins import gateway_promises
-from standins import pass_engine
+from standins import gateway_guarantees
+from standins import iteration_engine
 from standins import virtual_network
 from standins import virtual_process
 
@@ -49,12 +49,12 @@
 
 def draw_layout(seed: int, chance: random.Random) -> gateway_cluster.Layout:
     """Draws sizes, engines, aims and the strictness of keys."""
-    figures = pass_engine.Figures(
+    engine_spec = iteration_engine.EngineSpec(
         slots=chance.choice((2, 4, 6, 8, 16)),
         memory_tokens=chance.choice((200_000, 405_000, 450_000, 1_000_000)),
         step_ms=chance.uniform(0.5, 3.0),
-        read_per_ms=chance.uniform(60.0, 500.0),
-        pairs_ms_per_m=chance.uniform(0.02, 0.3),
+        prefill_tokens_per_ms=chance.uniform(60.0, 500.0),
+        attention_ms_per_m_pairs=chance.uniform(0.02, 0.3),
         stride=chance.choice((10, 34, 46, 60)),
     )
     return gateway_cluster.Layout(
@@ -64,7 +64,7 @@
         services=chance.choice((1, 2, 3, 6)),
         seed=seed,
         is_strict=chance.random() < 0.5,
-        figures=figures,
+        engine_spec=engine_spec,
         aim_scale=chance.uniform(0.5, 2.0),
     )
 
@@ -90,7 +90,7 @@
         fault.cancel()
     # What was set aside for the last calls must lapse by itself.
     await asyncio.sleep(4.0)
-    return gateway_promises.find_broken(cluster, got), count_statuses(got)
+    return gateway_guarantees.find_broken(cluster, got), count_statuses(got)
 
 
 def count_statuses(got: Iterable[gateway_caller.Got]) -> dict[int, int]:
--- a/standins/pass_engine.py
+++ b/standins/iteration_engine.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Figures:
+class EngineSpec:
     """Published figures of an engine.
 
     Attributes:
@@ -27,16 +27,16 @@
     slots: int = 8
     memory_tokens: int = 450_000
     step_ms: float = 0.925
-    per_seq_ms: float = 0.00966
-    context_ms_per_k: float = 0.00254
-    read_per_ms: float = 256.0
-    pairs_ms_per_m: float = 0.0917
+    step_ms_per_stream: float = 0.00966
+    step_ms_per_k_context: float = 0.00254
+    prefill_tokens_per_ms: float = 256.0
+    attention_ms_per_m_pairs: float = 0.0917
     chunk: int = 2_048
     stride: int = 46
 
 
 @dataclasses.dataclass(slots=True)
-class Piece:
+class PrefillPart:
     """Part of a prompt to be read here.
 
     Attributes:
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Writer:
+class Stream:
     """An answer under way.
 
     Attributes:
@@ -63,14 +63,14 @@
     events: asyncio.Queue = dataclasses.field(default_factory=asyncio.Queue)
 
 
-class PassEngine:
+class IterationEngine:
     """Plays passes for as long as there is work; owned by one task."""
 
-    def __init__(self, figures: Figures) -> None:
-        self.figures = figures
-        self.writers: list[Writer] = []
-        self._pieces: list[Piece] = []
-        self._places = asyncio.Semaphore(figures.slots)
+    def __init__(self, spec: EngineSpec) -> None:
+        self.spec = spec
+        self.streams: list[Stream] = []
+        self._pieces: list[PrefillPart] = []
+        self._places = asyncio.Semaphore(spec.slots)
         self._work = asyncio.Event()
 
     async def run(self) -> None:
@@ -78,12 +78,12 @@
         while True:
             await self._work.wait()
             await self._play_pass()
-            if not self.writers and not self._pieces:
+            if not self.streams and not self._pieces:
                 self._work.clear()
 
     async def read(self, tokens: float, whole_tokens: float) -> None:
         """Reads a piece of a prompt of that whole length."""
-        piece = Piece(tokens, whole_tokens / 2.0 / 1e6)
+        piece = PrefillPart(tokens, whole_tokens / 2.0 / 1e6)
         self._pieces.append(piece)
         self._work.set()
         try:
@@ -92,43 +92,43 @@
             if piece in self._pieces:
                 self._pieces.remove(piece)
 
-    def start_writing(self, context_tokens: float) -> Writer:
+    def start_stream(self, context_tokens: float) -> Stream:
         """Begins an answer; its events come pass by pass."""
-        writer = Writer(context_tokens)
-        self.writers.append(writer)
+        stream = Stream(context_tokens)
+        self.streams.append(stream)
         self._work.set()
-        return writer
+        return stream
 
-    def stop_writing(self, writer: Writer) -> None:
+    def stop_stream(self, stream: Stream) -> None:
         """Ends an answer."""
-        if writer in self.writers:
-            self.writers.remove(writer)
+        if stream in self.streams:
+            self.streams.remove(stream)
 
-    def place(self) -> asyncio.Semaphore:
+    def get_slots(self) -> asyncio.Semaphore:
         """Returns what a request holds while it runs."""
         return self._places
 
     async def _play_pass(self) -> None:
-        figures = self.figures
-        writers = list(self.writers)
-        steps = figures.stride if writers else 1
-        contexts_k = sum(each.context_tokens for each in writers) / 1000.0
-        step_ms = figures.step_ms + len(writers) * figures.per_seq_ms
-        step_ms += contexts_k * figures.context_ms_per_k
-        read, reading_ms = self._take_reading(steps * figures.chunk)
+        spec = self.spec
+        streams = list(self.streams)
+        steps = spec.stride if streams else 1
+        contexts_k = sum(each.context_tokens for each in streams) / 1000.0
+        step_ms = spec.step_ms + len(streams) * spec.step_ms_per_stream
+        step_ms += contexts_k * spec.step_ms_per_k_context
+        read, reading_ms = self._take_reading(steps * spec.chunk)
         await asyncio.sleep((steps * step_ms + reading_ms) / 1000.0)
         for piece, tokens in read:
             piece.tokens -= tokens
             if piece.tokens <= 0.0:
                 self._pieces.remove(piece) if piece in self._pieces else None
                 piece.done.set()
-        for writer in writers:
-            writer.context_tokens += figures.stride
-            writer.events.put_nowait(figures.stride)
+        for stream in streams:
+            stream.context_tokens += spec.stride
+            stream.events.put_nowait(spec.stride)
 
     def _take_reading(
         self, most_tokens: float
-    ) -> tuple[list[tuple[Piece, float]], float]:
+    ) -> tuple[list[tuple[PrefillPart, float]], float]:
         """Returns what a pass reads, and how long that takes."""
         read = []
         reading_ms = 0.0
@@ -138,7 +138,7 @@
                 break
             most_tokens -= tokens
             read.append((piece, tokens))
-            reading_ms += tokens / self.figures.read_per_ms
+            reading_ms += tokens / self.spec.prefill_tokens_per_ms
             pairs_m = tokens * piece.pairs_m_per_token
-            reading_ms += pairs_m * self.figures.pairs_ms_per_m
+            reading_ms += pairs_m * self.spec.attention_ms_per_m_pairs
         return read, reading_ms
--- a/standins/platform_replica.py
+++ b/standins/platform_replica.py
@@ -13,7 +13,7 @@
 
 from ruddergate.http import message
 from ruddergate.http import server
-from standins import pass_engine
+from standins import iteration_engine
 
 _TOKENS_PER_EVENT = 46
 _SIGNATURE = "X-Replica-Signature"
@@ -130,14 +130,14 @@
         self,
         name: str,
         env,  # noqa: ANN001
-        figures: pass_engine.Figures | None,
+        spec: iteration_engine.EngineSpec | None,
         peers: dict,
     ) -> None:
         self.name = name
         self.runs: list[Run] = []
         self.wrong = Misbehaviour()
         self.tickets: dict[str, tuple[int, float]] = {}
-        self.engine = pass_engine.PassEngine(figures) if figures else None
+        self.engine = iteration_engine.IterationEngine(spec) if spec else None
         self.born_ms = 0
         self.fatal: set[bytes] = set()
         self.crash: Callable[[], None] = lambda: None
@@ -234,7 +234,7 @@
         if order["op"] == "release":
             held.pop(order["id"], None)
             return message.make_json_response(200, {"free": 0})
-        memory = self.engine.figures.memory_tokens if self.engine else 0
+        memory = self.engine.spec.memory_tokens if self.engine else 0
         used = sum(
             each[0] for name, each in held.items() if name != order["id"]
         )
@@ -325,10 +325,10 @@
         breaks_at = -1
         if self._draw(self.wrong.break_off):
             breaks_at = self._env.random.randrange(1, events + 1)
-        async with self.engine.place():
-            writer = self.engine.start_writing(prompt)
+        async with self.engine.get_slots():
+            writer = self.engine.start_stream(prompt)
             with contextlib.ExitStack() as stack:
-                stack.callback(self.engine.stop_writing, writer)
+                stack.callback(self.engine.stop_stream, writer)
                 first = run.resumed_after + 1
                 for number in range(first, events + 1):
                     # The first token comes with the end of the reading.
--- a/standins/rate_limit_schedules.py
+++ b/standins/rate_limit_schedules.py
@@ -17,9 +17,9 @@
 
 from standins import gateway_caller
 from standins import gateway_cluster
-from standins import gateway_promises
+from standins import gateway_guarantees
 from standins import gateway_schedules
-from standins import played_seeds
+from standins import schedule_runner
 from standins import rate_limit_check
 from standins import virtual_process
 
@@ -99,7 +99,7 @@
         fault.cancel()
     # What was set aside for the last calls must lapse by itself.
     await asyncio.sleep(4.0)
-    broken = gateway_promises.find_broken(cluster, got)
+    broken = gateway_guarantees.find_broken(cluster, got)
     broken += rate_limit_check.find_excess(cluster, got)
     return Played(broken, _count(cluster, got))
 
@@ -200,7 +200,7 @@
         count: Number of seeds.
         jobs: Seeds that are played at once, each by a process.
     """
-    return played_seeds.play_all(play, first, count, jobs)
+    return schedule_runner.play_all(play, first, count, jobs)
 
 
 if __name__ == "__main__":
--- a/standins/restore_schedules.py
+++ b/standins/restore_schedules.py
@@ -17,10 +17,10 @@
 
 from standins import gateway_caller
 from standins import gateway_cluster
-from standins import gateway_promises
+from standins import gateway_guarantees
 from standins import gateway_schedules
 from standins import platform_store
-from standins import played_seeds
+from standins import schedule_runner
 from standins import restore_checks
 from standins import virtual_network
 from standins import virtual_process
@@ -137,7 +137,7 @@
     for task in (*faults, *background):
         task.cancel()
     await asyncio.sleep(4.0)
-    broken = gateway_promises.find_broken(cluster, got)
+    broken = gateway_guarantees.find_broken(cluster, got)
     broken += schedule.record.find_broken(got)
     await _rest(cluster)
     broken += restore_checks.find_unlisted(cluster)
@@ -284,7 +284,7 @@
         count: Number of seeds.
         jobs: Seeds that are played at once, each by a process.
     """
-    return played_seeds.play_all(play, first, count, jobs)
+    return schedule_runner.play_all(play, first, count, jobs)
 
 
 if __name__ == "__main__":
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -23,9 +23,9 @@
 from standins import _private
 from standins import gateway_caller
 from standins import gateway_cluster
-from standins import gateway_promises
+from standins import gateway_guarantees
 from standins import gateway_schedules
-from standins import pass_engine
+from standins import iteration_engine
 from standins import platform_replica
 from standins import soak_caller
 from standins import soak_fleet
@@ -117,7 +117,7 @@
             # Also when the soak itself fails: nothing of it may stay behind.
             await self._end()
         all_got = [got for _, got in self._got]
-        broken = gateway_promises.find_broken_by(
+        broken = gateway_guarantees.find_broken_by(
             self._replicas, all_got, self._was_disturbed
         )
         broken += soak_withdrawals.find_broken(
@@ -209,7 +209,7 @@
         is_engine: bool,
         engines: dict[str, platform_replica.PlatformReplica],
     ) -> None:
-        figures = pass_engine.Figures() if is_engine else None
+        figures = iteration_engine.EngineSpec() if is_engine else None
         replica = platform_replica.PlatformReplica(
             f"replica-{number}", self._env, figures, engines
         )
--- a/standins/withdrawal_schedules.py
+++ b/standins/withdrawal_schedules.py
@@ -20,13 +20,13 @@
 from ruddergate.fleet import life as lives
 from standins import gateway_caller
 from standins import gateway_cluster
-from standins import gateway_promises
+from standins import gateway_guarantees
 from standins import gateway_schedules
-from standins import peer_liar
+from standins import faulty_peer
 from standins import platform_replica
-from standins import played_seeds
+from standins import schedule_runner
 from standins import virtual_process
-from standins import withdrawal_ways
+from standins import drain_coverage
 
 _CALLS = 160
 _DURATION_S = 20.0
@@ -99,12 +99,12 @@
         fault.cancel()
     # What was set aside for the last calls must lapse by itself.
     await asyncio.sleep(4.0)
-    broken = gateway_promises.find_broken(cluster, got)
+    broken = gateway_guarantees.find_broken(cluster, got)
     broken += find_calls_after_leaving(cluster, got)
     broken += find_calls_in_quiet(cluster, got)
     await _rest(cluster)
-    broken += withdrawal_ways.find_wrongly_withdrawn(cluster)
-    ways += withdrawal_ways.count_ways(cluster.all_gateways)
+    broken += drain_coverage.find_wrongly_withdrawn(cluster)
+    ways += drain_coverage.count_ways(cluster.all_gateways)
     return Played(broken, gateway_schedules.count_statuses(got), ways)
 
 
@@ -115,7 +115,7 @@
     for node in (*cluster.vms.values(), *cluster.targets.values()):
         if node.process.is_frozen:
             node.process.wake()
-    await asyncio.sleep(withdrawal_ways.REST_S)
+    await asyncio.sleep(drain_coverage.REST_S)
 
 
 async def _begin_later(kind, cluster, chance) -> None:  # noqa: ANN001
@@ -156,7 +156,7 @@
         await _shed(node.replica, chance)
         return
     if chance.random() < 0.3:
-        ways[withdrawal_ways.BACK_UNLISTED] += 1
+        ways[drain_coverage.BACK_UNLISTED] += 1
         cluster.kill(node)
         cluster.start_target(node)
     # The list is told late, or not at all, as while the store is away.
@@ -167,7 +167,7 @@
         replica.leaving = word
     await asyncio.sleep(chance.uniform(0.5, 8.0))
     if not replica.born_ms and chance.random() < 0.3:
-        ways[withdrawal_ways.START_LATE] += 1
+        ways[drain_coverage.START_LATE] += 1
         replica.born_ms = round(asyncio.get_running_loop().time() * 1_000.0)
         await asyncio.sleep(chance.uniform(0.5, 8.0))
     if node.process.is_dead or node.replica is not replica:
@@ -185,13 +185,13 @@
     chance: random.Random,
 ) -> None:
     """Has a peer tell of some targets, again and again, that they leave."""
-    ways[withdrawal_ways.LIED] += 1
+    ways[drain_coverage.LIED] += 1
     names = chance.sample(sorted(cluster.targets), 2)
     replicas = [cluster.targets[name].replica for name in names]
     lives_told = [lives.Life(each.name, each.born_ms) for each in replicas]
     words = tuple(map(lives.format_life, lives_told))
     for number in range(1, chance.randrange(2, 20)):
-        await peer_liar.tell_leaving(cluster, number, words)
+        await faulty_peer.tell_leaving(cluster, number, words)
         await asyncio.sleep(_LIE_EVERY_S)
 
 
@@ -308,7 +308,7 @@
         count: Number of seeds.
         jobs: Seeds that are played at once, each by a process.
     """
-    return played_seeds.play_all(play, first, count, jobs)
+    return schedule_runner.play_all(play, first, count, jobs)
 
 
 if __name__ == "__main__":
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -8,7 +8,7 @@
 
 from standins import gateway_caller
 from standins import gateway_cluster
-from standins import gateway_promises
+from standins import gateway_guarantees
 from tests import gateway_scene
 
 _FATAL = b"a prompt that ends engines"
@@ -102,7 +102,7 @@
             failed = [each for each in got if not each.is_whole]
             self.assertEqual(failed, [])
             self.assertEqual(
-                gateway_promises.find_broken(scene.cluster, got), []
+                gateway_guarantees.find_broken(scene.cluster, got), []
             )
             # Nor is any of them held to have ended an engine.
             for number in range(24):
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -5,7 +5,7 @@
 
 import loguru
 
-from standins import gateway_promises
+from standins import gateway_guarantees
 from tests import gateway_scene
 
 
@@ -20,7 +20,7 @@
                 got = await scene.call(route)
                 self.assertEqual((got.status, got.is_whole), (200, True))
                 self.assertEqual(
-                    gateway_promises.find_broken(scene.cluster, [got]), []
+                    gateway_guarantees.find_broken(scene.cluster, [got]), []
                 )
                 self.assertEqual(len(scene.runs(got)), 1)
 
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -9,7 +9,7 @@
 from ruddergate.entry import scheduler_messages
 from standins import gateway_caller
 from standins import gateway_cluster
-from standins import gateway_promises
+from standins import gateway_guarantees
 from tests import gateway_scene
 
 
@@ -48,7 +48,7 @@
             self.assertGreater(runs[1].resumed_after, 0)
             self.assertTrue(got.is_whole)
             self.assertEqual(
-                gateway_promises.find_broken(scene.cluster, [got]), []
+                gateway_guarantees.find_broken(scene.cluster, [got]), []
             )
             signature = got.headers["x-replica-signature"]
             self.assertTrue(signature.startswith(runs[0].replica))
@@ -232,7 +232,7 @@
             self.assertEqual((got.status, got.is_whole), (200, True))
             self.assertEqual(len(scene.runs(got)), 2)
             self.assertEqual(
-                gateway_promises.find_broken(scene.cluster, [got]), []
+                gateway_guarantees.find_broken(scene.cluster, [got]), []
             )
 
         gateway_scene.play(scene)
--- a/tests/test_reading_plan.py
+++ b/tests/test_reading_plan.py
@@ -4,7 +4,7 @@
 import unittest
 
 from ruddergate.decisions import prefill_plan
-from standins import pass_engine
+from standins import iteration_engine
 from standins import virtual_process
 
 _PARTS_MOST = 17
@@ -114,7 +114,7 @@
 
     def test_whole_prompt_takes_its_published_time(self) -> None:
         async def run() -> float:
-            engine = pass_engine.PassEngine(pass_engine.Figures())
+            engine = iteration_engine.IterationEngine(iteration_engine.EngineSpec())
             running = asyncio.ensure_future(engine.run())
             loop = asyncio.get_running_loop()
             began_s = loop.time()
