--- a/standins/drain_coverage.py
+++ b/standins/drain_coverage.py
@@ -48,9 +48,9 @@
     It is to be asked after REST_S without a fault.
     """
     sound = {
-        node.replica.name: node.replica.born_ms
+        node.replica.name: node.replica.started_ms
         for node in cluster.targets.values()
-        if not node.process.is_dead and not node.replica.has_told
+        if not node.process.is_dead and not node.replica.has_announced_draining
     }
     return [
         f"{vm.name} holds {target.target_id} to leave, which never said so"
--- a/standins/fatal_schedules.py
+++ b/standins/fatal_schedules.py
@@ -44,7 +44,7 @@
         halls=chance.choice((1, 3)),
         engines=chance.choice((6, 12, 18)),
         seed=seed,
-        keeps_names=chance.random() < 0.5,
+        reuses_names=chance.random() < 0.5,
     )
     return virtual_process.run(lambda: _play(layout, chance))
 
@@ -53,7 +53,7 @@
     layout: gateway_cluster.Layout, chance: random.Random
 ) -> tuple[list[str], dict[int, int]]:
     cluster = gateway_cluster.GatewayCluster(layout)
-    cluster.fatal.update(_FATAL)
+    cluster.poison_bodies.update(_FATAL)
     await cluster.start()
     caller = gateway_caller.Caller(cluster)
     faults = [
@@ -84,7 +84,7 @@
     caller: gateway_caller.Caller,
     chance: random.Random,
     number: int,
-) -> gateway_caller.Got:
+) -> gateway_caller.CallResult:
     call = gateway_schedules.make_call(chance, cluster, number)
     call = dataclasses.replace(call, body=b"call %d" % number)
     await asyncio.sleep(chance.uniform(0.0, _DURATION_S))
@@ -97,7 +97,7 @@
     chance: random.Random,
     body: bytes,
     number: int,
-) -> list[gateway_caller.Got]:
+) -> list[gateway_caller.CallResult]:
     """Sends a fatal call, and once more after it has failed."""
     await asyncio.sleep(chance.uniform(0.0, _DURATION_S))
     got = []
@@ -139,7 +139,7 @@
     cluster.store.put_bytes(f"servers/{node.replica.name}", nonsense)
 
 
-def _find_blamed(got: Iterable[gateway_caller.Got]) -> list[str]:
+def _find_blamed(got: Iterable[gateway_caller.CallResult]) -> list[str]:
     return [
         f"{each.call.request_id} is refused for what others did"
         for each in got
@@ -150,7 +150,7 @@
 def _find_late(
     cluster: gateway_cluster.GatewayCluster,
     body: bytes,
-    tries: Iterable[gateway_caller.Got],
+    tries: Iterable[gateway_caller.CallResult],
 ) -> list[str]:
     """Returns whether a fatal content was sent for too long."""
     vms = {each.call.request_id: each.call.vm for each in tries}
--- a/standins/gateway_caller.py
+++ b/standins/gateway_caller.py
@@ -35,12 +35,12 @@
     output_tokens: int = 0
     key: str = gateway_cluster.KEY
     time_limit_ms: float = 10_000.0
-    leaves_after_ms: float | None = None
+    disconnects_after_ms: float | None = None
     body: bytes = b"prompt"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Got:
+class CallResult:
     """What came back.
 
     Attributes:
@@ -58,7 +58,7 @@
     status: int
     headers: dict[str, str]
     body: bytes
-    is_whole: bool
+    is_complete: bool
     sent_s: float
     first_ms: float | None
     took_ms: float
@@ -71,11 +71,11 @@
         self._process = virtual_process.VirtualProcess("caller", "")
         self._env = cluster.network.make_environment(self._process, 1)
 
-    async def send(self, call: Call) -> Got:
+    async def send(self, call: Call) -> CallResult:
         """Sends a call and reads its answer to the end."""
         return await self._process.start(lambda: self._send(call))
 
-    async def ask_ready(self, vm: str) -> int:
+    async def check_ready(self, vm: str) -> int:
         """Returns the status of a VM's answer to the balancer; 0 for none."""
         return await self._process.start(lambda: self._ask_ready(vm))
 
@@ -85,10 +85,10 @@
         answer = await client.fetch(self._env, address, request, 1_000.0)
         return 0 if isinstance(answer, client.Fault) else answer.status
 
-    async def _send(self, call: Call) -> Got:
+    async def _send(self, call: Call) -> CallResult:
         sent_s = asyncio.get_running_loop().time()
         began_ms = self._env.now_ms()
-        limit_ms = call.leaves_after_ms or call.time_limit_ms + 1_000.0
+        limit_ms = call.disconnects_after_ms or call.time_limit_ms + 1_000.0
         parts: list[bytes] = []
         found = [0, {}, False, None]
         try:
@@ -96,14 +96,14 @@
                 await self._read(call, parts, found, began_ms)
         except TimeoutError:
             pass
-        status, headers, is_whole, first_ms = found
+        status, headers, is_complete, first_ms = found
         took_ms = self._env.now_ms() - began_ms
-        return Got(
+        return CallResult(
             call,
             status,
             headers,
             b"".join(parts),
-            is_whole,
+            is_complete,
             sent_s,
             first_ms,
             took_ms,
--- a/standins/gateway_cluster.py
+++ b/standins/gateway_cluster.py
@@ -36,8 +36,8 @@
 REVOKE_MS = 5_000.0
 HEARTBEAT_S = 1.2
 # A replica that crashed is off the list after this time, and back after this.
-CRASH_LAPSE_S = 2.5
-CRASH_DOWN_S = 4.0
+CRASH_EXPIRY_S = 2.5
+CRASH_RESTART_S = 4.0
 RETRY_SLACK = 54.0
 # State of a replica that writes no entry any more.
 UNLISTED = ""
@@ -71,10 +71,10 @@
     is_strict: bool = True
     connections_max: int = 3_000
     engine_spec: iteration_engine.EngineSpec = iteration_engine.EngineSpec()
-    aim_scale: float = 1.0
-    keeps_names: bool = False
+    latency_slo_scale: float = 1.0
+    reuses_names: bool = False
     epoch: str = "1"
-    pace: poll_config.PollConfig = poll_config.PollConfig()
+    polling: poll_config.PollConfig = poll_config.PollConfig()
 
 
 _LAYOUT = Layout()
@@ -154,7 +154,7 @@
         self.revision = 0
         self.keys = {"w1": [KEY]}
         self.disturbances: list[Disturbance] = []
-        self.fatal: set[bytes] = set()
+        self.poison_bodies: set[bytes] = set()
         self.vm_starts: dict[str, list[float]] = {}
         self.all_gateways: list[gateways.Gateway] = []
         self._engines: dict[str, platform_replica.PlatformReplica] = {}
@@ -183,7 +183,7 @@
         document = make_configuration(self.keys, self.revision, self.layout)
         self.store.put("op/config", {**document, **changes})
 
-    def write_settings_again(self) -> None:
+    def rewrite_settings(self) -> None:
         """Writes the last settings again, as after a restore of the store."""
         document = make_configuration(self.keys, self.revision, self.layout)
         self.store.put("op/config", document)
@@ -231,7 +231,7 @@
             certain_age_max_ms=key_age_max_ms,
             stop_lag_ms=2_600.0,
             stop_limit_ms=7_600.0,
-            polling=self.layout.pace,
+            polling=self.layout.polling,
             retry_ratio=0.15,
             retry_slack=RETRY_SLACK,
             peers=peer_gossip.PeerConfig(
@@ -257,13 +257,13 @@
         env = self.network.make_environment(node.process, node.starts)
         is_engine = node.name.startswith("engine")
         engine_spec = self.layout.engine_spec if is_engine else None
-        keeps_name = self.layout.keeps_names
+        keeps_name = self.layout.reuses_names
         start = 1 if keeps_name else node.starts
         replica = platform_replica.PlatformReplica(
             f"{node.name}.{start}", env, engine_spec, self._engines
         )
-        replica.born_ms = int(env.wall_ms()) if keeps_name else 0
-        replica.fatal = self.fatal
+        replica.started_ms = int(env.wall_ms()) if keeps_name else 0
+        replica.poison_bodies = self.poison_bodies
         replica.crash = lambda: self.crash_target(node)
         node.replica = replica
         node.state = "ready"
@@ -274,7 +274,7 @@
         node.process.start(lambda: env.serve(replica.make_handler(), address))
         if replica.engine is not None:
             node.process.start(replica.engine.run)
-        node.process.start(lambda: self._keep_listed(node, replica))
+        node.process.start(lambda: self._send_heartbeats(node, replica))
 
     def crash_target(self, node: Node) -> None:
         """Ends a replica at once; it lapses, and is back after a while."""
@@ -283,13 +283,13 @@
         loop = asyncio.get_running_loop()
         context = self.network.neutral
 
-        def lapse() -> None:
+        def expire() -> None:
             if node.replica is replica:
                 self.unlist_target(node)
 
-        loop.call_later(CRASH_LAPSE_S, lapse, context=context)
+        loop.call_later(CRASH_EXPIRY_S, expire, context=context)
         loop.call_later(
-            CRASH_DOWN_S, lambda: self.start_target(node), context=context
+            CRASH_RESTART_S, lambda: self.start_target(node), context=context
         )
 
     def list_runs(self, body: bytes) -> list[platform_replica.Run]:
@@ -302,20 +302,20 @@
         ]
         return sorted(runs, key=lambda each: each.at_s)
 
-    async def serve_stranger(self, node: Node) -> None:
+    async def serve_unlisted_replica(self, node: Node) -> None:
         """Has a replica that is not listed take over a replica's address."""
         node.starts += 1
         node.process = _make_process(node.name, node.hall)
         env = self.network.make_environment(node.process, node.starts)
-        stranger = platform_replica.PlatformReplica(
+        unlisted = platform_replica.PlatformReplica(
             f"stranger-{node.name}", env, None, self._engines
         )
-        self.all_replicas.append(stranger)
+        self.all_replicas.append(unlisted)
         address = environment.Address(node.name, _REPLICA_PORT)
-        handler = stranger.make_handler()
+        handler = unlisted.make_handler()
         await node.process.start(lambda: env.serve(handler, address))
 
-    async def _keep_listed(
+    async def _send_heartbeats(
         self, node: Node, replica: platform_replica.PlatformReplica
     ) -> None:
         while node.state != UNLISTED:
@@ -350,7 +350,7 @@
                 "slots": self.layout.engine_spec.slots if is_engine else 6,
                 "state": state,
                 "sequence": node.sequence,
-                **replica.tell_born(),
+                **replica.make_start_field(),
             },
         )
 
@@ -379,7 +379,7 @@
     document = _make_configuration(keys, revision, layout.engine_spec)
     for route in document["routes"]:
         for name in ("target-latency-ms", "gap_aim_ms"):
-            route[name] = round(route[name] * layout.aim_scale)
+            route[name] = round(route[name] * layout.latency_slo_scale)
     return document
 
 
--- a/standins/gateway_guarantees.py
+++ b/standins/gateway_guarantees.py
@@ -18,7 +18,7 @@
 
 def find_broken(
     cluster: gateway_cluster.GatewayCluster,
-    all_got: Iterable[gateway_caller.Got],
+    all_got: Iterable[gateway_caller.CallResult],
 ) -> list[str]:
     """Returns a sentence for each promise that was broken in a cluster."""
     return find_broken_by(
@@ -30,8 +30,8 @@
 
 def find_broken_by(
     replicas: Sequence[platform_replica.PlatformReplica],
-    all_got: Iterable[gateway_caller.Got],
-    was_disturbed: Callable[[gateway_caller.Got], bool],
+    all_got: Iterable[gateway_caller.CallResult],
+    was_disturbed: Callable[[gateway_caller.CallResult], bool],
 ) -> list[str]:
     """Returns a sentence for each promise that was broken.
 
@@ -58,9 +58,9 @@
 
 
 def _check(
-    got: gateway_caller.Got,
+    got: gateway_caller.CallResult,
     runs: list[platform_replica.Run],
-    was_disturbed: Callable[[gateway_caller.Got], bool],
+    was_disturbed: Callable[[gateway_caller.CallResult], bool],
 ) -> Iterable[str]:
     if got.call.route not in _REPEATABLE and len(runs) > 1:
         yield f"ran {len(runs)} times"
@@ -69,7 +69,7 @@
         yield f"told {got.status}, but ran"
     if any(run.workspace == "somebody-else" for run in runs):
         yield "ran for another workspace"
-    if got.status == 200 and got.is_whole:
+    if got.status == 200 and got.is_complete:
         yield from _check_body(got)
     limit_ms = min(got.call.time_limit_ms, 15_000.0)
     is_late = got.status and got.took_ms > limit_ms + _LATE_MS
@@ -78,7 +78,7 @@
 
 
 def _was_disturbed(
-    got: gateway_caller.Got, cluster: gateway_cluster.GatewayCluster
+    got: gateway_caller.CallResult, cluster: gateway_cluster.GatewayCluster
 ) -> bool:
     """Returns whether its VM stood still or was cut off meanwhile."""
     names = (got.call.vm, cluster.vms[got.call.vm].hall)
@@ -89,7 +89,7 @@
     )
 
 
-def _check_body(got: gateway_caller.Got) -> Iterable[str]:
+def _check_body(got: gateway_caller.CallResult) -> Iterable[str]:
     request_id = got.call.request_id
     if not got.call.prompt_tokens:
         if got.body != platform_replica.make_plain_body(request_id):
--- a/standins/gateway_schedules.py
+++ b/standins/gateway_schedules.py
@@ -65,7 +65,7 @@
         seed=seed,
         is_strict=chance.random() < 0.5,
         engine_spec=engine_spec,
-        aim_scale=chance.uniform(0.5, 2.0),
+        latency_slo_scale=chance.uniform(0.5, 2.0),
     )
 
 
@@ -93,7 +93,7 @@
     return gateway_guarantees.find_broken(cluster, got), count_statuses(got)
 
 
-def count_statuses(got: Iterable[gateway_caller.Got]) -> dict[int, int]:
+def count_statuses(got: Iterable[gateway_caller.CallResult]) -> dict[int, int]:
     """Returns how often callers got each status."""
     counts: dict[int, int] = {}
     for each in got:
@@ -132,7 +132,7 @@
         prompt_tokens=prompt or 0,
         output_tokens=chance.randrange(50, 1_200) if is_stream else 0,
         time_limit_ms=10_000.0 if is_stream else 2_000.0,
-        leaves_after_ms=chance.choice((None, None, None, None, 400.0)),
+        disconnects_after_ms=chance.choice((None, None, None, None, 400.0)),
     )
 
 
@@ -140,7 +140,7 @@
     caller: gateway_caller.Caller,
     call: gateway_caller.Call,
     chance: random.Random,
-) -> gateway_caller.Got:
+) -> gateway_caller.CallResult:
     await asyncio.sleep(chance.uniform(0.0, _DURATION_S))
     return await caller.send(call)
 
@@ -220,7 +220,7 @@
     cluster: gateway_cluster.GatewayCluster, chance: random.Random
 ) -> None:
     node = cluster.targets[chance.choice(sorted(cluster.targets))]
-    wrong = node.replica.wrong
+    wrong = node.replica.faults
     name = chance.choice(
         ("refuse", "fail", "lose", "break_off", "unsigned", "foreign")
     )
@@ -253,16 +253,16 @@
 ) -> None:
     """Has the store answer nobody for a time drawn from a range."""
     with note_disturbance(cluster, gateway_cluster.STORE_NAME):
-        cluster.store.trouble = chance.choice(("busy", "reset", "silent"))
+        cluster.store.failure = chance.choice(("busy", "reset", "silent"))
         await asyncio.sleep(chance.uniform(least_s, most_s))
-        cluster.store.trouble = ""
+        cluster.store.failure = ""
 
 
 async def _forget_history(
     cluster: gateway_cluster.GatewayCluster, chance: random.Random
 ) -> None:
     cluster.publish()
-    cluster.store.forget_history()
+    cluster.store.compact_history()
 
 
 FAULT_KINDS: tuple[Callable, ...] = (
--- a/standins/platform_replica.py
+++ b/standins/platform_replica.py
@@ -56,11 +56,11 @@
 
     request_id: str
     at_s: float
-    quiet_s: float = 0.0
+    backoff_s: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NamedLimit:
+class AnnouncedLimit:
     """A rate limit that a replica names from one time on.
 
     Attributes:
@@ -73,7 +73,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Misbehaviour:
+class ReplicaFaults:
     """What a replica does wrong; chances are drawn for each request.
 
     Attributes:
@@ -100,7 +100,7 @@
     mute: bool = False
     hang: float = 0.0
     silent_s: float = 0.0
-    helps_nobody: bool = False
+    is_unfit_helper: bool = False
     retry_after: str = ""
 
 
@@ -135,20 +135,20 @@
     ) -> None:
         self.name = name
         self.runs: list[Run] = []
-        self.wrong = Misbehaviour()
-        self.tickets: dict[str, tuple[int, float]] = {}
+        self.faults = ReplicaFaults()
+        self.reservations: dict[str, tuple[int, float]] = {}
         self.engine = iteration_engine.IterationEngine(spec) if spec else None
-        self.born_ms = 0
-        self.fatal: set[bytes] = set()
+        self.started_ms = 0
+        self.poison_bodies: set[bytes] = set()
         self.crash: Callable[[], None] = lambda: None
-        self.leaving = ""
-        self.has_told = False
+        self.draining_hint = ""
+        self.has_announced_draining = False
         self.arrivals: list[Arrival] = []
         self.helped = 0
-        self.limits: list[NamedLimit] = []
-        self.limits_told: dict[str, float] = {}
-        self.orders_s: list[float] = []
-        self.probes_s: list[float] = []
+        self.limits: list[AnnouncedLimit] = []
+        self.limit_answer_times_s: dict[str, float] = {}
+        self.order_times_s: list[float] = []
+        self.probe_times_s: list[float] = []
         self.rate_limit = ""
         self._env = env
         self._peers = peers
@@ -159,32 +159,32 @@
         """Returns the stream handler that serves the replica."""
         return server.make_stream_handler(self._handle, server.Limits())
 
-    def name_limit(self, text: str) -> None:
+    def announce_limit(self, text: str) -> None:
         """Has all answers name a rate limit from now on; empty for none."""
         self.rate_limit = text
         rates = [float(each) for each in text.split(",") if each]
         rate_per_s = min(rates, default=float("inf"))
         now_s = asyncio.get_running_loop().time()
-        self.limits.append(NamedLimit(now_s, rate_per_s))
+        self.limits.append(AnnouncedLimit(now_s, rate_per_s))
 
     async def _handle(
         self, incoming: message.IncomingRequest
     ) -> message.Response:
         now_s = asyncio.get_running_loop().time()
         if incoming.path == _ORDER_PATH:
-            self.orders_s.append(now_s)
+            self.order_times_s.append(now_s)
         if incoming.path == _REPORT_PATH:
-            self.probes_s.append(now_s)
+            self.probe_times_s.append(now_s)
         answer = await self._answer(incoming)
         said: tuple[tuple[str, str], ...] = ()
-        if self.leaving:
-            self.has_told = self.has_told or self.leaving == "1"
-            said += (("Server-Leaving", self.leaving),)
+        if self.draining_hint:
+            self.has_announced_draining = self.has_announced_draining or self.draining_hint == "1"
+            said += (("Server-Leaving", self.draining_hint),)
         if self.rate_limit:
             said += (("Server-Limit", self.rate_limit),)
             request_id = incoming.headers.get("x-attempt-id", "")
             now_s = asyncio.get_running_loop().time()
-            self.limits_told.setdefault(request_id, now_s)
+            self.limit_answer_times_s.setdefault(request_id, now_s)
         return dataclasses.replace(answer, fields=answer.fields + said)
 
     async def _answer(
@@ -193,15 +193,15 @@
         if incoming.path == _ORDER_PATH:
             return self._take_order(orjson.loads(incoming.body))
         if incoming.path == _REPORT_PATH:
-            report = {"stage": "both", **self.tell_born()}
+            report = {"stage": "both", **self.make_start_field()}
             return message.make_json_response(200, report)
-        if self.wrong.mute or self._draw(self.wrong.hang):
+        if self.faults.mute or self._draw(self.faults.hang):
             await asyncio.sleep(3_600.0)
         expected = incoming.headers.get("x-expect-replica", self.name)
         if expected != self.name:
             return message.Response(421, {"X-Replica-Id": self.name}, b"")
-        is_refused = self._draw(self.wrong.refuse)
-        retry_after = self.wrong.retry_after if is_refused else ""
+        is_refused = self._draw(self.faults.refuse)
+        retry_after = self.faults.retry_after if is_refused else ""
         self.arrivals.append(
             Arrival(
                 incoming.headers.get("x-attempt-id", ""),
@@ -223,14 +223,14 @@
     def _find_unfit_helper(self, helpers: str) -> str | None:
         """Returns the address of a helper that does not help, if one is."""
         for address in _name_helpers(helpers):
-            if self._peers[address].wrong.helps_nobody:
+            if self._peers[address].faults.is_unfit_helper:
                 return address
         return None
 
     def _take_order(self, order: dict) -> message.Response:
         now_ms = self._env.now_ms()
-        held = {k: v for k, v in self.tickets.items() if v[1] > now_ms}
-        self.tickets = held
+        held = {k: v for k, v in self.reservations.items() if v[1] > now_ms}
+        self.reservations = held
         if order["op"] == "release":
             held.pop(order["id"], None)
             return message.make_json_response(200, {"free": 0})
@@ -244,15 +244,15 @@
         held[order["id"]] = (order["token-count"], lapses_ms)
         return message.make_json_response(200, {"free": memory - used})
 
-    def tell_born(self) -> dict[str, int]:
+    def make_start_field(self) -> dict[str, int]:
         """Returns the field that tells when it started, if it does."""
-        return {"born": self.born_ms} if self.born_ms else {}
+        return {"born": self.started_ms} if self.started_ms else {}
 
     def held_tokens(self) -> int:
         """Returns the memory that is set aside now."""
         now_ms = self._env.now_ms()
         return sum(
-            each[0] for each in self.tickets.values() if each[1] > now_ms
+            each[0] for each in self.reservations.values() if each[1] > now_ms
         )
 
     async def _run(self, incoming: message.IncomingRequest) -> message.Response:
@@ -274,11 +274,11 @@
             if self.engine is None:
                 return await self._answer_plain(run, headers)
             prompt, output = map(int, found["x-token-usage"].split(","))
-            if self._draw(self.wrong.lose):
+            if self._draw(self.faults.lose):
                 return message.Response(200, headers, _break_off(()))
             helpers = found.get("helpers", "")
             await self._read_prompt(prompt, helpers)
-            if incoming.body in self.fatal:
+            if incoming.body in self.poison_bodies:
                 self.crash()
             return message.Response(
                 200, headers, self._write(run, prompt, output)
@@ -288,11 +288,11 @@
 
     def _make_headers(self, run: Run) -> dict[str, str]:
         named = run.request_id
-        if self._draw(self.wrong.foreign):
+        if self._draw(self.faults.foreign):
             named = "another"
         load = f"{self._working},0,8"
         headers = {"X-Attempt-Id": named, "X-Replica-Load": load}
-        if not self._draw(self.wrong.unsigned):
+        if not self._draw(self.faults.unsigned):
             headers[_SIGNATURE] = f"{self.name}.{run.request_id}"
         return headers
 
@@ -300,12 +300,12 @@
         self, run: Run, headers: dict[str, str]
     ) -> message.Response:
         await asyncio.sleep(0.09)
-        if self._draw(self.wrong.lose):
+        if self._draw(self.faults.lose):
             return message.Response(200, headers, _break_off(()))
-        if self._draw(self.wrong.fail):
+        if self._draw(self.faults.fail):
             return message.Response(500, headers, b"failed")
         body = make_plain_body(run.request_id)
-        if self._draw(self.wrong.break_off):
+        if self._draw(self.faults.break_off):
             return message.Response(200, headers, _break_off((body[:5],)))
         return message.Response(200, headers, body)
 
@@ -323,7 +323,7 @@
     ) -> AsyncIterator[bytes]:
         events = count_events(output)
         breaks_at = -1
-        if self._draw(self.wrong.break_off):
+        if self._draw(self.faults.break_off):
             breaks_at = self._env.random.randrange(1, events + 1)
         async with self.engine.get_slots():
             writer = self.engine.start_stream(prompt)
@@ -334,8 +334,8 @@
                     # The first token comes with the end of the reading.
                     if number > first:
                         await writer.events.get()
-                    if self.wrong.silent_s and number == first + 3:
-                        await asyncio.sleep(self.wrong.silent_s)
+                    if self.faults.silent_s and number == first + 3:
+                        await asyncio.sleep(self.faults.silent_s)
                     event = make_event(run.request_id, number)
                     if number == breaks_at:
                         yield event[: len(event) // 2]
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -23,13 +23,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Copy:
+class Snapshot:
     """What the store held at some time."""
 
     revision: int
     items: dict[str, _Change]
     history: list[_Change]
-    forgotten: int
+    compacted_revision: int
 
 
 class PlatformStore:
@@ -47,12 +47,12 @@
     def __init__(self) -> None:
         self.revision = 0
         self.epoch = "1"
-        self.trouble = ""
+        self.failure = ""
         self.calls = 0
-        self.lag: int | None = None
+        self.watch_revision_max: int | None = None
         self._items: dict[str, _Change] = {}
         self._history: list[_Change] = []
-        self._forgotten = 0
+        self._compacted_revision = 0
 
     def put(self, key: str, document: object) -> None:
         """Writes an item; a heartbeat that tells nothing new is no change."""
@@ -76,26 +76,26 @@
             self.revision += 1
             self._history.append(_Change(self.revision, key, None))
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Drops the history; watches from before get 410."""
-        self._forgotten = self.revision
+        self._compacted_revision = self.revision
         self._history.clear()
 
-    def take_copy(self) -> Copy:
+    def take_snapshot(self) -> Snapshot:
         """Returns a copy of all that the store holds."""
-        return Copy(
+        return Snapshot(
             self.revision,
             dict(self._items),
             list(self._history),
-            self._forgotten,
+            self._compacted_revision,
         )
 
-    def restore(self, copy: Copy) -> None:
+    def restore(self, snapshot: Snapshot) -> None:
         """Goes back to a copy; what was written since is gone."""
-        self.revision = copy.revision
-        self._items = dict(copy.items)
-        self._history = list(copy.history)
-        self._forgotten = copy.forgotten
+        self.revision = snapshot.revision
+        self._items = dict(snapshot.items)
+        self._history = list(snapshot.history)
+        self._compacted_revision = snapshot.compacted_revision
         if self.epoch:
             self.epoch = str(int(self.epoch) + 1)
 
@@ -117,7 +117,7 @@
         self, incoming: message.IncomingRequest
     ) -> message.Response:
         self.calls += 1
-        match self.trouble:
+        match self.failure:
             case "busy":
                 return message.make_json_response(503, {})
             case "reset":
@@ -147,9 +147,9 @@
         since = int(query["since-rev"])
         left_s = int(query.get("wait-ms", "0")) / 1000.0
         while True:
-            if since < self._forgotten or since > self.revision:
+            if since < self._compacted_revision or since > self.revision:
                 return message.make_json_response(410, {})
-            last = self.revision if self.lag is None else self.lag
+            last = self.revision if self.watch_revision_max is None else self.watch_revision_max
             found = [
                 each for each in self._history if since < each.revision <= last
             ]
--- a/standins/rate_limit_check.py
+++ b/standins/rate_limit_check.py
@@ -23,7 +23,7 @@
 
 def find_excess(
     cluster: gateway_cluster.GatewayCluster,
-    all_got: Iterable[gateway_caller.Got],
+    all_got: Iterable[gateway_caller.CallResult],
 ) -> list[str]:
     """Returns windows in which VMs that knew a limit sent more than it allows.
 
@@ -54,7 +54,7 @@
     if not replica.limits:
         return []
     binds_s = replica.limits[0].at_s + BINDS_S
-    at_s = sorted([*counted_s, *replica.orders_s, *replica.probes_s])
+    at_s = sorted([*counted_s, *replica.order_times_s, *replica.probe_times_s])
     broken: list[str] = []
     for index, begin_s in enumerate(at_s):
         if begin_s < binds_s:
@@ -70,14 +70,14 @@
     return broken
 
 
-def find_rate(limits: list[platform_replica.NamedLimit], at_s: float) -> float:
+def find_rate(limits: list[platform_replica.AnnouncedLimit], at_s: float) -> float:
     """Returns the limit in force at a time; infinity for none."""
     named = [each.rate_per_s for each in limits if each.at_s <= at_s]
     return named[-1] if named else float("inf")
 
 
 def _find_allowed(
-    limits: list[platform_replica.NamedLimit], begin_s: float
+    limits: list[platform_replica.AnnouncedLimit], begin_s: float
 ) -> float:
     """Returns what a window may have.
 
@@ -93,11 +93,11 @@
 
 def _find_passed_on(
     replica: platform_replica.PlatformReplica,
-    by_id: dict[str, gateway_caller.Got],
+    by_id: dict[str, gateway_caller.CallResult],
 ) -> dict[str, float]:
     """Returns when each VM first passed on an answer that named a limit."""
     passed_on_s: dict[str, float] = {}
-    for request_id in replica.limits_told:
+    for request_id in replica.limit_answer_times_s:
         got = by_id.get(request_id)
         if got is None or "server-limit" not in got.headers:
             continue
@@ -109,7 +109,7 @@
 
 def _is_bound(
     cluster: gateway_cluster.GatewayCluster,
-    got: gateway_caller.Got,
+    got: gateway_caller.CallResult,
     arrival: platform_replica.Arrival,
     passed_on_s: dict[str, float],
 ) -> bool:
--- a/standins/rate_limit_fleet.py
+++ b/standins/rate_limit_fleet.py
@@ -60,9 +60,9 @@
 
     name: str
     target: targets.Target
-    limits: list[platform_replica.NamedLimit]
-    orders_s: list[float]
-    probes_s: list[float]
+    limits: list[platform_replica.AnnouncedLimit]
+    order_times_s: list[float]
+    probe_times_s: list[float]
     calls: list[tuple[float, str]]
 
 
@@ -252,7 +252,7 @@
             each = self.found[target.target_id]
             sent_ms = vm.env.now_ms()
             loop = asyncio.get_running_loop()
-            each.probes_s.append(loop.time())
+            each.probe_times_s.append(loop.time())
             rate_per_s = rate_limit_check.find_rate(each.limits, loop.time())
             await asyncio.sleep(0.002)
             is_unlimited = rate_per_s == float("inf")
@@ -335,7 +335,7 @@
     for job in jobs:
         job.cancel()
     for each in fleet.found.values():
-        fleet.counts["probes"] += len(each.probes_s)
+        fleet.counts["probes"] += len(each.probe_times_s)
         fleet.counts["calls under a limit"] += sum(
             rate_limit_check.find_rate(each.limits, at_s) < float("inf")
             for at_s, _ in each.calls
@@ -348,7 +348,7 @@
     await asyncio.sleep(chance.uniform(0.0, 8.0))
     while True:
         rate_per_s = chance.choice((*_RATES, float("inf")))
-        limit = platform_replica.NamedLimit(loop.time(), rate_per_s)
+        limit = platform_replica.AnnouncedLimit(loop.time(), rate_per_s)
         if rate_per_s < float("inf") or each.limits:
             each.limits.append(limit)
         await asyncio.sleep(chance.uniform(3.0, 12.0))
--- a/standins/rate_limit_schedules.py
+++ b/standins/rate_limit_schedules.py
@@ -70,7 +70,7 @@
         services=chance.choice((1, 3, 6)),
         seed=seed,
         is_strict=chance.random() < 0.3,
-        keeps_names=chance.random() < 0.5,
+        reuses_names=chance.random() < 0.5,
     )
     return virtual_process.run(lambda: _play(layout, chance))
 
@@ -114,7 +114,7 @@
     caller: gateway_caller.Caller,
     chance: random.Random,
     number: int,
-) -> gateway_caller.Got:
+) -> gateway_caller.CallResult:
     await asyncio.sleep(chance.uniform(0.0, _DURATION_S))
     call = gateway_schedules.make_call(chance, cluster, number)
     if chance.random() < 0.9:
@@ -147,7 +147,7 @@
 ) -> None:
     replica = node.replica
     for _ in range(chance.choice((1, 1, 2))):
-        replica.name_limit(chance.choice(_RATES))
+        replica.announce_limit(chance.choice(_RATES))
         await asyncio.sleep(chance.uniform(3.0, 10.0))
     if chance.random() < 0.2:
         known = replica.rate_limit
@@ -156,7 +156,7 @@
         if replica.rate_limit in _ODD_RATES:
             replica.rate_limit = known
     if chance.random() < 0.6:
-        replica.name_limit("")
+        replica.announce_limit("")
 
 
 async def _join_vm(
@@ -173,21 +173,21 @@
 
 def _count(
     cluster: gateway_cluster.GatewayCluster,
-    got: Iterable[gateway_caller.Got],
+    got: Iterable[gateway_caller.CallResult],
 ) -> collections.Counter[str]:
     counts: collections.Counter[str] = collections.Counter()
     for each in got:
         counts[f"status {each.status}"] += 1
     for replica in cluster.all_replicas:
         counts["limits named"] += len(replica.limits)
-        counts["answers that named a limit"] += len(replica.limits_told)
+        counts["answers that named a limit"] += len(replica.limit_answer_times_s)
         counts["calls under a limit"] += sum(
             rate_limit_check.find_rate(replica.limits, each.at_s) < float("inf")
             for each in replica.arrivals
         )
         counts["probes and orders under a limit"] += sum(
             rate_limit_check.find_rate(replica.limits, at_s) < float("inf")
-            for at_s in (*replica.orders_s, *replica.probes_s)
+            for at_s in (*replica.order_times_s, *replica.probe_times_s)
         )
     return counts
 
--- a/standins/restore_checks.py
+++ b/standins/restore_checks.py
@@ -71,7 +71,7 @@
     def note_leaving(self, replica: platform_replica.PlatformReplica) -> None:
         """Notes that the store was told that a target leaves."""
         self._counts[_LEAVINGS] += 1
-        life = lives.Life(replica.name, replica.born_ms)
+        life = lives.Life(replica.name, replica.started_ms)
         self._leavings[life] = _Leaving(replica, self._now_s())
 
     def note_restored(self) -> None:
@@ -118,7 +118,7 @@
             if leaving is not None and is_known:
                 leaving.known_s.setdefault(run, self._now_s())
 
-    def find_broken(self, got: Iterable[gateway_caller.Got]) -> list[str]:
+    def find_broken(self, got: Iterable[gateway_caller.CallResult]) -> list[str]:
         """Returns a sentence for each promise that was broken."""
         by_id = {each.call.request_id: each for each in got}
         broken = list(self._broken)
@@ -133,7 +133,7 @@
         self,
         leaving: _Leaving,
         arrival: platform_replica.Arrival,
-        call: gateway_caller.Got,
+        call: gateway_caller.CallResult,
     ) -> Iterable[str]:
         vm, at_s = call.call.vm, arrival.at_s
         name = leaving.replica.name
@@ -155,7 +155,7 @@
             )
 
     def _check_keys(
-        self, by_id: dict[str, gateway_caller.Got]
+        self, by_id: dict[str, gateway_caller.CallResult]
     ) -> Iterable[str]:
         until_s = self._key_removed_s + gateway_cluster.REVOKE_MS / 1_000.0
         for replica in self._cluster.all_replicas:
@@ -196,7 +196,7 @@
     It is to be asked after REST_S without a fault.
     """
     sound = [
-        lives.Life(node.replica.name, node.replica.born_ms)
+        lives.Life(node.replica.name, node.replica.started_ms)
         for node in cluster.targets.values()
         if node.state == "ready" and not node.process.is_dead
     ]
--- a/standins/restore_schedules.py
+++ b/standins/restore_schedules.py
@@ -60,7 +60,7 @@
         self.cluster = cluster
         self.chance = chance
         self.record = restore_checks.Record(cluster)
-        self.copies: list[platform_store.Copy] = []
+        self.copies: list[platform_store.Snapshot] = []
         self.is_removed = False
 
     def choose_target(self) -> gateway_cluster.Node | None:
@@ -104,7 +104,7 @@
         engines=chance.choice((3, 6)),
         services=chance.choice((3, 6)),
         seed=seed,
-        keeps_names=chance.random() < 0.5,
+        reuses_names=chance.random() < 0.5,
         epoch=chance.choice(("1", "41")),
     )
     return virtual_process.run(lambda: _play(layout, chance))
@@ -150,7 +150,7 @@
 
 async def _rest(cluster: gateway_cluster.GatewayCluster) -> None:
     """Ends all trouble, and lets VMs find out what is so."""
-    cluster.store.trouble = ""
+    cluster.store.failure = ""
     cluster.network.cuts.clear()
     for node in (*cluster.vms.values(), *cluster.targets.values()):
         if node.process.is_frozen:
@@ -165,7 +165,7 @@
 
 async def _call_later(
     schedule: Schedule, caller: gateway_caller.Caller, number: int
-) -> gateway_caller.Got:
+) -> gateway_caller.CallResult:
     chance = schedule.chance
     call = gateway_schedules.make_call(chance, schedule.cluster, number)
     if chance.random() < 0.5:
@@ -185,7 +185,7 @@
 
 async def _take_copies(schedule: Schedule) -> None:
     while True:
-        schedule.copies.append(schedule.cluster.store.take_copy())
+        schedule.copies.append(schedule.cluster.store.take_snapshot())
         del schedule.copies[:-_COPIES]
         await asyncio.sleep(_COPY_EVERY_S)
 
@@ -203,16 +203,16 @@
         with gateway_schedules.note_disturbance(
             schedule.cluster, gateway_cluster.STORE_NAME
         ):
-            store.trouble = chance.choice(("busy", "reset", "silent"))
+            store.failure = chance.choice(("busy", "reset", "silent"))
             await asyncio.sleep(away_s)
-            store.trouble = ""
+            store.failure = ""
     store.restore(copy)
     # No copy of what was lost is left.
     schedule.copies = [copy]
     schedule.record.note_restored()
     await asyncio.sleep(chance.uniform(0.0, _REWRITE_S))
     cluster = schedule.cluster
-    cluster.write_settings_again()
+    cluster.rewrite_settings()
     for node in cluster.targets.values():
         if node.state == gateway_cluster.UNLISTED:
             cluster.unlist_target(node)
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -106,7 +106,7 @@
             self._chance, folder, sizes.without
         )
         self._fronts: list[int] = []
-        self._got: list[tuple[int, gateway_caller.Got]] = []
+        self._got: list[tuple[int, gateway_caller.CallResult]] = []
         self._leavings: list[soak_withdrawals.Leaving] = []
 
     async def play(self) -> tuple[list[str], dict[int, int]]:
@@ -153,7 +153,7 @@
             proxy.mode = soak_proxy.Mode.PASS
         await asyncio.sleep(_SETTLE_S)
 
-    def _was_disturbed(self, got: gateway_caller.Got) -> bool:
+    def _was_disturbed(self, got: gateway_caller.CallResult) -> bool:
         # Everything goes through proxies, any of which may hold bytes back, so
         # lateness tells nothing here; schedules in virtual time check it.
         return True
@@ -245,7 +245,7 @@
             output_tokens=self._chance.randrange(50, 600) if prompt else 0,
             key=self._chance.choice(self._keys),
             time_limit_ms=4_000.0,
-            leaves_after_ms=self._chance.choice((None,) * 6 + (300.0,)),
+            disconnects_after_ms=self._chance.choice((None,) * 6 + (300.0,)),
         )
 
     async def _disturb_on(self, until_s: float) -> None:
@@ -293,15 +293,15 @@
         """Has a replica leave, or shed calls, while the store is away."""
         replica = self._chance.choice(self._replicas)
         if self._chance.random() < 0.4:
-            replica.wrong.retry_after = self._chance.choice(("0.5", "2", "x"))
-            replica.wrong.refuse = 1.0
+            replica.faults.retry_after = self._chance.choice(("0.5", "2", "x"))
+            replica.faults.refuse = 1.0
             await asyncio.sleep(self._chance.uniform(0.3, 1.5))
-            replica.wrong.refuse = 0.0
+            replica.faults.refuse = 0.0
             return
-        if replica.leaving:
+        if replica.draining_hint:
             return
         from_s = time.monotonic()
-        replica.leaving = "1"
+        replica.draining_hint = "1"
         await self._published.play_outage(self._chance.uniform(2.5, 4.0))
         self._replace(replica, from_s)
 
@@ -342,9 +342,9 @@
         replica = self._chance.choice(self._replicas)
         if replica.rate_limit:
             return
-        replica.name_limit(self._chance.choice(("0", "0.5", "1", "3")))
+        replica.announce_limit(self._chance.choice(("0", "0.5", "1", "3")))
         await asyncio.sleep(self._chance.uniform(4.0, 9.0))
-        replica.name_limit("")
+        replica.announce_limit("")
 
     def _replace(
         self, replica: platform_replica.PlatformReplica, from_s: float
@@ -357,13 +357,13 @@
         )
         self._published.take_off(replica)
         replica.name += "n"
-        replica.leaving = ""
+        replica.draining_hint = ""
         self._published.list_anew(replica)
 
     async def _change_settings(self) -> None:
         self._published.publish()
         if self._chance.random() < 0.5:
-            self._store.forget_history()
+            self._store.compact_history()
         if self._chance.random() < 0.7:
             await self._published.play_outage(self._chance.uniform(0.1, 1.0))
 
--- a/standins/soak_caller.py
+++ b/standins/soak_caller.py
@@ -20,12 +20,12 @@
         self._streams: tuple | None = None
         self._http: h11.Connection | None = None
 
-    async def send(self, call: gateway_caller.Call) -> gateway_caller.Got:
+    async def send(self, call: gateway_caller.Call) -> gateway_caller.CallResult:
         """Sends a call and reads its answer to the end."""
         sent_s = time.monotonic()
         parts: list[bytes] = []
         head: list = [0, {}, False]
-        limit_s = (call.leaves_after_ms or call.time_limit_ms + 1_000.0) / 1000
+        limit_s = (call.disconnects_after_ms or call.time_limit_ms + 1_000.0) / 1000
         try:
             async with asyncio.timeout(limit_s):
                 await self._exchange(call, parts, head)
@@ -35,7 +35,7 @@
             self.close()
         took_ms = (time.monotonic() - sent_s) * 1000.0
         body = b"".join(parts)
-        return gateway_caller.Got(
+        return gateway_caller.CallResult(
             call, head[0], head[1], body, head[2], sent_s, None, took_ms
         )
 
--- a/standins/soak_fleet.py
+++ b/standins/soak_fleet.py
@@ -22,7 +22,7 @@
     store: soak_store.SoakStore,
     leavings: Sequence[soak_withdrawals.Leaving],
     upsets: Sequence[soak_withdrawals.Upset],
-    all_got: Sequence[tuple[int, gateway_caller.Got]],
+    all_got: Sequence[tuple[int, gateway_caller.CallResult]],
     counts: collections.Counter[str],
 ) -> list[str]:
     """Returns calls that reached what they were not to reach.
@@ -59,7 +59,7 @@
 
 def _find_late_keys(
     store: soak_store.SoakStore,
-    all_got: Sequence[tuple[int, gateway_caller.Got]],
+    all_got: Sequence[tuple[int, gateway_caller.CallResult]],
     counts: collections.Counter[str],
 ) -> list[str]:
     """Returns calls that were served with a key that was to be refused."""
--- a/standins/soak_rate_limits.py
+++ b/standins/soak_rate_limits.py
@@ -12,7 +12,7 @@
 def find_broken(
     replicas: Iterable[platform_replica.PlatformReplica],
     upsets: Sequence[soak_withdrawals.Upset],
-    all_got: Sequence[tuple[int, gateway_caller.Got]],
+    all_got: Sequence[tuple[int, gateway_caller.CallResult]],
 ) -> list[str]:
     """Returns windows in which gateways sent more than a limit allows.
 
@@ -41,12 +41,12 @@
 
 def _find_passed_on(
     replica: platform_replica.PlatformReplica,
-    all_got: Iterable[tuple[int, gateway_caller.Got]],
+    all_got: Iterable[tuple[int, gateway_caller.CallResult]],
 ) -> dict[int, float]:
     """Returns when each gateway first passed on an answer with a limit."""
     passed_on_s: dict[int, float] = {}
     for gateway, got in all_got:
-        is_its_own = got.call.request_id in replica.limits_told
+        is_its_own = got.call.request_id in replica.limit_answer_times_s
         if is_its_own and "server-limit" in got.headers:
             at_s = got.sent_s + got.took_ms / 1_000.0
             known_s = passed_on_s.get(gateway, float("inf"))
--- a/standins/soak_store.py
+++ b/standins/soak_store.py
@@ -48,7 +48,7 @@
         self.counts: collections.Counter[str] = collections.Counter()
         self._replicas: list[platform_replica.PlatformReplica] = []
         self._sequences: collections.Counter[str] = collections.Counter()
-        self._copies: list[platform_store.Copy] = []
+        self._copies: list[platform_store.Snapshot] = []
         self._keys = {"w1": [gateway_cluster.KEY], "w2": [REMOVED_KEY]}
         self._revision = 0
 
@@ -56,7 +56,7 @@
         """Writes heartbeats and takes copies until cancelled."""
         heartbeat_s = 0.0
         while True:
-            self._copies.append(self.store.take_copy())
+            self._copies.append(self.store.take_snapshot())
             del self._copies[:-_COPIES]
             if time.monotonic() >= heartbeat_s + gateway_cluster.HEARTBEAT_S:
                 heartbeat_s = time.monotonic()
@@ -123,9 +123,9 @@
         """Has the store answer nobody for a while."""
         self.counts["outages of the store"] += 1
         self.troubled_s.append(time.monotonic())
-        self.store.trouble = self._chance.choice(("busy", "reset", "silent"))
+        self.store.failure = self._chance.choice(("busy", "reset", "silent"))
         await asyncio.sleep(away_s)
-        self.store.trouble = ""
+        self.store.failure = ""
         self.troubled_s.append(time.monotonic())
 
     def _write_all(self) -> None:
--- a/standins/soak_withdrawals.py
+++ b/standins/soak_withdrawals.py
@@ -37,7 +37,7 @@
 def find_broken(
     leavings: Iterable[Leaving],
     upsets: Sequence[Upset],
-    all_got: Sequence[tuple[int, gateway_caller.Got]],
+    all_got: Sequence[tuple[int, gateway_caller.CallResult]],
 ) -> list[str]:
     """Returns calls that a gateway sent on although it had been told.
 
@@ -72,7 +72,7 @@
 def _find_told_s(
     leaving: Leaving,
     gateway: int,
-    all_got: Iterable[tuple[int, gateway_caller.Got]],
+    all_got: Iterable[tuple[int, gateway_caller.CallResult]],
 ) -> float:
     """Returns when a gateway had passed the first such answer on."""
     ends_s = [
--- a/standins/withdrawal_schedules.py
+++ b/standins/withdrawal_schedules.py
@@ -71,7 +71,7 @@
         services=chance.choice((1, 3, 6)),
         seed=seed,
         is_strict=chance.random() < 0.3,
-        keeps_names=chance.random() < 0.5,
+        reuses_names=chance.random() < 0.5,
     )
     return virtual_process.run(lambda: _play(layout, chance))
 
@@ -110,7 +110,7 @@
 
 async def _rest(cluster: gateway_cluster.GatewayCluster) -> None:
     """Ends all trouble, and lets VMs find out what is so."""
-    cluster.store.trouble = ""
+    cluster.store.failure = ""
     cluster.network.cuts.clear()
     for node in (*cluster.vms.values(), *cluster.targets.values()):
         if node.process.is_frozen:
@@ -128,7 +128,7 @@
     caller: gateway_caller.Caller,
     chance: random.Random,
     number: int,
-) -> gateway_caller.Got:
+) -> gateway_caller.CallResult:
     call = gateway_schedules.make_call(chance, cluster, number)
     if chance.random() < 0.3:
         call = dataclasses.replace(
@@ -162,13 +162,13 @@
     # The list is told late, or not at all, as while the store is away.
     replica = node.replica
     word = chance.choice(("1", "1", "1", "true", ""))
-    if not replica.has_told:
+    if not replica.has_announced_draining:
         # A target that has said it does not unsay it.
-        replica.leaving = word
+        replica.draining_hint = word
     await asyncio.sleep(chance.uniform(0.5, 8.0))
-    if not replica.born_ms and chance.random() < 0.3:
+    if not replica.started_ms and chance.random() < 0.3:
         ways[drain_coverage.START_LATE] += 1
-        replica.born_ms = round(asyncio.get_running_loop().time() * 1_000.0)
+        replica.started_ms = round(asyncio.get_running_loop().time() * 1_000.0)
         await asyncio.sleep(chance.uniform(0.5, 8.0))
     if node.process.is_dead or node.replica is not replica:
         return
@@ -198,14 +198,14 @@
 async def _shed(
     replica: platform_replica.PlatformReplica, chance: random.Random
 ) -> None:
-    replica.wrong.retry_after = chance.choice(_TIMES)
-    replica.wrong.refuse = chance.uniform(0.3, 1.0)
+    replica.faults.retry_after = chance.choice(_TIMES)
+    replica.faults.refuse = chance.uniform(0.3, 1.0)
     await asyncio.sleep(chance.uniform(1.0, 6.0))
-    replica.wrong.refuse = 0.0
+    replica.faults.refuse = 0.0
 
 
 def find_calls_after_leaving(
-    cluster: gateway_cluster.GatewayCluster, got: Iterable[gateway_caller.Got]
+    cluster: gateway_cluster.GatewayCluster, got: Iterable[gateway_caller.CallResult]
 ) -> list[str]:
     """Returns calls that a VM sent to a target that had told it to leave."""
     by_id = {each.call.request_id: each for each in got}
@@ -230,7 +230,7 @@
 
 
 def _find_heads(
-    cluster: gateway_cluster.GatewayCluster, got: Iterable[gateway_caller.Got]
+    cluster: gateway_cluster.GatewayCluster, got: Iterable[gateway_caller.CallResult]
 ) -> dict[str, platform_replica.PlatformReplica]:
     """Returns whose head each caller got, of those that say of leaving.
 
@@ -254,7 +254,7 @@
 def _find_told(
     replica: platform_replica.PlatformReplica,
     heads: dict[str, platform_replica.PlatformReplica],
-    got: Iterable[gateway_caller.Got],
+    got: Iterable[gateway_caller.CallResult],
 ) -> dict[str, float]:
     """Returns when each VM first passed on that a replica leaves.
 
@@ -274,7 +274,7 @@
 
 
 def find_calls_in_quiet(
-    cluster: gateway_cluster.GatewayCluster, got: Iterable[gateway_caller.Got]
+    cluster: gateway_cluster.GatewayCluster, got: Iterable[gateway_caller.CallResult]
 ) -> list[str]:
     """Returns where a VM sent too much within a time that was told it."""
     vms = {each.call.request_id: each.call.vm for each in got}
@@ -282,7 +282,7 @@
     for replica in cluster.all_replicas:
         for told in replica.arrivals:
             vm = vms[told.request_id]
-            until_s = told.at_s + told.quiet_s
+            until_s = told.at_s + told.backoff_s
             within = [
                 each
                 for each in replica.arrivals
@@ -295,7 +295,7 @@
             if len(within) > QUIET_MOST:
                 broken.append(
                     f"{vm} sent {replica.name} {len(within)} calls within "
-                    f"{told.quiet_s} s for which it wanted none"
+                    f"{told.backoff_s} s for which it wanted none"
                 )
     return broken
 
--- a/tests/gateway_scene.py
+++ b/tests/gateway_scene.py
@@ -26,7 +26,7 @@
 
     async def call(
         self, route: str, vm: str = "vm-0", **fields: object
-    ) -> gateway_caller.Got:
+    ) -> gateway_caller.CallResult:
         """Sends one call."""
         self._count += 1
         if route in ("short", "once"):
@@ -34,7 +34,7 @@
         call = gateway_caller.Call(f"r{self._count}", route, vm, **fields)
         return await self.caller.send(call)
 
-    def runs(self, got: gateway_caller.Got) -> list[platform_replica.Run]:
+    def runs(self, got: gateway_caller.CallResult) -> list[platform_replica.Run]:
         """Returns what ran of a call."""
         return [
             run
@@ -85,7 +85,7 @@
         chosen = [name for name in names if name.startswith(prefix)][:count]
         for name in chosen:
             for field, value in wrong.items():
-                setattr(self.cluster.targets[name].replica.wrong, field, value)
+                setattr(self.cluster.targets[name].replica.faults, field, value)
 
 
 def play(
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -39,7 +39,7 @@
 
     def test_call_that_ended_three_engines_is_sent_no_more(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
-            scene.cluster.fatal.add(_FATAL)
+            scene.cluster.poison_bodies.add(_FATAL)
             vms = len(scene.cluster.vms)
             for number in range(12):
                 got = await scene.call(
@@ -54,18 +54,18 @@
 
     def test_replicas_that_keep_their_names_count_life_by_life(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
-            scene.cluster.fatal.add(_FATAL)
+            scene.cluster.poison_bodies.add(_FATAL)
             for number in range(10):
                 await scene.call("short", f"vm-{number % 3}", body=_FATAL)
                 await asyncio.sleep(3.0)
             sends = scene.cluster.list_runs(_FATAL)
             self.assertLessEqual(len(sends), _ENDED_MOST)
 
-        gateway_scene.play(scene, engines=2, halls=1, keeps_names=True)
+        gateway_scene.play(scene, engines=2, halls=1, reuses_names=True)
 
     def test_tries_at_many_vms_at_once_end_soon(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
-            scene.cluster.fatal.add(_FATAL)
+            scene.cluster.poison_bodies.add(_FATAL)
             for _ in range(3):
                 await asyncio.gather(
                     *(
@@ -83,7 +83,7 @@
 
     def test_calls_beside_it_are_served(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
-            scene.cluster.fatal.add(_FATAL)
+            scene.cluster.poison_bodies.add(_FATAL)
             beside = [
                 asyncio.ensure_future(
                     scene.call(
@@ -99,7 +99,7 @@
             for number in range(4):
                 await scene.call("short", f"vm-{number}", body=_FATAL)
             got = await asyncio.gather(*beside)
-            failed = [each for each in got if not each.is_whole]
+            failed = [each for each in got if not each.is_complete]
             self.assertEqual(failed, [])
             self.assertEqual(
                 gateway_guarantees.find_broken(scene.cluster, got), []
@@ -128,7 +128,7 @@
 
     def _play_restarts(self, restarted: tuple[str, ...], wait_s: float) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
-            scene.cluster.fatal.add(_FATAL)
+            scene.cluster.poison_bodies.add(_FATAL)
             for vm in ("vm-0", "vm-1"):
                 await scene.call("short", vm, body=_FATAL)
             known = len(scene.cluster.list_runs(_FATAL))
@@ -149,7 +149,7 @@
     def test_hall_that_was_cut_off_hears_of_it(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
-            cluster.fatal.add(_FATAL)
+            cluster.poison_bodies.add(_FATAL)
             cut = gateway_cluster.virtual_network.Cut("hall-2", "")
             cluster.network.cuts.append(cut)
             for vm in ("vm-0", "vm-1"):
@@ -169,7 +169,7 @@
     def test_large_fleet_hears_of_it_in_time(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
-            cluster.fatal.add(_FATAL)
+            cluster.poison_bodies.add(_FATAL)
             for vm in ("vm-0", "vm-1"):
                 await scene.call("short", vm, body=_FATAL)
             await asyncio.sleep(1.0)
@@ -210,7 +210,7 @@
             got = await asyncio.gather(*calls)
             refused = [each for each in got if b"quarantined" in each.body]
             self.assertEqual(refused, [])
-            served = sum(each.is_whole for each in got)
+            served = sum(each.is_complete for each in got)
             self.assertGreater(served, 0.97 * len(got))
 
         gateway_scene.play(scene, vms=6, engines=len(_ENGINES))
@@ -246,7 +246,7 @@
                         if not node.process.is_dead:
                             scene.cluster.crash_target(node)
 
-            async def try_twice(number: int) -> list[gateway_caller.Got]:
+            async def try_twice(number: int) -> list[gateway_caller.CallResult]:
                 tries = []
                 for vm in (f"vm-{number % 6}", f"vm-{(number + 1) % 6}"):
                     got = await scene.call(
@@ -258,7 +258,7 @@
                         time_limit_ms=15_000.0,
                     )
                     tries.append(got)
-                    if got.is_whole and got.status == 200:
+                    if got.is_complete and got.status == 200:
                         break
                 return tries
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -18,7 +18,7 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             for route in ("short", "once", "unsafe", "safe", "open"):
                 got = await scene.call(route)
-                self.assertEqual((got.status, got.is_whole), (200, True))
+                self.assertEqual((got.status, got.is_complete), (200, True))
                 self.assertEqual(
                     gateway_guarantees.find_broken(scene.cluster, [got]), []
                 )
@@ -53,7 +53,7 @@
 
     def test_without_settings_nothing_is_denied(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
-            scene.cluster.store.trouble = "silent"
+            scene.cluster.store.failure = "silent"
             node = scene.cluster.vms["vm-0"]
             scene.cluster.kill(node)
             scene.cluster.start_vm(node)
@@ -159,11 +159,11 @@
                 asyncio.ensure_future(scene.call("short")) for _ in range(4)
             ]
             await asyncio.sleep(0.05)
-            self.assertEqual(await scene.caller.ask_ready("vm-0"), 503)
-            self.assertEqual(await scene.caller.ask_ready("vm-1"), 200)
+            self.assertEqual(await scene.caller.check_ready("vm-0"), 503)
+            self.assertEqual(await scene.caller.check_ready("vm-1"), 200)
             for got in await asyncio.gather(*calls):
-                self.assertEqual((got.status, got.is_whole), (200, True))
-            self.assertEqual(await scene.caller.ask_ready("vm-0"), 200)
+                self.assertEqual((got.status, got.is_complete), (200, True))
+            self.assertEqual(await scene.caller.check_ready("vm-0"), 200)
 
         gateway_scene.play(scene, connections_max=4)
 
@@ -187,7 +187,7 @@
                 asyncio.ensure_future(scene.call("short")) for _ in range(4)
             ]
             for got in await asyncio.gather(*calls):
-                self.assertEqual((got.status, got.is_whole), (200, True))
+                self.assertEqual((got.status, got.is_complete), (200, True))
             await asyncio.sleep(5.0)
             self.assertTrue(node.task.done())
 
--- a/tests/test_gateway_store.py
+++ b/tests/test_gateway_store.py
@@ -49,7 +49,7 @@
 
     def test_outage_of_the_store(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
-            scene.cluster.store.trouble = "silent"
+            scene.cluster.store.failure = "silent"
             await asyncio.sleep(2.0)
             self.assertEqual((await scene.call("unsafe")).status, 200)
             await asyncio.sleep(3.0)
@@ -59,7 +59,7 @@
             self.assertEqual(got.headers.get("connection"), "close")
             # Without a key nothing depends on the store's freshness.
             self.assertEqual((await scene.call("open")).status, 200)
-            scene.cluster.store.trouble = ""
+            scene.cluster.store.failure = ""
             await asyncio.sleep(2.0)
             self.assertEqual((await scene.call("unsafe")).status, 200)
 
@@ -67,19 +67,19 @@
 
     def test_lenient_vms_serve_on_through_an_outage(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
-            scene.cluster.store.trouble = "silent"
+            scene.cluster.store.failure = "silent"
             await asyncio.sleep(12.0)
             got = await scene.call("unsafe")
             self.assertEqual(got.status, 200)
             self.assertNotEqual(got.headers.get("connection"), "close")
-            self.assertEqual(await scene.caller.ask_ready("vm-0"), 200)
+            self.assertEqual(await scene.caller.check_ready("vm-0"), 200)
             # What is unknown by so old a view may have come since.
             got = await scene.call("unsafe", key="added-since")
             self.assertEqual((got.status, scene.runs(got)), (503, []))
             self.assertEqual((await scene.call("nowhere")).status, 503)
             scene.cluster.keys = {"w1": ["another"]}
             scene.cluster.publish()
-            scene.cluster.store.trouble = ""
+            scene.cluster.store.failure = ""
             await asyncio.sleep(2.0)
             got = await scene.call("unsafe")
             self.assertEqual((got.status, scene.runs(got)), (401, []))
@@ -94,7 +94,7 @@
             await asyncio.sleep(0.0)
             self.assertEqual((await scene.call("open")).status, 200)
             # Where the store is away, it is refused soon, and later at once.
-            scene.cluster.store.trouble = "silent"
+            scene.cluster.store.failure = "silent"
             scene.cluster.kill(node)
             scene.cluster.start_vm(node)
             await asyncio.sleep(0.0)
@@ -123,12 +123,12 @@
 
     def test_vm_without_settings_is_not_ready(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
-            scene.cluster.store.trouble = "silent"
+            scene.cluster.store.failure = "silent"
             node = scene.cluster.vms["vm-0"]
             scene.cluster.kill(node)
             scene.cluster.start_vm(node)
             await asyncio.sleep(3.0)
-            self.assertEqual(await scene.caller.ask_ready("vm-0"), 503)
+            self.assertEqual(await scene.caller.check_ready("vm-0"), 503)
             self.assertEqual((await scene.call("open")).status, 503)
 
         gateway_scene.play(scene, is_strict=False)
@@ -137,7 +137,7 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             scene.cluster.keys = {"w1": [gateway_cluster.KEY], "w2": ["new"]}
             scene.cluster.publish()
-            scene.cluster.store.forget_history()
+            scene.cluster.store.compact_history()
             await asyncio.sleep(1.9)
             for vm in scene.cluster.vms:
                 got = await scene.call("unsafe", vm, key="new")
@@ -168,12 +168,12 @@
     def test_store_out_of_reach_is_asked_ever_less_often(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             store = scene.cluster.store
-            store.trouble = "reset"
+            store.failure = "reset"
             await asyncio.sleep(2.0)
             before = store.calls
             await asyncio.sleep(10.0)
             self.assertLess(store.calls - before, 3 * 10.0 / 0.35)
-            store.trouble = ""
+            store.failure = ""
             await asyncio.sleep(0.6)
             for node in scene.cluster.vms.values():
                 view = node.gateway.context.view
@@ -241,7 +241,7 @@
             for number in range(3):
                 node = scene.cluster.targets[f"service-{number}"]
                 scene.cluster.kill(node)
-                await scene.cluster.serve_stranger(node)
+                await scene.cluster.serve_unlisted_replica(node)
             for route in ("unsafe", "safe"):
                 got = await scene.call(route)
                 self.assertEqual((got.status, scene.runs(got)), (503, []))
@@ -253,9 +253,9 @@
     ) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             store = scene.cluster.store
-            store.trouble = "reset"
+            store.failure = "reset"
             await asyncio.sleep(4.0)
-            store.trouble = ""
+            store.failure = ""
             context = scene.cluster.vms["vm-0"].gateway.context
             now_ms = context.env.now_ms
             while context.view.settings_age_ms(now_ms()) > 1_000.0:
@@ -276,11 +276,11 @@
     def test_lapsed_entries_do_not_empty_the_fleet(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             store = scene.cluster.store
-            store.trouble = "silent"
+            store.failure = "silent"
             await asyncio.sleep(3.2)
             for node in scene.cluster.targets.values():
                 scene.cluster.unlist_target(node)
-            store.trouble = ""
+            store.failure = ""
             await asyncio.sleep(0.9)
             self.assertEqual((await scene.call("open")).status, 200)
 
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -41,12 +41,12 @@
             }
             for node in scene.cluster.targets.values():
                 if node.replica.name not in started:
-                    node.replica.wrong.break_off = 0.0
+                    node.replica.faults.break_off = 0.0
             got = await running
             runs = sorted(scene.runs(got), key=lambda each: each.resumed_after)
             self.assertEqual(len(runs), 2)
             self.assertGreater(runs[1].resumed_after, 0)
-            self.assertTrue(got.is_whole)
+            self.assertTrue(got.is_complete)
             self.assertEqual(
                 gateway_guarantees.find_broken(scene.cluster, [got]), []
             )
@@ -60,7 +60,7 @@
             scene.spoil("engine", break_off=1.0)
             got = await scene.call("once")
             self.assertEqual(len(scene.runs(got)), 1)
-            self.assertFalse(got.is_whole)
+            self.assertFalse(got.is_complete)
 
         gateway_scene.play(scene, seed=3)
 
@@ -71,7 +71,7 @@
             names = sorted(scene.cluster.targets)
             engines = [each for each in names if each.startswith("engine")]
             for name in engines[:3]:
-                scene.cluster.targets[name].replica.wrong.helps_nobody = True
+                scene.cluster.targets[name].replica.faults.is_unfit_helper = True
             for number in range(4):
                 got = await scene.call(
                     "long",
@@ -80,7 +80,7 @@
                     output_tokens=100,
                     time_limit_ms=15_000.0,
                 )
-                self.assertEqual((got.status, got.is_whole), (200, True))
+                self.assertEqual((got.status, got.is_complete), (200, True))
                 self.assertEqual(len(scene.runs(got)), 1)
 
         gateway_scene.play(scene, engines=8)
@@ -91,7 +91,7 @@
             engines = [each for each in names if each.startswith("engine")]
             for name in engines[1::2]:
                 node = scene.cluster.targets[name]
-                node.replica.wrong.helps_nobody = True
+                node.replica.faults.is_unfit_helper = True
                 scene.cluster.kill(node)
             budget = scene.cluster.vms["vm-0"].gateway.context.budget
             budget.resize(1.0)
@@ -102,7 +102,7 @@
                 output_tokens=100,
                 time_limit_ms=15_000.0,
             )
-            self.assertEqual((got.status, got.is_whole), (200, True))
+            self.assertEqual((got.status, got.is_complete), (200, True))
             self.assertEqual(len(scene.runs(got)), 1)
             self.assertLess(got.first_ms, 3_000.0)
 
@@ -133,7 +133,7 @@
 
     async def _lose_helper(
         self, scene: gateway_scene.Scene, is_writer_lost: bool
-    ) -> gateway_caller.Got:
+    ) -> gateway_caller.CallResult:
         """Has a helper of a long prompt crash, which another VM finds out."""
         # A VM that has reached nobody lately tells no losses.
         await scene.call("safe", "vm-1")
@@ -167,7 +167,7 @@
         other = cluster.vms["vm-1"].gateway.context.scheduler
         other.post(scheduler_messages.IncarnationEnded(helper))
         got = await calling
-        self.assertEqual((got.status, got.is_whole), (200, True))
+        self.assertEqual((got.status, got.is_complete), (200, True))
         return got
 
     def test_only_target_of_a_pool_is_tried_as_often_as_allowed(self) -> None:
@@ -183,14 +183,14 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             for node in scene.cluster.targets.values():
                 if node.hall == "hall-1":
-                    node.replica.wrong.helps_nobody = True
+                    node.replica.faults.is_unfit_helper = True
             got = await scene.call(
                 "long",
                 prompt_tokens=400_000,
                 output_tokens=100,
                 time_limit_ms=15_000.0,
             )
-            self.assertEqual((got.status, got.is_whole), (200, True))
+            self.assertEqual((got.status, got.is_complete), (200, True))
             # One try for each of two engines shows that it is the hall.
             context = scene.cluster.vms["vm-0"].gateway.context
             self.assertGreaterEqual(context.budget.tokens, 4.0 - 2.0)
@@ -212,10 +212,10 @@
     def test_silent_target_is_left_where_that_is_allowed(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             for node in list(scene.cluster.targets.values())[:1]:
-                node.replica.wrong.mute = True
+                node.replica.faults.mute = True
             for _ in range(4):
                 got = await scene.call("short")
-                self.assertEqual((got.status, got.is_whole), (200, True))
+                self.assertEqual((got.status, got.is_complete), (200, True))
 
         gateway_scene.play(scene)
 
@@ -227,9 +227,9 @@
             await asyncio.sleep(0.1)
             for node in scene.cluster.targets.values():
                 if node.replica.runs:
-                    node.replica.wrong.silent_s = 3_600.0
+                    node.replica.faults.silent_s = 3_600.0
             got = await running
-            self.assertEqual((got.status, got.is_whole), (200, True))
+            self.assertEqual((got.status, got.is_complete), (200, True))
             self.assertEqual(len(scene.runs(got)), 2)
             self.assertEqual(
                 gateway_guarantees.find_broken(scene.cluster, [got]), []
@@ -243,7 +243,7 @@
             # break an answer off that goes on after a long pass.
             scene.spoil("engine", silent_s=2.5)
             got = await scene.call("short", output_tokens=2_000)
-            self.assertEqual((got.status, got.is_whole), (200, True))
+            self.assertEqual((got.status, got.is_complete), (200, True))
             self.assertEqual(len(scene.runs(got)), 2)
 
         gateway_scene.play(scene)
@@ -253,7 +253,7 @@
             scene.spoil("engine", silent_s=2.5)
             scene.cluster.vms["vm-0"].gateway.context.budget.tokens = 0.0
             got = await scene.call("short", output_tokens=2_000)
-            self.assertEqual((got.status, got.is_whole), (200, True))
+            self.assertEqual((got.status, got.is_complete), (200, True))
             self.assertEqual(len(scene.runs(got)), 1)
 
         gateway_scene.play(scene)
@@ -285,7 +285,7 @@
             scene.cluster.network.cuts.append(cut)
             for node in scene.cluster.targets.values():
                 if node.hall == "hall-1":
-                    node.replica.wrong.helps_nobody = True
+                    node.replica.faults.is_unfit_helper = True
             # Four holders; its own hall has three engines. Two tries show that
             # the hall is out of reach, not one for each of its engines.
             got = await scene.call(
@@ -294,7 +294,7 @@
                 output_tokens=100,
                 time_limit_ms=15_000.0,
             )
-            self.assertEqual((got.status, got.is_whole), (200, True))
+            self.assertEqual((got.status, got.is_complete), (200, True))
 
         gateway_scene.play(scene, engines=9)
 
@@ -309,7 +309,7 @@
 
     def test_work_stops_when_the_caller_leaves(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
-            await scene.call("short", leaves_after_ms=150.0)
+            await scene.call("short", disconnects_after_ms=150.0)
             await asyncio.sleep(0.5)
             writing = [
                 len(node.replica.engine.writers)
@@ -393,7 +393,7 @@
 
     def _call(
         self, scene: gateway_scene.Scene, prompt_tokens: int = 800_000
-    ) -> Awaitable[gateway_caller.Got]:
+    ) -> Awaitable[gateway_caller.CallResult]:
         return scene.call(
             "long",
             prompt_tokens=prompt_tokens,
@@ -404,7 +404,7 @@
     def test_prompt_over_one_engines_memory_is_served(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             got = await self._call(scene)
-            self.assertEqual((got.status, got.is_whole), (200, True))
+            self.assertEqual((got.status, got.is_complete), (200, True))
             await asyncio.sleep(0.5)
             held = [r.held_tokens() for r in scene.cluster.all_replicas]
             self.assertEqual(sum(held), 0)
@@ -419,7 +419,7 @@
             held = [
                 (replica, name)
                 for replica in scene.cluster.all_replicas
-                for name in replica.tickets
+                for name in replica.reservations
             ]
             self.assertTrue(held)
             for node in scene.cluster.targets.values():
@@ -427,9 +427,9 @@
                     node.process.freeze()
             await asyncio.sleep(3.0)
             for replica, name in held:
-                self.assertNotIn(name, replica.tickets)
+                self.assertNotIn(name, replica.reservations)
             got = await running
-            self.assertEqual((got.status, got.is_whole), (200, True))
+            self.assertEqual((got.status, got.is_complete), (200, True))
 
         gateway_scene.play(scene, engines=10)
 
--- a/tests/test_hanging_engine.py
+++ b/tests/test_hanging_engine.py
@@ -57,7 +57,7 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             # The one that short prompts of the hall go to first.
             hung = _find_front(scene)
-            hung.replica.wrong.hang = 0.45
+            hung.replica.faults.hang = 0.45
             async with asyncio.TaskGroup() as group:
                 for number in range(400):
                     group.create_task(one(scene, number))
--- a/tests/test_leaving_delay.py
+++ b/tests/test_leaving_delay.py
@@ -52,7 +52,7 @@
 
 async def _restore(scene: gateway_scene.Scene, reader: str) -> None:
     """Restores the store from a copy of two seconds ago."""
-    copy = scene.cluster.store.take_copy()
+    copy = scene.cluster.store.take_snapshot()
     await asyncio.sleep(2.0)
     scene.cluster.store.restore(copy)
 
@@ -111,7 +111,7 @@
             found.append(await _measure(scene, trouble))
 
         gateway_scene.play(
-            scene, vms=vms, halls=1, pace=pace or poll_config.PollConfig()
+            scene, vms=vms, halls=1, polling=pace or poll_config.PollConfig()
         )
     return max(found)
 
--- a/tests/test_leaving_doubted.py
+++ b/tests/test_leaving_doubted.py
@@ -40,9 +40,9 @@
     def _play_late_start(self, name: str, route: str) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             replica = scene.cluster.targets[name].replica
-            replica.leaving = "1"
+            replica.draining_hint = "1"
             await scene.call_until_told(replica, route)
-            replica.born_ms = round(asyncio.get_running_loop().time() * 1000.0)
+            replica.started_ms = round(asyncio.get_running_loop().time() * 1000.0)
             await asyncio.sleep(_HEARTBEAT_S + _LEAVE_S)
             self.assertEqual(await scene.count_arrivals(replica, route), 0)
 
@@ -52,27 +52,27 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
             node = cluster.targets["service-0"]
-            cluster.store.trouble = "busy"
+            cluster.store.failure = "busy"
             cluster.kill(node)
             await asyncio.sleep(0.1)
             cluster.start_target(node)
-            node.replica.leaving = "1"
+            node.replica.draining_hint = "1"
             await asyncio.sleep(0.1)
             await scene.call_until_told(node.replica, "open")
-            cluster.store.trouble = ""
+            cluster.store.failure = ""
             await asyncio.sleep(_HEARTBEAT_S + _LEAVE_S)
             arrived = await scene.count_arrivals(node.replica, "open")
             self.assertEqual(arrived, 0)
 
         gateway_scene.play(
-            scene, vms=_VMS, keeps_names=True, is_strict=False, services=1
+            scene, vms=_VMS, reuses_names=True, is_strict=False, services=1
         )
 
     def test_next_life_that_says_nothing_is_used_within_a_second(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
             node = cluster.targets["service-0"]
-            node.replica.leaving = "1"
+            node.replica.draining_hint = "1"
             await scene.call_until_told(node.replica, "open")
             cluster.kill(node)
             cluster.start_target(node)
@@ -80,4 +80,4 @@
             arrived = await scene.count_arrivals(node.replica, "open")
             self.assertGreater(arrived, 0)
 
-        gateway_scene.play(scene, vms=_VMS, keeps_names=True)
+        gateway_scene.play(scene, vms=_VMS, reuses_names=True)
--- a/tests/test_leaving_told.py
+++ b/tests/test_leaving_told.py
@@ -47,10 +47,10 @@
     def _play(self, leaving: str, route: str) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
-            cluster.store.trouble = "busy"
+            cluster.store.failure = "busy"
             await asyncio.sleep(0.5)
             replica = cluster.targets[leaving].replica
-            replica.leaving = "1"
+            replica.draining_hint = "1"
             calls = []
             for number in range(round(_PLAY_S / _GAP_S)):
                 vm = f"vm-{number % len(cluster.vms)}"
@@ -68,7 +68,7 @@
 
 
 def _find_late(
-    got: list[gateway_caller.Got], vm: str, arrived: set[str]
+    got: list[gateway_caller.CallResult], vm: str, arrived: set[str]
 ) -> list[str]:
     """Returns calls that a VM sent there too long after it was told."""
     own = [each for each in got if each.call.vm == vm]
@@ -95,9 +95,9 @@
     def test_peers_hear_of_it(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
-            cluster.store.trouble = "busy"
+            cluster.store.failure = "busy"
             replica = cluster.targets["service-0"].replica
-            replica.leaving = "1"
+            replica.draining_hint = "1"
             await scene.call("open", "vm-0")
             self.assertEqual(len(replica.arrivals), 1)
             await asyncio.sleep(0.2)
@@ -112,11 +112,11 @@
     def test_vm_that_a_cut_kept_from_its_peers_hears_of_it_after(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
-            cluster.store.trouble = "busy"
+            cluster.store.failure = "busy"
             replica = cluster.targets["service-0"].replica
             cut = gateway_cluster.virtual_network.Cut("vm-3", "")
             cluster.network.cuts.append(cut)
-            replica.leaving = "1"
+            replica.draining_hint = "1"
             await scene.call("open", "vm-0")
             await asyncio.sleep(5.0)
             cluster.network.cuts.remove(cut)
@@ -133,14 +133,14 @@
         # said that it leaves was named to the writer all the same.
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
-            cluster.store.trouble = "busy"
+            cluster.store.failure = "busy"
             leaving = ("engine-0", "engine-1", "engine-2")
             for name in leaving:
-                cluster.targets[name].replica.leaving = "1"
+                cluster.targets[name].replica.draining_hint = "1"
             got = await scene.call(
                 "long", prompt_tokens=600_000, output_tokens=460
             )
-            self.assertEqual((got.status, got.is_whole), (200, True))
+            self.assertEqual((got.status, got.is_complete), (200, True))
             for name in leaving:
                 replica = cluster.targets[name].replica
                 self.assertEqual((replica.helped, replica.runs), (0, []))
@@ -152,14 +152,14 @@
         # one that has failed the call was taken again.
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
-            cluster.store.trouble = "busy"
+            cluster.store.failure = "busy"
             scene.spoil("engine", break_off=1.0)
             first, other = (
                 cluster.targets[f"engine-{number}"].replica for number in (0, 1)
             )
-            first.leaving = other.leaving = "1"
+            first.draining_hint = other.draining_hint = "1"
             got = await scene.call("short")
-            self.assertFalse(got.is_whole)
+            self.assertFalse(got.is_complete)
             arrivals = len(first.arrivals) + len(other.arrivals)
             self.assertLessEqual(arrivals, 2)
             for _ in range(4):
@@ -174,7 +174,7 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
             node = cluster.targets["service-0"]
-            node.replica.leaving = "1"
+            node.replica.draining_hint = "1"
             await scene.call("open")
             cluster.kill(node)
             cluster.start_target(node)
@@ -183,15 +183,15 @@
                 await scene.call("open")
             self.assertGreater(len(node.replica.arrivals), 0)
 
-        gateway_scene.play(scene, keeps_names=True)
+        gateway_scene.play(scene, reuses_names=True)
 
     def test_when_all_leave_calls_are_refused_at_once(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
-            cluster.store.trouble = "busy"
+            cluster.store.failure = "busy"
             for number in range(3):
                 replica = cluster.targets[f"service-{number}"].replica
-                replica.leaving = "1"
+                replica.draining_hint = "1"
             for vm in cluster.vms:
                 await scene.call("open", vm)
             await asyncio.sleep(0.2)
@@ -207,7 +207,7 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             for word in ("0", "2", "true", "-1"):
                 replica = scene.cluster.targets["service-0"].replica
-                replica.leaving = word
+                replica.draining_hint = word
                 arrivals = len(replica.arrivals)
                 for _ in range(3):
                     got = await scene.call("open")
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -222,6 +222,6 @@
             await asyncio.sleep(_SEEN_S)
             for vm in cluster.vms:
                 got = await scene.call("short", vm)
-                self.assertEqual((got.status, got.is_whole), (200, True))
+                self.assertEqual((got.status, got.is_complete), (200, True))
 
-        gateway_scene.play(scene, engines=4, keeps_names=True)
+        gateway_scene.play(scene, engines=4, reuses_names=True)
--- a/tests/test_lost_settings.py
+++ b/tests/test_lost_settings.py
@@ -31,12 +31,12 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
             store = cluster.store
-            copy = store.take_copy()
+            copy = store.take_snapshot()
             removed_s = asyncio.get_running_loop().time()
-            store.trouble = "reset"
+            store.failure = "reset"
             await asyncio.sleep(4.0)
             store.restore(copy)
-            store.trouble = ""
+            store.failure = ""
             await asyncio.sleep(0.5)
             cluster.keys = {"w1": ["another"]}
             cluster.publish()
@@ -69,7 +69,7 @@
     ) -> None:
         """Starts VMs on a store that has lost the removal of a key."""
         cluster = scene.cluster
-        copy = cluster.store.take_copy()
+        copy = cluster.store.take_snapshot()
         cluster.keys = {"w1": ["another"]}
         cluster.publish()
         await asyncio.sleep(_LOST_S)
--- a/tests/test_peers_words.py
+++ b/tests/test_peers_words.py
@@ -66,9 +66,9 @@
     def test_words_of_a_peer_do_not_push_out_what_was_heard(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
-            cluster.store.trouble = "busy"
+            cluster.store.failure = "busy"
             replica = cluster.targets["service-0"].replica
-            replica.leaving = "1"
+            replica.draining_hint = "1"
             await scene.call_until_told(replica, "open")
             for begin in range(0, _REMEMBERED + _IN_ONE_WORD, _IN_ONE_WORD):
                 words = (f"none-{begin + each}" for each in range(_IN_ONE_WORD))
@@ -83,7 +83,7 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
             replica = cluster.targets["service-0"].replica
-            replica.leaving = "1"
+            replica.draining_hint = "1"
             await scene.call_until_told(replica, "open")
             await asyncio.sleep(_TOLD_S + 1.0)
             node = cluster.vms["vm-3"]
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -209,7 +209,7 @@
             await asyncio.sleep(9.0)
             for name in names:
                 self.assertEqual((await scene.call("unsafe", name)).status, 200)
-                self.assertEqual(await scene.caller.ask_ready(name), 200)
+                self.assertEqual(await scene.caller.check_ready(name), 200)
             # A key that is removed meanwhile is refused by them all the same.
             scene.cluster.keys = {"w1": ["another"]}
             scene.cluster.publish()
@@ -264,7 +264,7 @@
 
     def test_no_proof_goes_round_while_the_store_is_away(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
-            scene.cluster.store.trouble = "busy"
+            scene.cluster.store.failure = "busy"
             await asyncio.sleep(5.0)
             for name, node in scene.cluster.vms.items():
                 self.assertGreater(_find_age_ms(node), 4_800.0)
@@ -273,7 +273,7 @@
             await asyncio.sleep(10.0)
             # Each VM for itself would ask every 0.4 s: 225 calls in this time.
             self.assertLess(scene.cluster.store.calls - before, 130)
-            scene.cluster.store.trouble = ""
+            scene.cluster.store.failure = ""
             await asyncio.sleep(1.5)
             for node in scene.cluster.vms.values():
                 self.assertLess(_find_age_ms(node), 1_500.0)
@@ -283,11 +283,11 @@
     def test_lapsed_entries_do_not_empty_a_hall_with_followers(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             store = scene.cluster.store
-            store.trouble = "busy"
+            store.failure = "busy"
             await asyncio.sleep(4.0)
             for node in scene.cluster.targets.values():
                 scene.cluster.unlist_target(node)
-            store.trouble = ""
+            store.failure = ""
             # Those that live are listed again 1.2 s later at the latest.
             for _ in range(12):
                 await asyncio.sleep(0.1)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -29,7 +29,7 @@
 
 async def _send_load(
     scene: gateway_scene.Scene, for_s: float
-) -> list[gateway_caller.Got]:
+) -> list[gateway_caller.CallResult]:
     """Sends calls to all VMs at a steady rate."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + for_s
@@ -58,7 +58,7 @@
     def test_all_vms_keep_a_limit_together(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             for name in ("engine-3", "service-0"):
-                scene.cluster.targets[name].replica.name_limit("1")
+                scene.cluster.targets[name].replica.announce_limit("1")
             got = await _send_load(scene, 14.0)
             self.assertEqual(
                 rate_limit_check.find_excess(scene.cluster, got), []
@@ -75,7 +75,7 @@
                 for number in range(3)
             ]
             for replica in replicas:
-                replica.name_limit("2")
+                replica.announce_limit("2")
             got = await _send_load(scene, 14.0)
             self.assertEqual(
                 rate_limit_check.find_excess(scene.cluster, got), []
@@ -103,14 +103,14 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             loop = asyncio.get_running_loop()
             replica = scene.cluster.targets["engine-3"].replica
-            replica.name_limit("0")
+            replica.announce_limit("0")
             load = asyncio.ensure_future(_send_load(scene, 18.0))
             await asyncio.sleep(_BINDS_S)
             before = len(replica.arrivals)
             await asyncio.sleep(5.0)
             self.assertEqual(len(replica.arrivals), before)
             ended_s = loop.time()
-            replica.name_limit("")
+            replica.announce_limit("")
             got = await load
             self.assertEqual(
                 rate_limit_check.find_excess(scene.cluster, got), []
@@ -134,7 +134,7 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             for number in (0, 3):
                 replica = scene.cluster.targets[f"engine-{number}"].replica
-                replica.name_limit("1")
+                replica.announce_limit("1")
             for _ in range(_TELL_MOST):
                 await scene.call("short", "vm-0")
             await asyncio.sleep(_BINDS_S)
@@ -143,7 +143,7 @@
                 for number in (0, 3)
             ]
             helped = [each.helped for each in limited]
-            orders = [len(each.orders_s) for each in limited]
+            orders = [len(each.order_times_s) for each in limited]
             calls = [
                 scene.call(
                     "long", f"vm-{n}", prompt_tokens=210_000, output_tokens=46
@@ -153,7 +153,7 @@
             got = await asyncio.gather(*calls)
             self.assertEqual({each.status for each in got}, {200})
             self.assertEqual([each.helped for each in limited], helped)
-            self.assertEqual([len(each.orders_s) for each in limited], orders)
+            self.assertEqual([len(each.order_times_s) for each in limited], orders)
 
         gateway_scene.play(scene, **_FLEET)
 
@@ -161,7 +161,7 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             for name, node in scene.cluster.targets.items():
                 if name.startswith("engine"):
-                    node.replica.name_limit("4")
+                    node.replica.announce_limit("4")
             for _ in range(_TELL_MOST):
                 await scene.call("short", "vm-0")
             await asyncio.sleep(_BINDS_S)
@@ -175,7 +175,7 @@
     def test_vm_that_starts_again_is_told(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             replica = scene.cluster.targets["service-0"].replica
-            replica.name_limit("1")
+            replica.announce_limit("1")
             load = asyncio.ensure_future(_send_load(scene, 14.0))
             await asyncio.sleep(5.0)
             node = scene.cluster.vms["vm-3"]
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -44,7 +44,7 @@
     async def _check(self, vm: str) -> None:
         missed = 0
         while True:
-            status = await self._scene.caller.ask_ready(vm)
+            status = await self._scene.caller.check_ready(vm)
             missed = 0 if status == 200 else missed + 1
             if missed >= _MISSES and vm in self.ready:
                 self.ready.remove(vm)
@@ -75,7 +75,7 @@
             lost = [
                 (each.call.request_id, each.call.vm, each.status)
                 for each in got
-                if each.status != 200 or not each.is_whole
+                if each.status != 200 or not each.is_complete
             ]
             self.assertEqual(lost, [])
             self.assertGreater(len(got), 400)
@@ -111,7 +111,7 @@
             node = cluster.vms["vm-5"]
             cluster.kill(node)
             cluster.start_vm(node)
-            while await scene.caller.ask_ready("vm-5") != 200:
+            while await scene.caller.check_ready("vm-5") != 200:
                 await asyncio.sleep(0.01)
             context = node.gateway.context
             self.assertEqual(context.view.catalog.revision, cluster.revision)
--- a/tests/test_restored_targets.py
+++ b/tests/test_restored_targets.py
@@ -39,7 +39,7 @@
     def _play_removed(self, vms: int = 9, epoch: str = "1") -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
-            copy = cluster.store.take_copy()
+            copy = cluster.store.take_snapshot()
             await asyncio.sleep(1.0)
             node = cluster.targets["service-0"]
             cluster.stop_listing(node)
@@ -65,7 +65,7 @@
     def test_it_is_used_once_it_has_written_again(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
-            copy = cluster.store.take_copy()
+            copy = cluster.store.take_snapshot()
             node = cluster.targets["service-0"]
             cluster.unlist_target(node)
             await asyncio.sleep(0.1)
@@ -81,7 +81,7 @@
     def test_younger_life_is_used_at_once(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
-            copy = cluster.store.take_copy()
+            copy = cluster.store.take_snapshot()
             await asyncio.sleep(1.0)
             node = cluster.targets["service-0"]
             cluster.stop_listing(node)
@@ -94,7 +94,7 @@
                 found = scene.find_condition(vm, node)
                 self.assertIs(found, condition.Condition.LIVE, vm)
 
-        gateway_scene.play(scene, vms=9, halls=1, keeps_names=True)
+        gateway_scene.play(scene, vms=9, halls=1, reuses_names=True)
 
 
 class RemovalsTest(unittest.TestCase):
@@ -165,7 +165,7 @@
     def test_no_live_target_is_dropped(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
-            copy = cluster.store.take_copy()
+            copy = cluster.store.take_snapshot()
             node = cluster.targets["service-0"]
             cluster.kill(node)
             cluster.unlist_target(node)
@@ -222,11 +222,11 @@
     def _play(self, away_s: float) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
-            copy = cluster.store.take_copy()
-            cluster.store.trouble = "silent"
+            copy = cluster.store.take_snapshot()
+            cluster.store.failure = "silent"
             await asyncio.sleep(away_s)
             cluster.store.restore(copy)
-            cluster.store.trouble = ""
+            cluster.store.failure = ""
             await asyncio.sleep(0.3)
             node = cluster.targets["service-0"]
             cluster.stop_listing(node)
--- a/tests/test_start_wait.py
+++ b/tests/test_start_wait.py
@@ -28,7 +28,7 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
             scene.spoil("engine", mute=True)
-            cluster.store.trouble = "busy"
+            cluster.store.failure = "busy"
             node = cluster.vms["vm-0"]
             cluster.kill(node)
             cluster.start_vm(node)
@@ -37,7 +37,7 @@
                 scene.call("once", time_limit_ms=_LIMIT_MS)
             )
             await asyncio.sleep(_AWAY_S)
-            cluster.store.trouble = ""
+            cluster.store.failure = ""
             got = await call
             self.assertEqual(got.status, 504)
             self.assertLessEqual(got.took_ms, _LIMIT_MS + _SLACK_MS)
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -41,13 +41,13 @@
     ) -> None:
         """Restores the store from a copy of some seconds ago."""
         store = scene.cluster.store
-        copy = store.take_copy()
+        copy = store.take_snapshot()
         await asyncio.sleep(_LOST_S)
         if away_s:
-            store.trouble = "reset"
+            store.failure = "reset"
             await asyncio.sleep(away_s)
         store.restore(copy)
-        store.trouble = ""
+        store.failure = ""
 
     async def _check_leaving(self, scene: gateway_scene.Scene) -> None:
         """Has a target leave, and checks that all VMs know it in time."""
@@ -129,7 +129,7 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
             # All are back under their names, which the copy does not hold.
-            copy = cluster.store.take_copy()
+            copy = cluster.store.take_snapshot()
             for node in cluster.targets.values():
                 cluster.kill(node)
                 cluster.unlist_target(node)
@@ -170,7 +170,7 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
             names = list(cluster.vms)
-            copy = cluster.store.take_copy()
+            copy = cluster.store.take_snapshot()
             for name in names[:6]:
                 cut = virtual_network.Cut(name, "store")
                 cluster.network.cuts.append(cut)
@@ -190,7 +190,7 @@
     def test_one_vm_of_a_hall_reads_a_restored_store(self) -> None:
         async def scene(scene: gateway_scene.Scene) -> None:
             store = scene.cluster.store
-            copy = store.take_copy()
+            copy = store.take_snapshot()
             await asyncio.sleep(_LOST_S)
             store.restore(copy)
             before = store.calls
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -58,7 +58,7 @@
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def _call_after_sleep(self, counts_sleep: bool) -> gateway_caller.Got:
+    def _call_after_sleep(self, counts_sleep: bool) -> gateway_caller.CallResult:
         """Returns what a caller got whose key was removed meanwhile."""
         found = []
 
