--- a/standins/digest_cost.py
+++ b/standins/digest_cost.py
@@ -33,14 +33,14 @@
 
 def make_datagrams(rounds: int = _ROUNDS) -> list[bytes]:
     """Returns what a relay passes on in some rounds, always the same."""
-    chance = random.Random(_SEED)
-    rows = {vm: _draw_rows(chance, _ROWS) for vm in range(VMS)}
+    rng = random.Random(_SEED)
+    rows = {vm: _draw_rows(rng, _ROWS) for vm in range(VMS)}
     datagrams: list[bytes] = []
     for number in range(rounds):
         digests = []
         for vm in range(VMS):
             kept = rows[vm][_CHANGED:]
-            rows[vm] = (*kept, *_draw_rows(chance, _CHANGED))
+            rows[vm] = (*kept, *_draw_rows(rng, _CHANGED))
             digests.append(
                 load_digest.LoadDigest(
                     f"10.0.0.{vm}:7340",
@@ -59,22 +59,22 @@
 
 
 def _draw_rows(
-    chance: random.Random, count: int
+    rng: random.Random, count: int
 ) -> tuple[dispatched.Dispatched, ...]:
     return tuple(
         dispatched.Dispatched(
-            f"i-{chance.randrange(TARGETS):010x}",
+            f"i-{rng.randrange(TARGETS):010x}",
             (5_000, *[0] * (length_band.BANDS - 1)),
-            chance.randrange(5_000, 400_000),
-            chance.randrange(1, 5),
+            rng.randrange(5_000, 400_000),
+            rng.randrange(1, 5),
             (1, *[0] * (gap_class.CLASSES - 1)),
-            chance.uniform(0.0, 900.0),
+            rng.uniform(0.0, 900.0),
         )
         for _ in range(count)
     )
 
 
-def hear(datagrams: Iterable[bytes]) -> int:
+def merge_datagrams(datagrams: Iterable[bytes]) -> int:
     """Has a VM take datagrams in; returns how many digests were news."""
     place = peer_groups.VmAttributes("hall-0", 100)
     loads = peer_loads.PeerLoads("10.0.0.0:7340", place)
@@ -106,9 +106,9 @@
     """Prints calls and microseconds for each digest."""
     datagrams = make_datagrams()
     began_s = time.process_time()
-    news = hear(datagrams)
+    news = merge_datagrams(datagrams)
     took_s = time.process_time() - began_s
-    calls = count_calls(lambda: hear(datagrams))
+    calls = count_calls(lambda: merge_datagrams(datagrams))
     size = sum(map(len, datagrams))
     print(f"{news} digests that are news, {size / news:.0f} bytes each")
     print(f"{calls / news:.0f} calls, {took_s / news * 1e6:.1f} us each")
--- a/standins/drain_coverage.py
+++ b/standins/drain_coverage.py
@@ -11,19 +11,19 @@
 from standins import gateway_cluster
 
 # Without a fault for so long, all VMs go by what is so.
-REST_S = 12.0
+SETTLE_S = 12.0
 
 # Names of the ways, as they are counted.
-HEARD_ANSWER = "heard by answer"
-HEARD_PEER = "heard by peer"
-DENIED = "asked, does not leave"
+LEARNED_FROM_ANSWER = "heard by answer"
+LEARNED_FROM_PEER = "heard by peer"
+REFUTED = "asked, does not leave"
 WITHHELD = "withheld"
-BACK_UNLISTED = "back and leaving before it was listed"
-START_LATE = "start told late"
-LIED = "wrong words"
+RESTARTED_UNLISTED = "back and leaving before it was listed"
+LATE_START_FIELD = "start told late"
+FALSE_GOSSIP = "wrong words"
 
 
-def count_ways(
+def count_events_seen(
     found: Iterable[gateways.Gateway],
 ) -> collections.Counter[str]:
     """Returns how often each way was taken, by what gateways have counted."""
@@ -33,14 +33,14 @@
         for labels, count in metrics.leavings_heard.get_all():
             ways[f"heard by {labels['from']}"] += int(count)
         for _, count in metrics.leavings_denied.get_all():
-            ways[DENIED] += int(count)
+            ways[REFUTED] += int(count)
         for labels, count in metrics.sends_withheld.get_all():
             name = f"{WITHHELD}, {labels['reason']} {labels['part']}"
             ways[name] += int(count)
     return ways
 
 
-def find_wrongly_withdrawn(
+def find_wrongly_draining(
     cluster: gateway_cluster.GatewayCluster,
 ) -> list[str]:
     """Returns targets that a VM holds to leave, though they never said so.
--- a/standins/fatal_schedules.py
+++ b/standins/fatal_schedules.py
@@ -29,40 +29,40 @@
 # A caller comes back once, after this time.
 _RETRY_S = 0.3
 # A VM that was undisturbed for so long knows what the others know.
-HEARD_S = 3.0
+GOSSIP_S = 3.0
 # A run begins so long before the end that it brings about, at most.
 _END_S = 0.3
 # Sends that are borne after that: as many as a fleet that starts anew needs.
-LATE_MOST = 3
+MAX_LATE_RUNS = 3
 
 
-def play(seed: int) -> tuple[list[str], dict[int, int]]:
+def run_schedule(seed: int) -> tuple[list[str], dict[int, int]]:
     """Plays one schedule; returns what went wrong and counts of statuses."""
-    chance = random.Random(f"fatal {seed}")
+    rng = random.Random(f"fatal {seed}")
     layout = gateway_cluster.Layout(
-        vms=chance.choice((2, 4, 6, 9, 20)),
-        halls=chance.choice((1, 3)),
-        engines=chance.choice((6, 12, 18)),
+        vms=rng.choice((2, 4, 6, 9, 20)),
+        halls=rng.choice((1, 3)),
+        engines=rng.choice((6, 12, 18)),
         seed=seed,
-        reuses_names=chance.random() < 0.5,
+        reuses_names=rng.random() < 0.5,
     )
-    return virtual_process.run(lambda: _play(layout, chance))
+    return virtual_process.run(lambda: _run(layout, rng))
 
 
-async def _play(
-    layout: gateway_cluster.Layout, chance: random.Random
+async def _run(
+    layout: gateway_cluster.Layout, rng: random.Random
 ) -> tuple[list[str], dict[int, int]]:
     cluster = gateway_cluster.GatewayCluster(layout)
     cluster.poison_bodies.update(_FATAL)
     await cluster.start()
     caller = gateway_caller.Caller(cluster)
     faults = [
-        asyncio.ensure_future(_play_fault(cluster, chance))
+        asyncio.ensure_future(_inject_fault(cluster, rng))
         for _ in range(_FAULTS)
     ]
-    calls = [_call_later(cluster, caller, chance, n) for n in range(_CALLS)]
+    calls = [_call_later(cluster, caller, rng, n) for n in range(_CALLS)]
     fatal = [
-        _try_later(cluster, caller, chance, body, n)
+        _try_later(cluster, caller, rng, body, n)
         for body in _FATAL
         for n in range(_TRIES)
     ]
@@ -82,30 +82,30 @@
 async def _call_later(
     cluster: gateway_cluster.GatewayCluster,
     caller: gateway_caller.Caller,
-    chance: random.Random,
+    rng: random.Random,
     number: int,
 ) -> gateway_caller.CallResult:
-    call = gateway_schedules.make_call(chance, cluster, number)
+    call = gateway_schedules.make_call(rng, cluster, number)
     call = dataclasses.replace(call, body=b"call %d" % number)
-    await asyncio.sleep(chance.uniform(0.0, _DURATION_S))
+    await asyncio.sleep(rng.uniform(0.0, _DURATION_S))
     return await caller.send(call)
 
 
 async def _try_later(
     cluster: gateway_cluster.GatewayCluster,
     caller: gateway_caller.Caller,
-    chance: random.Random,
+    rng: random.Random,
     body: bytes,
     number: int,
 ) -> list[gateway_caller.CallResult]:
     """Sends a fatal call, and once more after it has failed."""
-    await asyncio.sleep(chance.uniform(0.0, _DURATION_S))
+    await asyncio.sleep(rng.uniform(0.0, _DURATION_S))
     got = []
     for attempt in range(2):
         call = gateway_caller.Call(
             request_id=f"{body.decode()} {number} {attempt}",
             route="short",
-            vm=chance.choice(sorted(cluster.vms)),
+            vm=rng.choice(sorted(cluster.vms)),
             prompt_tokens=5_000,
             output_tokens=400,
             body=body,
@@ -115,27 +115,27 @@
     return got
 
 
-async def _play_fault(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+async def _inject_fault(
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
-    await asyncio.sleep(chance.uniform(0.0, _DURATION_S))
+    await asyncio.sleep(rng.uniform(0.0, _DURATION_S))
     kinds = (*gateway_schedules.FAULT_KINDS, _crash_target, _write_nonsense)
-    await chance.choice(kinds)(cluster, chance)
+    await rng.choice(kinds)(cluster, rng)
 
 
 async def _crash_target(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
-    node = cluster.targets[chance.choice(sorted(cluster.targets))]
+    node = cluster.targets[rng.choice(sorted(cluster.targets))]
     if not node.process.is_dead:
         cluster.crash_target(node)
 
 
 async def _write_nonsense(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
-    node = cluster.targets[chance.choice(sorted(cluster.targets))]
-    nonsense = chance.choice((b"\xff", b"[]", b'{"state":"gone"}'))
+    node = cluster.targets[rng.choice(sorted(cluster.targets))]
+    nonsense = rng.choice((b"\xff", b"[]", b'{"state":"gone"}'))
     cluster.store.put_bytes(f"servers/{node.replica.name}", nonsense)
 
 
@@ -157,16 +157,16 @@
     runs = cluster.list_runs(body)
     if len(runs) < 3:
         return []
-    known_s = runs[2].at_s + _END_S + HEARD_S
+    known_s = runs[2].at_s + _END_S + GOSSIP_S
     late = [
         run
         for run in runs
         if run.at_s > known_s
         and gateway_schedules.ran_undisturbed(
-            cluster, vms[run.request_id], run.at_s - HEARD_S, run.at_s
+            cluster, vms[run.request_id], run.at_s - GOSSIP_S, run.at_s
         )
     ]
-    if len(late) <= LATE_MOST:
+    if len(late) <= MAX_LATE_RUNS:
         return []
     return [f"{body.decode()} was sent {len(late)} times too late"]
 
@@ -178,7 +178,9 @@
         first: First seed.
         count: Number of seeds.
     """
-    return gateway_schedules.play_many(play, range(first, first + count))
+    return gateway_schedules.run_seeds(
+        run_schedule, range(first, first + count)
+    )
 
 
 if __name__ == "__main__":
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -32,7 +32,7 @@
         self._set_stale(False)
         nodes = [*self._cluster.vms.values(), *self._cluster.targets.values()]
         for node in nodes:
-            node.process.wake()
+            node.process.resume()
 
     def _find(self, name: str) -> list[clusters.Node]:
         nodes = {**self._cluster.vms, **self._cluster.targets}
@@ -54,7 +54,7 @@
                 if node.process.is_dead or self._cluster.has_left(node):
                     self._cluster.restart(node)
                 else:
-                    node.process.wake()
+                    node.process.resume()
 
     def _apply_to_platform(self, fault: trace.TracedFault) -> None:
         match fault.fault:
--- a/standins/faulty_peer.py
+++ b/standins/faulty_peer.py
@@ -10,7 +10,7 @@
 _HALL = "hall-0"
 
 
-async def tell_leaving(
+async def announce_draining(
     cluster: gateway_cluster.GatewayCluster,
     number: int,
     words: tuple[str, ...],
--- a/standins/gateway_cluster.py
+++ b/standins/gateway_cluster.py
@@ -281,7 +281,7 @@
         replica = node.replica
         self.kill(node)
         loop = asyncio.get_running_loop()
-        context = self.network.neutral
+        context = self.network.neutral_context
 
         def expire() -> None:
             if node.replica is replica:
@@ -384,7 +384,9 @@
 
 
 def _make_configuration(
-    keys: dict[str, list[str]], revision: int, engine_spec: iteration_engine.EngineSpec
+    keys: dict[str, list[str]],
+    revision: int,
+    engine_spec: iteration_engine.EngineSpec,
 ) -> dict[str, object]:
     stream = {"route-type": "streaming", "resumable": True, "max-attempts": 2}
     return {
--- a/standins/gateway_schedules.py
+++ b/standins/gateway_schedules.py
@@ -25,7 +25,7 @@
 from standins import virtual_process
 
 # Plays a seed; returns what went wrong, and counts of callers' statuses.
-PlayOne: TypeAlias = Callable[[int], tuple[list[str], dict[int, int]]]
+RunSeed: TypeAlias = Callable[[int], tuple[list[str], dict[int, int]]]
 
 _CALLS = 60
 _DURATION_S = 10.0
@@ -33,55 +33,55 @@
 _ROUTES = ("short", "short", "short", "long", "once", "unsafe", "safe")
 
 
-def play(seed: int) -> tuple[list[str], dict[int, int]]:
+def run_schedule(seed: int) -> tuple[list[str], dict[int, int]]:
     """Plays one schedule; returns broken promises and counts of statuses."""
-    chance = random.Random(seed)
-    layout = gateway_cluster.Layout(vms=chance.choice((2, 4)), seed=seed)
-    return virtual_process.run(lambda: _play(layout, chance))
+    rng = random.Random(seed)
+    layout = gateway_cluster.Layout(vms=rng.choice((2, 4)), seed=seed)
+    return virtual_process.run(lambda: _run(layout, rng))
 
 
-def play_drawn(seed: int) -> tuple[list[str], dict[int, int]]:
+def run_drawn_schedule(seed: int) -> tuple[list[str], dict[int, int]]:
     """Plays one schedule on a deployment that is drawn from the seed too."""
-    chance = random.Random(f"drawn {seed}")
-    layout = draw_layout(seed, chance)
-    return virtual_process.run(lambda: _play(layout, chance))
+    rng = random.Random(f"drawn {seed}")
+    layout = draw_layout(seed, rng)
+    return virtual_process.run(lambda: _run(layout, rng))
 
 
-def draw_layout(seed: int, chance: random.Random) -> gateway_cluster.Layout:
+def draw_layout(seed: int, rng: random.Random) -> gateway_cluster.Layout:
     """Draws sizes, engines, aims and the strictness of keys."""
     engine_spec = iteration_engine.EngineSpec(
-        slots=chance.choice((2, 4, 6, 8, 16)),
-        memory_tokens=chance.choice((200_000, 405_000, 450_000, 1_000_000)),
-        step_ms=chance.uniform(0.5, 3.0),
-        prefill_tokens_per_ms=chance.uniform(60.0, 500.0),
-        attention_ms_per_m_pairs=chance.uniform(0.02, 0.3),
-        stride=chance.choice((10, 34, 46, 60)),
+        slots=rng.choice((2, 4, 6, 8, 16)),
+        memory_tokens=rng.choice((200_000, 405_000, 450_000, 1_000_000)),
+        step_ms=rng.uniform(0.5, 3.0),
+        prefill_tokens_per_ms=rng.uniform(60.0, 500.0),
+        attention_ms_per_m_pairs=rng.uniform(0.02, 0.3),
+        stride=rng.choice((10, 34, 46, 60)),
     )
     return gateway_cluster.Layout(
-        vms=chance.choice((1, 2, 3, 5, 9)),
-        halls=chance.choice((1, 2, 3)),
-        engines=chance.choice((1, 2, 3, 5, 9, 18)),
-        services=chance.choice((1, 2, 3, 6)),
+        vms=rng.choice((1, 2, 3, 5, 9)),
+        halls=rng.choice((1, 2, 3)),
+        engines=rng.choice((1, 2, 3, 5, 9, 18)),
+        services=rng.choice((1, 2, 3, 6)),
         seed=seed,
-        is_strict=chance.random() < 0.5,
+        is_strict=rng.random() < 0.5,
         engine_spec=engine_spec,
-        latency_slo_scale=chance.uniform(0.5, 2.0),
+        latency_slo_scale=rng.uniform(0.5, 2.0),
     )
 
 
-async def _play(
-    layout: gateway_cluster.Layout, chance: random.Random
+async def _run(
+    layout: gateway_cluster.Layout, rng: random.Random
 ) -> tuple[list[str], dict[int, int]]:
     cluster = gateway_cluster.GatewayCluster(layout)
     await cluster.start()
     caller = gateway_caller.Caller(cluster)
     faults = [
-        asyncio.ensure_future(_play_fault_later(cluster, chance))
+        asyncio.ensure_future(_inject_fault_later(cluster, rng))
         for _ in range(_FAULTS)
     ]
     calls = [
         asyncio.ensure_future(
-            _send_later(caller, make_call(chance, cluster, n), chance)
+            _send_later(caller, make_call(rng, cluster, n), rng)
         )
         for n in range(_CALLS)
     ]
@@ -115,53 +115,53 @@
 
 
 def make_call(
-    chance: random.Random,
+    rng: random.Random,
     cluster: gateway_cluster.GatewayCluster,
     number: int,
 ) -> gateway_caller.Call:
     """Draws a call to any VM."""
-    route = chance.choice(_ROUTES)
+    route = rng.choice(_ROUTES)
     prompt = {"short": 5_000, "once": 3_000, "long": 0}.get(route)
     if route == "long":
-        prompt = chance.choice((45_000, 210_000, 600_000))
+        prompt = rng.choice((45_000, 210_000, 600_000))
     is_stream = prompt is not None
     return gateway_caller.Call(
         request_id=f"r{number}",
         route=route,
-        vm=chance.choice(sorted(cluster.vms)),
+        vm=rng.choice(sorted(cluster.vms)),
         prompt_tokens=prompt or 0,
-        output_tokens=chance.randrange(50, 1_200) if is_stream else 0,
+        output_tokens=rng.randrange(50, 1_200) if is_stream else 0,
         time_limit_ms=10_000.0 if is_stream else 2_000.0,
-        disconnects_after_ms=chance.choice((None, None, None, None, 400.0)),
+        disconnects_after_ms=rng.choice((None, None, None, None, 400.0)),
     )
 
 
 async def _send_later(
     caller: gateway_caller.Caller,
     call: gateway_caller.Call,
-    chance: random.Random,
+    rng: random.Random,
 ) -> gateway_caller.CallResult:
-    await asyncio.sleep(chance.uniform(0.0, _DURATION_S))
+    await asyncio.sleep(rng.uniform(0.0, _DURATION_S))
     return await caller.send(call)
 
 
-async def _play_fault_later(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+async def _inject_fault_later(
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
-    await asyncio.sleep(chance.uniform(0.0, _DURATION_S))
-    await play_fault(cluster, chance)
+    await asyncio.sleep(rng.uniform(0.0, _DURATION_S))
+    await inject_fault(cluster, rng)
 
 
-async def play_fault(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+async def inject_fault(
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
     """Plays a fault of any kind, to its end."""
-    fault = chance.choice(FAULT_KINDS)
-    await fault(cluster, chance)
+    fault = rng.choice(FAULT_KINDS)
+    await fault(cluster, rng)
 
 
 @contextlib.contextmanager
-def note_disturbance(
+def record_disturbance(
     cluster: gateway_cluster.GatewayCluster, name: str
 ) -> Iterator[None]:
     """Notes that a VM or hall, or the store, answers nobody meanwhile."""
@@ -176,28 +176,28 @@
 
 
 async def _kill_vm(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
-    node = cluster.vms[chance.choice(sorted(cluster.vms))]
+    node = cluster.vms[rng.choice(sorted(cluster.vms))]
     cluster.kill(node)
-    await asyncio.sleep(chance.uniform(0.1, 3.0))
+    await asyncio.sleep(rng.uniform(0.1, 3.0))
     cluster.start_vm(node)
 
 
 async def _freeze_vm(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
-    node = cluster.vms[chance.choice(sorted(cluster.vms))]
+    node = cluster.vms[rng.choice(sorted(cluster.vms))]
     node.process.freeze()
-    with note_disturbance(cluster, node.name):
-        await asyncio.sleep(chance.uniform(0.5, 5.0))
-    node.process.wake()
+    with record_disturbance(cluster, node.name):
+        await asyncio.sleep(rng.uniform(0.5, 5.0))
+    node.process.resume()
 
 
 async def _stop_vm(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
-    node = cluster.vms[chance.choice(sorted(cluster.vms))]
+    node = cluster.vms[rng.choice(sorted(cluster.vms))]
     if node.process.is_dead:
         return
     node.stop.set()
@@ -207,59 +207,59 @@
 
 
 async def _kill_target(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
-    node = cluster.targets[chance.choice(sorted(cluster.targets))]
+    node = cluster.targets[rng.choice(sorted(cluster.targets))]
     cluster.kill(node)
-    await asyncio.sleep(chance.uniform(0.5, 3.0))
+    await asyncio.sleep(rng.uniform(0.5, 3.0))
     cluster.unlist_target(node)
     cluster.start_target(node)
 
 
-async def _spoil_target(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+async def _degrade_target(
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
-    node = cluster.targets[chance.choice(sorted(cluster.targets))]
+    node = cluster.targets[rng.choice(sorted(cluster.targets))]
     wrong = node.replica.faults
-    name = chance.choice(
+    name = rng.choice(
         ("refuse", "fail", "lose", "break_off", "unsigned", "foreign")
     )
-    setattr(wrong, name, chance.uniform(0.2, 1.0))
-    await asyncio.sleep(chance.uniform(1.0, 6.0))
+    setattr(wrong, name, rng.uniform(0.2, 1.0))
+    await asyncio.sleep(rng.uniform(1.0, 6.0))
     setattr(wrong, name, 0.0)
 
 
 async def _cut_hall(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
-    cut = virtual_network.Cut(f"hall-{chance.randrange(3)}", "")
+    cut = virtual_network.Cut(f"hall-{rng.randrange(3)}", "")
     cluster.network.cuts.append(cut)
-    with note_disturbance(cluster, cut.on):
-        await asyncio.sleep(chance.uniform(0.5, 5.0))
+    with record_disturbance(cluster, cut.on):
+        await asyncio.sleep(rng.uniform(0.5, 5.0))
     cluster.network.cuts.remove(cut)
 
 
-async def _trouble_store(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+async def _fail_store(
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
-    await trouble_store(cluster, chance, 0.5, 6.0)
+    await fail_store(cluster, rng, 0.5, 6.0)
 
 
-async def trouble_store(
+async def fail_store(
     cluster: gateway_cluster.GatewayCluster,
-    chance: random.Random,
-    least_s: float,
-    most_s: float,
+    rng: random.Random,
+    min_s: float,
+    max_s: float,
 ) -> None:
     """Has the store answer nobody for a time drawn from a range."""
-    with note_disturbance(cluster, gateway_cluster.STORE_NAME):
-        cluster.store.failure = chance.choice(("busy", "reset", "silent"))
-        await asyncio.sleep(chance.uniform(least_s, most_s))
+    with record_disturbance(cluster, gateway_cluster.STORE_NAME):
+        cluster.store.failure = rng.choice(("busy", "reset", "silent"))
+        await asyncio.sleep(rng.uniform(min_s, max_s))
         cluster.store.failure = ""
 
 
-async def _forget_history(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+async def _compact_history(
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
     cluster.publish()
     cluster.store.compact_history()
@@ -270,21 +270,21 @@
     _freeze_vm,
     _stop_vm,
     _kill_target,
-    _spoil_target,
-    _spoil_target,
+    _degrade_target,
+    _degrade_target,
     _cut_hall,
-    _trouble_store,
-    _forget_history,
+    _fail_store,
+    _compact_history,
 )
 
 
-def play_many(play_one: PlayOne, seeds: Sequence[int]) -> int:
+def run_seeds(run_seed: RunSeed, seeds: Sequence[int]) -> int:
     """Plays seeds and prints what went wrong; returns an exit status."""
     loguru.logger.remove()
     failed = 0
     total: dict[int, int] = {}
     for seed in seeds:
-        broken, counts = play_one(seed)
+        broken, counts = run_seed(seed)
         failed += bool(broken)
         for status, number in counts.items():
             total[status] = total.get(status, 0) + number
@@ -304,7 +304,10 @@
         count: Number of seeds.
         drawn: Whether deployments are drawn as well.
     """
-    return play_many(play_drawn if drawn else play, range(first, first + count))
+    return run_seeds(
+        run_drawn_schedule if drawn else run_schedule,
+        range(first, first + count),
+    )
 
 
 if __name__ == "__main__":
--- a/standins/leaving_spread.py
+++ b/standins/leaving_spread.py
@@ -27,7 +27,7 @@
     loop = asyncio.get_running_loop()
     sent_bytes = sum(each.sent_bytes for each in fleet.members.values())
     began_s = loop.time()
-    fleet.tell_leaving("vm-0", _WORD)
+    fleet.announce_draining("vm-0", _WORD)
     await asyncio.sleep(_RESTART_S)
     first_ms = _find_last_ms(fleet, fleet.members, began_s)
     again = [f"vm-{n}" for n in range(4, size, _RESTARTED_EACH)]
@@ -52,7 +52,7 @@
 ) -> float:
     """Returns when the last of some VMs was told; infinity if one was not."""
     heard = [
-        fleet.members[name].heard_s.get(_WORD, float("inf"))
+        fleet.members[name].received_at_s.get(_WORD, float("inf"))
         for name in names
         if name != "vm-0"
     ]
--- a/standins/peer_fleet.py
+++ b/standins/peer_fleet.py
@@ -49,19 +49,19 @@
     process: virtual_process.VirtualProcess
     exchange: peer_gossip.PeerGossip
     now_ms: Callable[[], float]
-    own: int = 0
-    told: dict[str, int] = dataclasses.field(default_factory=dict)
+    own_streams: int = 0
+    peer_streams: dict[str, int] = dataclasses.field(default_factory=dict)
     sent: int = 0
     sent_bytes: int = 0
     starts: int = 1
-    leaving: tuple[str, ...] = ()
-    heard_s: dict[str, float] = dataclasses.field(default_factory=dict)
+    draining: tuple[str, ...] = ()
+    received_at_s: dict[str, float] = dataclasses.field(default_factory=dict)
 
-    def count_told(self) -> int:
+    def count_peer_streams(self) -> int:
         """Returns the streams that peers have, as far as this VM knows."""
         for row in self.exchange.collect_sums():
-            self.told[row.target_id] = row.streams
-        return sum(self.told.values())
+            self.peer_streams[row.target_id] = row.streams
+        return sum(self.peer_streams.values())
 
 
 class PeerFleet:
@@ -91,12 +91,12 @@
         env = self.network.make_environment(process, starts)
 
         def summarize() -> tuple[dispatched.Dispatched, ...]:
-            return _make_rows(name, self.members[name].own)
+            return _make_rows(name, self.members[name].own_streams)
 
         def merge_draining(words: Sequence[str], peer: str) -> None:
             now_s = asyncio.get_running_loop().time()
             for word in words:
-                self.members[name].heard_s.setdefault(word, now_s)
+                self.members[name].received_at_s.setdefault(word, now_s)
 
         exchange = peer_gossip.PeerGossip(
             self._count_sent(env, name),
@@ -106,7 +106,7 @@
             hall,
             f"{name}.{starts}",
             summarize,
-            summarize_draining=lambda: self.members[name].leaving,
+            summarize_draining=lambda: self.members[name].draining,
             merge_draining=merge_draining,
         )
         self.members[name] = Member(
@@ -118,30 +118,30 @@
         """Ends a VM at once."""
         self.members[name].process.kill()
 
-    def set_work(self, name: str, streams: int) -> None:
+    def set_own_streams(self, name: str, streams: int) -> None:
         """Changes a VM's work, which it tells."""
         member = self.members[name]
-        member.own = streams
+        member.own_streams = streams
         member.exchange.note_change()
 
-    def tell_leaving(self, name: str, word: str) -> None:
+    def announce_draining(self, name: str, word: str) -> None:
         """Has a VM hear that a target leaves, which it tells."""
         member = self.members[name]
-        member.leaving = (word,)
+        member.draining = (word,)
         member.exchange.note_change()
 
-    def find_wrong(self) -> list[str]:
+    def find_inconsistent(self) -> list[str]:
         """Returns the living VMs that do not know all others' work."""
         living = {
             name: member
             for name, member in self.members.items()
             if not member.process.is_dead
         }
-        total = sum(each.own for each in living.values())
+        total = sum(each.own_streams for each in living.values())
         return [
             name
             for name, each in living.items()
-            if each.count_told() != total - each.own
+            if each.count_peer_streams() != total - each.own_streams
         ]
 
     def find_relays(self) -> set[str]:
@@ -170,31 +170,37 @@
         return dataclasses.replace(env, bind=bind)
 
 
-def _make_rows(name: str, own: int) -> tuple[dispatched.Dispatched, ...]:
+def _make_rows(
+    name: str, own_streams: int
+) -> tuple[dispatched.Dispatched, ...]:
     """Returns a VM's work, all of it on one target."""
-    if not own:
+    if not own_streams:
         return ()
     target_id = f"engine-{zlib.crc32(name.encode()) % _TARGETS}"
-    return (dispatched.Dispatched(target_id, (0,) * 5, 0, own, (own, 0, 0)),)
+    return (
+        dispatched.Dispatched(
+            target_id, (0,) * 5, 0, own_streams, (own_streams, 0, 0)
+        ),
+    )
 
 
-async def change_work(fleet: PeerFleet) -> None:
+async def vary_load(fleet: PeerFleet) -> None:
     """Has the VMs' work change as under load, until cancelled."""
-    chance = fleet.network.make_environment(
+    rng = fleet.network.make_environment(
         virtual_process.VirtualProcess("", ""), 1
     ).random
     names = list(fleet.members)
     pause_s = 1.0 / (_CHANGES_PER_S * len(names))
     while True:
-        name = chance.choice(names)
-        fleet.set_work(name, chance.randrange(4))
+        name = rng.choice(names)
+        fleet.set_own_streams(name, rng.randrange(4))
         await asyncio.sleep(pause_s)
 
 
 async def _measure(size: int) -> str:
     fleet = PeerFleet(size, tuple(f"vm-{n}" for n in range(3)))
     await asyncio.sleep(_SETTLE_S)
-    busy = asyncio.ensure_future(change_work(fleet))
+    busy = asyncio.ensure_future(vary_load(fleet))
     before = {
         name: (each.sent, each.sent_bytes)
         for name, each in fleet.members.items()
@@ -208,7 +214,7 @@
         for name, each in fleet.members.items()
     ]
     await asyncio.sleep(1.0)
-    wrong = len(fleet.find_wrong())
+    wrong = len(fleet.find_inconsistent())
     mean = sum(count for count, _ in sent) / size / _MEASURE_S
     mean_kb = sum(size_ for _, size_ in sent) / size / _MEASURE_S / 1000.0
     most = max(count for count, _ in sent) / _MEASURE_S
--- a/standins/platform_replica.py
+++ b/standins/platform_replica.py
@@ -178,7 +178,9 @@
         answer = await self._answer(incoming)
         said: tuple[tuple[str, str], ...] = ()
         if self.draining_hint:
-            self.has_announced_draining = self.has_announced_draining or self.draining_hint == "1"
+            self.has_announced_draining = (
+                self.has_announced_draining or self.draining_hint == "1"
+            )
             said += (("Server-Leaving", self.draining_hint),)
         if self.rate_limit:
             said += (("Server-Limit", self.rate_limit),)
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -149,7 +149,11 @@
         while True:
             if since < self._compacted_revision or since > self.revision:
                 return message.make_json_response(410, {})
-            last = self.revision if self.watch_revision_max is None else self.watch_revision_max
+            last = (
+                self.revision
+                if self.watch_revision_max is None
+                else self.watch_revision_max
+            )
             found = [
                 each for each in self._history if since < each.revision <= last
             ]
--- a/standins/rate_limit_check.py
+++ b/standins/rate_limit_check.py
@@ -13,9 +13,9 @@
 
 WINDOW_S = 4.0
 # A limit binds so long after it was first named.
-BINDS_S = 3.0
+ENFORCEMENT_S = 3.0
 # A VM is bound by an answer that it passed on at least so long before.
-PASSED_ON_S = 0.5
+RELAY_S = 0.5
 # Requests that a window may have: so many times those of the limit, and these.
 FACTOR = 1.5
 SLACK = 5.0
@@ -32,17 +32,17 @@
     by_id = {each.call.request_id: each for each in all_got}
     broken: list[str] = []
     for replica in cluster.all_replicas:
-        passed_on_s = _find_passed_on(replica, by_id)
+        relayed_at_s = _find_relayed(replica, by_id)
         counted_s = [
             each.at_s
             for each in replica.arrivals
-            if _is_bound(cluster, by_id[each.request_id], each, passed_on_s)
+            if _is_bound(cluster, by_id[each.request_id], each, relayed_at_s)
         ]
-        broken += find_excess_of(replica, counted_s)
+        broken += find_replica_excess(replica, counted_s)
     return broken
 
 
-def find_excess_of(
+def find_replica_excess(
     replica: platform_replica.PlatformReplica, counted_s: Iterable[float]
 ) -> list[str]:
     """Returns windows with more requests than a replica's limit allows.
@@ -53,7 +53,7 @@
     """
     if not replica.limits:
         return []
-    binds_s = replica.limits[0].at_s + BINDS_S
+    binds_s = replica.limits[0].at_s + ENFORCEMENT_S
     at_s = sorted([*counted_s, *replica.order_times_s, *replica.probe_times_s])
     broken: list[str] = []
     for index, begin_s in enumerate(at_s):
@@ -70,7 +70,9 @@
     return broken
 
 
-def find_rate(limits: list[platform_replica.AnnouncedLimit], at_s: float) -> float:
+def find_rate(
+    limits: list[platform_replica.AnnouncedLimit], at_s: float
+) -> float:
     """Returns the limit in force at a time; infinity for none."""
     named = [each.rate_per_s for each in limits if each.at_s <= at_s]
     return named[-1] if named else float("inf")
@@ -84,37 +86,37 @@
     A limit that has just been lowered binds after the same time as one that is
     named for the first time, so the highest one of that time counts.
     """
-    since_s = begin_s - BINDS_S
+    since_s = begin_s - ENFORCEMENT_S
     end_s = begin_s + WINDOW_S
     rates = [find_rate(limits, since_s)]
     rates += [each.rate_per_s for each in limits if since_s < each.at_s < end_s]
     return FACTOR * WINDOW_S * max(rates) + SLACK
 
 
-def _find_passed_on(
+def _find_relayed(
     replica: platform_replica.PlatformReplica,
     by_id: dict[str, gateway_caller.CallResult],
 ) -> dict[str, float]:
     """Returns when each VM first passed on an answer that named a limit."""
-    passed_on_s: dict[str, float] = {}
+    relayed_at_s: dict[str, float] = {}
     for request_id in replica.limit_answer_times_s:
         got = by_id.get(request_id)
         if got is None or "server-limit" not in got.headers:
             continue
         at_s = got.sent_s + (got.first_ms or got.took_ms) / 1_000.0
         vm = got.call.vm
-        passed_on_s[vm] = min(at_s, passed_on_s.get(vm, float("inf")))
-    return passed_on_s
+        relayed_at_s[vm] = min(at_s, relayed_at_s.get(vm, float("inf")))
+    return relayed_at_s
 
 
 def _is_bound(
     cluster: gateway_cluster.GatewayCluster,
     got: gateway_caller.CallResult,
     arrival: platform_replica.Arrival,
-    passed_on_s: dict[str, float],
+    relayed_at_s: dict[str, float],
 ) -> bool:
     vm = got.call.vm
-    since_s = passed_on_s.get(vm, float("inf"))
-    return arrival.at_s >= since_s + PASSED_ON_S and (
+    since_s = relayed_at_s.get(vm, float("inf"))
+    return arrival.at_s >= since_s + RELAY_S and (
         gateway_schedules.ran_undisturbed(cluster, vm, since_s, arrival.at_s)
     )
--- a/standins/rate_limit_fleet.py
+++ b/standins/rate_limit_fleet.py
@@ -38,7 +38,7 @@
 _DURATION_S = 20.0
 _CALLS_PER_S = 2.0
 # Calls to limited targets are at most so many in all, however large a fleet is.
-_CALLS_MOST_PER_S = 120.0
+_MAX_CALLS_PER_S = 120.0
 _POOL = "pool"
 _RATES = (0.0, 0.2, 0.25, 1.0, 1.0, 2.0, 5.0, 20.0, 50.0)
 _WAY_MS = (1.0, 3.0)
@@ -82,11 +82,11 @@
     exchange: peer_gossip.PeerGossip
     limiter: rate_limiter.RateLimiter
     env: environment.Environment
-    passed_on_s: dict[str, float]
+    relayed_at_s: dict[str, float]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Played:
+class ScheduleResult:
     """What came of a schedule.
 
     Attributes:
@@ -179,7 +179,7 @@
         process = self.vms[name].process
         process.freeze()
         await asyncio.sleep(for_s)
-        process.wake()
+        process.resume()
         self._disturb(name, from_s)
 
     async def cut(self, hall: str, for_s: float) -> None:
@@ -206,7 +206,7 @@
                 for at_s, vm in each.calls
                 if self._is_bound(each, vm, at_s)
             ]
-            broken += rate_limit_check.find_excess_of(each, counted_s)
+            broken += rate_limit_check.find_replica_excess(each, counted_s)
         return broken
 
     async def _call(self, vm: _Vm, name: str) -> None:
@@ -226,16 +226,16 @@
             return
         self.counts["sent"] += 1
         sent_ms = vm.env.now_ms()
-        chance = vm.env.random
-        await asyncio.sleep(chance.uniform(*_WAY_MS) / 1_000.0)
+        rng = vm.env.random
+        await asyncio.sleep(rng.uniform(*_WAY_MS) / 1_000.0)
         loop = asyncio.get_running_loop()
         each.calls.append((loop.time(), name))
-        await asyncio.sleep(chance.uniform(*_WORK_MS) / 1_000.0)
+        await asyncio.sleep(rng.uniform(*_WORK_MS) / 1_000.0)
         rate_per_s = rate_limit_check.find_rate(each.limits, loop.time())
-        await asyncio.sleep(chance.uniform(*_WAY_MS) / 1_000.0)
+        await asyncio.sleep(rng.uniform(*_WAY_MS) / 1_000.0)
         is_unlimited = rate_per_s == float("inf")
         if not is_unlimited:
-            vm.passed_on_s.setdefault(each.name, loop.time())
+            vm.relayed_at_s.setdefault(each.name, loop.time())
         vm.limiter.observe(
             statements.Statement(
                 lives.Life(each.name),
@@ -283,8 +283,8 @@
 
     def _is_bound(self, each: _Target, name: str, at_s: float) -> bool:
         vm = self.vms[name]
-        since_s = vm.passed_on_s.get(each.name, float("inf"))
-        if at_s < since_s + rate_limit_check.PASSED_ON_S:
+        since_s = vm.relayed_at_s.get(each.name, float("inf"))
+        if at_s < since_s + rate_limit_check.RELAY_S:
             return False
         names = (name, vm.process.hall)
         return not any(
@@ -293,7 +293,7 @@
         )
 
 
-def play(size: int, seed: int, without: str = "") -> Played:
+def run_schedule(size: int, seed: int, without: str = "") -> ScheduleResult:
     """Plays one schedule.
 
     Args:
@@ -306,32 +306,32 @@
     if without == "bound":
         rate_limits.find_max_holders = lambda rate_per_s: 1_000_000
     try:
-        return virtual_process.run(lambda: _play(size, seed, without))
+        return virtual_process.run(lambda: _run(size, seed, without))
     finally:
         rate_limits.find_max_holders = saved
 
 
-async def _play(size: int, seed: int, without: str) -> Played:
-    chance = random.Random(f"rate limit fleet {size} {seed}")
-    halls = chance.choice((1, 3, 5))
-    fleet = Fleet(size, halls, chance.choice((2, 6, 12)), seed)
+async def _run(size: int, seed: int, without: str) -> ScheduleResult:
+    rng = random.Random(f"rate limit fleet {size} {seed}")
+    halls = rng.choice((1, 3, 5))
+    fleet = Fleet(size, halls, rng.choice((2, 6, 12)), seed)
     if without == "sharing":
         for vm in fleet.vms.values():
             vm.limiter._count_holders = lambda *_: 1
             vm.limiter.limits._count_holders = lambda *_: 1
     await asyncio.sleep(_SETTLE_S)
     jobs = [
-        asyncio.ensure_future(_name_limits(each, chance))
+        asyncio.ensure_future(_name_limits(each, rng))
         for each in fleet.found.values()
     ]
     jobs += [
-        asyncio.ensure_future(_trouble(fleet, chance, halls)) for _ in range(4)
+        asyncio.ensure_future(_trouble(fleet, rng, halls)) for _ in range(4)
     ]
-    rate = min(_CALLS_PER_S * size, _CALLS_MOST_PER_S)
+    rate = min(_CALLS_PER_S * size, _MAX_CALLS_PER_S)
     until_s = asyncio.get_running_loop().time() + _DURATION_S
     while asyncio.get_running_loop().time() < until_s:
-        fleet.call(chance.choice(sorted(fleet.vms)))
-        await asyncio.sleep(chance.expovariate(rate))
+        fleet.call(rng.choice(sorted(fleet.vms)))
+        await asyncio.sleep(rng.expovariate(rate))
     for job in jobs:
         job.cancel()
     for each in fleet.found.values():
@@ -340,35 +340,35 @@
             rate_limit_check.find_rate(each.limits, at_s) < float("inf")
             for at_s, _ in each.calls
         )
-    return Played(fleet.find_excess(), fleet.counts)
+    return ScheduleResult(fleet.find_excess(), fleet.counts)
 
 
-async def _name_limits(each: _Target, chance: random.Random) -> None:
+async def _name_limits(each: _Target, rng: random.Random) -> None:
     loop = asyncio.get_running_loop()
-    await asyncio.sleep(chance.uniform(0.0, 8.0))
+    await asyncio.sleep(rng.uniform(0.0, 8.0))
     while True:
-        rate_per_s = chance.choice((*_RATES, float("inf")))
+        rate_per_s = rng.choice((*_RATES, float("inf")))
         limit = platform_replica.AnnouncedLimit(loop.time(), rate_per_s)
         if rate_per_s < float("inf") or each.limits:
             each.limits.append(limit)
-        await asyncio.sleep(chance.uniform(3.0, 12.0))
+        await asyncio.sleep(rng.uniform(3.0, 12.0))
 
 
-async def _trouble(fleet: Fleet, chance: random.Random, halls: int) -> None:
-    await asyncio.sleep(chance.uniform(0.0, _DURATION_S))
-    names = chance.sample(sorted(fleet.vms), -(-len(fleet.vms) // 4))
-    kind = chance.randrange(4)
+async def _trouble(fleet: Fleet, rng: random.Random, halls: int) -> None:
+    await asyncio.sleep(rng.uniform(0.0, _DURATION_S))
+    names = rng.sample(sorted(fleet.vms), -(-len(fleet.vms) // 4))
+    kind = rng.randrange(4)
     if kind == 0:
         for name in names:
             hall = fleet.vms[name].process.hall
             fleet.kill(name)
-            await asyncio.sleep(chance.uniform(0.0, 0.2))
+            await asyncio.sleep(rng.uniform(0.0, 0.2))
             fleet.start(name, hall)
     elif kind == 1:
-        freezes = [fleet.freeze(n, chance.uniform(0.5, 9.0)) for n in names]
+        freezes = [fleet.freeze(n, rng.uniform(0.5, 9.0)) for n in names]
         await asyncio.gather(*freezes)
     elif kind == 2:
-        await fleet.cut(f"hall-{chance.randrange(halls)}", 4.0)
+        await fleet.cut(f"hall-{rng.randrange(halls)}", 4.0)
     else:
         first = len(fleet.vms)
         for number in range(first, first + len(names)):
@@ -396,13 +396,13 @@
     failed = 0
     seeds = range(first, first + count)
     with concurrent.futures.ProcessPoolExecutor(jobs) as pool:
-        all_played = pool.map(
-            _play_silently, [vms] * count, seeds, [without] * count
+        results = pool.map(
+            _run_silently, [vms] * count, seeds, [without] * count
         )
-        for seed, played in zip(seeds, all_played, strict=True):
-            failed += bool(played.broken)
-            counts += played.counts
-            for each in played.broken[:3]:
+        for seed, result in zip(seeds, results, strict=True):
+            failed += bool(result.broken)
+            counts += result.counts
+            for each in result.broken[:3]:
                 print(f"seed {seed}: {each}", flush=True)
     for name, number in sorted(counts.items()):
         print(f"{name}: {number}")
@@ -410,9 +410,9 @@
     return 1 if failed else 0
 
 
-def _play_silently(size: int, seed: int, without: str) -> Played:
+def _run_silently(size: int, seed: int, without: str) -> ScheduleResult:
     loguru.logger.remove()
-    return play(size, seed, without)
+    return run_schedule(size, seed, without)
 
 
 if __name__ == "__main__":
--- a/standins/rate_limit_schedules.py
+++ b/standins/rate_limit_schedules.py
@@ -19,8 +19,8 @@
 from standins import gateway_cluster
 from standins import gateway_guarantees
 from standins import gateway_schedules
-from standins import schedule_runner
 from standins import rate_limit_check
+from standins import schedule_runner
 from standins import virtual_process
 
 _DURATION_S = 18.0
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Played:
+class ScheduleResult:
     """What came of a schedule.
 
     Attributes:
@@ -60,38 +60,38 @@
     counts: collections.Counter[str]
 
 
-def play(seed: int) -> Played:
+def run_schedule(seed: int) -> ScheduleResult:
     """Plays one schedule."""
-    chance = random.Random(f"rate limits {seed}")
+    rng = random.Random(f"rate limits {seed}")
     layout = gateway_cluster.Layout(
-        vms=chance.choice((2, 3, 6, 9)),
-        halls=chance.choice((1, 3)),
-        engines=chance.choice((3, 6, 9)),
-        services=chance.choice((1, 3, 6)),
+        vms=rng.choice((2, 3, 6, 9)),
+        halls=rng.choice((1, 3)),
+        engines=rng.choice((3, 6, 9)),
+        services=rng.choice((1, 3, 6)),
         seed=seed,
-        is_strict=chance.random() < 0.3,
-        reuses_names=chance.random() < 0.5,
+        is_strict=rng.random() < 0.3,
+        reuses_names=rng.random() < 0.5,
     )
-    return virtual_process.run(lambda: _play(layout, chance))
+    return virtual_process.run(lambda: _run(layout, rng))
 
 
-async def _play(
-    layout: gateway_cluster.Layout, chance: random.Random
-) -> Played:
+async def _run(
+    layout: gateway_cluster.Layout, rng: random.Random
+) -> ScheduleResult:
     cluster = gateway_cluster.GatewayCluster(layout)
     await cluster.start()
     caller = gateway_caller.Caller(cluster)
     kinds = (
-        *[gateway_schedules.play_fault] * _FAULTS,
+        *[gateway_schedules.inject_fault] * _FAULTS,
         *[_name_limits] * _LIMITS,
         *[_join_vm] * _JOINS,
     )
     faults = [
-        asyncio.ensure_future(_begin_later(kind, cluster, chance))
+        asyncio.ensure_future(_begin_later(kind, cluster, rng))
         for kind in kinds
     ]
     calls = [
-        _call_later(cluster, caller, chance, number)
+        _call_later(cluster, caller, rng, number)
         for number in range(round(_CALLS_PER_S * _DURATION_S))
     ]
     got = await asyncio.gather(*calls)
@@ -101,69 +101,67 @@
     await asyncio.sleep(4.0)
     broken = gateway_guarantees.find_broken(cluster, got)
     broken += rate_limit_check.find_excess(cluster, got)
-    return Played(broken, _count(cluster, got))
+    return ScheduleResult(broken, _count(cluster, got))
 
 
-async def _begin_later(kind, cluster, chance) -> None:  # noqa: ANN001
-    await asyncio.sleep(chance.uniform(0.0, _DURATION_S * 0.7))
-    await kind(cluster, chance)
+async def _begin_later(kind, cluster, rng) -> None:  # noqa: ANN001
+    await asyncio.sleep(rng.uniform(0.0, _DURATION_S * 0.7))
+    await kind(cluster, rng)
 
 
 async def _call_later(
     cluster: gateway_cluster.GatewayCluster,
     caller: gateway_caller.Caller,
-    chance: random.Random,
+    rng: random.Random,
     number: int,
 ) -> gateway_caller.CallResult:
-    await asyncio.sleep(chance.uniform(0.0, _DURATION_S))
-    call = gateway_schedules.make_call(chance, cluster, number)
-    if chance.random() < 0.9:
-        route = chance.choice(_ROUTES)
+    await asyncio.sleep(rng.uniform(0.0, _DURATION_S))
+    call = gateway_schedules.make_call(rng, cluster, number)
+    if rng.random() < 0.9:
+        route = rng.choice(_ROUTES)
         is_prompt = route in ("short", "once")
         call = dataclasses.replace(
             call,
             route=route,
-            prompt_tokens=chance.randrange(500, 9_000) if is_prompt else 0,
-            output_tokens=chance.randrange(50, 900) if is_prompt else 0,
+            prompt_tokens=rng.randrange(500, 9_000) if is_prompt else 0,
+            output_tokens=rng.randrange(50, 900) if is_prompt else 0,
         )
     return await caller.send(call)
 
 
 async def _name_limits(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
     """Has some targets name limits, one after the other, and then none."""
-    count = chance.choice((1, 1, 2, 4))
-    names = chance.sample(
+    count = rng.choice((1, 1, 2, 4))
+    names = rng.sample(
         sorted(cluster.targets), min(count, len(cluster.targets))
     )
     await asyncio.gather(
-        *(_name_limit(cluster.targets[name], chance) for name in names)
+        *(_name_limit(cluster.targets[name], rng) for name in names)
     )
 
 
-async def _name_limit(
-    node: gateway_cluster.Node, chance: random.Random
-) -> None:
+async def _name_limit(node: gateway_cluster.Node, rng: random.Random) -> None:
     replica = node.replica
-    for _ in range(chance.choice((1, 1, 2))):
-        replica.announce_limit(chance.choice(_RATES))
-        await asyncio.sleep(chance.uniform(3.0, 10.0))
-    if chance.random() < 0.2:
+    for _ in range(rng.choice((1, 1, 2))):
+        replica.announce_limit(rng.choice(_RATES))
+        await asyncio.sleep(rng.uniform(3.0, 10.0))
+    if rng.random() < 0.2:
         known = replica.rate_limit
-        replica.rate_limit = chance.choice(_ODD_RATES)
-        await asyncio.sleep(chance.uniform(0.5, 2.0))
+        replica.rate_limit = rng.choice(_ODD_RATES)
+        await asyncio.sleep(rng.uniform(0.5, 2.0))
         if replica.rate_limit in _ODD_RATES:
             replica.rate_limit = known
-    if chance.random() < 0.6:
+    if rng.random() < 0.6:
         replica.announce_limit("")
 
 
 async def _join_vm(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
     number = len(cluster.vms)
-    hall = f"hall-{chance.randrange(cluster.layout.halls)}"
+    hall = f"hall-{rng.randrange(cluster.layout.halls)}"
     process = virtual_process.VirtualProcess("", "")
     node = gateway_cluster.Node(f"vm-{number}", hall, process)
     cluster.start_vm(node)
@@ -180,7 +178,9 @@
         counts[f"status {each.status}"] += 1
     for replica in cluster.all_replicas:
         counts["limits named"] += len(replica.limits)
-        counts["answers that named a limit"] += len(replica.limit_answer_times_s)
+        counts["answers that named a limit"] += len(
+            replica.limit_answer_times_s
+        )
         counts["calls under a limit"] += sum(
             rate_limit_check.find_rate(replica.limits, each.at_s) < float("inf")
             for each in replica.arrivals
@@ -200,7 +200,7 @@
         count: Number of seeds.
         jobs: Seeds that are played at once, each by a process.
     """
-    return schedule_runner.play_all(play, first, count, jobs)
+    return schedule_runner.run_all(run_schedule, first, count, jobs)
 
 
 if __name__ == "__main__":
--- a/standins/restore_checks.py
+++ b/standins/restore_checks.py
@@ -13,14 +13,14 @@
 from standins import platform_replica
 
 # A target that leaves gets no calls later than this.
-LEAVE_S = 2.0
+DRAIN_GRACE_S = 2.0
 # VMs that nothing has disturbed for so long are bound by what the store tells.
 CONTACT_S = 3.0
 # Without a fault for so long, all VMs go by what is so.
-REST_S = 8.0
+SETTLE_S = 8.0
 _SAMPLE_S = 0.05
 # The call that passes a VM as it learns of a leaving is borne.
-_UNDER_WAY_S = 0.05
+_IN_FLIGHT_S = 0.05
 
 _LEAVINGS = "leavings"
 _RESTORES = "restores"
@@ -118,7 +118,9 @@
             if leaving is not None and is_known:
                 leaving.known_s.setdefault(run, self._now_s())
 
-    def find_broken(self, got: Iterable[gateway_caller.CallResult]) -> list[str]:
+    def find_broken(
+        self, got: Iterable[gateway_caller.CallResult]
+    ) -> list[str]:
         """Returns a sentence for each promise that was broken."""
         by_id = {each.call.request_id: each for each in got}
         broken = list(self._broken)
@@ -140,14 +142,14 @@
         starts = sum(each <= at_s for each in self._cluster.vm_starts[vm])
         known_s = leaving.known_s.get((vm, starts), float("inf"))
         is_awake = self._ran(vm, call.sent_s, at_s)
-        if at_s > known_s + _UNDER_WAY_S and is_awake:
+        if at_s > known_s + _IN_FLIGHT_S and is_awake:
             late_ms = round((at_s - known_s) * 1_000.0)
             yield (
                 f"{arrival.request_id} reached {name} {late_ms} ms after {vm} "
                 "went by its leaving"
             )
         late_s = at_s - leaving.published_s
-        if late_s > LEAVE_S and self._is_in_touch(vm, at_s):
+        if late_s > DRAIN_GRACE_S and self._is_in_touch(vm, at_s):
             yield (
                 f"{arrival.request_id} reached {name} "
                 f"{round(late_s * 1_000.0)} ms after the store told that it "
--- a/standins/restore_schedules.py
+++ b/standins/restore_schedules.py
@@ -20,8 +20,8 @@
 from standins import gateway_guarantees
 from standins import gateway_schedules
 from standins import platform_store
-from standins import schedule_runner
 from standins import restore_checks
+from standins import schedule_runner
 from standins import virtual_network
 from standins import virtual_process
 
@@ -55,10 +55,10 @@
     """
 
     def __init__(
-        self, cluster: gateway_cluster.GatewayCluster, chance: random.Random
+        self, cluster: gateway_cluster.GatewayCluster, rng: random.Random
     ) -> None:
         self.cluster = cluster
-        self.chance = chance
+        self.rng = rng
         self.record = restore_checks.Record(cluster)
         self.copies: list[platform_store.Snapshot] = []
         self.is_removed = False
@@ -77,11 +77,11 @@
             for node, kind in zip(staying, kinds, strict=True)
             if kinds.count(kind) > 1
         ]
-        return self.chance.choice(able) if able else None
+        return self.rng.choice(able) if able else None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Played:
+class ScheduleResult:
     """What came of a schedule.
 
     Attributes:
@@ -95,34 +95,34 @@
     counts: dict[str, int]
 
 
-def play(seed: int) -> Played:
+def run_schedule(seed: int) -> ScheduleResult:
     """Plays one schedule."""
-    chance = random.Random(f"restores {seed}")
+    rng = random.Random(f"restores {seed}")
     layout = gateway_cluster.Layout(
-        vms=chance.choice((2, 3, 6, 9)),
-        halls=chance.choice((1, 1, 2, 3)),
-        engines=chance.choice((3, 6)),
-        services=chance.choice((3, 6)),
+        vms=rng.choice((2, 3, 6, 9)),
+        halls=rng.choice((1, 1, 2, 3)),
+        engines=rng.choice((3, 6)),
+        services=rng.choice((3, 6)),
         seed=seed,
-        reuses_names=chance.random() < 0.5,
-        epoch=chance.choice(("1", "41")),
+        reuses_names=rng.random() < 0.5,
+        epoch=rng.choice(("1", "41")),
     )
-    return virtual_process.run(lambda: _play(layout, chance))
+    return virtual_process.run(lambda: _run(layout, rng))
 
 
-async def _play(
-    layout: gateway_cluster.Layout, chance: random.Random
-) -> Played:
+async def _run(
+    layout: gateway_cluster.Layout, rng: random.Random
+) -> ScheduleResult:
     cluster = gateway_cluster.GatewayCluster(layout)
     cluster.keys["w2"] = [REMOVED_KEY]
     await cluster.start()
-    schedule = Schedule(cluster, chance)
+    schedule = Schedule(cluster, rng)
     background = [
         asyncio.ensure_future(schedule.record.sample()),
         asyncio.ensure_future(_take_copies(schedule)),
     ]
     kinds: tuple[_Fault, ...] = (
-        *[_play_fault] * _FAULTS,
+        *[_inject_fault] * _FAULTS,
         *[_restore] * _RESTORES,
         *[_leave] * _LEAVINGS,
         *[_change_settings] * _SETTINGS,
@@ -139,37 +139,37 @@
     await asyncio.sleep(4.0)
     broken = gateway_guarantees.find_broken(cluster, got)
     broken += schedule.record.find_broken(got)
-    await _rest(cluster)
+    await _settle(cluster)
     broken += restore_checks.find_unlisted(cluster)
-    return Played(
+    return ScheduleResult(
         broken,
         gateway_schedules.count_statuses(got),
         schedule.record.count(),
     )
 
 
-async def _rest(cluster: gateway_cluster.GatewayCluster) -> None:
+async def _settle(cluster: gateway_cluster.GatewayCluster) -> None:
     """Ends all trouble, and lets VMs find out what is so."""
     cluster.store.failure = ""
     cluster.network.cuts.clear()
     for node in (*cluster.vms.values(), *cluster.targets.values()):
         if node.process.is_frozen:
-            node.process.wake()
-    await asyncio.sleep(restore_checks.REST_S)
+            node.process.resume()
+    await asyncio.sleep(restore_checks.SETTLE_S)
 
 
 async def _begin_later(schedule: Schedule, kind: _Fault) -> None:
-    await asyncio.sleep(schedule.chance.uniform(0.0, _DURATION_S))
+    await asyncio.sleep(schedule.rng.uniform(0.0, _DURATION_S))
     await kind(schedule)
 
 
 async def _call_later(
     schedule: Schedule, caller: gateway_caller.Caller, number: int
 ) -> gateway_caller.CallResult:
-    chance = schedule.chance
-    call = gateway_schedules.make_call(chance, schedule.cluster, number)
-    if chance.random() < 0.5:
-        route = chance.choice(("open", "unsafe", "safe"))
+    rng = schedule.rng
+    call = gateway_schedules.make_call(rng, schedule.cluster, number)
+    if rng.random() < 0.5:
+        route = rng.choice(("open", "unsafe", "safe"))
         call = dataclasses.replace(
             call,
             route=route,
@@ -177,9 +177,9 @@
             output_tokens=0,
             time_limit_ms=2_000.0,
         )
-    if chance.random() < 0.3:
+    if rng.random() < 0.3:
         call = dataclasses.replace(call, key=REMOVED_KEY)
-    await asyncio.sleep(chance.uniform(0.0, _DURATION_S))
+    await asyncio.sleep(rng.uniform(0.0, _DURATION_S))
     return await caller.send(call)
 
 
@@ -190,36 +190,36 @@
         await asyncio.sleep(_COPY_EVERY_S)
 
 
-async def _play_fault(schedule: Schedule) -> None:
-    await gateway_schedules.play_fault(schedule.cluster, schedule.chance)
+async def _inject_fault(schedule: Schedule) -> None:
+    await gateway_schedules.inject_fault(schedule.cluster, schedule.rng)
 
 
 async def _restore(schedule: Schedule) -> None:
     """Has the store go back, at times after a while of answering nobody."""
-    chance, store = schedule.chance, schedule.cluster.store
-    copy = chance.choice(schedule.copies)
-    away_s = chance.choice((0.0, 0.0, 0.4, 1.5, 4.0))
+    rng, store = schedule.rng, schedule.cluster.store
+    copy = rng.choice(schedule.copies)
+    away_s = rng.choice((0.0, 0.0, 0.4, 1.5, 4.0))
     if away_s:
-        with gateway_schedules.note_disturbance(
+        with gateway_schedules.record_disturbance(
             schedule.cluster, gateway_cluster.STORE_NAME
         ):
-            store.failure = chance.choice(("busy", "reset", "silent"))
+            store.failure = rng.choice(("busy", "reset", "silent"))
             await asyncio.sleep(away_s)
             store.failure = ""
     store.restore(copy)
     # No copy of what was lost is left.
     schedule.copies = [copy]
     schedule.record.note_restored()
-    await asyncio.sleep(chance.uniform(0.0, _REWRITE_S))
+    await asyncio.sleep(rng.uniform(0.0, _REWRITE_S))
     cluster = schedule.cluster
     cluster.rewrite_settings()
     for node in cluster.targets.values():
         if node.state == gateway_cluster.UNLISTED:
             cluster.unlist_target(node)
     schedule.record.note_rewritten()
-    if chance.random() < 0.7:
+    if rng.random() < 0.7:
         # Revisions are below those of before the restore for a while.
-        await asyncio.sleep(chance.uniform(0.0, 4.0))
+        await asyncio.sleep(rng.uniform(0.0, 4.0))
         await _leave(schedule)
 
 
@@ -228,28 +228,28 @@
     node = schedule.choose_target()
     if node is None:
         return
-    cluster, chance = schedule.cluster, schedule.chance
+    cluster, rng = schedule.cluster, schedule.rng
     replica = node.replica
-    if chance.random() < 0.5:
+    if rng.random() < 0.5:
         cluster.drain_target(node)
     else:
         cluster.stop_listing(node)
     schedule.record.note_leaving(replica)
-    await asyncio.sleep(chance.uniform(3.0, 10.0))
+    await asyncio.sleep(rng.uniform(3.0, 10.0))
     if node.replica is not replica:
         return
     if not node.process.is_dead:
         cluster.kill(node)
     node.state = gateway_cluster.UNLISTED
     cluster.unlist_target(node)
-    await asyncio.sleep(chance.uniform(0.2, 3.0))
+    await asyncio.sleep(rng.uniform(0.2, 3.0))
     if node.replica is replica:
         cluster.start_target(node)
 
 
 async def _change_settings(schedule: Schedule) -> None:
     cluster = schedule.cluster
-    if schedule.chance.random() < 0.4 and not schedule.is_removed:
+    if schedule.rng.random() < 0.4 and not schedule.is_removed:
         schedule.is_removed = True
         cluster.keys.pop("w2")
         schedule.record.note_removed_key()
@@ -258,15 +258,15 @@
 
 async def _cut_from_store(schedule: Schedule) -> None:
     """Keeps some VMs from the store for a while."""
-    cluster, chance = schedule.cluster, schedule.chance
+    cluster, rng = schedule.cluster, schedule.rng
     names = sorted(cluster.vms)
-    chosen = chance.sample(names, chance.randint(1, len(names)))
+    chosen = rng.sample(names, rng.randint(1, len(names)))
     cuts = [
         virtual_network.Cut(name, gateway_cluster.STORE_NAME) for name in chosen
     ]
     cluster.network.cuts.extend(cuts)
     began_s = asyncio.get_running_loop().time()
-    await asyncio.sleep(chance.uniform(0.5, 6.0))
+    await asyncio.sleep(rng.uniform(0.5, 6.0))
     ended_s = asyncio.get_running_loop().time()
     for cut in cuts:
         if cut in cluster.network.cuts:
@@ -284,7 +284,7 @@
         count: Number of seeds.
         jobs: Seeds that are played at once, each by a process.
     """
-    return schedule_runner.play_all(play, first, count, jobs)
+    return schedule_runner.run_all(run_schedule, first, count, jobs)
 
 
 if __name__ == "__main__":
--- a/standins/schedule_runner.py
+++ b/standins/schedule_runner.py
@@ -10,7 +10,7 @@
 import loguru
 
 
-class Played(Protocol):
+class ScheduleResult(Protocol):
     """What came of a seed.
 
     Attributes:
@@ -22,8 +22,11 @@
     counts: Mapping[str, int]
 
 
-def play_all(
-    play: Callable[[int], Played], first: int, count: int, jobs: int
+def run_all(
+    run_schedule: Callable[[int], ScheduleResult],
+    first: int,
+    count: int,
+    jobs: int,
 ) -> int:
     """Plays seeds, prints those that failed, and returns an exit status.
 
@@ -37,11 +40,13 @@
     failed = 0
     seeds = range(first, first + count)
     with concurrent.futures.ProcessPoolExecutor(jobs) as pool:
-        all_played = pool.map(functools.partial(_play_silently, play), seeds)
-        for seed, played in zip(seeds, all_played, strict=True):
-            failed += bool(played.broken)
-            counts.update(played.counts)
-            for each in played.broken:
+        results = pool.map(
+            functools.partial(_run_silently, run_schedule), seeds
+        )
+        for seed, result in zip(seeds, results, strict=True):
+            failed += bool(result.broken)
+            counts.update(result.counts)
+            for each in result.broken:
                 print(f"seed {seed}: {each}", flush=True)
     for name, number in sorted(counts.items()):
         print(f"{name}: {number}")
@@ -49,6 +54,8 @@
     return 1 if failed else 0
 
 
-def _play_silently(play: Callable[[int], Played], seed: int) -> Played:
+def _run_silently(
+    run_schedule: Callable[[int], ScheduleResult], seed: int
+) -> ScheduleResult:
     loguru.logger.remove()
-    return play(seed)
+    return run_schedule(seed)
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -281,7 +281,7 @@
         proxy.mode = soak_proxy.Mode.PASS
 
     async def _spoil_replica(self) -> None:
-        wrong = self._chance.choice(self._replicas).wrong
+        wrong = self._chance.choice(self._replicas).faults
         name = self._chance.choice(
             ("refuse", "fail", "lose", "break_off", "unsigned", "foreign")
         )
--- a/standins/soak_caller.py
+++ b/standins/soak_caller.py
@@ -20,12 +20,16 @@
         self._streams: tuple | None = None
         self._http: h11.Connection | None = None
 
-    async def send(self, call: gateway_caller.Call) -> gateway_caller.CallResult:
+    async def send(
+        self, call: gateway_caller.Call
+    ) -> gateway_caller.CallResult:
         """Sends a call and reads its answer to the end."""
         sent_s = time.monotonic()
         parts: list[bytes] = []
         head: list = [0, {}, False]
-        limit_s = (call.disconnects_after_ms or call.time_limit_ms + 1_000.0) / 1000
+        limit_s = (
+            call.disconnects_after_ms or call.time_limit_ms + 1_000.0
+        ) / 1000
         try:
             async with asyncio.timeout(limit_s):
                 await self._exchange(call, parts, head)
--- a/standins/soak_rate_limits.py
+++ b/standins/soak_rate_limits.py
@@ -24,7 +24,7 @@
     gateways = {got.call.request_id: gateway for gateway, got in all_got}
     broken: list[str] = []
     for replica in replicas:
-        passed_on_s = _find_passed_on(replica, all_got)
+        passed_on_s = _find_relayed(replica, all_got)
         counted_s = [
             each.at_s
             for each in replica.arrivals
@@ -35,11 +35,11 @@
                 upsets,
             )
         ]
-        broken += rate_limit_check.find_excess_of(replica, counted_s)
+        broken += rate_limit_check.find_replica_excess(replica, counted_s)
     return broken
 
 
-def _find_passed_on(
+def _find_relayed(
     replica: platform_replica.PlatformReplica,
     all_got: Iterable[tuple[int, gateway_caller.CallResult]],
 ) -> dict[int, float]:
@@ -65,4 +65,4 @@
         each.gateway == gateway and since_s < each.at_s < at_s
         for each in upsets
     )
-    return at_s >= since_s + rate_limit_check.PASSED_ON_S and not was_upset
+    return at_s >= since_s + rate_limit_check.RELAY_S and not was_upset
--- a/standins/soak_withdrawals.py
+++ b/standins/soak_withdrawals.py
@@ -61,7 +61,7 @@
                 for each in upsets
             )
             late_s = got.sent_s - told_s
-            if late_s > withdrawal_schedules.LEAVE_S and not was_upset:
+            if late_s > withdrawal_schedules.DRAIN_GRACE_S and not was_upset:
                 broken.append(
                     f"{arrival.request_id} reached {leaving.name} "
                     f"{late_s:.1f} s after gateway {gateway} was told"
--- a/standins/virtual_network.py
+++ b/standins/virtual_network.py
@@ -74,7 +74,7 @@
 
     def _deliver_later(self, delay_s: float) -> None:
         loop = asyncio.get_running_loop()
-        context = self._network.neutral
+        context = self._network.neutral_context
         loop.call_later(delay_s, self._deliver, context=context)
 
     def _deliver(self) -> None:
@@ -134,7 +134,7 @@
     async def wait_closed(self) -> None:
         """Returns at once."""
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Lets this end see that its peer is gone."""
         self.is_broken = True
         self._incoming.reset()
@@ -159,9 +159,9 @@
 
     def __init__(self, seed: int, latency: Latency) -> None:
         self.cuts: list[Cut] = []
-        self.thin_links: dict[str, float] = {}
-        self.neutral = processes.contextvars.Context()
-        self.counts_sleep = True
+        self.slow_links: dict[str, float] = {}
+        self.neutral_context = processes.contextvars.Context()
+        self.counts_frozen_time = True
         self._seed = seed
         self._latency = latency
         self._listeners: dict[environment.Address, tuple] = {}
@@ -196,7 +196,7 @@
         other: processes.VirtualProcess,
     ) -> float:
         """Returns what a stream between two nodes carries a second."""
-        links = self.thin_links
+        links = self.slow_links
         return min(
             links.get(one.name, math.inf), links.get(other.name, math.inf)
         )
@@ -210,9 +210,9 @@
         of one that is taken for a time of another shows.
         """
         loop = asyncio.get_running_loop()
-        chance = random.Random(f"{self._seed} {process.name} {incarnation}")
-        offset_ms = chance.randrange(1_000_000, 9_000_000)
-        skew_ms = chance.uniform(-50.0, 50.0) + 1.7e12
+        rng = random.Random(f"{self._seed} {process.name} {incarnation}")
+        offset_ms = rng.randrange(1_000_000, 9_000_000)
+        skew_ms = rng.uniform(-50.0, 50.0) + 1.7e12
 
         async def connect(
             address: environment.Address,
@@ -235,13 +235,13 @@
             )
 
         def now_ms() -> float:
-            slept_s = 0.0 if self.counts_sleep else process.slept_s
-            return (loop.time() - slept_s) * 1000.0 + offset_ms
+            frozen_s = 0.0 if self.counts_frozen_time else process.frozen_s
+            return (loop.time() - frozen_s) * 1000.0 + offset_ms
 
         return environment.Environment(
             now_ms=now_ms,
             wall_ms=lambda: loop.time() * 1000.0 + skew_ms,
-            random=chance,
+            random=rng,
             connect=connect,
             serve=serve,
             bind=bind,
@@ -254,7 +254,7 @@
                 del self._listeners[address]
         writers = self._writers.pop(process.name, set())
         for writer in sorted(writers, key=lambda each: self._began[each]):
-            writer.break_off()
+            writer.abort()
 
     def _send_datagram(
         self,
@@ -275,7 +275,7 @@
 
         loop = asyncio.get_running_loop()
         delay_s = self.latency_s(source, sink)
-        loop.call_later(delay_s, arrive, context=self.neutral)
+        loop.call_later(delay_s, arrive, context=self.neutral_context)
 
     def _unbind(
         self, process: processes.VirtualProcess, address: environment.Address
--- a/standins/virtual_process.py
+++ b/standins/virtual_process.py
@@ -36,7 +36,7 @@
         self.hall = hall
         self.is_dead = False
         self.is_frozen = False
-        self.slept_s = 0.0
+        self.frozen_s = 0.0
         self._froze_s = 0.0
         self._tasks: set[asyncio.Task] = set()
         self._parked: list[_Call] = []
@@ -59,11 +59,11 @@
         self.is_frozen = True
         self._froze_s = asyncio.get_running_loop().time()
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Lets the process go on, as SIGCONT does."""
         self.is_frozen = False
         loop = asyncio.get_running_loop()
-        self.slept_s += loop.time() - self._froze_s
+        self.frozen_s += loop.time() - self._froze_s
         parked, self._parked = self._parked, []
         for call in parked:
             contextvars.Context().run(loop.call_soon, self._run_late, call)
--- a/standins/withdrawal_schedules.py
+++ b/standins/withdrawal_schedules.py
@@ -18,36 +18,36 @@
 import cyclopts
 
 from ruddergate.fleet import life as lives
+from standins import drain_coverage
+from standins import faulty_peer
 from standins import gateway_caller
 from standins import gateway_cluster
 from standins import gateway_guarantees
 from standins import gateway_schedules
-from standins import faulty_peer
 from standins import platform_replica
 from standins import schedule_runner
 from standins import virtual_process
-from standins import drain_coverage
 
 _CALLS = 160
 _DURATION_S = 20.0
 _FAULTS = 4
-_WITHDRAWALS = 5
+_DRAINS = 5
 _OUTAGES = 2
-_LIES = 1
+_FALSE_GOSSIPS = 1
 # A VM that lies tells its words again after this time.
-_LIE_EVERY_S = 0.4
+_FALSE_GOSSIP_INTERVAL_S = 0.4
 # A VM that has passed on that a target leaves sends it no calls that come later
 # than this.
-LEAVE_S = 2.0
+DRAIN_GRACE_S = 2.0
 # What was on its way when a target refused is borne for so long.
-UNDER_WAY_S = 0.5
+IN_FLIGHT_S = 0.5
 # Calls of a VM that a target bears within a time in which it wants none.
-QUIET_MOST = 2
+MAX_BACKOFF_CALLS = 2
 _TIMES = ("0.3", "1", "2.5", "6", "-1", "soon", "1e9")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Played:
+class ScheduleResult:
     """What came of a schedule.
 
     Attributes:
@@ -61,151 +61,152 @@
     counts: collections.Counter[str]
 
 
-def play(seed: int) -> Played:
+def run_schedule(seed: int) -> ScheduleResult:
     """Plays one schedule."""
-    chance = random.Random(f"withdrawals {seed}")
+    rng = random.Random(f"withdrawals {seed}")
     layout = gateway_cluster.Layout(
-        vms=chance.choice((1, 3, 6, 9)),
-        halls=chance.choice((1, 3)),
-        engines=chance.choice((3, 6, 12)),
-        services=chance.choice((1, 3, 6)),
+        vms=rng.choice((1, 3, 6, 9)),
+        halls=rng.choice((1, 3)),
+        engines=rng.choice((3, 6, 12)),
+        services=rng.choice((1, 3, 6)),
         seed=seed,
-        is_strict=chance.random() < 0.3,
-        reuses_names=chance.random() < 0.5,
+        is_strict=rng.random() < 0.3,
+        reuses_names=rng.random() < 0.5,
     )
-    return virtual_process.run(lambda: _play(layout, chance))
+    return virtual_process.run(lambda: _run(layout, rng))
 
 
-async def _play(
-    layout: gateway_cluster.Layout, chance: random.Random
-) -> Played:
+async def _run(
+    layout: gateway_cluster.Layout, rng: random.Random
+) -> ScheduleResult:
     cluster = gateway_cluster.GatewayCluster(layout)
     await cluster.start()
     caller = gateway_caller.Caller(cluster)
     ways: collections.Counter[str] = collections.Counter()
     kinds = (
-        *[gateway_schedules.play_fault] * _FAULTS,
-        *[functools.partial(_withdraw_target, ways)] * _WITHDRAWALS,
-        *[_trouble_store] * _OUTAGES,
-        *[functools.partial(_lie, ways)] * _LIES,
+        *[gateway_schedules.inject_fault] * _FAULTS,
+        *[functools.partial(_drain_target, ways)] * _DRAINS,
+        *[_fail_store] * _OUTAGES,
+        *[functools.partial(_send_false_gossip, ways)] * _FALSE_GOSSIPS,
     )
     faults = [
-        asyncio.ensure_future(_begin_later(kind, cluster, chance))
+        asyncio.ensure_future(_begin_later(kind, cluster, rng))
         for kind in kinds
     ]
-    calls = [_call_later(cluster, caller, chance, n) for n in range(_CALLS)]
+    calls = [_call_later(cluster, caller, rng, n) for n in range(_CALLS)]
     got = await asyncio.gather(*calls)
     for fault in faults:
         fault.cancel()
     # What was set aside for the last calls must lapse by itself.
     await asyncio.sleep(4.0)
     broken = gateway_guarantees.find_broken(cluster, got)
-    broken += find_calls_after_leaving(cluster, got)
-    broken += find_calls_in_quiet(cluster, got)
-    await _rest(cluster)
-    broken += drain_coverage.find_wrongly_withdrawn(cluster)
-    ways += drain_coverage.count_ways(cluster.all_gateways)
-    return Played(broken, gateway_schedules.count_statuses(got), ways)
+    broken += find_calls_after_drain(cluster, got)
+    broken += find_calls_during_backoff(cluster, got)
+    await _settle(cluster)
+    broken += drain_coverage.find_wrongly_draining(cluster)
+    ways += drain_coverage.count_events_seen(cluster.all_gateways)
+    return ScheduleResult(broken, gateway_schedules.count_statuses(got), ways)
 
 
-async def _rest(cluster: gateway_cluster.GatewayCluster) -> None:
+async def _settle(cluster: gateway_cluster.GatewayCluster) -> None:
     """Ends all trouble, and lets VMs find out what is so."""
     cluster.store.failure = ""
     cluster.network.cuts.clear()
     for node in (*cluster.vms.values(), *cluster.targets.values()):
         if node.process.is_frozen:
-            node.process.wake()
-    await asyncio.sleep(drain_coverage.REST_S)
+            node.process.resume()
+    await asyncio.sleep(drain_coverage.SETTLE_S)
 
 
-async def _begin_later(kind, cluster, chance) -> None:  # noqa: ANN001
-    await asyncio.sleep(chance.uniform(0.0, _DURATION_S))
-    await kind(cluster, chance)
+async def _begin_later(kind, cluster, rng) -> None:  # noqa: ANN001
+    await asyncio.sleep(rng.uniform(0.0, _DURATION_S))
+    await kind(cluster, rng)
 
 
 async def _call_later(
     cluster: gateway_cluster.GatewayCluster,
     caller: gateway_caller.Caller,
-    chance: random.Random,
+    rng: random.Random,
     number: int,
 ) -> gateway_caller.CallResult:
-    call = gateway_schedules.make_call(chance, cluster, number)
-    if chance.random() < 0.3:
+    call = gateway_schedules.make_call(rng, cluster, number)
+    if rng.random() < 0.3:
         call = dataclasses.replace(
             call, route="open", prompt_tokens=0, output_tokens=0
         )
-    await asyncio.sleep(chance.uniform(0.0, _DURATION_S))
+    await asyncio.sleep(rng.uniform(0.0, _DURATION_S))
     return await caller.send(call)
 
 
-async def _trouble_store(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+async def _fail_store(
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
-    await gateway_schedules.trouble_store(cluster, chance, 3.0, 9.0)
+    await gateway_schedules.fail_store(cluster, rng, 3.0, 9.0)
 
 
-async def _withdraw_target(
+async def _drain_target(
     ways: collections.Counter[str],
     cluster: gateway_cluster.GatewayCluster,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    node = cluster.targets[chance.choice(sorted(cluster.targets))]
+    node = cluster.targets[rng.choice(sorted(cluster.targets))]
     if node.process.is_dead:
         return
-    if chance.random() < 0.4:
-        await _shed(node.replica, chance)
+    if rng.random() < 0.4:
+        await _shed_load(node.replica, rng)
         return
-    if chance.random() < 0.3:
-        ways[drain_coverage.BACK_UNLISTED] += 1
+    if rng.random() < 0.3:
+        ways[drain_coverage.RESTARTED_UNLISTED] += 1
         cluster.kill(node)
         cluster.start_target(node)
     # The list is told late, or not at all, as while the store is away.
     replica = node.replica
-    word = chance.choice(("1", "1", "1", "true", ""))
+    word = rng.choice(("1", "1", "1", "true", ""))
     if not replica.has_announced_draining:
         # A target that has said it does not unsay it.
         replica.draining_hint = word
-    await asyncio.sleep(chance.uniform(0.5, 8.0))
-    if not replica.started_ms and chance.random() < 0.3:
-        ways[drain_coverage.START_LATE] += 1
+    await asyncio.sleep(rng.uniform(0.5, 8.0))
+    if not replica.started_ms and rng.random() < 0.3:
+        ways[drain_coverage.LATE_START_FIELD] += 1
         replica.started_ms = round(asyncio.get_running_loop().time() * 1_000.0)
-        await asyncio.sleep(chance.uniform(0.5, 8.0))
+        await asyncio.sleep(rng.uniform(0.5, 8.0))
     if node.process.is_dead or node.replica is not replica:
         return
     cluster.kill(node)
     cluster.unlist_target(node)
-    await asyncio.sleep(chance.uniform(0.2, 2.0))
+    await asyncio.sleep(rng.uniform(0.2, 2.0))
     if node.process.is_dead:
         cluster.start_target(node)
 
 
-async def _lie(
+async def _send_false_gossip(
     ways: collections.Counter[str],
     cluster: gateway_cluster.GatewayCluster,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
     """Has a peer tell of some targets, again and again, that they leave."""
-    ways[drain_coverage.LIED] += 1
-    names = chance.sample(sorted(cluster.targets), 2)
+    ways[drain_coverage.FALSE_GOSSIP] += 1
+    names = rng.sample(sorted(cluster.targets), 2)
     replicas = [cluster.targets[name].replica for name in names]
     lives_told = [lives.Life(each.name, each.born_ms) for each in replicas]
     words = tuple(map(lives.format_life, lives_told))
-    for number in range(1, chance.randrange(2, 20)):
-        await faulty_peer.tell_leaving(cluster, number, words)
-        await asyncio.sleep(_LIE_EVERY_S)
+    for number in range(1, rng.randrange(2, 20)):
+        await faulty_peer.announce_draining(cluster, number, words)
+        await asyncio.sleep(_FALSE_GOSSIP_INTERVAL_S)
 
 
-async def _shed(
-    replica: platform_replica.PlatformReplica, chance: random.Random
+async def _shed_load(
+    replica: platform_replica.PlatformReplica, rng: random.Random
 ) -> None:
-    replica.faults.retry_after = chance.choice(_TIMES)
-    replica.faults.refuse = chance.uniform(0.3, 1.0)
-    await asyncio.sleep(chance.uniform(1.0, 6.0))
+    replica.faults.retry_after = rng.choice(_TIMES)
+    replica.faults.refuse = rng.uniform(0.3, 1.0)
+    await asyncio.sleep(rng.uniform(1.0, 6.0))
     replica.faults.refuse = 0.0
 
 
-def find_calls_after_leaving(
-    cluster: gateway_cluster.GatewayCluster, got: Iterable[gateway_caller.CallResult]
+def find_calls_after_drain(
+    cluster: gateway_cluster.GatewayCluster,
+    got: Iterable[gateway_caller.CallResult],
 ) -> list[str]:
     """Returns calls that a VM sent to a target that had told it to leave."""
     by_id = {each.call.request_id: each for each in got}
@@ -217,7 +218,7 @@
             call = by_id[arrival.request_id]
             vm = call.call.vm
             since_s = told_s.get(vm, float("inf"))
-            is_late = call.sent_s > since_s + LEAVE_S
+            is_late = call.sent_s > since_s + DRAIN_GRACE_S
             if is_late and gateway_schedules.ran_undisturbed(
                 cluster, vm, since_s, arrival.at_s
             ):
@@ -230,7 +231,8 @@
 
 
 def _find_heads(
-    cluster: gateway_cluster.GatewayCluster, got: Iterable[gateway_caller.CallResult]
+    cluster: gateway_cluster.GatewayCluster,
+    got: Iterable[gateway_caller.CallResult],
 ) -> dict[str, platform_replica.PlatformReplica]:
     """Returns whose head each caller got, of those that say of leaving.
 
@@ -273,8 +275,9 @@
     return told_s
 
 
-def find_calls_in_quiet(
-    cluster: gateway_cluster.GatewayCluster, got: Iterable[gateway_caller.CallResult]
+def find_calls_during_backoff(
+    cluster: gateway_cluster.GatewayCluster,
+    got: Iterable[gateway_caller.CallResult],
 ) -> list[str]:
     """Returns where a VM sent too much within a time that was told it."""
     vms = {each.call.request_id: each.call.vm for each in got}
@@ -287,12 +290,12 @@
                 each
                 for each in replica.arrivals
                 if vms[each.request_id] == vm
-                and told.at_s + UNDER_WAY_S < each.at_s < until_s
+                and told.at_s + IN_FLIGHT_S < each.at_s < until_s
                 and gateway_schedules.ran_undisturbed(
                     cluster, vm, told.at_s, each.at_s
                 )
             ]
-            if len(within) > QUIET_MOST:
+            if len(within) > MAX_BACKOFF_CALLS:
                 broken.append(
                     f"{vm} sent {replica.name} {len(within)} calls within "
                     f"{told.backoff_s} s for which it wanted none"
@@ -308,7 +311,7 @@
         count: Number of seeds.
         jobs: Seeds that are played at once, each by a process.
     """
-    return schedule_runner.play_all(play, first, count, jobs)
+    return schedule_runner.run_all(run_schedule, first, count, jobs)
 
 
 if __name__ == "__main__":
--- a/tests/gateway_scene.py
+++ b/tests/gateway_scene.py
@@ -34,7 +34,9 @@
         call = gateway_caller.Call(f"r{self._count}", route, vm, **fields)
         return await self.caller.send(call)
 
-    def runs(self, got: gateway_caller.CallResult) -> list[platform_replica.Run]:
+    def runs(
+        self, got: gateway_caller.CallResult
+    ) -> list[platform_replica.Run]:
         """Returns what ran of a call."""
         return [
             run
--- a/tests/test_digest_cost.py
+++ b/tests/test_digest_cost.py
@@ -28,8 +28,10 @@
 class DigestCostTest(unittest.TestCase):
     def test_hearing_a_digest_takes_few_calls(self) -> None:
         datagrams = digest_cost.make_datagrams(rounds=4)
-        news = digest_cost.hear(datagrams)
-        calls = digest_cost.count_calls(lambda: digest_cost.hear(datagrams))
+        news = digest_cost.merge_datagrams(datagrams)
+        calls = digest_cost.count_calls(
+            lambda: digest_cost.merge_datagrams(datagrams)
+        )
         self.assertLessEqual(calls / news, _CALLS_MOST)
 
 
--- a/tests/test_fatal_schedules.py
+++ b/tests/test_fatal_schedules.py
@@ -18,6 +18,6 @@
     def test_fatal_contents_are_sent_on_for_a_while_only(self) -> None:
         for seed in range(_FIRST, _FIRST + _COUNT):
             with self.subTest(seed=seed):
-                broken, counts = fatal_schedules.play(seed)
+                broken, counts = fatal_schedules.run_schedule(seed)
                 self.assertEqual(broken, [])
                 self.assertGreater(counts.get(200, 0), 10)
--- a/tests/test_gateway_schedules.py
+++ b/tests/test_gateway_schedules.py
@@ -15,16 +15,16 @@
     def test_promises_hold(self) -> None:
         for seed in (*_REGRESSIONS, *range(_FIRST, _FIRST + _COUNT)):
             with self.subTest(seed=seed):
-                broken, counts = gateway_schedules.play(seed)
+                broken, counts = gateway_schedules.run_schedule(seed)
                 self.assertEqual(broken, [])
                 self.assertGreater(counts.get(200, 0), 10)
 
     def test_promises_hold_on_deployments_of_any_kind(self) -> None:
         for seed in range(_FIRST, _FIRST + _COUNT):
             with self.subTest(seed=seed):
-                broken, _ = gateway_schedules.play_drawn(seed)
+                broken, _ = gateway_schedules.run_drawn_schedule(seed)
                 self.assertEqual(broken, [])
 
     def test_same_seed_plays_the_same(self) -> None:
-        first = gateway_schedules.play(5)
-        self.assertEqual(gateway_schedules.play(5), first)
+        first = gateway_schedules.run_schedule(5)
+        self.assertEqual(gateway_schedules.run_schedule(5), first)
--- a/tests/test_gateway_store.py
+++ b/tests/test_gateway_store.py
@@ -41,7 +41,7 @@
             await asyncio.sleep(5.5)
             waiting.append(asyncio.ensure_future(scene.call("unsafe")))
             await asyncio.sleep(0.1)
-            node.process.wake()
+            node.process.resume()
             got = await waiting[0]
             self.assertEqual(scene.runs(got), [])
 
@@ -149,7 +149,7 @@
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
             # 10 Mbit/s; settings of about 250 KB, changed each 0.5 s.
-            cluster.network.thin_links["vm-0"] = 1_250_000.0
+            cluster.network.slow_links["vm-0"] = 1_250_000.0
             routes = gateway_cluster.make_idle_routes(1_000)
             cluster.publish(routes=routes)
             await asyncio.sleep(4.0)
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -71,7 +71,9 @@
             names = sorted(scene.cluster.targets)
             engines = [each for each in names if each.startswith("engine")]
             for name in engines[:3]:
-                scene.cluster.targets[name].replica.faults.is_unfit_helper = True
+                scene.cluster.targets[
+                    name
+                ].replica.faults.is_unfit_helper = True
             for number in range(4):
                 got = await scene.call(
                     "long",
--- a/tests/test_leaving_doubted.py
+++ b/tests/test_leaving_doubted.py
@@ -42,7 +42,9 @@
             replica = scene.cluster.targets[name].replica
             replica.draining_hint = "1"
             await scene.call_until_told(replica, route)
-            replica.started_ms = round(asyncio.get_running_loop().time() * 1000.0)
+            replica.started_ms = round(
+                asyncio.get_running_loop().time() * 1000.0
+            )
             await asyncio.sleep(_HEARTBEAT_S + _LEAVE_S)
             self.assertEqual(await scene.count_arrivals(replica, route), 0)
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -162,9 +162,9 @@
         virtual_process.run(run)
 
     async def _check_change(self, fleet: peer_fleet.PeerFleet) -> None:
-        fleet.set_work("vm-5", fleet.members["vm-5"].own + 3)
+        fleet.set_own_streams("vm-5", fleet.members["vm-5"].own_streams + 3)
         await asyncio.sleep(_TOLD_MS / 1000.0)
-        self.assertEqual(fleet.find_wrong(), [])
+        self.assertEqual(fleet.find_inconsistent(), [])
 
     def test_change_is_known_everywhere_at_once(self) -> None:
         for size in (9, 17, 50):
@@ -189,14 +189,14 @@
         async def scene(fleet: peer_fleet.PeerFleet) -> None:
             cut = virtual_network.Cut("hall-1", "")
             fleet.network.cuts.append(cut)
-            fleet.set_work("vm-1", 4)
+            fleet.set_own_streams("vm-1", 4)
             await asyncio.sleep(12.0)
             # Those of the same hall go on hearing each other.
-            self.assertEqual(fleet.members["vm-4"].count_told(), 4)
-            self.assertEqual(fleet.members["vm-3"].count_told(), 0)
+            self.assertEqual(fleet.members["vm-4"].count_peer_streams(), 4)
+            self.assertEqual(fleet.members["vm-3"].count_peer_streams(), 0)
             fleet.network.cuts.remove(cut)
             await asyncio.sleep(4.0 * peer_gossip.ROUND_INTERVAL_MS / 1000.0)
-            self.assertEqual(fleet.find_wrong(), [])
+            self.assertEqual(fleet.find_inconsistent(), [])
 
         self._play(scene, 40, ("vm-0",))
 
@@ -237,7 +237,7 @@
             relay = sorted(fleet.find_relays() - {"vm-5"})[0]
             fleet.members[relay].process.freeze()
             await asyncio.sleep(4.0)
-            fleet.members[relay].process.wake()
+            fleet.members[relay].process.resume()
             await asyncio.sleep(4.0 * peer_gossip.ROUND_INTERVAL_MS / 1000.0)
             await self._check_change(fleet)
 
@@ -269,7 +269,7 @@
         for size in (80, 195):
 
             async def scene(fleet: peer_fleet.PeerFleet) -> None:
-                busy = asyncio.ensure_future(peer_fleet.change_work(fleet))
+                busy = asyncio.ensure_future(peer_fleet.vary_load(fleet))
                 before = sum(m.sent for m in fleet.members.values())
                 await asyncio.sleep(1.0)
                 sent = sum(m.sent for m in fleet.members.values()) - before
@@ -281,13 +281,13 @@
 
     def test_urgent_news_does_not_wait_for_more(self) -> None:
         async def scene(fleet: peer_fleet.PeerFleet) -> None:
-            busy = asyncio.ensure_future(peer_fleet.change_work(fleet))
+            busy = asyncio.ensure_future(peer_fleet.vary_load(fleet))
             await asyncio.sleep(1.0)
             told_s = asyncio.get_running_loop().time()
-            fleet.tell_leaving("vm-5", "i-1")
+            fleet.announce_draining("vm-5", "i-1")
             await asyncio.sleep(_TOLD_MS / 1000.0)
             heard = [
-                member.heard_s.get("i-1", float("inf")) - told_s
+                member.received_at_s.get("i-1", float("inf")) - told_s
                 for name, member in fleet.members.items()
                 if name != "vm-5"
             ]
--- a/tests/test_peers_words.py
+++ b/tests/test_peers_words.py
@@ -12,8 +12,8 @@
 
 import loguru
 
-from standins import gateway_cluster
 from standins import faulty_peer
+from standins import gateway_cluster
 from tests import gateway_scene
 
 # A target that a peer wrongly says to leave is used again within this time.
@@ -72,7 +72,9 @@
             await scene.call_until_told(replica, "open")
             for begin in range(0, _REMEMBERED + _IN_ONE_WORD, _IN_ONE_WORD):
                 words = (f"none-{begin + each}" for each in range(_IN_ONE_WORD))
-                await faulty_peer.tell_leaving(cluster, begin + 1, tuple(words))
+                await faulty_peer.announce_draining(
+                    cluster, begin + 1, tuple(words)
+                )
                 await asyncio.sleep(0.1)
             await asyncio.sleep(_LEAVE_S)
             self.assertEqual(await scene.count_arrivals(replica, "open"), 0)
@@ -103,5 +105,5 @@
     number = 0
     while True:
         number += 1
-        await faulty_peer.tell_leaving(cluster, number, words)
+        await faulty_peer.announce_draining(cluster, number, words)
         await asyncio.sleep(0.5)
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -227,7 +227,7 @@
             cluster = scene.cluster
             routes = gateway_cluster.make_idle_routes(1_500)
             # 10 Mbit/s; settings of about 340 KB.
-            cluster.network.thin_links["vm-3"] = 1_250_000.0
+            cluster.network.slow_links["vm-3"] = 1_250_000.0
             cluster.publish(routes=routes)
             before = cluster.store.calls
             seconds = 6.0
--- a/tests/test_rate_limit_schedules.py
+++ b/tests/test_rate_limit_schedules.py
@@ -24,7 +24,7 @@
     def test_gateways_keep_limits(self) -> None:
         for seed in _REGRESSIONS:
             with self.subTest(seed=seed):
-                played = rate_limit_schedules.play(seed)
+                played = rate_limit_schedules.run_schedule(seed)
                 self.assertEqual(played.broken, [])
                 self.assertGreater(played.counts["calls under a limit"], 10)
 
@@ -32,19 +32,19 @@
         for vms, count in _FLEETS:
             for seed in range(1, count + 1):
                 with self.subTest(vms=vms, seed=seed):
-                    played = rate_limit_fleet.play(vms, seed)
+                    played = rate_limit_fleet.run_schedule(vms, seed)
                     self.assertEqual(played.broken, [])
 
     def test_check_fails_where_each_vm_keeps_the_whole_limit(self) -> None:
         broken = [
-            rate_limit_fleet.play(9, seed, without="sharing").broken
+            rate_limit_fleet.run_schedule(9, seed, without="sharing").broken
             for seed in range(1, 5)
         ]
         self.assertTrue(any(broken))
 
     def test_check_fails_where_all_vms_hold_parts(self) -> None:
         broken = [
-            rate_limit_fleet.play(9, seed, without="bound").broken
+            rate_limit_fleet.run_schedule(9, seed, without="bound").broken
             for seed in range(1, 5)
         ]
         self.assertTrue(any(broken))
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -153,7 +153,9 @@
             got = await asyncio.gather(*calls)
             self.assertEqual({each.status for each in got}, {200})
             self.assertEqual([each.helped for each in limited], helped)
-            self.assertEqual([len(each.order_times_s) for each in limited], orders)
+            self.assertEqual(
+                [len(each.order_times_s) for each in limited], orders
+            )
 
         gateway_scene.play(scene, **_FLEET)
 
--- a/tests/test_reading_plan.py
+++ b/tests/test_reading_plan.py
@@ -114,7 +114,9 @@
 
     def test_whole_prompt_takes_its_published_time(self) -> None:
         async def run() -> float:
-            engine = iteration_engine.IterationEngine(iteration_engine.EngineSpec())
+            engine = iteration_engine.IterationEngine(
+                iteration_engine.EngineSpec()
+            )
             running = asyncio.ensure_future(engine.run())
             loop = asyncio.get_running_loop()
             began_s = loop.time()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -171,10 +171,10 @@
             await asyncio.sleep(30.0)
             fleet.network.cuts.remove(cut)
             joined = await _count_sent(fleet, _FOUND_S)
-            fleet.set_work("vm-0", 3)
-            fleet.set_work("vm-1", 2)
+            fleet.set_own_streams("vm-0", 3)
+            fleet.set_own_streams("vm-1", 2)
             await asyncio.sleep(1.0)
-            self.assertEqual(fleet.find_wrong(), [])
+            self.assertEqual(fleet.find_inconsistent(), [])
             most = max(joined[name] for name in fleet.members)
             self.assertLessEqual(most, _MORE_MOST * max(calm.values()))
 
--- a/tests/test_restore_schedules.py
+++ b/tests/test_restore_schedules.py
@@ -15,7 +15,7 @@
     def test_promises_hold(self) -> None:
         for seed in (*_REGRESSIONS, *range(_FIRST, _FIRST + _COUNT)):
             with self.subTest(seed=seed):
-                played = restore_schedules.play(seed)
+                played = restore_schedules.run_schedule(seed)
                 self.assertEqual(played.broken, [])
                 self.assertGreater(played.statuses.get(200, 0), 40)
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -58,13 +58,15 @@
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def _call_after_sleep(self, counts_sleep: bool) -> gateway_caller.CallResult:
+    def _call_after_sleep(
+        self, counts_frozen_time: bool
+    ) -> gateway_caller.CallResult:
         """Returns what a caller got whose key was removed meanwhile."""
         found = []
 
         async def scene(scene: gateway_scene.Scene) -> None:
             cluster = scene.cluster
-            cluster.network.counts_sleep = counts_sleep
+            cluster.network.counts_frozen_time = counts_frozen_time
             node = cluster.vms["vm-0"]
             await asyncio.sleep(1.0)
             node.process.freeze()
@@ -74,16 +76,16 @@
             # On its way as the VM wakes, before any news can have come.
             calling = asyncio.ensure_future(scene.call("short"))
             await asyncio.sleep(0.1)
-            node.process.wake()
+            node.process.resume()
             found.append(await calling)
 
         gateway_scene.play(scene, vms=2)
         return found[0]
 
     def test_key_that_was_removed_meanwhile_is_refused(self) -> None:
-        got = self._call_after_sleep(counts_sleep=True)
+        got = self._call_after_sleep(counts_frozen_time=True)
         self.assertIn(got.status, (401, 503))
 
     def test_clock_that_stands_still_would_use_it(self) -> None:
-        got = self._call_after_sleep(counts_sleep=False)
+        got = self._call_after_sleep(counts_frozen_time=False)
         self.assertEqual(got.status, 200)
--- a/tests/test_virtual_process.py
+++ b/tests/test_virtual_process.py
@@ -35,7 +35,7 @@
             is_due.set()
             process.freeze()
             await asyncio.sleep(2.0)
-            process.wake()
+            process.resume()
             await asyncio.sleep(1.0)
             self.assertEqual(steps, ["renewed"])
             process.kill()
--- a/tests/test_withdrawal_schedules.py
+++ b/tests/test_withdrawal_schedules.py
@@ -18,6 +18,6 @@
     def test_what_targets_say_in_their_answers_holds(self) -> None:
         for seed in (*_REGRESSIONS, *range(_FIRST, _FIRST + _COUNT)):
             with self.subTest(seed=seed):
-                played = withdrawal_schedules.play(seed)
+                played = withdrawal_schedules.run_schedule(seed)
                 self.assertEqual(played.broken, [])
                 self.assertGreater(played.statuses.get(200, 0), 10)
