--- a/standins/balancer.py
+++ b/standins/balancer.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's balancer: checks entries, picks one in turn."""
+"""Fake of the platform's load balancer: health checks and round robin."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 class Balancer:
-    """Entries in rotation; a check that fails takes one out."""
+    """Entries in rotation; a failed health check takes an entry out."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         self._turn = 0
 
     async def run(self) -> None:
-        """Checks all entries until cancelled."""
+        """Runs health checks of all entries until cancelled."""
         await asyncio.gather(*(self._check(name) for name in self._addresses))
 
     async def wait_ready(self) -> None:
@@ -32,7 +32,7 @@
             await asyncio.sleep(_CHECK_MS / 1000.0)
 
     def pick(self) -> list[environment.Address]:
-        """Returns the entries to try, in order."""
+        """Returns the entries to try, in order of preference."""
         self._turn += 1
         names = [name for name, ready in self._ready.items() if ready]
         names = names or list(self._addresses)
--- a/standins/engine_batch.py
+++ b/standins/engine_batch.py
@@ -1,10 +1,10 @@
-"""An engine's continuous batching: memory, prefill and decode, step by step."""
+"""Continuous batching of an engine: memory, prefill and decode by steps."""
 
 from standins import engine_state as states
 
 
 class Batch:
-    """What an engine works on; the streams in it slow each other.
+    """The batch of an engine, whose streams slow each other down.
 
     Attributes:
         items: Streams and reservations by name.
@@ -18,28 +18,28 @@
         self._decodes: list[states.Item] = []
 
     def held_tokens(self) -> int:
-        """Returns the memory in use."""
+        """Returns the tokens of memory in use."""
         return sum(
             item.held_tokens for item in self.items.values() if item.is_admitted
         )
 
     def step(self) -> float | None:
-        """Plans one step; returns its time in ms, or None without work."""
+        """Plans one step; returns its duration in ms, or None without work."""
         self._admit()
         live = [item for item in self.items.values() if item.is_admitted]
         prefills = [item for item in live if item.to_prefill > 0]
         prefills.sort(key=lambda item: (-item.priority, item.number))
-        left = self._settings.chunk_tokens
+        remaining = self._settings.chunk_tokens
         self._chunks = []
         for item in prefills:
-            tokens = min(left, item.to_prefill)
+            tokens = min(remaining, item.to_prefill)
             if tokens > 0:
                 self._chunks.append((item, tokens))
-                left -= tokens
+                remaining -= tokens
         self._decodes = [item for item in live if item.is_decoding()]
         if not self._chunks and not self._decodes:
             return None
-        used = self._settings.chunk_tokens - left
+        used = self._settings.chunk_tokens - remaining
         return (
             self._settings.step_ms
             + len(self._decodes) * self._settings.decode_ms
@@ -47,7 +47,7 @@
         )
 
     def finish_step(self) -> list[tuple[str, int]]:
-        """Carries the step out; returns changes of the prefix cache."""
+        """Executes the planned step; returns changes of the prefix cache."""
         for item in self._decodes:
             item.position += 1
             item.tell()
--- a/standins/fatal_schedules.py
+++ b/standins/fatal_schedules.py
@@ -1,10 +1,10 @@
-"""Random schedules in which some calls end the engines that run them.
+"""Random schedules with poison requests, which crash the engines that run them.
 
-`python -m standins.fatal_schedules --first 1 --count 100` plays many: fatal
-contents come again and again at any VM, among other calls and faults of VMs,
-the store, halls and targets, some of which start again under their names. It
-prints the seeds in which a fatal content was sent on for too long, another one
-was refused for it, or a promise was broken.
+`python -m standins.fatal_schedules --first 1 --count 100` runs many. Poison
+requests are sent repeatedly to any VM, among other calls and faults of VMs, the
+store, halls and targets, some of which restart under the same names. It prints
+the seeds in which a poison request was sent on for too long, another request
+was refused as if it were one, or a guarantee was violated.
 """
 
 import asyncio
@@ -21,23 +21,24 @@
 from standins import gateway_schedules
 from standins import virtual_process
 
-_FATAL = (b"fatal 0", b"fatal 1")
+_POISON_BODIES = (b"fatal 0", b"fatal 1")
 _CALLS = 80
-_TRIES = 8
+_POISON_CALLS = 8
 _FAULTS = 6
 _DURATION_S = 20.0
-# A caller comes back once, after this time.
+# A caller retries once, after this time.
 _RETRY_S = 0.3
-# A VM that was undisturbed for so long knows what the others know.
+# A VM that ran undisturbed for this long knows what the others know.
 GOSSIP_S = 3.0
-# A run begins so long before the end that it brings about, at most.
-_END_S = 0.3
-# Sends that are borne after that: as many as a fleet that starts anew needs.
+# A poison request crashes its engine within this time after it began to run.
+_CRASH_S = 0.3
+# Runs that are tolerated after that: as many as a restarted fleet needs to
+# detect the request again.
 MAX_LATE_RUNS = 3
 
 
 def run_schedule(seed: int) -> tuple[list[str], dict[int, int]]:
-    """Plays one schedule; returns what went wrong and counts of statuses."""
+    """Runs one schedule; returns violations and counts of HTTP statuses."""
     rng = random.Random(f"fatal {seed}")
     layout = gateway_cluster.Layout(
         vms=rng.choice((2, 4, 6, 9, 20)),
@@ -53,7 +54,7 @@
     layout: gateway_cluster.Layout, rng: random.Random
 ) -> tuple[list[str], dict[int, int]]:
     cluster = gateway_cluster.GatewayCluster(layout)
-    cluster.poison_bodies.update(_FATAL)
+    cluster.poison_bodies.update(_POISON_BODIES)
     await cluster.start()
     caller = gateway_caller.Caller(cluster)
     faults = [
@@ -61,22 +62,22 @@
         for _ in range(_FAULTS)
     ]
     calls = [_call_later(cluster, caller, rng, n) for n in range(_CALLS)]
-    fatal = [
-        _try_later(cluster, caller, rng, body, n)
-        for body in _FATAL
-        for n in range(_TRIES)
+    poison = [
+        _send_poison_later(cluster, caller, rng, body, n)
+        for body in _POISON_BODIES
+        for n in range(_POISON_CALLS)
     ]
-    got = await asyncio.gather(*calls)
-    tries = [each for one in await asyncio.gather(*fatal) for each in one]
+    results = await asyncio.gather(*calls)
+    attempts = [each for one in await asyncio.gather(*poison) for each in one]
     for fault in faults:
         fault.cancel()
-    # What was set aside for the last calls must lapse by itself.
+    # Reservations for the last calls must expire by themselves.
     await asyncio.sleep(4.0)
-    broken = gateway_guarantees.find_broken(cluster, [*got, *tries])
-    broken += _find_blamed(got)
-    for body in _FATAL:
-        broken += _find_late(cluster, body, tries)
-    return broken, gateway_schedules.count_statuses(got)
+    broken = gateway_guarantees.find_broken(cluster, [*results, *attempts])
+    broken += _find_wrongly_refused(results)
+    for body in _POISON_BODIES:
+        broken += _find_late_runs(cluster, body, attempts)
+    return broken, gateway_schedules.count_statuses(results)
 
 
 async def _call_later(
@@ -91,16 +92,16 @@
     return await caller.send(call)
 
 
-async def _try_later(
+async def _send_poison_later(
     cluster: gateway_cluster.GatewayCluster,
     caller: gateway_caller.Caller,
     rng: random.Random,
     body: bytes,
     number: int,
 ) -> list[gateway_caller.CallResult]:
-    """Sends a fatal call, and once more after it has failed."""
+    """Sends a poison request, and retries it once after it has failed."""
     await asyncio.sleep(rng.uniform(0.0, _DURATION_S))
-    got = []
+    results = []
     for attempt in range(2):
         call = gateway_caller.Call(
             request_id=f"{body.decode()} {number} {attempt}",
@@ -110,16 +111,20 @@
             output_tokens=400,
             body=body,
         )
-        got.append(await caller.send(call))
+        results.append(await caller.send(call))
         await asyncio.sleep(_RETRY_S)
-    return got
+    return results
 
 
 async def _inject_fault(
     cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
     await asyncio.sleep(rng.uniform(0.0, _DURATION_S))
-    kinds = (*gateway_schedules.FAULT_KINDS, _crash_target, _write_nonsense)
+    kinds = (
+        *gateway_schedules.FAULT_KINDS,
+        _crash_target,
+        _write_malformed_entry,
+    )
     await rng.choice(kinds)(cluster, rng)
 
 
@@ -131,48 +136,52 @@
         cluster.crash_target(node)
 
 
-async def _write_nonsense(
+async def _write_malformed_entry(
     cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
     node = cluster.targets[rng.choice(sorted(cluster.targets))]
-    nonsense = rng.choice((b"\xff", b"[]", b'{"state":"gone"}'))
-    cluster.store.put_bytes(f"servers/{node.replica.name}", nonsense)
+    malformed = rng.choice((b"\xff", b"[]", b'{"state":"gone"}'))
+    cluster.store.put_bytes(f"servers/{node.replica.name}", malformed)
 
 
-def _find_blamed(got: Iterable[gateway_caller.CallResult]) -> list[str]:
+def _find_wrongly_refused(
+    results: Iterable[gateway_caller.CallResult],
+) -> list[str]:
     return [
-        f"{each.call.request_id} is refused for what others did"
-        for each in got
+        f"{each.call.request_id} was refused, but is no poison request"
+        for each in results
         if b"quarantined" in each.body
     ]
 
 
-def _find_late(
+def _find_late_runs(
     cluster: gateway_cluster.GatewayCluster,
     body: bytes,
-    tries: Iterable[gateway_caller.CallResult],
+    attempts: Iterable[gateway_caller.CallResult],
 ) -> list[str]:
-    """Returns whether a fatal content was sent for too long."""
-    vms = {each.call.request_id: each.call.vm for each in tries}
+    """Returns a violation if a poison request was sent for too long."""
+    vms = {each.call.request_id: each.call.vm for each in attempts}
     runs = cluster.list_runs(body)
     if len(runs) < 3:
         return []
-    known_s = runs[2].at_s + _END_S + GOSSIP_S
-    late = [
+    quarantined_at_s = runs[2].at_s + _CRASH_S + GOSSIP_S
+    late_runs = [
         run
         for run in runs
-        if run.at_s > known_s
+        if run.at_s > quarantined_at_s
         and gateway_schedules.ran_undisturbed(
             cluster, vms[run.request_id], run.at_s - GOSSIP_S, run.at_s
         )
     ]
-    if len(late) <= MAX_LATE_RUNS:
+    if len(late_runs) <= MAX_LATE_RUNS:
         return []
-    return [f"{body.decode()} was sent {len(late)} times too late"]
+    return [
+        f"{body.decode()} was sent {len(late_runs)} times after its quarantine"
+    ]
 
 
 def main(*, first: int = 1, count: int = 20) -> int:
-    """Plays many schedules.
+    """Runs many schedules.
 
     Args:
         first: First seed.
--- a/standins/gateway_caller.py
+++ b/standins/gateway_caller.py
@@ -1,4 +1,4 @@
-"""A caller of gateways, who notes what came back."""
+"""A caller that sends requests to gateways and records the responses."""
 
 import asyncio
 import dataclasses
@@ -17,15 +17,16 @@
     """One call, as one attempt of a caller.
 
     Attributes:
-        request_id: Name of the attempt.
+        request_id: Id of the attempt.
         route: Name of the route.
-        vm: The gateway asked.
-        prompt_tokens: Length of the prompt; 0 for a plain call.
-        output_tokens: Most tokens of the answer.
-        key: The caller's key.
-        time_limit_ms: How long the caller waits.
-        leaves_after_ms: When the caller leaves; None to stay.
-        body: What is asked.
+        vm: The gateway that the call is sent to.
+        prompt_tokens: Length of the prompt; 0 for a service call.
+        output_tokens: Maximum tokens of the answer.
+        key: The caller's API key.
+        time_limit_ms: Deadline that the caller sends.
+        disconnects_after_ms: When the caller closes the connection; None to
+            wait for the answer.
+        body: Request body.
     """
 
     request_id: str
@@ -41,14 +42,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallResult:
-    """What came back.
+    """What the caller received.
 
     Attributes:
         call: The call.
         status: HTTP status; 0 without an answer.
         headers: Headers of the answer.
-        body: What came of the body.
-        is_whole: Whether the answer ended properly.
+        body: The part of the body that was received.
+        is_complete: Whether the answer ended properly.
         sent_s: When the call was sent, on the loop's clock.
         first_ms: Time to the first byte of the body; None without any.
         took_ms: Time to the end.
@@ -76,10 +77,10 @@
         return await self._process.start(lambda: self._send(call))
 
     async def check_ready(self, vm: str) -> int:
-        """Returns the status of a VM's answer to the balancer; 0 for none."""
-        return await self._process.start(lambda: self._ask_ready(vm))
+        """Returns the status of a VM's readiness check; 0 for no answer."""
+        return await self._process.start(lambda: self._check_ready(vm))
 
-    async def _ask_ready(self, vm: str) -> int:
+    async def _check_ready(self, vm: str) -> int:
         address = environment.Address(vm, gateway_cluster.READY_PORT)
         request = client.make_json_request("GET", "/api/ready")
         answer = await client.fetch(self._env, address, request, 1_000.0)
@@ -87,17 +88,17 @@
 
     async def _send(self, call: Call) -> CallResult:
         sent_s = asyncio.get_running_loop().time()
-        began_ms = self._env.now_ms()
+        start_ms = self._env.now_ms()
         limit_ms = call.disconnects_after_ms or call.time_limit_ms + 1_000.0
         parts: list[bytes] = []
-        found = [0, {}, False, None]
+        state = [0, {}, False, None]
         try:
             async with asyncio.timeout(limit_ms / 1000.0):
-                await self._read(call, parts, found, began_ms)
+                await self._read(call, parts, state, start_ms)
         except TimeoutError:
             pass
-        status, headers, is_complete, first_ms = found
-        took_ms = self._env.now_ms() - began_ms
+        status, headers, is_complete, first_ms = state
+        took_ms = self._env.now_ms() - start_ms
         return CallResult(
             call,
             status,
@@ -110,7 +111,7 @@
         )
 
     async def _read(
-        self, call: Call, parts: list[bytes], found: list, began_ms: float
+        self, call: Call, parts: list[bytes], state: list, start_ms: float
     ) -> None:
         address = environment.Address(call.vm, gateway_cluster.FRONT_PORT)
         exchange = await client.start(
@@ -122,16 +123,16 @@
             fault = await exchange.read_head()
             if fault is not None:
                 return
-            found[0], found[1] = exchange.status, exchange.headers
+            state[0], state[1] = exchange.status, exchange.headers
             while True:
                 part = await exchange.read_part()
                 if isinstance(part, client.Fault):
                     return
                 if not part:
-                    found[2] = True
+                    state[2] = True
                     return
-                if found[3] is None:
-                    found[3] = self._env.now_ms() - began_ms
+                if state[3] is None:
+                    state[3] = self._env.now_ms() - start_ms
                 parts.append(part)
         except (OSError, h11.ProtocolError):
             return
@@ -140,12 +141,12 @@
 
 
 def make_request(call: Call) -> message.OutgoingRequest:
-    """Returns a call as HTTP."""
+    """Returns the HTTP request of a call."""
     headers = {
         "x-attempt-id": call.request_id,
         "x-deadline-ms": str(int(call.time_limit_ms)),
         "x-api-key": call.key,
-        # What only gateways may say must not get through.
+        # Only gateways may set this; a caller's value must not get through.
         "x-tenant-id": "somebody-else",
     }
     if call.prompt_tokens:
--- a/standins/gateway_cluster.py
+++ b/standins/gateway_cluster.py
@@ -1,4 +1,4 @@
-"""Gateways, a store and replicas in virtual time."""
+"""A cluster of gateways, replicas and their store in virtual time."""
 
 import asyncio
 import dataclasses
@@ -35,32 +35,33 @@
 KEY = "key-of-w1"
 REVOKE_MS = 5_000.0
 HEARTBEAT_S = 1.2
-# A replica that crashed is off the list after this time, and back after this.
+# Times after a crash at which a replica's entry expires and it restarts.
 CRASH_EXPIRY_S = 2.5
 CRASH_RESTART_S = 4.0
 RETRY_SLACK = 54.0
-# State of a replica that writes no entry any more.
+# State of a replica that no longer writes its entry to the store.
 UNLISTED = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Layout:
-    """Sizes of a cluster.
+    """Sizes and settings of a cluster.
 
     Attributes:
-        vms: Gateways.
-        halls: Data halls, over which all is spread.
-        engines: Engines.
-        services: Replicas of the plain service.
-        seed: Source of all chance.
-        is_strict: Whether keys are refused by settings that are too old.
+        vms: Number of gateways.
+        halls: Number of data halls, over which all nodes are spread.
+        engines: Number of engines.
+        services: Number of replicas of the plain service.
+        seed: Seed of all random numbers.
+        is_strict: Whether gateways refuse API keys when their settings are too
+            old.
         connections_max: Callers' connections that a gateway serves at once.
-        figures: Of the engines.
-        aim_scale: By which all aims and pauses of routes are stretched.
-        keeps_names: Whether a replica that starts again has the name that it
-            had, and tells when it started.
-        epoch: What the store names as its epoch; empty for none.
-        pace: How often gateways ask the store.
+        engine_spec: Performance of the engines.
+        latency_slo_scale: Factor for the latency targets of all routes.
+        reuses_names: Whether a replica that restarts has the same name as
+            before, and reports when it started.
+        epoch: What the store reports as its epoch; empty for none.
+        polling: How often gateways poll the store.
     """
 
     vms: int = 3
@@ -87,13 +88,13 @@
     Attributes:
         name: Its name, which is also its host.
         hall: Its hall.
-        process: What runs there now.
+        process: The process that runs there now.
         starts: How often it was started.
-        state: What its entry in the store says, on a replica.
-        sequence: Number of its last entry in the store, on a replica.
+        state: State in its entry in the store, for a replica.
+        sequence: Number of its last entry in the store, for a replica.
         gateway: The gateway, on a VM.
-        replica: The replica, elsewhere.
-        stop: Begins a planned stop.
+        replica: The replica, on other nodes.
+        stop: Event that begins a graceful shutdown of the gateway.
         task: The gateway's task.
     """
 
@@ -111,7 +112,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Disturbance:
-    """A time in which a VM, a hall or the store could not answer anybody.
+    """A time in which a VM, a hall or the store could not answer.
 
     Attributes:
         name: The VM or hall, or STORE_NAME.
@@ -128,17 +129,18 @@
     """All nodes of one run.
 
     Attributes:
-        network: Their network.
-        store: What the platform publishes.
-        vms: Gateways by name.
-        targets: Replicas by name.
-        all_replicas: Every incarnation that ever ran.
+        layout: Its sizes and settings.
+        network: The network between the nodes.
+        store: The platform's store.
+        vms: Nodes of the gateways by name.
+        targets: Nodes of the replicas by name.
+        all_replicas: Every incarnation of a replica that ever ran.
         revision: Revision of the configuration last published.
-        keys: Keys by workspace, as the next revision publishes them.
-        disturbances: Times in which VMs could not answer.
-        fatal: Bodies of calls that end the replicas that answer them.
+        keys: API keys by workspace, as the next revision publishes them.
+        disturbances: Times in which VMs, halls or the store could not answer.
+        poison_bodies: Bodies of requests that crash the replicas that run them.
         vm_starts: When each VM was started, on the loop's clock.
-        all_gateways: Every process of a VM that ever ran.
+        all_gateways: Every incarnation of a gateway that ever ran.
     """
 
     def __init__(self, layout: Layout) -> None:
@@ -160,7 +162,7 @@
         self._engines: dict[str, platform_replica.PlatformReplica] = {}
 
     async def start(self) -> None:
-        """Starts everything and waits until gateways are ready."""
+        """Starts all nodes and waits 2 s until gateways are ready."""
         process = virtual_process.VirtualProcess(STORE_NAME, STORE_NAME)
         env = self.network.make_environment(process, 1)
         handler = self.store.make_handler()
@@ -178,18 +180,18 @@
         await asyncio.sleep(2.0)
 
     def publish(self, **changes: object) -> None:
-        """Publishes the next revision of the configuration."""
+        """Publishes the next revision of the configuration, with changes."""
         self.revision += 1
         document = make_configuration(self.keys, self.revision, self.layout)
         self.store.put("op/config", {**document, **changes})
 
     def rewrite_settings(self) -> None:
-        """Writes the last settings again, as after a restore of the store."""
+        """Writes the last revision again, as after a restore of the store."""
         document = make_configuration(self.keys, self.revision, self.layout)
         self.store.put("op/config", document)
 
     def start_vm(self, node: Node) -> None:
-        """Starts a gateway's process, for the first time or again."""
+        """Starts or restarts a gateway."""
         node.starts += 1
         starts = self.vm_starts.setdefault(node.name, [])
         starts.append(asyncio.get_running_loop().time())
@@ -240,7 +242,7 @@
         )
 
     def kill(self, node: Node) -> None:
-        """Ends a node at once."""
+        """Kills a node's process and resets its connections."""
         node.process.kill()
         self.network.reset_node(node.process)
 
@@ -277,7 +279,11 @@
         node.process.start(lambda: self._send_heartbeats(node, replica))
 
     def crash_target(self, node: Node) -> None:
-        """Ends a replica at once; it lapses, and is back after a while."""
+        """Crashes a replica.
+
+        Its entry expires after CRASH_EXPIRY_S; it restarts after
+        CRASH_RESTART_S.
+        """
         replica = node.replica
         self.kill(node)
         loop = asyncio.get_running_loop()
@@ -293,7 +299,7 @@
         )
 
     def list_runs(self, body: bytes) -> list[platform_replica.Run]:
-        """Returns the runs of all calls with a body, in order of time."""
+        """Returns the runs of all requests with a body, in order of time."""
         runs = [
             run
             for replica in self.all_replicas
@@ -303,7 +309,7 @@
         return sorted(runs, key=lambda each: each.at_s)
 
     async def serve_unlisted_replica(self, node: Node) -> None:
-        """Has a replica that is not listed take over a replica's address."""
+        """Replaces a replica by an unlisted one at the same address."""
         node.starts += 1
         node.process = _make_process(node.name, node.hall)
         env = self.network.make_environment(node.process, node.starts)
@@ -323,12 +329,12 @@
             await asyncio.sleep(HEARTBEAT_S)
 
     def drain_target(self, node: Node) -> None:
-        """Has a replica's entry say from now on that it leaves."""
+        """Marks a replica's entry as draining."""
         node.state = "draining"
         self.list_target(node, node.replica, node.state)
 
     def stop_listing(self, node: Node) -> None:
-        """Removes a replica's entry for good; it serves on."""
+        """Removes a replica's entry for good; the replica keeps serving."""
         node.state = UNLISTED
         self.unlist_target(node)
 
@@ -375,7 +381,7 @@
 def make_configuration(
     keys: dict[str, list[str]], revision: int, layout: Layout = _LAYOUT
 ) -> dict[str, object]:
-    """Returns a configuration with keys by workspace."""
+    """Returns a configuration with API keys by workspace."""
     document = _make_configuration(keys, revision, layout.engine_spec)
     for route in document["routes"]:
         for name in ("target-latency-ms", "gap_aim_ms"):
@@ -436,7 +442,7 @@
 
 
 def make_idle_routes(count: int) -> list[dict[str, object]]:
-    """Returns routes that nobody calls, to make settings large."""
+    """Returns routes that no caller uses, to make the settings large."""
     return [
         _make_route(f"idle-{number}", "notices", 300, 2_000, 0)
         for number in range(count)
@@ -446,9 +452,9 @@
 def _make_route(
     name: str,
     service: str,
-    aim_ms: int,
+    latency_slo_ms: int,
     timeout_ms: int,
-    gap_ms: int,
+    gap_slo_ms: int,
     is_open: bool = False,
     **fields: object,
 ) -> dict[str, object]:
@@ -459,8 +465,8 @@
         "service": service,
         "route-type": "unsafe",
         "timeout-ms": timeout_ms,
-        "target-latency-ms": aim_ms,
-        "gap_aim_ms": gap_ms,
+        "target-latency-ms": latency_slo_ms,
+        "gap_aim_ms": gap_slo_ms,
         "priority": 1,
         "max-attempts": 1,
         "allow-anonymous": is_open,
--- a/standins/gateway_guarantees.py
+++ b/standins/gateway_guarantees.py
@@ -1,4 +1,4 @@
-"""Checks the promises to callers against what replicas ran."""
+"""Checks the guarantees to callers against what replicas ran."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -8,36 +8,36 @@
 from standins import gateway_cluster
 from standins import platform_replica
 
-# Statuses that promise that a call did not run and never will.
+# Statuses that guarantee that a call did not run and never will.
 _NOT_RUN = (408, 421, 429, 503)
 _RESUMABLE = ("short", "long")
 _REPEATABLE = (*_RESUMABLE, "safe")
-# How long after its limit an answer may come.
+# Tolerance for an answer that comes after its deadline.
 _LATE_MS = 500.0
 
 
 def find_broken(
     cluster: gateway_cluster.GatewayCluster,
-    all_got: Iterable[gateway_caller.CallResult],
+    results: Iterable[gateway_caller.CallResult],
 ) -> list[str]:
-    """Returns a sentence for each promise that was broken in a cluster."""
+    """Returns a message for each guarantee that a cluster violated."""
     return find_broken_by(
         cluster.all_replicas,
-        all_got,
-        lambda got: _was_disturbed(got, cluster),
+        results,
+        lambda result: _was_disturbed(result, cluster),
     )
 
 
 def find_broken_by(
     replicas: Sequence[platform_replica.PlatformReplica],
-    all_got: Iterable[gateway_caller.CallResult],
+    results: Iterable[gateway_caller.CallResult],
     was_disturbed: Callable[[gateway_caller.CallResult], bool],
 ) -> list[str]:
-    """Returns a sentence for each promise that was broken.
+    """Returns a message for each guarantee that was violated.
 
     Args:
         replicas: Every incarnation that ran.
-        all_got: What callers got.
+        results: What callers received.
         was_disturbed: Whether the VM of a call could not answer meanwhile.
     """
     runs: dict[str, list[platform_replica.Run]] = {}
@@ -45,11 +45,11 @@
         for run in replica.runs:
             runs.setdefault(run.request_id, []).append(run)
     broken = []
-    for got in all_got:
-        found = runs.get(got.call.request_id, [])
+    for result in results:
+        call_runs = runs.get(result.call.request_id, [])
         broken += [
-            f"{got.call.request_id} ({got.call.route}): {each}"
-            for each in _check(got, found, was_disturbed)
+            f"{result.call.request_id} ({result.call.route}): {each}"
+            for each in _check(result, call_runs, was_disturbed)
         ]
     for replica in replicas:
         if replica.held_tokens():
@@ -58,47 +58,49 @@
 
 
 def _check(
-    got: gateway_caller.CallResult,
+    result: gateway_caller.CallResult,
     runs: list[platform_replica.Run],
     was_disturbed: Callable[[gateway_caller.CallResult], bool],
 ) -> Iterable[str]:
-    if got.call.route not in _REPEATABLE and len(runs) > 1:
+    if result.call.route not in _REPEATABLE and len(runs) > 1:
         yield f"ran {len(runs)} times"
-    is_promise = got.status in _NOT_RUN
-    if is_promise and runs and got.call.route not in _REPEATABLE:
-        yield f"told {got.status}, but ran"
+    is_guaranteed_not_run = result.status in _NOT_RUN
+    if is_guaranteed_not_run and runs and result.call.route not in _REPEATABLE:
+        yield f"was answered {result.status}, but ran"
     if any(run.workspace == "somebody-else" for run in runs):
         yield "ran for another workspace"
-    if got.status == 200 and got.is_complete:
-        yield from _check_body(got)
-    limit_ms = min(got.call.time_limit_ms, 15_000.0)
-    is_late = got.status and got.took_ms > limit_ms + _LATE_MS
-    if is_late and not was_disturbed(got):
-        yield f"ended after {got.took_ms:.0f} ms"
+    if result.status == 200 and result.is_complete:
+        yield from _check_body(result)
+    limit_ms = min(result.call.time_limit_ms, 15_000.0)
+    is_late = result.status and result.took_ms > limit_ms + _LATE_MS
+    if is_late and not was_disturbed(result):
+        yield f"ended after {result.took_ms:.0f} ms"
 
 
 def _was_disturbed(
-    got: gateway_caller.CallResult, cluster: gateway_cluster.GatewayCluster
+    result: gateway_caller.CallResult, cluster: gateway_cluster.GatewayCluster
 ) -> bool:
-    """Returns whether its VM stood still or was cut off meanwhile."""
-    names = (got.call.vm, cluster.vms[got.call.vm].hall)
-    ended_s = got.sent_s + got.took_ms / 1000.0
+    """Returns whether the call's VM was frozen or cut off meanwhile."""
+    names = (result.call.vm, cluster.vms[result.call.vm].hall)
+    ended_s = result.sent_s + result.took_ms / 1000.0
     return any(
-        each.name in names and each.from_s < ended_s and got.sent_s < each.to_s
+        each.name in names
+        and each.from_s < ended_s
+        and result.sent_s < each.to_s
         for each in cluster.disturbances
     )
 
 
-def _check_body(got: gateway_caller.CallResult) -> Iterable[str]:
-    request_id = got.call.request_id
-    if not got.call.prompt_tokens:
-        if got.body != platform_replica.make_plain_body(request_id):
-            yield f"a wrong answer: {got.body!r:.60}"
+def _check_body(result: gateway_caller.CallResult) -> Iterable[str]:
+    request_id = result.call.request_id
+    if not result.call.prompt_tokens:
+        if result.body != platform_replica.make_plain_body(request_id):
+            yield f"wrong answer: {result.body!r:.60}"
         return
-    events = platform_replica.count_events(got.call.output_tokens)
+    events = platform_replica.count_events(result.call.output_tokens)
     whole = b"".join(
         platform_replica.make_event(request_id, number)
         for number in range(1, events + 1)
     )
-    if got.body != whole:
-        yield f"a wrong stream: {got.body!r:.60}"
+    if result.body != whole:
+        yield f"wrong stream: {result.body!r:.60}"
--- a/standins/gateway_schedules.py
+++ b/standins/gateway_schedules.py
@@ -1,7 +1,7 @@
 """Random schedules of calls and faults for gateways, each from a seed.
 
-`python -m standins.gateway_schedules --first 1 --count 100` plays many and
-prints the seeds whose promises were broken.
+`python -m standins.gateway_schedules --first 1 --count 100` runs many and
+prints the seeds in which a guarantee was violated.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 from standins import virtual_network
 from standins import virtual_process
 
-# Plays a seed; returns what went wrong, and counts of callers' statuses.
+# Runs a seed; returns violations, and counts of callers' HTTP statuses.
 RunSeed: TypeAlias = Callable[[int], tuple[list[str], dict[int, int]]]
 
 _CALLS = 60
@@ -34,21 +34,21 @@
 
 
 def run_schedule(seed: int) -> tuple[list[str], dict[int, int]]:
-    """Plays one schedule; returns broken promises and counts of statuses."""
+    """Runs one schedule; returns violations and counts of HTTP statuses."""
     rng = random.Random(seed)
     layout = gateway_cluster.Layout(vms=rng.choice((2, 4)), seed=seed)
     return virtual_process.run(lambda: _run(layout, rng))
 
 
 def run_drawn_schedule(seed: int) -> tuple[list[str], dict[int, int]]:
-    """Plays one schedule on a deployment that is drawn from the seed too."""
+    """Runs one schedule on a deployment that is drawn from the seed too."""
     rng = random.Random(f"drawn {seed}")
     layout = draw_layout(seed, rng)
     return virtual_process.run(lambda: _run(layout, rng))
 
 
 def draw_layout(seed: int, rng: random.Random) -> gateway_cluster.Layout:
-    """Draws sizes, engines, aims and the strictness of keys."""
+    """Draws sizes, engines, latency targets and the strictness of keys."""
     engine_spec = iteration_engine.EngineSpec(
         slots=rng.choice((2, 4, 6, 8, 16)),
         memory_tokens=rng.choice((200_000, 405_000, 450_000, 1_000_000)),
@@ -85,18 +85,22 @@
         )
         for n in range(_CALLS)
     ]
-    got = await asyncio.gather(*calls)
+    results = await asyncio.gather(*calls)
     for fault in faults:
         fault.cancel()
-    # What was set aside for the last calls must lapse by itself.
+    # Reservations for the last calls must expire by themselves.
     await asyncio.sleep(4.0)
-    return gateway_guarantees.find_broken(cluster, got), count_statuses(got)
+    return gateway_guarantees.find_broken(cluster, results), count_statuses(
+        results
+    )
 
 
-def count_statuses(got: Iterable[gateway_caller.CallResult]) -> dict[int, int]:
-    """Returns how often callers got each status."""
+def count_statuses(
+    results: Iterable[gateway_caller.CallResult],
+) -> dict[int, int]:
+    """Returns how often callers received each status."""
     counts: dict[int, int] = {}
-    for each in got:
+    for each in results:
         counts[each.status] = counts.get(each.status, 0) + 1
     return counts
 
@@ -155,7 +159,7 @@
 async def inject_fault(
     cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
-    """Plays a fault of any kind, to its end."""
+    """Injects a fault of a random kind and waits until it ends."""
     fault = rng.choice(FAULT_KINDS)
     await fault(cluster, rng)
 
@@ -164,7 +168,7 @@
 def record_disturbance(
     cluster: gateway_cluster.GatewayCluster, name: str
 ) -> Iterator[None]:
-    """Notes that a VM or hall, or the store, answers nobody meanwhile."""
+    """Records that a VM, a hall or the store can't answer meanwhile."""
     loop = asyncio.get_running_loop()
     from_s = loop.time()
     try:
@@ -251,7 +255,7 @@
     min_s: float,
     max_s: float,
 ) -> None:
-    """Has the store answer nobody for a time drawn from a range."""
+    """Makes the store fail for a time drawn from a range."""
     with record_disturbance(cluster, gateway_cluster.STORE_NAME):
         cluster.store.failure = rng.choice(("busy", "reset", "silent"))
         await asyncio.sleep(rng.uniform(min_s, max_s))
@@ -279,7 +283,7 @@
 
 
 def run_seeds(run_seed: RunSeed, seeds: Sequence[int]) -> int:
-    """Plays seeds and prints what went wrong; returns an exit status."""
+    """Runs seeds and prints violations; returns an exit status."""
     loguru.logger.remove()
     failed = 0
     total: dict[int, int] = {}
@@ -297,12 +301,12 @@
 
 
 def main(*, first: int = 1, count: int = 20, drawn: bool = False) -> int:
-    """Plays many schedules.
+    """Runs many schedules.
 
     Args:
         first: First seed.
         count: Number of seeds.
-        drawn: Whether deployments are drawn as well.
+        drawn: Whether deployments are drawn from the seeds, too.
     """
     return run_seeds(
         run_drawn_schedule if drawn else run_schedule,
--- a/standins/iteration_engine.py
+++ b/standins/iteration_engine.py
@@ -1,7 +1,8 @@
-"""An engine that works in passes, by the users' published figures.
+"""An engine with iteration-level batching, by the users' published figures.
 
-Each pass covers all that waits. With answers under way it plays a stride of
-steps and reads at most a chunk of tokens in each; without any it is one step.
+Each batch iteration covers all waiting work. With streams in flight it is a
+stride of steps, which prefill at most a chunk of tokens each; without any it is
+one step.
 """
 
 import asyncio
@@ -14,14 +15,15 @@
 
     Attributes:
         slots: Requests that run at once.
-        memory_tokens: KV memory.
-        step_ms: One step.
-        per_seq_ms: Added to a step for each answer under way.
-        context_ms_per_k: Added for 1,000 tokens of its context.
-        read_per_ms: Prompt tokens read in a millisecond.
-        pairs_ms_per_m: For a million pairs of a token and one before it.
-        chunk: Prompt tokens read in a step at most.
-        stride: Steps in a pass while answers are under way.
+        memory_tokens: KV cache memory.
+        step_ms: Base time of a step.
+        step_ms_per_stream: Time that each stream in flight adds to a step.
+        step_ms_per_k_context: Time that 1,000 tokens of its context add.
+        prefill_tokens_per_ms: Prompt tokens prefilled in a millisecond.
+        attention_ms_per_m_pairs: Attention time for a million pairs of a token
+            and one before it.
+        chunk: Maximum prompt tokens prefilled in a step.
+        stride: Steps in an iteration while streams are in flight.
     """
 
     slots: int = 8
@@ -36,13 +38,13 @@
 
 
 @dataclasses.dataclass(slots=True)
-class PrefillPart:
-    """Part of a prompt to be read here.
+class PromptPiece:
+    """Part of a prompt to be prefilled on this engine.
 
     Attributes:
-        tokens: Tokens not read yet.
-        pairs_m_per_token: Million pairs that each of them stands for.
-        done: Set when it is read.
+        tokens: Tokens that remain.
+        pairs_m_per_token: Attention pairs of each token, in millions.
+        done: Set when the part is prefilled.
     """
 
     tokens: float
@@ -52,11 +54,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Stream:
-    """An answer under way.
+    """An answer in flight.
 
     Attributes:
-        context_tokens: Prompt and answer so far.
-        events: Gets an item for each pass that wrote, and for none other.
+        context_tokens: Tokens of the prompt and the answer so far.
+        events: Receives an item for each iteration that decoded tokens of it.
     """
 
     context_tokens: float
@@ -64,26 +66,26 @@
 
 
 class IterationEngine:
-    """Plays passes for as long as there is work; owned by one task."""
+    """Runs batch iterations while there is work; owned by one task."""
 
     def __init__(self, spec: EngineSpec) -> None:
         self.spec = spec
         self.streams: list[Stream] = []
-        self._pieces: list[PrefillPart] = []
-        self._places = asyncio.Semaphore(spec.slots)
+        self._pieces: list[PromptPiece] = []
+        self._slots = asyncio.Semaphore(spec.slots)
         self._work = asyncio.Event()
 
     async def run(self) -> None:
-        """Plays passes until cancelled."""
+        """Runs batch iterations until cancelled."""
         while True:
             await self._work.wait()
-            await self._play_pass()
+            await self._run_iteration()
             if not self.streams and not self._pieces:
                 self._work.clear()
 
     async def read(self, tokens: float, whole_tokens: float) -> None:
-        """Reads a piece of a prompt of that whole length."""
-        piece = PrefillPart(tokens, whole_tokens / 2.0 / 1e6)
+        """Prefills a piece of a prompt, which has that many tokens in all."""
+        piece = PromptPiece(tokens, whole_tokens / 2.0 / 1e6)
         self._pieces.append(piece)
         self._work.set()
         try:
@@ -93,30 +95,30 @@
                 self._pieces.remove(piece)
 
     def start_stream(self, context_tokens: float) -> Stream:
-        """Begins an answer; its events come pass by pass."""
+        """Begins an answer; each iteration adds an event."""
         stream = Stream(context_tokens)
         self.streams.append(stream)
         self._work.set()
         return stream
 
     def stop_stream(self, stream: Stream) -> None:
-        """Ends an answer."""
+        """Removes an answer from the batch."""
         if stream in self.streams:
             self.streams.remove(stream)
 
     def get_slots(self) -> asyncio.Semaphore:
-        """Returns what a request holds while it runs."""
-        return self._places
+        """Returns the semaphore that a request holds while it runs."""
+        return self._slots
 
-    async def _play_pass(self) -> None:
+    async def _run_iteration(self) -> None:
         spec = self.spec
         streams = list(self.streams)
         steps = spec.stride if streams else 1
         contexts_k = sum(each.context_tokens for each in streams) / 1000.0
         step_ms = spec.step_ms + len(streams) * spec.step_ms_per_stream
         step_ms += contexts_k * spec.step_ms_per_k_context
-        read, reading_ms = self._take_reading(steps * spec.chunk)
-        await asyncio.sleep((steps * step_ms + reading_ms) / 1000.0)
+        read, prefill_ms = self._plan_prefill(steps * spec.chunk)
+        await asyncio.sleep((steps * step_ms + prefill_ms) / 1000.0)
         for piece, tokens in read:
             piece.tokens -= tokens
             if piece.tokens <= 0.0:
@@ -126,19 +128,19 @@
             stream.context_tokens += spec.stride
             stream.events.put_nowait(spec.stride)
 
-    def _take_reading(
-        self, most_tokens: float
-    ) -> tuple[list[tuple[PrefillPart, float]], float]:
-        """Returns what a pass reads, and how long that takes."""
+    def _plan_prefill(
+        self, tokens_max: float
+    ) -> tuple[list[tuple[PromptPiece, float]], float]:
+        """Returns what an iteration prefills, and how long that takes."""
         read = []
-        reading_ms = 0.0
+        prefill_ms = 0.0
         for piece in self._pieces:
-            tokens = min(piece.tokens, most_tokens)
+            tokens = min(piece.tokens, tokens_max)
             if tokens <= 0.0:
                 break
-            most_tokens -= tokens
+            tokens_max -= tokens
             read.append((piece, tokens))
-            reading_ms += tokens / self.spec.prefill_tokens_per_ms
+            prefill_ms += tokens / self.spec.prefill_tokens_per_ms
             pairs_m = tokens * piece.pairs_m_per_token
-            reading_ms += pairs_m * self.spec.attention_ms_per_m_pairs
-        return read, reading_ms
+            prefill_ms += pairs_m * self.spec.attention_ms_per_m_pairs
+        return read, prefill_ms
--- a/standins/platform_replica.py
+++ b/standins/platform_replica.py
@@ -1,6 +1,6 @@
 """A replica of the users' platform: an engine or a plain service.
 
-It records what it ran, and misbehaves as it is told to.
+It records what it ran, and can be made to fail in many ways.
 """
 
 import asyncio
@@ -26,12 +26,13 @@
     """One run of a request.
 
     Attributes:
-        request_id: The caller's name for it.
-        replica: The replica.
-        workspace: As it was told.
-        resumed_after: The event behind which it went on; 0 for the start.
-        at_ms: When it began.
-        body: The caller's body.
+        request_id: The caller's id of the request.
+        replica: Name of the replica.
+        workspace: Workspace that the gateway request_id.
+        resumed_after: Last event that the caller had; 0 to start from the
+            beginning.
+        at_ms: When it began, on the replica's clock.
+        body: Body of the request.
         at_s: When it began, on the loop's clock.
     """
 
@@ -46,12 +47,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """A call that came to a replica.
+    """A request that reached a replica.
 
     Attributes:
-        request_id: The caller's name for it.
-        at_s: When it came, on the loop's clock.
-        quiet_s: For how long the replica told the VM then to send it nothing.
+        request_id: The caller's id of the request.
+        at_s: When it arrived, on the loop's clock.
+        backoff_s: For how long the replica told the VM to send no requests.
     """
 
     request_id: str
@@ -61,10 +62,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnnouncedLimit:
-    """A rate limit that a replica names from one time on.
+    """A rate limit that a replica announces from some time on.
 
     Attributes:
-        at_s: When, on the loop's clock.
+        at_s: Time of the first announcement, on the loop's clock.
         rate_per_s: Requests a second from all VMs; infinity for no limit.
     """
 
@@ -74,21 +75,23 @@
 
 @dataclasses.dataclass(slots=True)
 class ReplicaFaults:
-    """What a replica does wrong; chances are drawn for each request.
+    """Faults of a replica; probabilities are drawn for each request.
 
     Attributes:
-        refuse: Chance to answer that it did not run the request.
-        fail: Chance to run it and answer 500.
-        lose: Chance to run it and close without an answer.
-        break_off: Chance to break an answer off in its middle.
-        unsigned: Chance to answer without its signature.
-        foreign: Chance to answer with another request's name.
-        mute: Whether it takes requests and says nothing.
-        hang: Chance to take a request and say nothing.
-        silent_s: How long answers stop after their third event, with the
+        refuse: Probability of answering that the request did not run.
+        fail: Probability of running it and answering 500.
+        lose: Probability of running it and closing the connection without an
+            answer.
+        break_off: Probability of resetting the connection in mid-answer.
+        unsigned: Probability of an answer without the replica's signature.
+        foreign: Probability of an answer with the id of another request.
+        mute: Whether it accepts requests and never answers.
+        hang: Probability of accepting a request and never answering.
+        silent_s: How long streams stall after their third event, with the
             connection left open.
-        helps_nobody: Whether others that name it as a helper refuse for it.
-        retry_after: What stands in a refusal as the time to come back.
+        is_unfit_helper: Whether replicas that get a request with this one as a
+            helper refuse it.
+        retry_after: Value of Retry-After in a refusal; empty for none.
     """
 
     refuse: float = 0.0
@@ -108,22 +111,25 @@
     """One incarnation of a replica.
 
     Attributes:
-        name: Its incarnation.
+        name: Name of the incarnation.
         runs: Every run it began.
-        wrong: What it does wrong.
-        tickets: Memory set aside, by name, with the time at which it lapses.
-        born_ms: When it started, in Unix milliseconds; 0 to say nothing of it.
-        fatal: Bodies of calls that end it once it begins to answer them.
-        crash: Ends it at once.
-        leaving: What it says in all answers of leaving; empty while it stays.
-        has_told: Whether it ever said in an answer that it leaves.
-        arrivals: Every call that came, also those that it turned away.
-        helped: How often others named it as a helper.
-        rate_limit: What it names as its rate limit in all answers, if any.
-        limits: Rate limits that it named, in order of time.
-        limits_told: Answers that named a limit, by call, with their time.
-        orders_s: When orders came, on the loop's clock.
-        probes_s: When probes came.
+        faults: Faults that it shows.
+        reservations: Reserved tokens of memory and their expiry, by id.
+        started_ms: When it started, in Unix milliseconds; 0 to not report it.
+        poison_bodies: Bodies of requests that crash it once it begins to answer
+            them.
+        crash: Crashes it.
+        draining_hint: Value of Server-Leaving in all answers; empty for no such
+            header.
+        has_announced_draining: Whether an answer ever said that it is draining.
+        arrivals: Every request that arrived, also those that it refused.
+        helped: How often another replica used it as a helper.
+        rate_limit: Value of Server-Limit in all answers; empty for no such
+            header.
+        limits: Rate limits that it announced, in order of time.
+        limit_answer_times_s: When answers announced a limit, by request.
+        order_times_s: When orders arrived, on the loop's clock.
+        probe_times_s: When health probes arrived, on the loop's clock.
     """
 
     def __init__(
@@ -153,14 +159,14 @@
         self._env = env
         self._peers = peers
         self._count = 0
-        self._working = 0
+        self._active_runs = 0
 
     def make_handler(self):  # noqa: ANN201
         """Returns the stream handler that serves the replica."""
         return server.make_stream_handler(self._handle, server.Limits())
 
     def announce_limit(self, text: str) -> None:
-        """Has all answers name a rate limit from now on; empty for none."""
+        """Announces a rate limit in all answers from now on; empty for none."""
         self.rate_limit = text
         rates = [float(each) for each in text.split(",") if each]
         rate_per_s = min(rates, default=float("inf"))
@@ -176,24 +182,24 @@
         if incoming.path == _REPORT_PATH:
             self.probe_times_s.append(now_s)
         answer = await self._answer(incoming)
-        said: tuple[tuple[str, str], ...] = ()
+        hints: tuple[tuple[str, str], ...] = ()
         if self.draining_hint:
             self.has_announced_draining = (
                 self.has_announced_draining or self.draining_hint == "1"
             )
-            said += (("Server-Leaving", self.draining_hint),)
+            hints += (("Server-Leaving", self.draining_hint),)
         if self.rate_limit:
-            said += (("Server-Limit", self.rate_limit),)
+            hints += (("Server-Limit", self.rate_limit),)
             request_id = incoming.headers.get("x-attempt-id", "")
             now_s = asyncio.get_running_loop().time()
             self.limit_answer_times_s.setdefault(request_id, now_s)
-        return dataclasses.replace(answer, fields=answer.fields + said)
+        return dataclasses.replace(answer, fields=answer.fields + hints)
 
     async def _answer(
         self, incoming: message.IncomingRequest
     ) -> message.Response:
         if incoming.path == _ORDER_PATH:
-            return self._take_order(orjson.loads(incoming.body))
+            return self._handle_order(orjson.loads(incoming.body))
         if incoming.path == _REPORT_PATH:
             report = {"stage": "both", **self.make_start_field()}
             return message.make_json_response(200, report)
@@ -208,7 +214,7 @@
             Arrival(
                 incoming.headers.get("x-attempt-id", ""),
                 asyncio.get_running_loop().time(),
-                _read_seconds(retry_after),
+                _parse_seconds(retry_after),
             )
         )
         if is_refused:
@@ -216,42 +222,44 @@
             if retry_after:
                 fields["Retry-After"] = retry_after
             return message.Response(503, fields, b"")
-        blamed = self._find_unfit_helper(incoming.headers.get("helpers", ""))
-        if blamed is not None:
-            fields = {"X-Not-Executed": "1", "At-Server": blamed}
+        unfit_address = self._find_unfit_helper(
+            incoming.headers.get("helpers", "")
+        )
+        if unfit_address is not None:
+            fields = {"X-Not-Executed": "1", "At-Server": unfit_address}
             return message.Response(503, fields, b"")
         return await self._run(incoming)
 
     def _find_unfit_helper(self, helpers: str) -> str | None:
-        """Returns the address of a helper that does not help, if one is."""
-        for address in _name_helpers(helpers):
+        """Returns the address of the first helper that is unfit, if any."""
+        for address in _parse_helpers(helpers):
             if self._peers[address].faults.is_unfit_helper:
                 return address
         return None
 
-    def _take_order(self, order: dict) -> message.Response:
+    def _handle_order(self, order: dict) -> message.Response:
         now_ms = self._env.now_ms()
-        held = {k: v for k, v in self.reservations.items() if v[1] > now_ms}
-        self.reservations = held
+        live = {k: v for k, v in self.reservations.items() if v[1] > now_ms}
+        self.reservations = live
         if order["op"] == "release":
-            held.pop(order["id"], None)
+            live.pop(order["id"], None)
             return message.make_json_response(200, {"free": 0})
         memory = self.engine.spec.memory_tokens if self.engine else 0
         used = sum(
-            each[0] for name, each in held.items() if name != order["id"]
+            each[0] for name, each in live.items() if name != order["id"]
         )
         if used + order["token-count"] > memory:
             return message.make_json_response(409, {"free": memory - used})
-        lapses_ms = now_ms + order["hold-ms"]
-        held[order["id"]] = (order["token-count"], lapses_ms)
+        expires_ms = now_ms + order["hold-ms"]
+        live[order["id"]] = (order["token-count"], expires_ms)
         return message.make_json_response(200, {"free": memory - used})
 
     def make_start_field(self) -> dict[str, int]:
-        """Returns the field that tells when it started, if it does."""
+        """Returns the field that reports when it started, if it does."""
         return {"born": self.started_ms} if self.started_ms else {}
 
     def held_tokens(self) -> int:
-        """Returns the memory that is set aside now."""
+        """Returns the tokens of memory that are reserved now."""
         now_ms = self._env.now_ms()
         return sum(
             each[0] for each in self.reservations.values() if each[1] > now_ms
@@ -270,30 +278,30 @@
             asyncio.get_running_loop().time(),
         )
         self.runs.append(run)
-        self._working += 1
+        self._active_runs += 1
         try:
             headers = self._make_headers(run)
             if self.engine is None:
                 return await self._answer_plain(run, headers)
             prompt, output = map(int, found["x-token-usage"].split(","))
             if self._draw(self.faults.lose):
-                return message.Response(200, headers, _break_off(()))
+                return message.Response(200, headers, _abort(()))
             helpers = found.get("helpers", "")
-            await self._read_prompt(prompt, helpers)
+            await self._prefill(prompt, helpers)
             if incoming.body in self.poison_bodies:
                 self.crash()
             return message.Response(
-                200, headers, self._write(run, prompt, output)
+                200, headers, self._stream_answer(run, prompt, output)
             )
         finally:
-            self._working -= 1
+            self._active_runs -= 1
 
     def _make_headers(self, run: Run) -> dict[str, str]:
-        named = run.request_id
+        answered_id = run.request_id
         if self._draw(self.faults.foreign):
-            named = "another"
-        load = f"{self._working},0,8"
-        headers = {"X-Attempt-Id": named, "X-Replica-Load": load}
+            answered_id = "another"
+        load = f"{self._active_runs},0,8"
+        headers = {"X-Attempt-Id": answered_id, "X-Replica-Load": load}
         if not self._draw(self.faults.unsigned):
             headers[_SIGNATURE] = f"{self.name}.{run.request_id}"
         return headers
@@ -303,63 +311,67 @@
     ) -> message.Response:
         await asyncio.sleep(0.09)
         if self._draw(self.faults.lose):
-            return message.Response(200, headers, _break_off(()))
+            return message.Response(200, headers, _abort(()))
         if self._draw(self.faults.fail):
             return message.Response(500, headers, b"failed")
         body = make_plain_body(run.request_id)
         if self._draw(self.faults.break_off):
-            return message.Response(200, headers, _break_off((body[:5],)))
+            return message.Response(200, headers, _abort((body[:5],)))
         return message.Response(200, headers, body)
 
-    async def _read_prompt(self, prompt: int, helpers: str) -> None:
-        names = _name_helpers(helpers)
+    async def _prefill(self, prompt: int, helpers: str) -> None:
+        names = _parse_helpers(helpers)
         for name in names:
             self._peers[name].helped += 1
         others = [self._peers[name].engine for name in names]
         engines = [self.engine, *others]
-        piece = prompt / len(engines)
-        await asyncio.gather(*(each.read(piece, prompt) for each in engines))
+        part_tokens = prompt / len(engines)
+        await asyncio.gather(
+            *(each.read(part_tokens, prompt) for each in engines)
+        )
 
-    async def _write(
+    async def _stream_answer(
         self, run: Run, prompt: int, output: int
     ) -> AsyncIterator[bytes]:
         events = count_events(output)
-        breaks_at = -1
+        reset_number = -1
         if self._draw(self.faults.break_off):
-            breaks_at = self._env.random.randrange(1, events + 1)
+            reset_number = self._env.random.randrange(1, events + 1)
         async with self.engine.get_slots():
             writer = self.engine.start_stream(prompt)
             with contextlib.ExitStack() as stack:
                 stack.callback(self.engine.stop_stream, writer)
                 first = run.resumed_after + 1
                 for number in range(first, events + 1):
-                    # The first token comes with the end of the reading.
+                    # The first token comes with the end of the prefill.
                     if number > first:
                         await writer.events.get()
                     if self.faults.silent_s and number == first + 3:
                         await asyncio.sleep(self.faults.silent_s)
                     event = make_event(run.request_id, number)
-                    if number == breaks_at:
+                    if number == reset_number:
                         yield event[: len(event) // 2]
-                        raise ConnectionResetError("the replica breaks off")
+                        raise ConnectionResetError(
+                            "the replica resets the connection"
+                        )
                     yield event
 
-    def _draw(self, chance: float) -> bool:
-        return chance > 0.0 and self._env.random.random() < chance
+    def _draw(self, probability: float) -> bool:
+        return probability > 0.0 and self._env.random.random() < probability
 
 
-def _read_seconds(text: str) -> float:
-    """Returns a time that a VM has to go by; 0 for what is none."""
+def _parse_seconds(text: str) -> float:
+    """Returns a time that is a decimal number; 0 for anything else."""
     is_number = text.replace(".", "", 1).isdecimal()
     return float(text) if is_number else 0.0
 
 
-def _name_helpers(helpers: str) -> list[str]:
+def _parse_helpers(helpers: str) -> list[str]:
     return [each.partition("/")[0] for each in helpers.split(",") if each]
 
 
 def count_events(output_tokens: int) -> int:
-    """Returns the events of an answer of that many tokens."""
+    """Returns the number of events of an answer of that many tokens."""
     return max(1, -(-output_tokens // _TOKENS_PER_EVENT))
 
 
@@ -369,11 +381,11 @@
 
 
 def make_plain_body(request_id: str) -> bytes:
-    """Returns the plain answer to a request."""
+    """Returns the body of the plain service's answer to a request."""
     return f"answer to {request_id}".encode()
 
 
-async def _break_off(parts: tuple[bytes, ...]) -> AsyncIterator[bytes]:
+async def _abort(parts: tuple[bytes, ...]) -> AsyncIterator[bytes]:
     for part in parts:
         yield part
-    raise ConnectionResetError("the replica breaks off")
+    raise ConnectionResetError("the replica resets the connection")
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,4 +1,4 @@
-"""The platform's store: items with revisions, read and watched over HTTP."""
+"""The platform's store: versioned items, read and watched over HTTP."""
 
 import asyncio
 import base64
@@ -11,7 +11,7 @@
 from ruddergate.http import server
 
 _WATCH_POLL_S = 0.01
-# A read is answered in pages of so many items.
+# Maximum items in a page of a range read.
 PAGE_ITEMS = 8
 
 
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """What the store held at some time."""
+    """A copy of the store's content at some time."""
 
     revision: int
     items: dict[str, _Change]
@@ -33,15 +33,15 @@
 
 
 class PlatformStore:
-    """What operators and targets have written; served to gateways.
+    """A key-value store that operators and targets write and gateways read.
 
     Attributes:
         revision: Revision of the last change.
-        epoch: What its answers name as the epoch, as they spell it; empty for
-            a store that names none.
-        trouble: Empty, or `busy` (503), `reset` or `silent`.
-        calls: Calls answered or not.
-        lag: Watches tell changes only up to this revision; None for all.
+        epoch: Value of the epoch header of its answers; empty for no header.
+        failure: Empty, or `busy` (503), `reset` or `silent`.
+        calls: Number of requests, answered or not.
+        watch_revision_max: Watches return changes only up to this revision;
+            None for all.
     """
 
     def __init__(self) -> None:
@@ -55,7 +55,7 @@
         self._compacted_revision = 0
 
     def put(self, key: str, document: object) -> None:
-        """Writes an item; a heartbeat that tells nothing new is no change."""
+        """Writes an item; a heartbeat without a change makes no revision."""
         value = orjson.dumps(document)
         known = self._items.get(key)
         if known is not None and _is_heartbeat(known.value, document):
@@ -64,7 +64,7 @@
         self.put_bytes(key, value)
 
     def put_bytes(self, key: str, value: bytes) -> None:
-        """Writes an item's bytes, whatever they are."""
+        """Writes an item's raw bytes, which need not be valid."""
         self.revision += 1
         change = _Change(self.revision, key, value)
         self._items[key] = change
@@ -77,12 +77,12 @@
             self._history.append(_Change(self.revision, key, None))
 
     def compact_history(self) -> None:
-        """Drops the history; watches from before get 410."""
+        """Drops the history; watches from an earlier revision get 410."""
         self._compacted_revision = self.revision
         self._history.clear()
 
     def take_snapshot(self) -> Snapshot:
-        """Returns a copy of all that the store holds."""
+        """Returns a snapshot of the store's content."""
         return Snapshot(
             self.revision,
             dict(self._items),
@@ -91,7 +91,7 @@
         )
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Goes back to a copy; what was written since is gone."""
+        """Restores a snapshot; later writes are lost, and the epoch goes up."""
         self.revision = snapshot.revision
         self._items = dict(snapshot.items)
         self._history = list(snapshot.history)
@@ -101,12 +101,14 @@
 
     def make_handler(self):  # noqa: ANN201
         """Returns the stream handler that serves the store."""
-        return server.make_stream_handler(self._handle_named, server.Limits())
+        return server.make_stream_handler(
+            self._handle_with_epoch, server.Limits()
+        )
 
-    async def _handle_named(
+    async def _handle_with_epoch(
         self, incoming: message.IncomingRequest
     ) -> message.Response:
-        """Answers with the epoch of the moment in which the answer is made."""
+        """Adds the epoch to an answer, as it is when the answer is made."""
         answer = await self._handle(incoming)
         if not self.epoch:
             return answer
@@ -121,7 +123,7 @@
             case "busy":
                 return message.make_json_response(503, {})
             case "reset":
-                return message.Response(200, {}, _break_off())
+                return message.Response(200, {}, _abort())
             case "silent":
                 await asyncio.sleep(3_600.0)
         query = dict(urllib.parse.parse_qsl(incoming.query))
@@ -145,7 +147,7 @@
 
     async def _watch(self, query: dict[str, str]) -> message.Response:
         since = int(query["since-rev"])
-        left_s = int(query.get("wait-ms", "0")) / 1000.0
+        remaining_s = int(query.get("wait-ms", "0")) / 1000.0
         while True:
             if since < self._compacted_revision or since > self.revision:
                 return message.make_json_response(410, {})
@@ -154,21 +156,21 @@
                 if self.watch_revision_max is None
                 else self.watch_revision_max
             )
-            found = [
+            changes = [
                 each for each in self._history if since < each.revision <= last
             ]
-            if found or left_s <= 0.0:
+            if changes or remaining_s <= 0.0:
                 document = {
-                    "events": [_render(each) for each in found],
+                    "events": [_render(each) for each in changes],
                     "at": max(since, last),
                 }
                 return message.make_json_response(200, document)
             await asyncio.sleep(_WATCH_POLL_S)
-            left_s -= _WATCH_POLL_S
+            remaining_s -= _WATCH_POLL_S
 
 
 def _is_heartbeat(value: bytes, document: object) -> bool:
-    """Returns whether an item's new value differs by its number alone."""
+    """Returns whether an item's new value differs only in `sequence`."""
     if not isinstance(document, dict) or "sequence" not in document:
         return False
     try:
@@ -192,6 +194,6 @@
     }
 
 
-async def _break_off():  # noqa: ANN202
-    raise ConnectionResetError("the store resets")
+async def _abort():  # noqa: ANN202
+    raise ConnectionResetError("the store resets the connection")
     yield b""
--- a/standins/schedule_runner.py
+++ b/standins/schedule_runner.py
@@ -1,4 +1,4 @@
-"""Plays seeds of random schedules, several at once, and tells what failed."""
+"""Runs seeds of random schedules in parallel and reports those that failed."""
 
 import collections
 from collections.abc import Callable
@@ -11,11 +11,11 @@
 
 
 class ScheduleResult(Protocol):
-    """What came of a seed.
+    """Result of a seed.
 
     Attributes:
-        broken: What went wrong, a sentence each.
-        counts: What it brought about.
+        broken: A message for each violation.
+        counts: How often each kind of event occurred.
     """
 
     broken: list[str]
@@ -28,13 +28,13 @@
     count: int,
     jobs: int,
 ) -> int:
-    """Plays seeds, prints those that failed, and returns an exit status.
+    """Runs seeds, prints those that failed, and returns an exit status.
 
     Args:
-        play: Plays one seed, in a process of its own.
+        run_schedule: Runs one seed; called in a process of the pool.
         first: First seed.
         count: Number of seeds.
-        jobs: Seeds that are played at once.
+        jobs: Number of seeds that run in parallel.
     """
     counts: collections.Counter[str] = collections.Counter()
     failed = 0
--- a/standins/virtual_network.py
+++ b/standins/virtual_network.py
@@ -1,7 +1,8 @@
-"""Streams in memory between virtual processes, with latency and cuts.
+"""In-memory streams and datagrams between virtual processes.
 
-A cut loses messages silently: a connection hangs, and what was sent meanwhile
-arrives when the cut heals, as TCP would send it again.
+Data takes the latency between its nodes. A cut is a network partition: packets
+are dropped without an error. Datagrams are lost; a connection hangs, and what
+was sent on it meanwhile arrives when the cut heals, as TCP would retransmit it.
 """
 
 import asyncio
@@ -15,13 +16,18 @@
 from standins import virtual_process as processes
 
 _RETRY_S = 0.2
-# Bytes that a thin link carries at a time, as a few packets would be.
-_PIECE_BYTES = 16_384
+# A slow link carries data in chunks of this size, about a few packets each.
+_CHUNK_BYTES = 16_384
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cut:
-    """What is parted from what; an empty `from_` means from all else."""
+    """A network partition.
+
+    Attributes:
+        on: Node or hall that is cut off.
+        from_: Node or hall that it can't reach; empty for everything else.
+    """
 
     on: str
     from_: str
@@ -37,7 +43,7 @@
 
 
 class _Direction:
-    """One direction of a stream: data on its way, in order."""
+    """One direction of a stream: data in flight, in order."""
 
     def __init__(
         self,
@@ -49,28 +55,28 @@
         self._network = network
         self._source = source
         self._sink = sink
-        self._under_way: collections.deque[bytes] = collections.deque()
+        self._in_flight: collections.deque[bytes] = collections.deque()
         self._is_closed = False
-        self._free_s = 0.0
+        self._idle_at_s = 0.0
 
     def send(self, data: bytes) -> None:
-        """Sends bytes; empty bytes are the end of the stream."""
+        """Sends bytes; empty bytes mark the end of the stream."""
         latency_s = self._network.latency_s(self._source, self._sink)
         rate = self._network.link_bytes_per_s(self._source, self._sink)
         if not data or rate == math.inf:
-            self._under_way.append(data)
-            self._deliver_later(latency_s + self._find_wait_s())
+            self._in_flight.append(data)
+            self._deliver_later(latency_s + self._find_busy_s())
             return
-        for start in range(0, len(data), _PIECE_BYTES):
-            piece = data[start : start + _PIECE_BYTES]
+        for start in range(0, len(data), _CHUNK_BYTES):
+            chunk = data[start : start + _CHUNK_BYTES]
             now_s = asyncio.get_running_loop().time()
-            self._free_s = max(self._free_s, now_s) + len(piece) / rate
-            self._under_way.append(piece)
-            self._deliver_later(latency_s + self._find_wait_s())
+            self._idle_at_s = max(self._idle_at_s, now_s) + len(chunk) / rate
+            self._in_flight.append(chunk)
+            self._deliver_later(latency_s + self._find_busy_s())
 
-    def _find_wait_s(self) -> float:
-        """Returns how long the link still carries what was sent before."""
-        return max(0.0, self._free_s - asyncio.get_running_loop().time())
+    def _find_busy_s(self) -> float:
+        """Returns how long the link is still busy with data sent before."""
+        return max(0.0, self._idle_at_s - asyncio.get_running_loop().time())
 
     def _deliver_later(self, delay_s: float) -> None:
         loop = asyncio.get_running_loop()
@@ -78,12 +84,12 @@
         loop.call_later(delay_s, self._deliver, context=context)
 
     def _deliver(self) -> None:
-        if self._is_closed or not self._under_way:
+        if self._is_closed or not self._in_flight:
             return
         if self._network.is_cut(self._source, self._sink):
             self._deliver_later(_RETRY_S)
             return
-        data = self._under_way.popleft()
+        data = self._in_flight.popleft()
         if data:
             self.reader.feed_data(data)
         else:
@@ -91,14 +97,16 @@
             self.reader.feed_eof()
 
     def reset(self) -> None:
-        """Breaks the stream off."""
+        """Resets the stream: its reader raises an error."""
         if not self._is_closed:
             self._is_closed = True
-            self.reader.set_exception(ConnectionResetError("peer is gone"))
+            self.reader.set_exception(
+                ConnectionResetError("connection reset by peer")
+            )
 
 
 class VirtualWriter:
-    """The writing end of a stream, as asyncio.StreamWriter has it."""
+    """The writing end of a stream, with the API of asyncio.StreamWriter."""
 
     def __init__(
         self, outgoing: _Direction, incoming: _Direction, close: Callable
@@ -115,12 +123,12 @@
             self._outgoing.send(bytes(data))
 
     async def drain(self) -> None:
-        """Raises if the peer is gone."""
+        """Raises if the connection was reset."""
         if self.is_broken:
-            raise ConnectionResetError("peer is gone")
+            raise ConnectionResetError("connection reset by peer")
 
     def close(self) -> None:
-        """Ends the stream."""
+        """Closes the stream."""
         if not self._is_closed:
             self._is_closed = True
             self._on_close()
@@ -128,14 +136,14 @@
                 self._outgoing.send(b"")
 
     def is_closing(self) -> bool:
-        """Returns whether the stream is ended."""
+        """Returns whether the stream is closed."""
         return self._is_closed
 
     async def wait_closed(self) -> None:
         """Returns at once."""
 
     def abort(self) -> None:
-        """Lets this end see that its peer is gone."""
+        """Resets this end of the connection, as when its peer has died."""
         self.is_broken = True
         self._incoming.reset()
 
@@ -149,12 +157,13 @@
     """All nodes, listeners, streams and cuts of a run.
 
     Attributes:
-        cuts: What is parted now.
-        thin_links: Bytes a second of a node's link, by the node's name; each
-            stream has them by itself. Other links carry all at once.
-        neutral: The context in which nothing belongs to a node.
-        counts_sleep: Whether processes' clocks count the time for which they
-            stand still.
+        cuts: Network partitions in force.
+        slow_links: Bandwidth of a node's link in bytes a second, by the
+            node's name. Each stream has this bandwidth to itself. Links that
+            are not listed have unlimited bandwidth.
+        neutral_context: The context in which callbacks belong to no process.
+        counts_frozen_time: Whether processes' monotonic clocks count the time
+            for which they are frozen.
     """
 
     def __init__(self, seed: int, latency: Latency) -> None:
@@ -167,8 +176,8 @@
         self._listeners: dict[environment.Address, tuple] = {}
         self._datagram_ports: dict[environment.Address, tuple] = {}
         self._writers: dict[str, set[VirtualWriter]] = {}
-        self._order = 0
-        self._began: dict[VirtualWriter, int] = {}
+        self._last_sequence = 0
+        self._sequence: dict[VirtualWriter, int] = {}
 
     def is_cut(
         self,
@@ -176,7 +185,7 @@
         other: processes.VirtualProcess,
     ) -> bool:
         """Returns whether two nodes can't reach each other."""
-        return any(_parts(cut, one, other) for cut in self.cuts)
+        return any(_separates(cut, one, other) for cut in self.cuts)
 
     def latency_s(
         self,
@@ -195,7 +204,7 @@
         one: processes.VirtualProcess,
         other: processes.VirtualProcess,
     ) -> float:
-        """Returns what a stream between two nodes carries a second."""
+        """Returns the bandwidth of a stream between two nodes."""
         links = self.slow_links
         return min(
             links.get(one.name, math.inf), links.get(other.name, math.inf)
@@ -204,10 +213,10 @@
     def make_environment(
         self, process: processes.VirtualProcess, incarnation: int
     ) -> environment.Environment:
-        """Returns the outside world of a process.
+        """Returns a process's environment: clocks, random numbers, network.
 
-        Monotonic clocks of different processes are far apart, so that a time
-        of one that is taken for a time of another shows.
+        Monotonic clocks of different processes are far apart, so that a bug
+        that compares times of two processes shows.
         """
         loop = asyncio.get_running_loop()
         rng = random.Random(f"{self._seed} {process.name} {incarnation}")
@@ -226,9 +235,10 @@
             return _Server(lambda: self._unlisten(process, address))
 
         async def bind(
-            take: environment.DatagramHandler, address: environment.Address
+            on_datagram: environment.DatagramHandler,
+            address: environment.Address,
         ) -> environment.DatagramPort:
-            self._datagram_ports[address] = (process, take)
+            self._datagram_ports[address] = (process, on_datagram)
             return environment.DatagramPort(
                 lambda data, to: self._send_datagram(process, data, to),
                 lambda: self._unbind(process, address),
@@ -248,12 +258,12 @@
         )
 
     def reset_node(self, process: processes.VirtualProcess) -> None:
-        """Breaks off all streams of a node whose process was killed."""
+        """Resets all streams of a node whose process was killed."""
         for address, (owner, _) in list(self._listeners.items()):
             if owner is process:
                 del self._listeners[address]
         writers = self._writers.pop(process.name, set())
-        for writer in sorted(writers, key=lambda each: self._began[each]):
+        for writer in sorted(writers, key=lambda each: self._sequence[each]):
             writer.abort()
 
     def _send_datagram(
@@ -262,12 +272,12 @@
         data: bytes,
         to: environment.Address,
     ) -> None:
-        sink, take = self._datagram_ports.get(to, (None, None))
+        sink, on_datagram = self._datagram_ports.get(to, (None, None))
         if sink is None or self.is_cut(source, sink):
             return
 
         async def deliver() -> None:
-            take(data)
+            on_datagram(data)
 
         def arrive() -> None:
             if not (sink.is_dead or sink.is_frozen):
@@ -301,34 +311,34 @@
                 await asyncio.sleep(_RETRY_S)
         sink, handler = self._listeners.get(address, (None, None))
         if sink is None:
-            raise ConnectionRefusedError(f"nobody listens at {address}")
-        forth = _Direction(self, source, sink)
-        back = _Direction(self, sink, source)
-        forth.reader = asyncio.StreamReader()
-        back.reader = asyncio.StreamReader()
-        near = self._make_writer(sink.name, forth, back)
-        far = self._make_writer(source.name, back, forth)
-        sink.start(lambda: handler(forth.reader, far))
-        return back.reader, near
+            raise ConnectionRefusedError(f"connection refused: {address}")
+        outbound = _Direction(self, source, sink)
+        inbound = _Direction(self, sink, source)
+        outbound.reader = asyncio.StreamReader()
+        inbound.reader = asyncio.StreamReader()
+        client_writer = self._make_writer(sink.name, outbound, inbound)
+        server_writer = self._make_writer(source.name, inbound, outbound)
+        sink.start(lambda: handler(outbound.reader, server_writer))
+        return inbound.reader, client_writer
 
     def _make_writer(
         self, peer: str, outgoing: _Direction, incoming: _Direction
     ) -> VirtualWriter:
         peers = self._writers.setdefault(peer, set())
         writer = VirtualWriter(
-            outgoing, incoming, lambda: self._forget(peer, writer)
+            outgoing, incoming, lambda: self._remove_writer(peer, writer)
         )
         peers.add(writer)
-        self._order += 1
-        self._began[writer] = self._order
+        self._last_sequence += 1
+        self._sequence[writer] = self._last_sequence
         return writer
 
-    def _forget(self, peer: str, writer: VirtualWriter) -> None:
+    def _remove_writer(self, peer: str, writer: VirtualWriter) -> None:
         self._writers.get(peer, set()).discard(writer)
-        self._began.pop(writer, None)
+        self._sequence.pop(writer, None)
 
 
-def _parts(
+def _separates(
     cut: Cut,
     one: processes.VirtualProcess,
     other: processes.VirtualProcess,
--- a/standins/virtual_process.py
+++ b/standins/virtual_process.py
@@ -1,8 +1,8 @@
-"""Processes of a virtual-time run that can be frozen, woken and killed.
+"""Processes in virtual time that can be frozen, resumed and killed.
 
-Each callback of the loop belongs to the process in whose context it was
-scheduled. While a process is frozen, its callbacks wait, as with SIGSTOP; all
-of them run late when it wakes. Those of a killed process never run.
+Each callback of the event loop belongs to the process in whose context it was
+scheduled. While a process is frozen, its callbacks are queued, as with SIGSTOP;
+all of them run late when it resumes. Those of a killed process never run.
 """
 
 import asyncio
@@ -21,14 +21,14 @@
 
 
 class VirtualProcess:
-    """One process.
+    """A simulated process.
 
     Attributes:
         name: Name of the node it runs on.
         hall: Data hall of the node.
         is_dead: Whether it was killed.
-        is_frozen: Whether it stands still.
-        slept_s: For how long it stood still, in all.
+        is_frozen: Whether it is stopped now.
+        slept_s: Total time for which it was frozen.
     """
 
     def __init__(self, name: str, hall: str) -> None:
@@ -37,17 +37,17 @@
         self.is_dead = False
         self.is_frozen = False
         self.frozen_s = 0.0
-        self._froze_s = 0.0
+        self._frozen_at_s = 0.0
         self._tasks: set[asyncio.Task] = set()
-        self._parked: list[_Call] = []
+        self._queued: list[_Call] = []
 
-    def start(self, make_work: Callable[[], Any]) -> asyncio.Task:
+    def start(self, make_coroutine: Callable[[], Any]) -> asyncio.Task:
         """Starts a coroutine as a task of this process."""
         context = contextvars.copy_context()
         context.run(_CURRENT.set, self)
         loop = asyncio.get_running_loop()
         task = context.run(
-            lambda: loop.create_task(make_work(), context=context)
+            lambda: loop.create_task(make_coroutine(), context=context)
         )
         # The loop keeps only weak references to tasks.
         self._tasks.add(task)
@@ -55,36 +55,37 @@
         return task
 
     def freeze(self) -> None:
-        """Stops the process, as SIGSTOP does."""
+        """Suspends the process, as SIGSTOP does."""
         self.is_frozen = True
-        self._froze_s = asyncio.get_running_loop().time()
+        self._frozen_at_s = asyncio.get_running_loop().time()
 
     def resume(self) -> None:
-        """Lets the process go on, as SIGCONT does."""
+        """Resumes the process, as SIGCONT does."""
         self.is_frozen = False
         loop = asyncio.get_running_loop()
-        self.frozen_s += loop.time() - self._froze_s
-        parked, self._parked = self._parked, []
-        for call in parked:
+        self.frozen_s += loop.time() - self._frozen_at_s
+        queued, self._queued = self._queued, []
+        for call in queued:
             contextvars.Context().run(loop.call_soon, self._run_late, call)
 
     def _run_late(self, call: "_Call") -> None:
-        # What ran before it may have cancelled it, as in a real loop.
+        # A callback that ran before may have cancelled it, as in a real loop.
         if not call.handle.cancelled():
-            # What it schedules belongs to this process, too.
+            # In its own context, so that what it schedules belongs to this
+            # process, too.
             call.context.run(self.run_callback, call)
 
     def kill(self) -> None:
-        """Ends the process at once; nothing of it runs any more."""
+        """Kills the process at once; none of its callbacks run any more."""
         self.is_dead = True
-        self._parked.clear()
+        self._queued.clear()
 
     def run_callback(self, call: "_Call") -> None:
-        """Runs a callback of this process, now or when it wakes."""
+        """Runs a callback of this process, now or when it resumes."""
         if self.is_dead:
             return
         if self.is_frozen:
-            self._parked.append(call)
+            self._queued.append(call)
         else:
             call.callback(*call.args)
 
@@ -100,10 +101,10 @@
 
 
 class VirtualLoop(async_solipsism.EventLoop):
-    """A loop in virtual time whose callbacks belong to processes."""
+    """An event loop in virtual time whose callbacks belong to processes."""
 
     def call_soon(self, callback, *args, context=None):  # noqa: ANN001, ANN002, ANN201
-        """Schedules a callback for its process."""
+        """Schedules a callback for the process of its context."""
         if context is None:
             context = contextvars.copy_context()
         process = context.get(_CURRENT)
@@ -116,7 +117,7 @@
         return call.handle
 
     def call_at(self, when, callback, *args, context=None):  # noqa: ANN001, ANN002, ANN201
-        """Schedules a callback for its process at a time."""
+        """Schedules a callback at a time for the process of its context."""
         if context is None:
             context = contextvars.copy_context()
         process = context.get(_CURRENT)
@@ -129,27 +130,30 @@
         return call.handle
 
 
-def _note_exception(
+def _handle_exception(
     loop: asyncio.AbstractEventLoop, context: dict[str, Any]
 ) -> None:
-    """Raises what a task has raised; unfinished tasks are no error here."""
+    """Prints an exception of a task and stops the loop.
+
+    Tasks that are destroyed unfinished are no error here.
+    """
     error = context.get("exception")
     if error is not None:
         traceback.print_exception(error)
         loop.stop()
 
 
-def _note_unraisable(unraisable: Any) -> None:  # noqa: ANN401
-    """Passes over the clean-up of killed processes, which never ran."""
+def _handle_unraisable(unraisable: Any) -> None:  # noqa: ANN401
+    """Ignores errors from the clean-up of killed processes, which never ran."""
     if not isinstance(unraisable.exc_value, RuntimeError):
         sys.__unraisablehook__(unraisable)
 
 
 def run(work: Callable[[], Any]) -> Any:  # noqa: ANN401
-    """Runs a coroutine function in a fresh virtual loop."""
+    """Runs a coroutine function in a new virtual loop."""
     loop = VirtualLoop()
-    loop.set_exception_handler(_note_exception)
-    sys.unraisablehook = _note_unraisable
+    loop.set_exception_handler(_handle_exception)
+    sys.unraisablehook = _handle_unraisable
     try:
         return loop.run_until_complete(work())
     finally:
