--- a/standins/withdrawal_schedules.py
+++ b/standins/withdrawal_schedules.py
@@ -188,7 +188,7 @@
     ways[drain_coverage.FALSE_GOSSIP] += 1
     names = rng.sample(sorted(cluster.targets), 2)
     replicas = [cluster.targets[name].replica for name in names]
-    lives_told = [lives.Life(each.name, each.born_ms) for each in replicas]
+    lives_told = [lives.Life(each.name, each.started_ms) for each in replicas]
     words = tuple(map(lives.format_life, lives_told))
     for number in range(1, rng.randrange(2, 20)):
         await faulty_peer.announce_draining(cluster, number, words)
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -314,7 +314,7 @@
             await scene.call("short", disconnects_after_ms=150.0)
             await asyncio.sleep(0.5)
             writing = [
-                len(node.replica.engine.writers)
+                len(node.replica.engine.streams)
                 for node in scene.cluster.targets.values()
                 if node.replica.engine
             ]
