--- a/standins/digest_cost.py
+++ b/standins/digest_cost.py
@@ -1,8 +1,8 @@
-"""Measures what it costs a VM to hear the other VMs' digests.
+"""Measures the cost of merging the other VMs' digests.
 
-`python -m standins.digest_cost` has one VM of a large fleet take in what a
-relay passes on. Calls of functions are counted, and are the same on every
-machine; the time is this machine's.
+`python -m standins.digest_cost` has one VM of a large fleet merge the bundles
+that a relay forwards. It counts function calls, which are the same on every
+machine; the time is that of this machine.
 """
 
 from collections.abc import Callable
@@ -22,25 +22,28 @@
 
 VMS = 195
 TARGETS = 150
-_BUNDLE = 24
-# Of a VM's work, on so many targets.
+_DIGESTS_PER_BUNDLE = 24
+# Targets on which a VM has work, one row of its digest each.
 _ROWS = 3
-# Between two digests of a VM, so many of these rows change.
-_CHANGED = 1
+# Rows that change between two digests of a VM.
+_CHANGED_ROWS = 1
 _ROUNDS = 20
 _SEED = 1
 
 
 def make_datagrams(rounds: int = _ROUNDS) -> list[bytes]:
-    """Returns what a relay passes on in some rounds, always the same."""
+    """Returns the datagrams that a relay forwards in some rounds.
+
+    They are the same at every call.
+    """
     rng = random.Random(_SEED)
     rows = {vm: _draw_rows(rng, _ROWS) for vm in range(VMS)}
     datagrams: list[bytes] = []
     for number in range(rounds):
         digests = []
         for vm in range(VMS):
-            kept = rows[vm][_CHANGED:]
-            rows[vm] = (*kept, *_draw_rows(rng, _CHANGED))
+            kept = rows[vm][_CHANGED_ROWS:]
+            rows[vm] = (*kept, *_draw_rows(rng, _CHANGED_ROWS))
             digests.append(
                 load_digest.LoadDigest(
                     f"10.0.0.{vm}:7340",
@@ -51,8 +54,8 @@
                     rows[vm],
                 )
             )
-        for begin in range(0, VMS, _BUNDLE):
-            part = tuple(digests[begin : begin + _BUNDLE])
+        for begin in range(0, VMS, _DIGESTS_PER_BUNDLE):
+            part = tuple(digests[begin : begin + _DIGESTS_PER_BUNDLE])
             bundle = load_bundle.LoadBundle("10.0.0.1:7340", False, part)
             datagrams.append(codec.encode(bundle))
     return datagrams
@@ -75,26 +78,26 @@
 
 
 def merge_datagrams(datagrams: Iterable[bytes]) -> int:
-    """Has a VM take datagrams in; returns how many digests were news."""
-    place = peer_groups.VmAttributes("hall-0", 100)
-    loads = peer_loads.PeerLoads("10.0.0.0:7340", place)
-    news = 0
+    """Merges datagrams on one VM; returns how many digests were new."""
+    attributes = peer_groups.VmAttributes("hall-0", 100)
+    loads = peer_loads.PeerLoads("10.0.0.0:7340", attributes)
+    new_count = 0
     for data in datagrams:
         for digest in codec.decode(data).digests:
-            news += loads.merge(digest, 0.0)
+            new_count += loads.merge(digest, 0.0)
         loads.collect_sums()
-    return news
+    return new_count
 
 
 def count_calls(work: Callable[[], object]) -> int:
-    """Returns how many functions, of Python or of C, some work calls."""
+    """Returns how many functions, Python or C, are called by `work`."""
     calls = 0
 
-    def note(frame: object, event: str, argument: object) -> None:
+    def count_event(frame: object, event: str, argument: object) -> None:
         nonlocal calls
         calls += event in ("call", "c_call")
 
-    sys.setprofile(note)
+    sys.setprofile(count_event)
     try:
         work()
     finally:
@@ -103,15 +106,17 @@
 
 
 def main() -> None:
-    """Prints calls and microseconds for each digest."""
+    """Prints function calls and microseconds per digest."""
     datagrams = make_datagrams()
-    began_s = time.process_time()
-    news = merge_datagrams(datagrams)
-    took_s = time.process_time() - began_s
+    start_s = time.process_time()
+    new_count = merge_datagrams(datagrams)
+    took_s = time.process_time() - start_s
     calls = count_calls(lambda: merge_datagrams(datagrams))
     size = sum(map(len, datagrams))
-    print(f"{news} digests that are news, {size / news:.0f} bytes each")
-    print(f"{calls / news:.0f} calls, {took_s / news * 1e6:.1f} us each")
+    print(f"{new_count} new digests, {size / new_count:.0f} bytes each")
+    print(
+        f"{calls / new_count:.0f} calls, {took_s / new_count * 1e6:.1f} us each"
+    )
 
 
 if __name__ == "__main__":
--- a/standins/fatal_schedules.py
+++ b/standins/fatal_schedules.py
@@ -175,9 +175,7 @@
     ]
     if len(late_runs) <= MAX_LATE_RUNS:
         return []
-    return [
-        f"{body.decode()} was sent {len(late_runs)} times after its quarantine"
-    ]
+    return [f"{body.decode()} was sent {len(late_runs)} times too late"]
 
 
 def main(*, first: int = 1, count: int = 20) -> int:
--- a/standins/faulty_peer.py
+++ b/standins/faulty_peer.py
@@ -1,4 +1,4 @@
-"""A peer that tells VMs of targets that they leave, whether they do or not."""
+"""A faulty peer that gossips that targets are draining, true or not."""
 
 from ruddergate import environment
 from ruddergate.messages import load_digest
@@ -13,20 +13,20 @@
 async def announce_draining(
     cluster: gateway_cluster.GatewayCluster,
     number: int,
-    words: tuple[str, ...],
+    incarnations: tuple[str, ...],
 ) -> None:
-    """Tells all VMs once.
+    """Sends a digest to all VMs once.
 
     Args:
-        cluster: The VMs.
-        number: Of the digest; each has a higher one than the one before.
-        words: Lives of targets, as VMs tell them.
+        cluster: The cluster of the VMs.
+        number: Number of the digest, higher than that of the one before.
+        incarnations: Incarnations of targets, formatted as in a digest.
     """
     process = virtual_process.VirtualProcess(_ADDRESS.host, _HALL)
     env = cluster.network.make_environment(process, number)
     port = await env.bind(lambda data: None, _ADDRESS)
     digest = load_digest.LoadDigest(
-        str(_ADDRESS), _HALL, 0, "run", number, (), leaving=words
+        str(_ADDRESS), _HALL, 0, "run", number, (), leaving=incarnations
     )
     data = codec.encode(digest)
     for vm in cluster.vms:
--- a/standins/peer_fleet.py
+++ b/standins/peer_fleet.py
@@ -1,4 +1,4 @@
-"""Many VMs' exchange of digests in virtual time, without anything else.
+"""Gossip of digests between many VMs in virtual time, without anything else.
 
 `python -m standins.peer_fleet` measures how its cost grows with the fleet;
 docs/CAPACITY.md quotes what it prints.
@@ -25,7 +25,7 @@
 _TARGETS = 60
 _SETTLE_S = 4.0
 _MEASURE_S = 4.0
-# Changes of a VM's work in a second: that of 0.8 requests, three each.
+# Changes of a VM's load per second: 0.8 requests with three changes each.
 _CHANGES_PER_S = 2.4
 
 
@@ -35,15 +35,16 @@
 
     Attributes:
         process: Its process.
-        exchange: What is tried out.
+        exchange: The gossip task under test.
         now_ms: Its clock.
-        own: Streams on the one target that it gives work to.
-        told: Streams of its peers by target, as it was told.
-        sent: Datagrams it has sent.
+        own_streams: Its streams, all on one target.
+        peer_streams: Streams of its peers by target, as gossiped.
+        sent: Number of datagrams that it has sent.
         sent_bytes: Their bytes.
         starts: How often it was started.
-        leaving: Lives that it has heard to leave, as it tells them.
-        heard_s: When it was told a life by peers, on the loop's clock.
+        draining: Incarnations that it gossips as draining.
+        received_at_s: When peers first gossiped an incarnation to it as
+            draining, on the loop's clock.
     """
 
     process: virtual_process.VirtualProcess
@@ -58,17 +59,17 @@
     received_at_s: dict[str, float] = dataclasses.field(default_factory=dict)
 
     def count_peer_streams(self) -> int:
-        """Returns the streams that peers have, as far as this VM knows."""
+        """Returns the streams of all peers, as far as this VM knows."""
         for row in self.exchange.collect_sums():
             self.peer_streams[row.target_id] = row.streams
         return sum(self.peer_streams.values())
 
 
 class PeerFleet:
-    """VMs that know each other by seeds only.
+    """VMs that know only the seeds at first.
 
     Attributes:
-        network: Their network.
+        network: The network between the VMs.
         members: The VMs by name.
     """
 
@@ -84,7 +85,7 @@
             self.start(f"vm-{number}", f"hall-{number % _HALLS}")
 
     def start(self, name: str, hall: str) -> None:
-        """Starts a VM, for the first time or again."""
+        """Starts or restarts a VM."""
         known = self.members.get(name)
         starts = known.starts + 1 if known else 1
         process = virtual_process.VirtualProcess(name, hall)
@@ -93,13 +94,13 @@
         def summarize() -> tuple[dispatched.Dispatched, ...]:
             return _make_rows(name, self.members[name].own_streams)
 
-        def merge_draining(words: Sequence[str], peer: str) -> None:
+        def merge_draining(incarnations: Sequence[str], peer: str) -> None:
             now_s = asyncio.get_running_loop().time()
-            for word in words:
-                self.members[name].received_at_s.setdefault(word, now_s)
+            for incarnation in incarnations:
+                self.members[name].received_at_s.setdefault(incarnation, now_s)
 
         exchange = peer_gossip.PeerGossip(
-            self._count_sent(env, name),
+            self._count_datagrams(env, name),
             peer_gossip.PeerConfig(
                 environment.Address(name, _PORT), self._seeds
             ),
@@ -115,50 +116,51 @@
         process.start(exchange.run)
 
     def kill(self, name: str) -> None:
-        """Ends a VM at once."""
+        """Kills a VM."""
         self.members[name].process.kill()
 
     def set_own_streams(self, name: str, streams: int) -> None:
-        """Changes a VM's work, which it tells."""
+        """Changes a VM's streams, which it gossips."""
         member = self.members[name]
         member.own_streams = streams
         member.exchange.note_change()
 
-    def announce_draining(self, name: str, word: str) -> None:
-        """Has a VM hear that a target leaves, which it tells."""
+    def announce_draining(self, name: str, incarnation: str) -> None:
+        """Has a VM learn that a target is draining, which it gossips."""
         member = self.members[name]
-        member.draining = (word,)
+        member.draining = (incarnation,)
         member.exchange.note_change()
 
     def find_inconsistent(self) -> list[str]:
-        """Returns the living VMs that do not know all others' work."""
-        living = {
+        """Returns the live VMs that do not know the streams of all others."""
+        live = {
             name: member
             for name, member in self.members.items()
             if not member.process.is_dead
         }
-        total = sum(each.own_streams for each in living.values())
+        total = sum(each.own_streams for each in live.values())
         return [
             name
-            for name, each in living.items()
+            for name, each in live.items()
             if each.count_peer_streams() != total - each.own_streams
         ]
 
     def find_relays(self) -> set[str]:
-        """Returns the VMs that others take for their relay."""
+        """Returns the VMs that others use as their relay."""
         found = {
             each.exchange.loads.find_relay(each.now_ms())
             for each in self.members.values()
         }
         return {name.partition(":")[0] for name in found}
 
-    def _count_sent(
+    def _count_datagrams(
         self, env: environment.Environment, name: str
     ) -> environment.Environment:
         async def bind(
-            take: environment.DatagramHandler, address: environment.Address
+            on_datagram: environment.DatagramHandler,
+            address: environment.Address,
         ) -> environment.DatagramPort:
-            port = await env.bind(take, address)
+            port = await env.bind(on_datagram, address)
 
             def send(data: bytes, to: environment.Address) -> None:
                 self.members[name].sent += 1
@@ -173,7 +175,7 @@
 def _make_rows(
     name: str, own_streams: int
 ) -> tuple[dispatched.Dispatched, ...]:
-    """Returns a VM's work, all of it on one target."""
+    """Returns a VM's dispatched work, all of it on one target."""
     if not own_streams:
         return ()
     target_id = f"engine-{zlib.crc32(name.encode()) % _TARGETS}"
@@ -185,7 +187,7 @@
 
 
 async def vary_load(fleet: PeerFleet) -> None:
-    """Has the VMs' work change as under load, until cancelled."""
+    """Changes the VMs' streams as under load, until cancelled."""
     rng = fleet.network.make_environment(
         virtual_process.VirtualProcess("", ""), 1
     ).random
@@ -200,15 +202,15 @@
 async def _measure(size: int) -> str:
     fleet = PeerFleet(size, tuple(f"vm-{n}" for n in range(3)))
     await asyncio.sleep(_SETTLE_S)
-    busy = asyncio.ensure_future(vary_load(fleet))
+    load_task = asyncio.ensure_future(vary_load(fleet))
     before = {
         name: (each.sent, each.sent_bytes)
         for name, each in fleet.members.items()
     }
-    began = time.process_time()
+    cpu_start_s = time.process_time()
     await asyncio.sleep(_MEASURE_S)
-    used_ms = (time.process_time() - began) * 1000.0
-    busy.cancel()
+    used_ms = (time.process_time() - cpu_start_s) * 1000.0
+    load_task.cancel()
     sent = [
         (each.sent - before[name][0], each.sent_bytes - before[name][1])
         for name, each in fleet.members.items()
@@ -217,18 +219,18 @@
     wrong = len(fleet.find_inconsistent())
     mean = sum(count for count, _ in sent) / size / _MEASURE_S
     mean_kb = sum(size_ for _, size_ in sent) / size / _MEASURE_S / 1000.0
-    most = max(count for count, _ in sent) / _MEASURE_S
-    most_kb = max(size_ for _, size_ in sent) / _MEASURE_S / 1000.0
+    max_count = max(count for count, _ in sent) / _MEASURE_S
+    max_kb = max(size_ for _, size_ in sent) / _MEASURE_S / 1000.0
     cpu = used_ms / size / _MEASURE_S
     return (
-        f"{size:5} VMs: datagrams/s mean {mean:.1f} most {most:.0f}; "
-        f"KB/s mean {mean_kb:.1f} most {most_kb:.0f}; "
+        f"{size:5} VMs: datagrams/s mean {mean:.1f} max {max_count:.0f}; "
+        f"KB/s mean {mean_kb:.1f} max {max_kb:.0f}; "
         f"CPU ms/s a VM {cpu:.1f}; wrong after 1 s {wrong}"
     )
 
 
 def main(sizes: Sequence[int] = SIZES) -> None:
-    """Prints what a VM sends, at several sizes of the fleet."""
+    """Prints the traffic and CPU time of a VM at several fleet sizes."""
     for size in sizes:
         print(virtual_process.run(lambda size=size: _measure(size)), flush=True)
 
--- a/standins/rate_limit_check.py
+++ b/standins/rate_limit_check.py
@@ -1,6 +1,6 @@
-"""Checks, by what came to replicas, that a rate limit was kept.
+"""Checks from the requests that reached replicas that rate limits were kept.
 
-All windows of 4 s count. Orders and probes count as requests, too.
+Every window of 4 s is checked. Orders and probes count as requests, too.
 """
 
 import bisect
@@ -12,24 +12,24 @@
 from standins import platform_replica
 
 WINDOW_S = 4.0
-# A limit binds so long after it was first named.
+# A limit is enforced this long after it was first announced.
 ENFORCEMENT_S = 3.0
-# A VM is bound by an answer that it passed on at least so long before.
+# A VM is bound by an answer that it relayed at least this long before.
 RELAY_S = 0.5
-# Requests that a window may have: so many times those of the limit, and these.
+# Maximum requests in a window: FACTOR times those of the limit, plus SLACK.
 FACTOR = 1.5
 SLACK = 5.0
 
 
 def find_excess(
     cluster: gateway_cluster.GatewayCluster,
-    all_got: Iterable[gateway_caller.CallResult],
+    results: Iterable[gateway_caller.CallResult],
 ) -> list[str]:
     """Returns windows in which VMs that knew a limit sent more than it allows.
 
-    Restarts, freezes and cuts of a VM excuse it.
+    Calls of a VM that was restarted, frozen or cut off meanwhile don't count.
     """
-    by_id = {each.call.request_id: each for each in all_got}
+    by_id = {each.call.request_id: each for each in results}
     broken: list[str] = []
     for replica in cluster.all_replicas:
         relayed_at_s = _find_relayed(replica, by_id)
@@ -49,23 +49,24 @@
 
     Args:
         replica: One incarnation of a replica.
-        counted_s: When calls came that count; its orders and probes do.
+        counted_s: When the calls that count arrived. Its orders and probes all
+            count.
     """
     if not replica.limits:
         return []
-    binds_s = replica.limits[0].at_s + ENFORCEMENT_S
+    enforced_from_s = replica.limits[0].at_s + ENFORCEMENT_S
     at_s = sorted([*counted_s, *replica.order_times_s, *replica.probe_times_s])
     broken: list[str] = []
-    for index, begin_s in enumerate(at_s):
-        if begin_s < binds_s:
+    for index, start_s in enumerate(at_s):
+        if start_s < enforced_from_s:
             continue
-        end = bisect.bisect_left(at_s, begin_s + WINDOW_S)
-        allowed = _find_allowed(replica.limits, begin_s)
-        if end - index > allowed:
+        end = bisect.bisect_left(at_s, start_s + WINDOW_S)
+        requests_max = _find_requests_max(replica.limits, start_s)
+        if end - index > requests_max:
             broken.append(
-                f"{replica.name} got {end - index} requests in "
-                f"{WINDOW_S:.0f} s from {begin_s:.3f} s on; "
-                f"allowed {allowed:.1f}"
+                f"{replica.name} received {end - index} requests in "
+                f"{WINDOW_S:.0f} s from {start_s:.3f} s on; "
+                f"allowed {requests_max:.1f}"
             )
     return broken
 
@@ -73,21 +74,22 @@
 def find_rate(
     limits: list[platform_replica.AnnouncedLimit], at_s: float
 ) -> float:
-    """Returns the limit in force at a time; infinity for none."""
+    """Returns the limit announced at a time; infinity for none."""
     named = [each.rate_per_s for each in limits if each.at_s <= at_s]
     return named[-1] if named else float("inf")
 
 
-def _find_allowed(
-    limits: list[platform_replica.AnnouncedLimit], begin_s: float
+def _find_requests_max(
+    limits: list[platform_replica.AnnouncedLimit], start_s: float
 ) -> float:
-    """Returns what a window may have.
+    """Returns the maximum requests in a window.
 
-    A limit that has just been lowered binds after the same time as one that is
-    named for the first time, so the highest one of that time counts.
+    A limit that has just been lowered is enforced after the same time as one
+    that is announced for the first time, so the highest limit of that time
+    counts.
     """
-    since_s = begin_s - ENFORCEMENT_S
-    end_s = begin_s + WINDOW_S
+    since_s = start_s - ENFORCEMENT_S
+    end_s = start_s + WINDOW_S
     rates = [find_rate(limits, since_s)]
     rates += [each.rate_per_s for each in limits if since_s < each.at_s < end_s]
     return FACTOR * WINDOW_S * max(rates) + SLACK
@@ -97,25 +99,25 @@
     replica: platform_replica.PlatformReplica,
     by_id: dict[str, gateway_caller.CallResult],
 ) -> dict[str, float]:
-    """Returns when each VM first passed on an answer that named a limit."""
+    """Returns when each VM first relayed an answer that announced a limit."""
     relayed_at_s: dict[str, float] = {}
     for request_id in replica.limit_answer_times_s:
-        got = by_id.get(request_id)
-        if got is None or "server-limit" not in got.headers:
+        result = by_id.get(request_id)
+        if result is None or "server-limit" not in result.headers:
             continue
-        at_s = got.sent_s + (got.first_ms or got.took_ms) / 1_000.0
-        vm = got.call.vm
+        at_s = result.sent_s + (result.first_ms or result.took_ms) / 1_000.0
+        vm = result.call.vm
         relayed_at_s[vm] = min(at_s, relayed_at_s.get(vm, float("inf")))
     return relayed_at_s
 
 
 def _is_bound(
     cluster: gateway_cluster.GatewayCluster,
-    got: gateway_caller.CallResult,
+    result: gateway_caller.CallResult,
     arrival: platform_replica.Arrival,
     relayed_at_s: dict[str, float],
 ) -> bool:
-    vm = got.call.vm
+    vm = result.call.vm
     since_s = relayed_at_s.get(vm, float("inf"))
     return arrival.at_s >= since_s + RELAY_S and (
         gateway_schedules.ran_undisturbed(cluster, vm, since_s, arrival.at_s)
--- a/standins/rate_limit_fleet.py
+++ b/standins/rate_limit_fleet.py
@@ -1,9 +1,9 @@
 """Rate limits in fleets of any size, in virtual time.
 
-Only the exchange of digests and the rate limiters run, with targets that answer
-at once; standins/rate_limit_schedules.py plays whole gateways. Calls are many,
-limits come, change and end, VMs restart, freeze, join and are cut off.
-`python -m standins.rate_limit_fleet --vms 195 --first 1 --count 4` plays seeds.
+Only the gossip of digests and the rate limiters run, with targets that accept
+every call; standins/rate_limit_schedules.py runs whole gateways. There are many
+calls; limits start, change and end; VMs restart, freeze, join and are cut off.
+`python -m standins.rate_limit_fleet --vms 195 --first 1 --count 4` runs seeds.
 """
 
 import asyncio
@@ -37,25 +37,25 @@
 _SETTLE_S = 3.0
 _DURATION_S = 20.0
 _CALLS_PER_S = 2.0
-# Calls to limited targets are at most so many in all, however large a fleet is.
+# Maximum rate of calls to limited targets in all, however large the fleet is.
 _MAX_CALLS_PER_S = 120.0
 _POOL = "pool"
 _RATES = (0.0, 0.2, 0.25, 1.0, 1.0, 2.0, 5.0, 20.0, 50.0)
-_WAY_MS = (1.0, 3.0)
+_ONE_WAY_MS = (1.0, 3.0)
 _WORK_MS = (20.0, 400.0)
 
 
 @dataclasses.dataclass(slots=True)
 class _Target:
-    """A target that answers, and names a limit.
+    """A target that answers calls and announces a limit.
 
     Attributes:
         name: Its name.
-        target: As it is listed.
-        limits: Limits that it named, in order of time.
-        orders_s: When orders came; none do here.
-        probes_s: When probes came.
-        calls: When calls came, and of which VM.
+        target: Its entry in the list of targets.
+        limits: Limits that it announced, in order of time.
+        order_times_s: When orders arrived; none do here.
+        probe_times_s: When health probes arrived.
+        calls: When calls arrived, and from which VM.
     """
 
     name: str
@@ -72,10 +72,10 @@
 
     Attributes:
         process: Its process.
-        exchange: Tells peers.
-        limiter: What is tried out.
-        env: Its clock and chance.
-        passed_on_s: When it first passed on an answer with a limit, by target.
+        exchange: Its gossip with peers.
+        limiter: The rate limiter under test.
+        env: Its clock and random numbers.
+        relayed_at_s: When it first relayed an answer with a limit, by target.
     """
 
     process: virtual_process.VirtualProcess
@@ -87,11 +87,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ScheduleResult:
-    """What came of a schedule.
+    """Result of a schedule.
 
     Attributes:
-        broken: What went wrong, a sentence each.
-        counts: Calls under a limit, served and withheld, probes.
+        broken: A message for each violation.
+        counts: Calls by outcome, calls under a limit, and probes.
     """
 
     broken: list[str]
@@ -102,9 +102,10 @@
     """VMs and targets of one run.
 
     Attributes:
+        network: The network between the VMs.
         vms: VMs by name.
-        found: Targets by name.
-        counts: Calls, by what became of them.
+        limited_targets: Targets by name.
+        counts: Calls by outcome.
     """
 
     def __init__(self, size: int, halls: int, count: int, seed: int) -> None:
@@ -112,7 +113,7 @@
             seed, virtual_network.Latency()
         )
         self.vms: dict[str, _Vm] = {}
-        self.found: dict[str, _Target] = {}
+        self.limited_targets: dict[str, _Target] = {}
         self.counts: collections.Counter[str] = collections.Counter()
         self._disturbances: list[gateway_cluster.Disturbance] = []
         self._halls = halls
@@ -131,12 +132,12 @@
                 8,
                 0,
             )
-            self.found[name] = _Target(name, target, [], [], [], [])
+            self.limited_targets[name] = _Target(name, target, [], [], [], [])
         for number in range(size):
             self.start(f"vm-{number}", f"hall-{number % halls}")
 
     def start(self, name: str, hall: str) -> None:
-        """Starts a VM, for the first time or again."""
+        """Starts or restarts a VM."""
         now_s = asyncio.get_running_loop().time()
         self._disturbances.append(
             gateway_cluster.Disturbance(name, now_s, now_s)
@@ -170,17 +171,17 @@
         process.start(lambda: limiter.run(self._make_probe(name)))
 
     def kill(self, name: str) -> None:
-        """Ends a VM at once."""
+        """Kills a VM."""
         self.vms[name].process.kill()
 
     async def freeze(self, name: str, for_s: float) -> None:
-        """Stops a VM for a time."""
+        """Freezes a VM for a time."""
         from_s = asyncio.get_running_loop().time()
         process = self.vms[name].process
         process.freeze()
         await asyncio.sleep(for_s)
         process.resume()
-        self._disturb(name, from_s)
+        self._record_disturbance(name, from_s)
 
     async def cut(self, hall: str, for_s: float) -> None:
         """Cuts a hall off from the others for a time."""
@@ -189,50 +190,50 @@
         self.network.cuts.append(cut)
         await asyncio.sleep(for_s)
         self.network.cuts.remove(cut)
-        self._disturb(hall, from_s)
+        self._record_disturbance(hall, from_s)
 
     def call(self, name: str) -> None:
-        """Has a VM get a call, which goes to any target that takes it."""
+        """Has a VM receive a call and send it to any target that may get it."""
         vm = self.vms[name]
         if not (vm.process.is_dead or vm.process.is_frozen):
             vm.process.start(lambda: self._call(vm, name))
 
     def find_excess(self) -> list[str]:
-        """Returns windows in which VMs that knew a limit sent too much."""
+        """Returns windows in which VMs that knew a limit exceeded it."""
         broken: list[str] = []
-        for each in self.found.values():
+        for each in self.limited_targets.values():
             counted_s = [
                 at_s
                 for at_s, vm in each.calls
-                if self._is_bound(each, vm, at_s)
+                if self._is_bound_by_limit(each, vm, at_s)
             ]
             broken += rate_limit_check.find_replica_excess(each, counted_s)
         return broken
 
     async def _call(self, vm: _Vm, name: str) -> None:
         now_ms = vm.env.now_ms()
-        able = [
+        candidates = [
             each
-            for each in self.found.values()
+            for each in self.limited_targets.values()
             if vm.limiter.limits.can_send(each.name, now_ms)
         ]
-        near = [e for e in able if e.target.hall == vm.process.hall]
-        if not able:
+        local = [e for e in candidates if e.target.hall == vm.process.hall]
+        if not candidates:
             self.counts["refused"] += 1
             return
-        each = vm.env.random.choice(near or able)
+        each = vm.env.random.choice(local or candidates)
         if vm.limiter.admit(each.target, "") is not None:
             self.counts["withheld"] += 1
             return
         self.counts["sent"] += 1
         sent_ms = vm.env.now_ms()
         rng = vm.env.random
-        await asyncio.sleep(rng.uniform(*_WAY_MS) / 1_000.0)
+        await asyncio.sleep(rng.uniform(*_ONE_WAY_MS) / 1_000.0)
         loop = asyncio.get_running_loop()
         each.calls.append((loop.time(), name))
         await asyncio.sleep(rng.uniform(*_WORK_MS) / 1_000.0)
         rate_per_s = rate_limit_check.find_rate(each.limits, loop.time())
-        await asyncio.sleep(rng.uniform(*_WAY_MS) / 1_000.0)
+        await asyncio.sleep(rng.uniform(*_ONE_WAY_MS) / 1_000.0)
         is_unlimited = rate_per_s == float("inf")
         if not is_unlimited:
             vm.relayed_at_s.setdefault(each.name, loop.time())
@@ -249,7 +250,7 @@
     def _make_probe(self, name: str) -> Callable:
         async def probe(target: targets.Target) -> orders.Told:
             vm = self.vms[name]
-            each = self.found[target.target_id]
+            each = self.limited_targets[target.target_id]
             sent_ms = vm.env.now_ms()
             loop = asyncio.get_running_loop()
             each.probe_times_s.append(loop.time())
@@ -269,19 +270,19 @@
         return probe
 
     def _find_target(self, target_id: str) -> targets.Target | None:
-        found = self.found.get(target_id)
+        found = self.limited_targets.get(target_id)
         return found.target if found else None
 
     def _find_halls(self, pool: str) -> set[str]:
-        return {each.target.hall for each in self.found.values()}
+        return {each.target.hall for each in self.limited_targets.values()}
 
-    def _disturb(self, name: str, from_s: float) -> None:
+    def _record_disturbance(self, name: str, from_s: float) -> None:
         now_s = asyncio.get_running_loop().time()
         self._disturbances.append(
             gateway_cluster.Disturbance(name, from_s, now_s)
         )
 
-    def _is_bound(self, each: _Target, name: str, at_s: float) -> bool:
+    def _is_bound_by_limit(self, each: _Target, name: str, at_s: float) -> bool:
         vm = self.vms[name]
         since_s = vm.relayed_at_s.get(each.name, float("inf"))
         if at_s < since_s + rate_limit_check.RELAY_S:
@@ -294,13 +295,13 @@
 
 
 def run_schedule(size: int, seed: int, without: str = "") -> ScheduleResult:
-    """Plays one schedule.
+    """Runs one schedule.
 
     Args:
-        size: VMs.
-        seed: Source of all chance.
-        without: Mechanism that is left out: "sharing" has each VM keep the
-            whole limit, "bound" has all VMs hold parts; empty for none.
+        size: Number of VMs.
+        seed: Seed of all random numbers.
+        without: Mechanism that is disabled: "sharing" has each VM use the
+            whole limit, "bound" has all VMs hold shares; empty for none.
     """
     saved = rate_limits.find_max_holders
     if without == "bound":
@@ -321,11 +322,12 @@
             vm.limiter.limits._count_holders = lambda *_: 1
     await asyncio.sleep(_SETTLE_S)
     jobs = [
-        asyncio.ensure_future(_name_limits(each, rng))
-        for each in fleet.found.values()
+        asyncio.ensure_future(_announce_limits(each, rng))
+        for each in fleet.limited_targets.values()
     ]
     jobs += [
-        asyncio.ensure_future(_trouble(fleet, rng, halls)) for _ in range(4)
+        asyncio.ensure_future(_inject_fault(fleet, rng, halls))
+        for _ in range(4)
     ]
     rate = min(_CALLS_PER_S * size, _MAX_CALLS_PER_S)
     until_s = asyncio.get_running_loop().time() + _DURATION_S
@@ -334,7 +336,7 @@
         await asyncio.sleep(rng.expovariate(rate))
     for job in jobs:
         job.cancel()
-    for each in fleet.found.values():
+    for each in fleet.limited_targets.values():
         fleet.counts["probes"] += len(each.probe_times_s)
         fleet.counts["calls under a limit"] += sum(
             rate_limit_check.find_rate(each.limits, at_s) < float("inf")
@@ -343,7 +345,7 @@
     return ScheduleResult(fleet.find_excess(), fleet.counts)
 
 
-async def _name_limits(each: _Target, rng: random.Random) -> None:
+async def _announce_limits(each: _Target, rng: random.Random) -> None:
     loop = asyncio.get_running_loop()
     await asyncio.sleep(rng.uniform(0.0, 8.0))
     while True:
@@ -354,7 +356,7 @@
         await asyncio.sleep(rng.uniform(3.0, 12.0))
 
 
-async def _trouble(fleet: Fleet, rng: random.Random, halls: int) -> None:
+async def _inject_fault(fleet: Fleet, rng: random.Random, halls: int) -> None:
     await asyncio.sleep(rng.uniform(0.0, _DURATION_S))
     names = rng.sample(sorted(fleet.vms), -(-len(fleet.vms) // 4))
     kind = rng.randrange(4)
@@ -383,14 +385,14 @@
     jobs: int = 1,
     without: str = "",
 ) -> int:
-    """Plays many schedules.
+    """Runs many schedules.
 
     Args:
-        vms: VMs of the fleet.
+        vms: Number of VMs in the fleet.
         first: First seed.
         count: Number of seeds.
-        jobs: Seeds that are played at once, each by a process.
-        without: Mechanism that is left out: sharing or bound.
+        jobs: Number of seeds that run in parallel, each in a process.
+        without: Mechanism that is disabled: sharing or bound.
     """
     counts: collections.Counter[str] = collections.Counter()
     failed = 0
--- a/standins/rate_limit_schedules.py
+++ b/standins/rate_limit_schedules.py
@@ -1,9 +1,9 @@
-"""Random schedules in which targets name rate limits.
+"""Random schedules in which targets announce rate limits.
 
-`python -m standins.rate_limit_schedules --first 1 --count 100` plays many. The
-limits come, change and end, some are 0 or malformed, while VMs restart, freeze,
-join or are cut off. It prints the seeds in which a target got more requests
-than its limit allows, or another promise was broken.
+`python -m standins.rate_limit_schedules --first 1 --count 100` runs many. The
+limits start, change and end, some are 0 or malformed, while VMs restart,
+freeze, join or are cut off. It prints the seeds in which a target got more
+requests than its limit allows, or another guarantee was violated.
 """
 
 import asyncio
@@ -42,18 +42,18 @@
     "1e9",
     "1, 3",
 )
-# Neither names a limit nor ends one.
-_ODD_RATES = ("-1", "nan", "many")
+# Malformed values: they neither set a limit nor end one.
+_MALFORMED_RATES = ("-1", "nan", "many")
 _ROUTES = ("short", "short", "short", "once", "open", "open", "safe")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ScheduleResult:
-    """What came of a schedule.
+    """Result of a schedule.
 
     Attributes:
-        broken: What went wrong, a sentence each.
-        counts: How often limits were named, calls counted and withheld.
+        broken: A message for each violation.
+        counts: Calls by status, limits announced, and requests under a limit.
     """
 
     broken: list[str]
@@ -61,7 +61,7 @@
 
 
 def run_schedule(seed: int) -> ScheduleResult:
-    """Plays one schedule."""
+    """Runs one schedule."""
     rng = random.Random(f"rate limits {seed}")
     layout = gateway_cluster.Layout(
         vms=rng.choice((2, 3, 6, 9)),
@@ -83,28 +83,28 @@
     caller = gateway_caller.Caller(cluster)
     kinds = (
         *[gateway_schedules.inject_fault] * _FAULTS,
-        *[_name_limits] * _LIMITS,
+        *[_announce_limits] * _LIMITS,
         *[_join_vm] * _JOINS,
     )
     faults = [
-        asyncio.ensure_future(_begin_later(kind, cluster, rng))
+        asyncio.ensure_future(_inject_later(kind, cluster, rng))
         for kind in kinds
     ]
     calls = [
         _call_later(cluster, caller, rng, number)
         for number in range(round(_CALLS_PER_S * _DURATION_S))
     ]
-    got = await asyncio.gather(*calls)
+    results = await asyncio.gather(*calls)
     for fault in faults:
         fault.cancel()
-    # What was set aside for the last calls must lapse by itself.
+    # Reservations for the last calls must expire by themselves.
     await asyncio.sleep(4.0)
-    broken = gateway_guarantees.find_broken(cluster, got)
-    broken += rate_limit_check.find_excess(cluster, got)
-    return ScheduleResult(broken, _count(cluster, got))
+    broken = gateway_guarantees.find_broken(cluster, results)
+    broken += rate_limit_check.find_excess(cluster, results)
+    return ScheduleResult(broken, _count(cluster, results))
 
 
-async def _begin_later(kind, cluster, rng) -> None:  # noqa: ANN001
+async def _inject_later(kind, cluster, rng) -> None:  # noqa: ANN001
     await asyncio.sleep(rng.uniform(0.0, _DURATION_S * 0.7))
     await kind(cluster, rng)
 
@@ -129,30 +129,32 @@
     return await caller.send(call)
 
 
-async def _name_limits(
+async def _announce_limits(
     cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
-    """Has some targets name limits, one after the other, and then none."""
+    """Has some targets announce limits in turn, and often none in the end."""
     count = rng.choice((1, 1, 2, 4))
     names = rng.sample(
         sorted(cluster.targets), min(count, len(cluster.targets))
     )
     await asyncio.gather(
-        *(_name_limit(cluster.targets[name], rng) for name in names)
+        *(_announce_limit(cluster.targets[name], rng) for name in names)
     )
 
 
-async def _name_limit(node: gateway_cluster.Node, rng: random.Random) -> None:
+async def _announce_limit(
+    node: gateway_cluster.Node, rng: random.Random
+) -> None:
     replica = node.replica
     for _ in range(rng.choice((1, 1, 2))):
         replica.announce_limit(rng.choice(_RATES))
         await asyncio.sleep(rng.uniform(3.0, 10.0))
     if rng.random() < 0.2:
-        known = replica.rate_limit
-        replica.rate_limit = rng.choice(_ODD_RATES)
+        limit = replica.rate_limit
+        replica.rate_limit = rng.choice(_MALFORMED_RATES)
         await asyncio.sleep(rng.uniform(0.5, 2.0))
-        if replica.rate_limit in _ODD_RATES:
-            replica.rate_limit = known
+        if replica.rate_limit in _MALFORMED_RATES:
+            replica.rate_limit = limit
     if rng.random() < 0.6:
         replica.announce_limit("")
 
@@ -171,14 +173,14 @@
 
 def _count(
     cluster: gateway_cluster.GatewayCluster,
-    got: Iterable[gateway_caller.CallResult],
+    results: Iterable[gateway_caller.CallResult],
 ) -> collections.Counter[str]:
     counts: collections.Counter[str] = collections.Counter()
-    for each in got:
+    for each in results:
         counts[f"status {each.status}"] += 1
     for replica in cluster.all_replicas:
-        counts["limits named"] += len(replica.limits)
-        counts["answers that named a limit"] += len(
+        counts["limits announced"] += len(replica.limits)
+        counts["answers that announced a limit"] += len(
             replica.limit_answer_times_s
         )
         counts["calls under a limit"] += sum(
@@ -193,12 +195,12 @@
 
 
 def main(*, first: int = 1, count: int = 20, jobs: int = 1) -> int:
-    """Plays many schedules.
+    """Runs many schedules.
 
     Args:
         first: First seed.
         count: Number of seeds.
-        jobs: Seeds that are played at once, each by a process.
+        jobs: Number of seeds that run in parallel, each in a process.
     """
     return schedule_runner.run_all(run_schedule, first, count, jobs)
 
--- a/standins/restore_checks.py
+++ b/standins/restore_checks.py
@@ -1,4 +1,4 @@
-"""What must hold while the store is restored from older copies."""
+"""Invariants that must hold while the store is restored from snapshots."""
 
 import asyncio
 import collections
@@ -12,17 +12,17 @@
 from standins import gateway_schedules
 from standins import platform_replica
 
-# A target that leaves gets no calls later than this.
+# A draining target gets no calls later than this after the store says so.
 DRAIN_GRACE_S = 2.0
-# VMs that nothing has disturbed for so long are bound by what the store tells.
+# VMs that ran undisturbed for this time must act on the store's content.
 CONTACT_S = 3.0
-# Without a fault for so long, all VMs go by what is so.
+# After this time without a fault, all VMs know the current state.
 SETTLE_S = 8.0
 _SAMPLE_S = 0.05
-# The call that passes a VM as it learns of a leaving is borne.
+# A call that a VM dispatches just as it learns of draining is tolerated.
 _IN_FLIGHT_S = 0.05
 
-_LEAVINGS = "leavings"
+_DRAINS = "leavings"
 _RESTORES = "restores"
 _KNOWN = "leavings known by a VM"
 _LOST = "leavings lost by a restore"
@@ -30,14 +30,14 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Leaving:
-    """A target that leaves.
+class _Drain:
+    """A draining target.
 
     Attributes:
-        replica: Its life.
-        published_s: When the store was last told of it, after the last restore
-            that may have lost it; infinity until it is told again.
-        known_s: When each run of a VM first went by it.
+        replica: Its incarnation.
+        published_s: When it was last written to the store, after the last
+            restore that may have lost it; infinity until it is written again.
+        known_s: When each incarnation of a VM first took it for draining.
     """
 
     replica: platform_replica.PlatformReplica
@@ -48,112 +48,112 @@
 
 
 class Record:
-    """What happened in a run, and what its VMs went by.
+    """Events of a run, and the state that its VMs acted on.
 
     Args:
-        cluster: What is played on.
+        cluster: The cluster of the run.
     """
 
     def __init__(self, cluster: gateway_cluster.GatewayCluster) -> None:
         self._cluster = cluster
-        self._leavings: dict[lives.Life, _Leaving] = {}
-        self._restored_s: list[float] = []
+        self._drains: dict[lives.Life, _Drain] = {}
+        self._restore_times_s: list[float] = []
         self._key_removed_s = float("inf")
         self._revisions: dict[tuple[str, int], int] = {}
         self._broken: list[str] = []
         self._counts: collections.Counter[str] = collections.Counter()
 
     def count(self) -> dict[str, int]:
-        """Returns what the run has brought about."""
-        known = sum(len(each.known_s) for each in self._leavings.values())
+        """Returns how often each kind of event occurred in the run."""
+        known = sum(len(each.known_s) for each in self._drains.values())
         return {**self._counts, _KNOWN: known}
 
-    def note_leaving(self, replica: platform_replica.PlatformReplica) -> None:
-        """Notes that the store was told that a target leaves."""
-        self._counts[_LEAVINGS] += 1
+    def record_drain(self, replica: platform_replica.PlatformReplica) -> None:
+        """Records that a target was marked as draining in the store."""
+        self._counts[_DRAINS] += 1
         life = lives.Life(replica.name, replica.started_ms)
-        self._leavings[life] = _Leaving(replica, self._now_s())
+        self._drains[life] = _Drain(replica, self._now_s())
 
-    def note_restored(self) -> None:
-        """Notes that the store has gone back."""
+    def record_restore(self) -> None:
+        """Records that the store was restored."""
         self._counts[_RESTORES] += 1
         now_s = self._now_s()
-        self._restored_s.append(now_s)
-        for each in self._leavings.values():
+        self._restore_times_s.append(now_s)
+        for each in self._drains.values():
             self._counts[_LOST] += 1
             each.published_s = float("inf")
 
-    def note_rewritten(self) -> None:
-        """Notes that what the store lost was written again.
+    def record_rewrite(self) -> None:
+        """Records that what the store lost was written again.
 
-        Replicas write again with their next heartbeat.
+        Replicas write their entries again with their next heartbeat.
         """
-        again_s = self._now_s() + gateway_cluster.HEARTBEAT_S
-        for each in self._leavings.values():
-            each.published_s = min(each.published_s, again_s)
+        rewritten_s = self._now_s() + gateway_cluster.HEARTBEAT_S
+        for each in self._drains.values():
+            each.published_s = min(each.published_s, rewritten_s)
 
-    def note_removed_key(self) -> None:
-        """Notes that the settings without the key that goes are published."""
+    def record_key_removal(self) -> None:
+        """Records that settings without the removed key are published."""
         self._counts[_KEYS] += 1
         self._key_removed_s = self._now_s()
 
     async def sample(self) -> None:
-        """Looks again and again at what VMs go by, until cancelled."""
+        """Samples the state of all VMs until cancelled."""
         while True:
             for node in self._cluster.vms.values():
                 if not (node.process.is_dead or node.process.is_frozen):
-                    self._look(node)
+                    self._sample_node(node)
             await asyncio.sleep(_SAMPLE_S)
 
-    def _look(self, node: gateway_cluster.Node) -> None:
+    def _sample_node(self, node: gateway_cluster.Node) -> None:
         view = node.gateway.context.view
         run = (node.name, node.starts)
         before = self._revisions.get(run, 0)
         if view.catalog.revision < before:
-            self._broken.append(f"{node.name}: settings went back")
+            self._broken.append(f"{node.name}: settings revision went back")
         self._revisions[run] = max(before, view.catalog.revision)
         for each in view.listing.targets:
-            leaving = self._leavings.get(each.life)
+            drain = self._drains.get(each.life)
             is_known = each.condition is condition.Condition.LEAVING
-            if leaving is not None and is_known:
-                leaving.known_s.setdefault(run, self._now_s())
+            if drain is not None and is_known:
+                drain.known_s.setdefault(run, self._now_s())
 
     def find_broken(
-        self, got: Iterable[gateway_caller.CallResult]
+        self, results: Iterable[gateway_caller.CallResult]
     ) -> list[str]:
-        """Returns a sentence for each promise that was broken."""
-        by_id = {each.call.request_id: each for each in got}
+        """Returns a message for each invariant that was violated."""
+        by_id = {each.call.request_id: each for each in results}
         broken = list(self._broken)
-        for leaving in self._leavings.values():
-            for arrival in leaving.replica.arrivals:
+        for drain in self._drains.values():
+            for arrival in drain.replica.arrivals:
                 call = by_id[arrival.request_id]
-                broken += self._check_arrival(leaving, arrival, call)
+                broken += self._check_arrival(drain, arrival, call)
         broken += self._check_keys(by_id)
         return broken
 
     def _check_arrival(
         self,
-        leaving: _Leaving,
+        drain: _Drain,
         arrival: platform_replica.Arrival,
         call: gateway_caller.CallResult,
     ) -> Iterable[str]:
         vm, at_s = call.call.vm, arrival.at_s
-        name = leaving.replica.name
+        name = drain.replica.name
         starts = sum(each <= at_s for each in self._cluster.vm_starts[vm])
-        known_s = leaving.known_s.get((vm, starts), float("inf"))
+        known_s = drain.known_s.get((vm, starts), float("inf"))
         is_awake = self._ran(vm, call.sent_s, at_s)
         if at_s > known_s + _IN_FLIGHT_S and is_awake:
             late_ms = round((at_s - known_s) * 1_000.0)
             yield (
                 f"{arrival.request_id} reached {name} {late_ms} ms after {vm} "
-                "went by its leaving"
+                "took it for draining"
             )
-        late_s = at_s - leaving.published_s
-        if late_s > DRAIN_GRACE_S and self._is_in_touch(vm, at_s):
+        late_s = at_s - drain.published_s
+        if late_s > DRAIN_GRACE_S and self._must_follow_store(vm, at_s):
             yield (
                 f"{arrival.request_id} reached {name} "
-                f"{round(late_s * 1_000.0)} ms after the store told that it "
-                f"leaves, by {vm}"
+                f"{round(late_s * 1_000.0)} ms after the store marked it "
+                f"as draining, from {vm}"
             )
 
     def _check_keys(
@@ -171,10 +171,10 @@
                         f"{late_ms} ms too late to {call.call.vm}"
                     )
 
-    def _is_in_touch(self, vm: str, at_s: float) -> bool:
-        """Returns whether a VM is bound by what the store tells."""
+    def _must_follow_store(self, vm: str, at_s: float) -> bool:
+        """Returns whether a VM must act on the store's content."""
         from_s = at_s - CONTACT_S
-        if any(from_s < each < at_s for each in self._restored_s):
+        if any(from_s < each < at_s for each in self._restore_times_s):
             return False
         return self._ran(vm, from_s, at_s) and not any(
             each.name == gateway_cluster.STORE_NAME
@@ -195,9 +195,9 @@
 def find_unlisted(cluster: gateway_cluster.GatewayCluster) -> list[str]:
     """Returns live targets that a VM does not use.
 
-    It is to be asked after REST_S without a fault.
+    Call it after SETTLE_S without a fault.
     """
-    sound = [
+    ready = [
         lives.Life(node.replica.name, node.replica.started_ms)
         for node in cluster.targets.values()
         if node.state == "ready" and not node.process.is_dead
@@ -212,8 +212,8 @@
             if each.condition is condition.Condition.LIVE
         }
         broken += [
-            f"{vm.name} does not use {life.target_id}, which lives"
-            for life in sound
+            f"{vm.name} does not use {life.target_id}, which is live"
+            for life in ready
             if life not in live
         ]
     return broken
--- a/standins/restore_schedules.py
+++ b/standins/restore_schedules.py
@@ -1,9 +1,9 @@
-"""Random schedules in which the store is restored from older copies.
+"""Random schedules in which the store is restored from snapshots.
 
-`python -m standins.restore_schedules --first 1 --count 100` plays many. Targets
-leave, are removed and start on both sides of a restore, settings change and
+`python -m standins.restore_schedules --first 1 --count 100` runs many. Targets
+drain, are removed and start before and after a restore, settings change and
 keys are removed, among faults of VMs, halls and targets; some VMs can't reach
-the store. It prints the seeds in which a promise was broken.
+the store. It prints the seeds in which a guarantee was violated.
 """
 
 import asyncio
@@ -29,15 +29,15 @@
 _DURATION_S = 24.0
 _FAULTS = 3
 _RESTORES = 2
-_LEAVINGS = 3
+_DRAINS = 3
 _SETTINGS = 3
 _CUTS = 2
-# A copy is taken so often; a restore takes one of the last _COPIES.
-_COPY_EVERY_S = 1.0
-_COPIES = 10
-# What the store has lost is written again within this time after a restore.
-_REWRITE_S = 0.8
-# The key that is removed in some schedules, and the one that stays.
+# Interval between snapshots; a restore uses one of the last _SNAPSHOTS.
+_SNAPSHOT_INTERVAL_S = 1.0
+_SNAPSHOTS = 10
+# Lost changes are written again within this time after a restore.
+_REWRITE_MAX_S = 0.8
+# The key that is removed in some schedules; gateway_cluster.KEY stays.
 REMOVED_KEY = "removed-key"
 
 _Fault = Callable[["Schedule"], Awaitable[None]]
@@ -47,11 +47,11 @@
     """One run.
 
     Attributes:
-        cluster: What is played on.
-        chance: Source of all chance.
-        record: What happened, for the checks.
-        copies: Copies of the store, the oldest first.
-        is_removed: Whether the key that may go has gone.
+        cluster: The cluster of the run.
+        rng: Random number generator of the schedule.
+        record: Events of the run, for the checks.
+        snapshots: Snapshots of the store, the oldest first.
+        is_key_removed: Whether REMOVED_KEY is removed.
     """
 
     def __init__(
@@ -60,34 +60,34 @@
         self.cluster = cluster
         self.rng = rng
         self.record = restore_checks.Record(cluster)
-        self.copies: list[platform_store.Snapshot] = []
-        self.is_removed = False
+        self.snapshots: list[platform_store.Snapshot] = []
+        self.is_key_removed = False
 
     def choose_target(self) -> gateway_cluster.Node | None:
-        """Returns a target that serves and has not left, if there is one."""
-        staying = [
+        """Returns a ready target that may be drained, if there is one."""
+        ready = [
             node
             for name, node in sorted(self.cluster.targets.items())
             if node.state == "ready" and not node.process.is_dead
         ]
-        # One of each kind stays, so that calls can be served.
-        kinds = [node.name.split("-")[0] for node in staying]
-        able = [
+        # At least one target of each kind stays, so that calls can be served.
+        kinds = [node.name.split("-")[0] for node in ready]
+        candidates = [
             node
-            for node, kind in zip(staying, kinds, strict=True)
+            for node, kind in zip(ready, kinds, strict=True)
             if kinds.count(kind) > 1
         ]
-        return self.rng.choice(able) if able else None
+        return self.rng.choice(candidates) if candidates else None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ScheduleResult:
-    """What came of a schedule.
+    """Result of a schedule.
 
     Attributes:
-        broken: What went wrong, a sentence each.
-        statuses: How often callers got each status.
-        counts: What it brought about.
+        broken: A message for each violation.
+        statuses: How often callers received each HTTP status.
+        counts: How often each kind of event occurred.
     """
 
     broken: list[str]
@@ -96,7 +96,7 @@
 
 
 def run_schedule(seed: int) -> ScheduleResult:
-    """Plays one schedule."""
+    """Runs one schedule."""
     rng = random.Random(f"restores {seed}")
     layout = gateway_cluster.Layout(
         vms=rng.choice((2, 3, 6, 9)),
@@ -119,37 +119,37 @@
     schedule = Schedule(cluster, rng)
     background = [
         asyncio.ensure_future(schedule.record.sample()),
-        asyncio.ensure_future(_take_copies(schedule)),
+        asyncio.ensure_future(_take_snapshots(schedule)),
     ]
     kinds: tuple[_Fault, ...] = (
         *[_inject_fault] * _FAULTS,
         *[_restore] * _RESTORES,
-        *[_leave] * _LEAVINGS,
+        *[_drain_target] * _DRAINS,
         *[_change_settings] * _SETTINGS,
         *[_cut_from_store] * _CUTS,
     )
     faults = [
-        asyncio.ensure_future(_begin_later(schedule, kind)) for kind in kinds
+        asyncio.ensure_future(_inject_later(schedule, kind)) for kind in kinds
     ]
     caller = gateway_caller.Caller(cluster)
     calls = [_call_later(schedule, caller, number) for number in range(_CALLS)]
-    got = await asyncio.gather(*calls)
+    results = await asyncio.gather(*calls)
     for task in (*faults, *background):
         task.cancel()
     await asyncio.sleep(4.0)
-    broken = gateway_guarantees.find_broken(cluster, got)
-    broken += schedule.record.find_broken(got)
+    broken = gateway_guarantees.find_broken(cluster, results)
+    broken += schedule.record.find_broken(results)
     await _settle(cluster)
     broken += restore_checks.find_unlisted(cluster)
     return ScheduleResult(
         broken,
-        gateway_schedules.count_statuses(got),
+        gateway_schedules.count_statuses(results),
         schedule.record.count(),
     )
 
 
 async def _settle(cluster: gateway_cluster.GatewayCluster) -> None:
-    """Ends all trouble, and lets VMs find out what is so."""
+    """Ends all faults, and waits until VMs know the current state."""
     cluster.store.failure = ""
     cluster.network.cuts.clear()
     for node in (*cluster.vms.values(), *cluster.targets.values()):
@@ -158,7 +158,7 @@
     await asyncio.sleep(restore_checks.SETTLE_S)
 
 
-async def _begin_later(schedule: Schedule, kind: _Fault) -> None:
+async def _inject_later(schedule: Schedule, kind: _Fault) -> None:
     await asyncio.sleep(schedule.rng.uniform(0.0, _DURATION_S))
     await kind(schedule)
 
@@ -183,11 +183,11 @@
     return await caller.send(call)
 
 
-async def _take_copies(schedule: Schedule) -> None:
+async def _take_snapshots(schedule: Schedule) -> None:
     while True:
-        schedule.copies.append(schedule.cluster.store.take_snapshot())
-        del schedule.copies[:-_COPIES]
-        await asyncio.sleep(_COPY_EVERY_S)
+        schedule.snapshots.append(schedule.cluster.store.take_snapshot())
+        del schedule.snapshots[:-_SNAPSHOTS]
+        await asyncio.sleep(_SNAPSHOT_INTERVAL_S)
 
 
 async def _inject_fault(schedule: Schedule) -> None:
@@ -195,36 +195,36 @@
 
 
 async def _restore(schedule: Schedule) -> None:
-    """Has the store go back, at times after a while of answering nobody."""
+    """Restores the store from a snapshot, at times after an outage of it."""
     rng, store = schedule.rng, schedule.cluster.store
-    copy = rng.choice(schedule.copies)
-    away_s = rng.choice((0.0, 0.0, 0.4, 1.5, 4.0))
-    if away_s:
+    snapshot = rng.choice(schedule.snapshots)
+    outage_s = rng.choice((0.0, 0.0, 0.4, 1.5, 4.0))
+    if outage_s:
         with gateway_schedules.record_disturbance(
             schedule.cluster, gateway_cluster.STORE_NAME
         ):
             store.failure = rng.choice(("busy", "reset", "silent"))
-            await asyncio.sleep(away_s)
+            await asyncio.sleep(outage_s)
             store.failure = ""
-    store.restore(copy)
-    # No copy of what was lost is left.
-    schedule.copies = [copy]
-    schedule.record.note_restored()
-    await asyncio.sleep(rng.uniform(0.0, _REWRITE_S))
+    store.restore(snapshot)
+    # Later snapshots are lost, too.
+    schedule.snapshots = [snapshot]
+    schedule.record.record_restore()
+    await asyncio.sleep(rng.uniform(0.0, _REWRITE_MAX_S))
     cluster = schedule.cluster
     cluster.rewrite_settings()
     for node in cluster.targets.values():
         if node.state == gateway_cluster.UNLISTED:
             cluster.unlist_target(node)
-    schedule.record.note_rewritten()
+    schedule.record.record_rewrite()
     if rng.random() < 0.7:
-        # Revisions are below those of before the restore for a while.
+        # Revisions stay below those from before the restore for some time.
         await asyncio.sleep(rng.uniform(0.0, 4.0))
-        await _leave(schedule)
+        await _drain_target(schedule)
 
 
-async def _leave(schedule: Schedule) -> None:
-    """Has a target leave, with or without a word, and starts another."""
+async def _drain_target(schedule: Schedule) -> None:
+    """Drains a target or removes its entry, then restarts the target."""
     node = schedule.choose_target()
     if node is None:
         return
@@ -234,7 +234,7 @@
         cluster.drain_target(node)
     else:
         cluster.stop_listing(node)
-    schedule.record.note_leaving(replica)
+    schedule.record.record_drain(replica)
     await asyncio.sleep(rng.uniform(3.0, 10.0))
     if node.replica is not replica:
         return
@@ -249,15 +249,15 @@
 
 async def _change_settings(schedule: Schedule) -> None:
     cluster = schedule.cluster
-    if schedule.rng.random() < 0.4 and not schedule.is_removed:
-        schedule.is_removed = True
+    if schedule.rng.random() < 0.4 and not schedule.is_key_removed:
+        schedule.is_key_removed = True
         cluster.keys.pop("w2")
-        schedule.record.note_removed_key()
+        schedule.record.record_key_removal()
     cluster.publish()
 
 
 async def _cut_from_store(schedule: Schedule) -> None:
-    """Keeps some VMs from the store for a while."""
+    """Cuts some VMs off from the store for 0.5 to 6 s."""
     cluster, rng = schedule.cluster, schedule.rng
     names = sorted(cluster.vms)
     chosen = rng.sample(names, rng.randint(1, len(names)))
@@ -265,24 +265,24 @@
         virtual_network.Cut(name, gateway_cluster.STORE_NAME) for name in chosen
     ]
     cluster.network.cuts.extend(cuts)
-    began_s = asyncio.get_running_loop().time()
+    start_s = asyncio.get_running_loop().time()
     await asyncio.sleep(rng.uniform(0.5, 6.0))
-    ended_s = asyncio.get_running_loop().time()
+    end_s = asyncio.get_running_loop().time()
     for cut in cuts:
         if cut in cluster.network.cuts:
             cluster.network.cuts.remove(cut)
     cluster.disturbances.extend(
-        gateway_cluster.Disturbance(name, began_s, ended_s) for name in chosen
+        gateway_cluster.Disturbance(name, start_s, end_s) for name in chosen
     )
 
 
 def main(*, first: int = 1, count: int = 20, jobs: int = 1) -> int:
-    """Plays many schedules.
+    """Runs many schedules.
 
     Args:
         first: First seed.
         count: Number of seeds.
-        jobs: Seeds that are played at once, each by a process.
+        jobs: Number of seeds that run in parallel, each in a process.
     """
     return schedule_runner.run_all(run_schedule, first, count, jobs)
 
--- a/standins/suspect_spread.py
+++ b/standins/suspect_spread.py
@@ -1,6 +1,6 @@
-"""Measures how fast a fleet hears of a content, and what that takes.
+"""Measures how fast a fleet learns of a poison request, and the traffic.
 
-Only the tasks that tell each other of contents run, in virtual time, with one
+Only the tasks that gossip request fingerprints run, in virtual time, with one
 datagram in a hundred lost. Run it with `python -m standins.suspect_spread`.
 """
 
@@ -24,7 +24,7 @@
 _SIZES = (9, 80, 195, 940)
 _SEEDS = 5
 _LOSS = 0.01
-_PLAY_S = 10.0
+_RUN_S = 10.0
 _PORT = 83
 
 
@@ -33,9 +33,9 @@
     """One VM of the fleet.
 
     Attributes:
-        exchange: What it tells and knows.
-        sent_bytes: What it has sent.
-        knew_s: When it knew enough to refuse; None if it never did.
+        exchange: Its gossip task, with its table of fingerprints.
+        sent_bytes: Bytes that it has sent.
+        knew_s: When it quarantined the request; None if it never did.
     """
 
     exchange: quarantine_gossip.QuarantineGossip
@@ -57,47 +57,47 @@
     def _add(self, name: str) -> None:
         process = virtual_process.VirtualProcess(name, "h")
         env = self._network.make_environment(process, 1)
-        where = environment.Address(name, _PORT)
+        address = environment.Address(name, _PORT)
 
         def list_peers() -> list[str]:
             return [each for each in self.vms if each != name]
 
-        def send(told: messages.Suspects, receivers: Iterable[str]) -> None:
-            size = len(codec.encode(told))
+        def send(gossip: messages.Suspects, receivers: Iterable[str]) -> None:
+            size = len(codec.encode(gossip))
             for receiver in receivers:
                 self.vms[name].sent_bytes += size
                 if env.random.random() >= _LOSS:
                     asyncio.get_running_loop().call_later(
-                        0.001, self._deliver, receiver, told
+                        0.001, self._deliver, receiver, gossip
                     )
 
         exchange = quarantine_gossip.QuarantineGossip(
-            env, where, list_peers, send
+            env, address, list_peers, send
         )
         self.vms[name] = _Vm(exchange)
         process.start(exchange.run)
 
-    def _deliver(self, receiver: str, told: messages.Suspects) -> None:
+    def _deliver(self, receiver: str, gossip: messages.Suspects) -> None:
         vm = self.vms[receiver]
-        vm.exchange.merge_gossip(told)
+        vm.exchange.merge_gossip(gossip)
         if vm.knew_s is None and vm.exchange.table.list_quarantined():
             vm.knew_s = asyncio.get_running_loop().time()
 
 
-async def _play(size: int, seed: int) -> tuple[float, float]:
+async def _run(size: int, seed: int) -> tuple[float, float]:
     """Returns when the last VM knew, and the bytes a second of a VM."""
     fleet = Fleet(size, seed)
     await asyncio.sleep(0.1)
-    began_s = asyncio.get_running_loop().time()
-    seers = list(fleet.vms.values())[:3]
-    for number, vm in enumerate(seers):
+    start_s = asyncio.get_running_loop().time()
+    observers = list(fleet.vms.values())[:3]
+    for number, vm in enumerate(observers):
         vm.exchange.table.on_target_ended(_make_lost(number))
-    await asyncio.sleep(_PLAY_S)
+    await asyncio.sleep(_RUN_S)
     knew = [vm.knew_s for vm in fleet.vms.values()]
     if None in knew:
-        raise AssertionError("a VM never heard of it")
+        raise AssertionError("a VM never quarantined the request")
     sent = statistics.fmean(vm.sent_bytes for vm in fleet.vms.values())
-    return max(knew) - began_s, sent / _PLAY_S
+    return max(knew) - start_s, sent / _RUN_S
 
 
 def _make_lost(number: int) -> lost_call.LostCall:
@@ -119,7 +119,7 @@
     print("VMs  last knew after (ms, worst of seeds)  bytes/s a VM")
     for size in _SIZES:
         runs = [
-            virtual_process.run(lambda size=size, seed=seed: _play(size, seed))
+            virtual_process.run(lambda size=size, seed=seed: _run(size, seed))
             for seed in range(_SEEDS)
         ]
         last_ms = max(last_s for last_s, _ in runs) * 1000.0
