--- a/standins/drain_coverage.py
+++ b/standins/drain_coverage.py
@@ -24,7 +24,7 @@
 FALSE_GOSSIP = "false gossip"
 
 
-def count_events_seen(
+def count_coverage(
     all_gateways: Iterable[gateways.Gateway],
 ) -> collections.Counter[str]:
     """Returns how often each way was taken, from the gateways' metrics."""
@@ -44,7 +44,7 @@
 def find_wrongly_draining(
     cluster: gateway_cluster.GatewayCluster,
 ) -> list[str]:
-    """Returns targets that a VM wrongly takes for draining.
+    """Returns targets that a VM wrongly considers draining.
 
     Call it after SETTLE_S without a fault.
     """
@@ -54,7 +54,7 @@
         if not node.process.is_dead and not node.replica.has_announced_draining
     }
     return [
-        f"{vm.name} takes {target.target_id} for draining, which never said so"
+        f"{vm.name} considers {target.target_id} draining, which never said so"
         for vm in cluster.vms.values()
         if not (vm.process.is_dead or vm.task.done())
         for target in vm.gateway.context.view.listing.targets
--- a/standins/gateway_cluster.py
+++ b/standins/gateway_cluster.py
@@ -57,7 +57,8 @@
             old.
         connections_max: Callers' connections that a gateway serves at once.
         engine_spec: Performance of the engines.
-        latency_slo_scale: Factor for the latency targets of all routes.
+        latency_slo_scale: Factor for the latency targets of all routes, for
+            the first token and for gaps between tokens.
         reuses_names: Whether a replica that restarts has the same name as
             before, and reports when it started.
         epoch: What the store reports as its epoch; empty for none.
@@ -372,8 +373,10 @@
 def _make_platform(env: environment.Environment) -> gateways.Platform:
     return gateways.Platform(
         caller_protocol=callers.make_door(),
-        make_send=lambda hear: replicas.make_send(env, hear),
-        make_orders=lambda hear: orders.make_orders(env, _ORDER_LIMITS, hear),
+        make_send=lambda on_hints: replicas.make_send(env, on_hints),
+        make_orders=lambda on_hints: orders.make_orders(
+            env, _ORDER_LIMITS, on_hints
+        ),
         source=stores.make_source(env, _STORE, _STORE_LIMITS),
     )
 
--- a/standins/gateway_schedules.py
+++ b/standins/gateway_schedules.py
@@ -224,13 +224,13 @@
     cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
     node = cluster.targets[rng.choice(sorted(cluster.targets))]
-    wrong = node.replica.faults
+    faults = node.replica.faults
     name = rng.choice(
         ("refuse", "fail", "lose", "break_off", "unsigned", "foreign")
     )
-    setattr(wrong, name, rng.uniform(0.2, 1.0))
+    setattr(faults, name, rng.uniform(0.2, 1.0))
     await asyncio.sleep(rng.uniform(1.0, 6.0))
-    setattr(wrong, name, 0.0)
+    setattr(faults, name, 0.0)
 
 
 async def _cut_hall(
--- a/standins/iteration_engine.py
+++ b/standins/iteration_engine.py
@@ -15,7 +15,7 @@
 
     Attributes:
         slots: Requests that run at once.
-        memory_tokens: KV cache memory.
+        memory_tokens: KV memory.
         step_ms: Base time of a step.
         step_ms_per_stream: Time that each stream in flight adds to a step.
         step_ms_per_k_context: Time that 1,000 tokens of its context add.
@@ -83,8 +83,8 @@
             if not self.streams and not self._pieces:
                 self._work.clear()
 
-    async def read(self, tokens: float, whole_tokens: float) -> None:
-        """Prefills a piece of a prompt, which has that many tokens in all."""
+    async def prefill(self, tokens: float, whole_tokens: float) -> None:
+        """Prefills a piece of a prompt of that whole length."""
         piece = PromptPiece(tokens, whole_tokens / 2.0 / 1e6)
         self._pieces.append(piece)
         self._work.set()
@@ -102,7 +102,7 @@
         return stream
 
     def stop_stream(self, stream: Stream) -> None:
-        """Removes an answer from the batch."""
+        """Ends an answer."""
         if stream in self.streams:
             self.streams.remove(stream)
 
--- a/standins/peer_fleet.py
+++ b/standins/peer_fleet.py
@@ -216,7 +216,7 @@
         for name, each in fleet.members.items()
     ]
     await asyncio.sleep(1.0)
-    wrong = len(fleet.find_inconsistent())
+    inconsistent = len(fleet.find_inconsistent())
     mean = sum(count for count, _ in sent) / size / _MEASURE_S
     mean_kb = sum(size_ for _, size_ in sent) / size / _MEASURE_S / 1000.0
     max_count = max(count for count, _ in sent) / _MEASURE_S
@@ -225,7 +225,7 @@
     return (
         f"{size:5} VMs: datagrams/s mean {mean:.1f} max {max_count:.0f}; "
         f"KB/s mean {mean_kb:.1f} max {max_kb:.0f}; "
-        f"CPU ms/s a VM {cpu:.1f}; wrong after 1 s {wrong}"
+        f"CPU ms/s a VM {cpu:.1f}; inconsistent after 1 s {inconsistent}"
     )
 
 
--- a/standins/platform_replica.py
+++ b/standins/platform_replica.py
@@ -28,7 +28,7 @@
     Attributes:
         request_id: The caller's id of the request.
         replica: Name of the replica.
-        workspace: Workspace that the gateway request_id.
+        workspace: Workspace that the gateway named.
         resumed_after: Last event that the caller had; 0 to start from the
             beginning.
         at_ms: When it began, on the replica's clock.
@@ -266,12 +266,12 @@
         )
 
     async def _run(self, incoming: message.IncomingRequest) -> message.Response:
-        found = incoming.headers
-        after = int(found.get("last-event-id", "0") or 0)
+        fields = incoming.headers
+        after = int(fields.get("last-event-id", "0") or 0)
         run = Run(
-            found["x-attempt-id"],
+            fields["x-attempt-id"],
             self.name,
-            found.get("x-tenant-id", ""),
+            fields.get("x-tenant-id", ""),
             after,
             self._env.now_ms(),
             incoming.body,
@@ -283,10 +283,10 @@
             headers = self._make_headers(run)
             if self.engine is None:
                 return await self._answer_plain(run, headers)
-            prompt, output = map(int, found["x-token-usage"].split(","))
+            prompt, output = map(int, fields["x-token-usage"].split(","))
             if self._draw(self.faults.lose):
                 return message.Response(200, headers, _abort(()))
-            helpers = found.get("helpers", "")
+            helpers = fields.get("helpers", "")
             await self._prefill(prompt, helpers)
             if incoming.body in self.poison_bodies:
                 self.crash()
@@ -327,7 +327,7 @@
         engines = [self.engine, *others]
         part_tokens = prompt / len(engines)
         await asyncio.gather(
-            *(each.read(part_tokens, prompt) for each in engines)
+            *(each.prefill(part_tokens, prompt) for each in engines)
         )
 
     async def _stream_answer(
@@ -338,14 +338,14 @@
         if self._draw(self.faults.break_off):
             reset_number = self._env.random.randrange(1, events + 1)
         async with self.engine.get_slots():
-            writer = self.engine.start_stream(prompt)
+            stream = self.engine.start_stream(prompt)
             with contextlib.ExitStack() as stack:
-                stack.callback(self.engine.stop_stream, writer)
+                stack.callback(self.engine.stop_stream, stream)
                 first = run.resumed_after + 1
                 for number in range(first, events + 1):
                     # The first token comes with the end of the prefill.
                     if number > first:
-                        await writer.events.get()
+                        await stream.events.get()
                     if self.faults.silent_s and number == first + 3:
                         await asyncio.sleep(self.faults.silent_s)
                     event = make_event(run.request_id, number)
--- a/standins/rate_limit_check.py
+++ b/standins/rate_limit_check.py
@@ -75,8 +75,8 @@
     limits: list[platform_replica.AnnouncedLimit], at_s: float
 ) -> float:
     """Returns the limit announced at a time; infinity for none."""
-    named = [each.rate_per_s for each in limits if each.at_s <= at_s]
-    return named[-1] if named else float("inf")
+    rates = [each.rate_per_s for each in limits if each.at_s <= at_s]
+    return rates[-1] if rates else float("inf")
 
 
 def _find_requests_max(
--- a/standins/restore_checks.py
+++ b/standins/restore_checks.py
@@ -12,7 +12,7 @@
 from standins import gateway_schedules
 from standins import platform_replica
 
-# A draining target gets no calls later than this after the store says so.
+# A draining target gets no calls later than this after the store published it.
 DRAIN_GRACE_S = 2.0
 # VMs that ran undisturbed for this time must act on the store's content.
 CONTACT_S = 3.0
@@ -37,7 +37,7 @@
         replica: Its incarnation.
         published_s: When it was last written to the store, after the last
             restore that may have lost it; infinity until it is written again.
-        known_s: When each incarnation of a VM first took it for draining.
+        known_s: When each incarnation of a VM first considered it draining.
     """
 
     replica: platform_replica.PlatformReplica
@@ -69,10 +69,10 @@
         return {**self._counts, _KNOWN: known}
 
     def record_drain(self, replica: platform_replica.PlatformReplica) -> None:
-        """Records that a target was marked as draining in the store."""
+        """Records that the store shows a target as draining or removed."""
         self._counts[_DRAINS] += 1
-        life = lives.Life(replica.name, replica.started_ms)
-        self._drains[life] = _Drain(replica, self._now_s())
+        incarnation = lives.Life(replica.name, replica.started_ms)
+        self._drains[incarnation] = _Drain(replica, self._now_s())
 
     def record_restore(self) -> None:
         """Records that the store was restored."""
@@ -146,14 +146,14 @@
             late_ms = round((at_s - known_s) * 1_000.0)
             yield (
                 f"{arrival.request_id} reached {name} {late_ms} ms after {vm} "
-                "took it for draining"
+                "considered it draining"
             )
         late_s = at_s - drain.published_s
         if late_s > DRAIN_GRACE_S and self._must_follow_store(vm, at_s):
             yield (
                 f"{arrival.request_id} reached {name} "
-                f"{round(late_s * 1_000.0)} ms after the store marked it "
-                f"as draining, from {vm}"
+                f"{round(late_s * 1_000.0)} ms after the store published "
+                f"that it is draining, from {vm}"
             )
 
     def _check_keys(
@@ -212,8 +212,8 @@
             if each.condition is condition.Condition.LIVE
         }
         broken += [
-            f"{vm.name} does not use {life.target_id}, which is live"
-            for life in ready
-            if life not in live
+            f"{vm.name} does not use {incarnation.target_id}, which is live"
+            for incarnation in ready
+            if incarnation not in live
         ]
     return broken
--- a/standins/withdrawal_schedules.py
+++ b/standins/withdrawal_schedules.py
@@ -104,7 +104,7 @@
     broken += find_calls_during_backoff(cluster, results)
     await _settle(cluster)
     broken += drain_coverage.find_wrongly_draining(cluster)
-    counts += drain_coverage.count_events_seen(cluster.all_gateways)
+    counts += drain_coverage.count_coverage(cluster.all_gateways)
     return ScheduleResult(
         broken, gateway_schedules.count_statuses(results), counts
     )
@@ -190,10 +190,10 @@
     counts[drain_coverage.FALSE_GOSSIP] += 1
     names = rng.sample(sorted(cluster.targets), 2)
     replicas = [cluster.targets[name].replica for name in names]
-    incarnations = [lives.Life(each.name, each.started_ms) for each in replicas]
-    incarnation_texts = tuple(map(lives.format_life, incarnations))
+    draining = [lives.Life(each.name, each.started_ms) for each in replicas]
+    formatted = tuple(map(lives.format_life, draining))
     for number in range(1, rng.randrange(2, 20)):
-        await faulty_peer.announce_draining(cluster, number, incarnation_texts)
+        await faulty_peer.announce_draining(cluster, number, formatted)
         await asyncio.sleep(_FALSE_GOSSIP_INTERVAL_S)
 
 
--- a/tests/test_reading_plan.py
+++ b/tests/test_reading_plan.py
@@ -120,7 +120,7 @@
             running = asyncio.ensure_future(engine.run())
             loop = asyncio.get_running_loop()
             began_s = loop.time()
-            await engine.read(_ARCHIVE_TOKENS, _ARCHIVE_TOKENS)
+            await engine.prefill(_ARCHIVE_TOKENS, _ARCHIVE_TOKENS)
             running.cancel()
             return (loop.time() - began_s) * 1000.0
 
