--- a/standins/peer_fleet.py
+++ b/standins/peer_fleet.py
@@ -35,7 +35,7 @@
 
     Attributes:
         process: Its process.
-        exchange: The gossip task under test.
+        gossip: The gossip task under test.
         now_ms: Its clock.
         own_streams: Its streams, all on one target.
         peer_streams: Streams of its peers by target, as gossiped.
@@ -48,7 +48,7 @@
     """
 
     process: virtual_process.VirtualProcess
-    exchange: peer_gossip.PeerGossip
+    gossip: peer_gossip.PeerGossip
     now_ms: Callable[[], float]
     own_streams: int = 0
     peer_streams: dict[str, int] = dataclasses.field(default_factory=dict)
@@ -60,7 +60,7 @@
 
     def count_peer_streams(self) -> int:
         """Returns the streams of all peers, as far as this VM knows."""
-        for row in self.exchange.collect_sums():
+        for row in self.gossip.collect_sums():
             self.peer_streams[row.target_id] = row.streams
         return sum(self.peer_streams.values())
 
@@ -99,7 +99,7 @@
             for incarnation in incarnations:
                 self.members[name].received_at_s.setdefault(incarnation, now_s)
 
-        exchange = peer_gossip.PeerGossip(
+        gossip = peer_gossip.PeerGossip(
             self._count_datagrams(env, name),
             peer_gossip.PeerConfig(
                 environment.Address(name, _PORT), self._seeds
@@ -110,10 +110,8 @@
             summarize_draining=lambda: self.members[name].draining,
             merge_draining=merge_draining,
         )
-        self.members[name] = Member(
-            process, exchange, env.now_ms, starts=starts
-        )
-        process.start(exchange.run)
+        self.members[name] = Member(process, gossip, env.now_ms, starts=starts)
+        process.start(gossip.run)
 
     def kill(self, name: str) -> None:
         """Kills a VM."""
@@ -123,13 +121,13 @@
         """Changes a VM's streams, which it gossips."""
         member = self.members[name]
         member.own_streams = streams
-        member.exchange.note_change()
+        member.gossip.note_change()
 
     def announce_draining(self, name: str, incarnation: str) -> None:
         """Has a VM learn that a target is draining, which it gossips."""
         member = self.members[name]
         member.draining = (incarnation,)
-        member.exchange.note_change()
+        member.gossip.note_change()
 
     def find_inconsistent(self) -> list[str]:
         """Returns the live VMs that do not know the streams of all others."""
@@ -148,7 +146,7 @@
     def find_relays(self) -> set[str]:
         """Returns the VMs that others use as their relay."""
         found = {
-            each.exchange.loads.find_relay(each.now_ms())
+            each.gossip.loads.find_relay(each.now_ms())
             for each in self.members.values()
         }
         return {name.partition(":")[0] for name in found}
--- a/standins/rate_limit_fleet.py
+++ b/standins/rate_limit_fleet.py
@@ -72,14 +72,14 @@
 
     Attributes:
         process: Its process.
-        exchange: Its gossip with peers.
+        gossip: Its gossip with peers.
         limiter: The rate limiter under test.
         env: Its clock and random numbers.
         relayed_at_s: When it first relayed an answer with a limit, by target.
     """
 
     process: virtual_process.VirtualProcess
-    exchange: peer_gossip.PeerGossip
+    gossip: peer_gossip.PeerGossip
     limiter: rate_limiter.RateLimiter
     env: environment.Environment
     relayed_at_s: dict[str, float]
@@ -149,15 +149,15 @@
         limiter = rate_limiter.RateLimiter(
             env,
             str(listen),
-            lambda now_ms: self.vms[name].exchange.loads.find_member_halls(
+            lambda now_ms: self.vms[name].gossip.loads.find_member_halls(
                 now_ms
             ),
             self._find_target,
             self._find_halls,
-            lambda: self.vms[name].exchange.note_change(),
+            lambda: self.vms[name].gossip.note_change(),
             metrics.EntryMetrics(),
         )
-        exchange = peer_gossip.PeerGossip(
+        gossip = peer_gossip.PeerGossip(
             env,
             peer_gossip.PeerConfig(listen, self._seeds),
             hall,
@@ -166,8 +166,8 @@
             summarize_rate_limits=limiter.summarize,
             merge_rate_limits=limiter.merge,
         )
-        self.vms[name] = _Vm(process, exchange, limiter, env, {})
-        process.start(exchange.run)
+        self.vms[name] = _Vm(process, gossip, limiter, env, {})
+        process.start(gossip.run)
         process.start(lambda: limiter.run(self._make_probe(name)))
 
     def kill(self, name: str) -> None:
@@ -213,16 +213,16 @@
     async def _call(self, vm: _Vm, name: str) -> None:
         now_ms = vm.env.now_ms()
         candidates = [
-            each
-            for each in self.limited_targets.values()
-            if vm.limiter.limits.can_send(each.name, now_ms)
+            limited
+            for limited in self.limited_targets.values()
+            if vm.limiter.limits.can_send(limited.name, now_ms)
         ]
         local = [e for e in candidates if e.target.hall == vm.process.hall]
         if not candidates:
             self.counts["refused"] += 1
             return
-        each = vm.env.random.choice(local or candidates)
-        if vm.limiter.admit(each.target, "") is not None:
+        limited = vm.env.random.choice(local or candidates)
+        if vm.limiter.admit(limited.target, "") is not None:
             self.counts["withheld"] += 1
             return
         self.counts["sent"] += 1
@@ -230,16 +230,16 @@
         rng = vm.env.random
         await asyncio.sleep(rng.uniform(*_ONE_WAY_MS) / 1_000.0)
         loop = asyncio.get_running_loop()
-        each.calls.append((loop.time(), name))
+        limited.calls.append((loop.time(), name))
         await asyncio.sleep(rng.uniform(*_WORK_MS) / 1_000.0)
-        rate_per_s = rate_limit_check.find_rate(each.limits, loop.time())
+        rate_per_s = rate_limit_check.find_rate(limited.limits, loop.time())
         await asyncio.sleep(rng.uniform(*_ONE_WAY_MS) / 1_000.0)
         is_unlimited = rate_per_s == float("inf")
         if not is_unlimited:
-            vm.relayed_at_s.setdefault(each.name, loop.time())
+            vm.relayed_at_s.setdefault(limited.name, loop.time())
         vm.limiter.observe(
             statements.Statement(
-                lives.Life(each.name),
+                lives.Life(limited.name),
                 rate_limit_per_s=None if is_unlimited else rate_per_s,
                 is_unlimited=is_unlimited,
                 is_call=True,
@@ -250,16 +250,16 @@
     def _make_probe(self, name: str) -> Callable:
         async def probe(target: targets.Target) -> orders.Told:
             vm = self.vms[name]
-            each = self.limited_targets[target.target_id]
+            limited = self.limited_targets[target.target_id]
             sent_ms = vm.env.now_ms()
             loop = asyncio.get_running_loop()
-            each.probe_times_s.append(loop.time())
-            rate_per_s = rate_limit_check.find_rate(each.limits, loop.time())
+            limited.probe_times_s.append(loop.time())
+            rate_per_s = rate_limit_check.find_rate(limited.limits, loop.time())
             await asyncio.sleep(0.002)
             is_unlimited = rate_per_s == float("inf")
             vm.limiter.observe(
                 statements.Statement(
-                    lives.Life(each.name),
+                    lives.Life(limited.name),
                     rate_limit_per_s=None if is_unlimited else rate_per_s,
                     is_unlimited=is_unlimited,
                     sent_ms=sent_ms,
@@ -282,15 +282,17 @@
             gateway_cluster.Disturbance(name, from_s, now_s)
         )
 
-    def _is_bound_by_limit(self, each: _Target, name: str, at_s: float) -> bool:
+    def _is_bound_by_limit(
+        self, limited: _Target, name: str, at_s: float
+    ) -> bool:
         vm = self.vms[name]
-        since_s = vm.relayed_at_s.get(each.name, float("inf"))
+        since_s = vm.relayed_at_s.get(limited.name, float("inf"))
         if at_s < since_s + rate_limit_check.RELAY_S:
             return False
         names = (name, vm.process.hall)
         return not any(
-            one.name in names and one.from_s < at_s and since_s < one.to_s
-            for one in self._disturbances
+            each.name in names and each.from_s < at_s and since_s < each.to_s
+            for each in self._disturbances
         )
 
 
@@ -345,14 +347,14 @@
     return ScheduleResult(fleet.find_excess(), fleet.counts)
 
 
-async def _announce_limits(each: _Target, rng: random.Random) -> None:
+async def _announce_limits(limited: _Target, rng: random.Random) -> None:
     loop = asyncio.get_running_loop()
     await asyncio.sleep(rng.uniform(0.0, 8.0))
     while True:
         rate_per_s = rng.choice((*_RATES, float("inf")))
         limit = platform_replica.AnnouncedLimit(loop.time(), rate_per_s)
-        if rate_per_s < float("inf") or each.limits:
-            each.limits.append(limit)
+        if rate_per_s < float("inf") or limited.limits:
+            limited.limits.append(limit)
         await asyncio.sleep(rng.uniform(3.0, 12.0))
 
 
--- a/standins/suspect_spread.py
+++ b/standins/suspect_spread.py
@@ -33,12 +33,12 @@
     """One VM of the fleet.
 
     Attributes:
-        exchange: Its gossip task, with its table of fingerprints.
+        gossip: Its gossip task, with its table of fingerprints.
         sent_bytes: Bytes that it has sent.
         knew_s: When it quarantined the request; None if it never did.
     """
 
-    exchange: quarantine_gossip.QuarantineGossip
+    gossip: quarantine_gossip.QuarantineGossip
     sent_bytes: int = 0
     knew_s: float | None = None
 
@@ -62,25 +62,25 @@
         def list_peers() -> list[str]:
             return [each for each in self.vms if each != name]
 
-        def send(gossip: messages.Suspects, receivers: Iterable[str]) -> None:
-            size = len(codec.encode(gossip))
+        def send(reports: messages.Suspects, receivers: Iterable[str]) -> None:
+            size = len(codec.encode(reports))
             for receiver in receivers:
                 self.vms[name].sent_bytes += size
                 if env.random.random() >= _LOSS:
                     asyncio.get_running_loop().call_later(
-                        0.001, self._deliver, receiver, gossip
+                        0.001, self._deliver, receiver, reports
                     )
 
-        exchange = quarantine_gossip.QuarantineGossip(
+        gossip = quarantine_gossip.QuarantineGossip(
             env, address, list_peers, send
         )
-        self.vms[name] = _Vm(exchange)
-        process.start(exchange.run)
+        self.vms[name] = _Vm(gossip)
+        process.start(gossip.run)
 
-    def _deliver(self, receiver: str, gossip: messages.Suspects) -> None:
+    def _deliver(self, receiver: str, reports: messages.Suspects) -> None:
         vm = self.vms[receiver]
-        vm.exchange.merge_gossip(gossip)
-        if vm.knew_s is None and vm.exchange.table.list_quarantined():
+        vm.gossip.merge_gossip(reports)
+        if vm.knew_s is None and vm.gossip.table.list_quarantined():
             vm.knew_s = asyncio.get_running_loop().time()
 
 
@@ -91,7 +91,7 @@
     start_s = asyncio.get_running_loop().time()
     observers = list(fleet.vms.values())[:3]
     for number, vm in enumerate(observers):
-        vm.exchange.table.on_target_ended(_make_lost(number))
+        vm.gossip.table.on_target_ended(_make_lost(number))
     await asyncio.sleep(_RUN_S)
     knew = [vm.knew_s for vm in fleet.vms.values()]
     if None in knew:
