--- a/standins/gateway_cluster.py
+++ b/standins/gateway_cluster.py
@@ -1,4 +1,4 @@
-"""Gateways, a store and replicas in virtual time."""
+"""A cluster of gateways, replicas and their store in virtual time."""
 
 import asyncio
 import dataclasses
@@ -16,7 +16,7 @@
 from ruddergate.platform import store as stores
 from ruddergate.platform import upstream
 from ruddergate.telemetry import traces
-from standins import pass_engine
+from standins import iteration_engine
 from standins import platform_replica
 from standins import platform_store
 from standins import virtual_network
@@ -35,32 +35,34 @@
 KEY = "key-of-w1"
 REVOKE_MS = 5_000.0
 HEARTBEAT_S = 1.2
-# A replica that crashed is off the list after this time, and back after this.
-CRASH_LAPSE_S = 2.5
-CRASH_DOWN_S = 4.0
+# Times after a crash at which a replica's entry expires and it restarts.
+CRASH_EXPIRY_S = 2.5
+CRASH_RESTART_S = 4.0
 RETRY_SLACK = 54.0
-# State of a replica that writes no entry any more.
+# State of a replica that no longer writes its entry to the store.
 UNLISTED = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Layout:
-    """Sizes of a cluster.
+    """Sizes and settings of a cluster.
 
     Attributes:
-        vms: Gateways.
-        halls: Data halls, over which all is spread.
-        engines: Engines.
-        services: Replicas of the plain service.
-        seed: Source of all chance.
-        is_strict: Whether keys are refused by settings that are too old.
+        vms: Number of gateways.
+        halls: Number of data halls, over which all nodes are spread.
+        engines: Number of engines.
+        services: Number of replicas of the plain service.
+        seed: Seed of all random numbers.
+        is_strict: Whether gateways refuse API keys when their settings are too
+            old.
         connections_max: Callers' connections that a gateway serves at once.
-        figures: Of the engines.
-        aim_scale: By which all aims and pauses of routes are stretched.
-        keeps_names: Whether a replica that starts again has the name that it
-            had, and tells when it started.
-        epoch: What the store names as its epoch; empty for none.
-        pace: How often gateways ask the store.
+        engine_spec: Performance of the engines.
+        latency_slo_scale: Factor for the latency targets of all routes, for
+            the first token and for gaps between tokens.
+        reuses_names: Whether a replica that restarts has the same name as
+            before, and reports when it started.
+        epoch: What the store reports as its epoch; empty for none.
+        polling: How often gateways poll the store.
     """
 
     vms: int = 3
@@ -70,11 +72,11 @@
     seed: int = 1
     is_strict: bool = True
     connections_max: int = 3_000
-    figures: pass_engine.Figures = pass_engine.Figures()
-    aim_scale: float = 1.0
-    keeps_names: bool = False
+    engine_spec: iteration_engine.EngineSpec = iteration_engine.EngineSpec()
+    latency_slo_scale: float = 1.0
+    reuses_names: bool = False
     epoch: str = "1"
-    pace: poll_config.PollConfig = poll_config.PollConfig()
+    polling: poll_config.PollConfig = poll_config.PollConfig()
 
 
 _LAYOUT = Layout()
@@ -87,13 +89,13 @@
     Attributes:
         name: Its name, which is also its host.
         hall: Its hall.
-        process: What runs there now.
+        process: The process that runs there now.
         starts: How often it was started.
-        state: What its entry in the store says, on a replica.
-        sequence: Number of its last entry in the store, on a replica.
+        state: State in its entry in the store, for a replica.
+        sequence: Number of its last entry in the store, for a replica.
         gateway: The gateway, on a VM.
-        replica: The replica, elsewhere.
-        stop: Begins a planned stop.
+        replica: The replica, on other nodes.
+        stop: Event that begins a graceful shutdown of the gateway.
         task: The gateway's task.
     """
 
@@ -111,7 +113,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Disturbance:
-    """A time in which a VM, a hall or the store could not answer anybody.
+    """A time in which a VM, a hall or the store could not answer.
 
     Attributes:
         name: The VM or hall, or STORE_NAME.
@@ -128,17 +130,18 @@
     """All nodes of one run.
 
     Attributes:
-        network: Their network.
-        store: What the platform publishes.
-        vms: Gateways by name.
-        targets: Replicas by name.
-        all_replicas: Every incarnation that ever ran.
+        layout: Its sizes and settings.
+        network: The network between the nodes.
+        store: The platform's store.
+        vms: Nodes of the gateways by name.
+        targets: Nodes of the replicas by name.
+        all_replicas: Every incarnation of a replica that ever ran.
         revision: Revision of the configuration last published.
-        keys: Keys by workspace, as the next revision publishes them.
-        disturbances: Times in which VMs could not answer.
-        fatal: Bodies of calls that end the replicas that answer them.
+        keys: API keys by workspace, as the next revision publishes them.
+        disturbances: Times in which VMs, halls or the store could not answer.
+        poison_bodies: Bodies of requests that crash the replicas that run them.
         vm_starts: When each VM was started, on the loop's clock.
-        all_gateways: Every process of a VM that ever ran.
+        all_gateways: Every incarnation of a gateway that ever ran.
     """
 
     def __init__(self, layout: Layout) -> None:
@@ -154,13 +157,13 @@
         self.revision = 0
         self.keys = {"w1": [KEY]}
         self.disturbances: list[Disturbance] = []
-        self.fatal: set[bytes] = set()
+        self.poison_bodies: set[bytes] = set()
         self.vm_starts: dict[str, list[float]] = {}
         self.all_gateways: list[gateways.Gateway] = []
         self._engines: dict[str, platform_replica.PlatformReplica] = {}
 
     async def start(self) -> None:
-        """Starts everything and waits until gateways are ready."""
+        """Starts all nodes and waits 2 s until gateways are ready."""
         process = virtual_process.VirtualProcess(STORE_NAME, STORE_NAME)
         env = self.network.make_environment(process, 1)
         handler = self.store.make_handler()
@@ -178,18 +181,18 @@
         await asyncio.sleep(2.0)
 
     def publish(self, **changes: object) -> None:
-        """Publishes the next revision of the configuration."""
+        """Publishes the next revision of the configuration, with changes."""
         self.revision += 1
         document = make_configuration(self.keys, self.revision, self.layout)
         self.store.put("op/config", {**document, **changes})
 
-    def write_settings_again(self) -> None:
-        """Writes the last settings again, as after a restore of the store."""
+    def rewrite_settings(self) -> None:
+        """Writes the last revision again, as after a restore of the store."""
         document = make_configuration(self.keys, self.revision, self.layout)
         self.store.put("op/config", document)
 
     def start_vm(self, node: Node) -> None:
-        """Starts a gateway's process, for the first time or again."""
+        """Starts or restarts a gateway."""
         node.starts += 1
         starts = self.vm_starts.setdefault(node.name, [])
         starts.append(asyncio.get_running_loop().time())
@@ -231,7 +234,7 @@
             certain_age_max_ms=key_age_max_ms,
             stop_lag_ms=2_600.0,
             stop_limit_ms=7_600.0,
-            polling=self.layout.pace,
+            polling=self.layout.polling,
             retry_ratio=0.15,
             retry_slack=RETRY_SLACK,
             peers=peer_gossip.PeerConfig(
@@ -240,7 +243,7 @@
         )
 
     def kill(self, node: Node) -> None:
-        """Ends a node at once."""
+        """Kills a node's process and resets its connections."""
         node.process.kill()
         self.network.reset_node(node.process)
 
@@ -256,14 +259,14 @@
         node.process = _make_process(node.name, node.hall)
         env = self.network.make_environment(node.process, node.starts)
         is_engine = node.name.startswith("engine")
-        figures = self.layout.figures if is_engine else None
-        keeps_name = self.layout.keeps_names
+        engine_spec = self.layout.engine_spec if is_engine else None
+        keeps_name = self.layout.reuses_names
         start = 1 if keeps_name else node.starts
         replica = platform_replica.PlatformReplica(
-            f"{node.name}.{start}", env, figures, self._engines
+            f"{node.name}.{start}", env, engine_spec, self._engines
         )
         replica.started_ms = int(env.wall_ms()) if keeps_name else 0
-        replica.fatal = self.fatal
+        replica.poison_bodies = self.poison_bodies
         replica.crash = lambda: self.crash_target(node)
         node.replica = replica
         node.state = "ready"
@@ -274,26 +277,30 @@
         node.process.start(lambda: env.serve(replica.make_handler(), address))
         if replica.engine is not None:
             node.process.start(replica.engine.run)
-        node.process.start(lambda: self._keep_listed(node, replica))
+        node.process.start(lambda: self._send_heartbeats(node, replica))
 
     def crash_target(self, node: Node) -> None:
-        """Ends a replica at once; it lapses, and is back after a while."""
+        """Crashes a replica.
+
+        Its entry expires after CRASH_EXPIRY_S; it restarts after
+        CRASH_RESTART_S.
+        """
         replica = node.replica
         self.kill(node)
         loop = asyncio.get_running_loop()
-        context = self.network.neutral
+        context = self.network.neutral_context
 
-        def lapse() -> None:
+        def expire() -> None:
             if node.replica is replica:
                 self.unlist_target(node)
 
-        loop.call_later(CRASH_LAPSE_S, lapse, context=context)
+        loop.call_later(CRASH_EXPIRY_S, expire, context=context)
         loop.call_later(
-            CRASH_DOWN_S, lambda: self.start_target(node), context=context
+            CRASH_RESTART_S, lambda: self.start_target(node), context=context
         )
 
     def list_runs(self, body: bytes) -> list[platform_replica.Run]:
-        """Returns the runs of all calls with a body, in order of time."""
+        """Returns the runs of all requests with a body, in order of time."""
         runs = [
             run
             for replica in self.all_replicas
@@ -302,20 +309,20 @@
         ]
         return sorted(runs, key=lambda each: each.at_s)
 
-    async def serve_stranger(self, node: Node) -> None:
-        """Has a replica that is not listed take over a replica's address."""
+    async def serve_unlisted_replica(self, node: Node) -> None:
+        """Replaces a replica by an unlisted one at the same address."""
         node.starts += 1
         node.process = _make_process(node.name, node.hall)
         env = self.network.make_environment(node.process, node.starts)
-        stranger = platform_replica.PlatformReplica(
+        unlisted = platform_replica.PlatformReplica(
             f"stranger-{node.name}", env, None, self._engines
         )
-        self.all_replicas.append(stranger)
+        self.all_replicas.append(unlisted)
         address = environment.Address(node.name, _REPLICA_PORT)
-        handler = stranger.make_handler()
+        handler = unlisted.make_handler()
         await node.process.start(lambda: env.serve(handler, address))
 
-    async def _keep_listed(
+    async def _send_heartbeats(
         self, node: Node, replica: platform_replica.PlatformReplica
     ) -> None:
         while node.state != UNLISTED:
@@ -323,12 +330,12 @@
             await asyncio.sleep(HEARTBEAT_S)
 
     def drain_target(self, node: Node) -> None:
-        """Has a replica's entry say from now on that it leaves."""
+        """Marks a replica's entry as draining."""
         node.state = "draining"
         self.list_target(node, node.replica, node.state)
 
     def stop_listing(self, node: Node) -> None:
-        """Removes a replica's entry for good; it serves on."""
+        """Removes a replica's entry for good; the replica keeps serving."""
         node.state = UNLISTED
         self.unlist_target(node)
 
@@ -347,10 +354,10 @@
                 "service": "engines" if is_engine else "notices",
                 "address": f"{node.name}:{_REPLICA_PORT}",
                 "zone": node.hall,
-                "slots": self.layout.figures.slots if is_engine else 6,
+                "slots": self.layout.engine_spec.slots if is_engine else 6,
                 "state": state,
                 "sequence": node.sequence,
-                **replica.tell_born(),
+                **replica.make_start_field(),
             },
         )
 
@@ -377,16 +384,18 @@
 def make_configuration(
     keys: dict[str, list[str]], revision: int, layout: Layout = _LAYOUT
 ) -> dict[str, object]:
-    """Returns a configuration with keys by workspace."""
-    document = _make_configuration(keys, revision, layout.figures)
+    """Returns a configuration with API keys by workspace."""
+    document = _make_configuration(keys, revision, layout.engine_spec)
     for route in document["routes"]:
         for name in ("target-latency-ms", "gap_aim_ms"):
-            route[name] = round(route[name] * layout.aim_scale)
+            route[name] = round(route[name] * layout.latency_slo_scale)
     return document
 
 
 def _make_configuration(
-    keys: dict[str, list[str]], revision: int, figures: pass_engine.Figures
+    keys: dict[str, list[str]],
+    revision: int,
+    engine_spec: iteration_engine.EngineSpec,
 ) -> dict[str, object]:
     stream = {"route-type": "streaming", "resumable": True, "max-attempts": 2}
     return {
@@ -417,12 +426,12 @@
             {
                 "name": "engines",
                 "engine": {
-                    "slots": figures.slots,
-                    "kv-capacity": figures.memory_tokens,
-                    "step_ms": figures.step_ms,
-                    "stride": figures.stride,
-                    "read_per_s": figures.read_per_ms * 1000.0,
-                    "pairs_per_m": figures.pairs_ms_per_m,
+                    "slots": engine_spec.slots,
+                    "kv-capacity": engine_spec.memory_tokens,
+                    "step_ms": engine_spec.step_ms,
+                    "stride": engine_spec.stride,
+                    "read_per_s": engine_spec.prefill_tokens_per_ms * 1000.0,
+                    "pairs_per_m": engine_spec.attention_ms_per_m_pairs,
                     "hop_ms": 0.1,
                 },
             },
@@ -436,7 +445,7 @@
 
 
 def make_idle_routes(count: int) -> list[dict[str, object]]:
-    """Returns routes that nobody calls, to make settings large."""
+    """Returns routes that no caller uses, to make the settings large."""
     return [
         _make_route(f"idle-{number}", "notices", 300, 2_000, 0)
         for number in range(count)
@@ -446,9 +455,9 @@
 def _make_route(
     name: str,
     service: str,
-    aim_ms: int,
+    latency_slo_ms: int,
     timeout_ms: int,
-    gap_ms: int,
+    gap_slo_ms: int,
     is_open: bool = False,
     **fields: object,
 ) -> dict[str, object]:
@@ -459,8 +468,8 @@
         "service": service,
         "route-type": "unsafe",
         "timeout-ms": timeout_ms,
-        "target-latency-ms": aim_ms,
-        "gap_aim_ms": gap_ms,
+        "target-latency-ms": latency_slo_ms,
+        "gap_aim_ms": gap_slo_ms,
         "priority": 1,
         "max-attempts": 1,
         "allow-anonymous": is_open,
--- a/standins/rate_limit_schedules.py
+++ b/standins/rate_limit_schedules.py
@@ -1,9 +1,9 @@
-"""Random schedules in which targets name rate limits.
+"""Random schedules in which targets announce rate limits.
 
-`python -m standins.rate_limit_schedules --first 1 --count 100` plays many. The
-limits come, change and end, some are 0 or malformed, while VMs restart, freeze,
-join or are cut off. It prints the seeds in which a target got more requests
-than its limit allows, or another promise was broken.
+`python -m standins.rate_limit_schedules --first 1 --count 100` runs many. The
+limits start, change and end, some are 0 or malformed, while VMs restart,
+freeze, join or are cut off. It prints the seeds in which a target got more
+requests than its limit allows, or another guarantee was violated.
 """
 
 import asyncio
@@ -17,10 +17,10 @@
 
 from standins import gateway_caller
 from standins import gateway_cluster
-from standins import gateway_promises
+from standins import gateway_guarantees
 from standins import gateway_schedules
-from standins import played_seeds
 from standins import rate_limit_check
+from standins import schedule_runner
 from standins import virtual_process
 
 _DURATION_S = 18.0
@@ -42,128 +42,128 @@
     "1e9",
     "1, 3",
 )
-# Neither names a limit nor ends one.
-_ODD_RATES = ("-1", "nan", "many")
+# Malformed values: they neither set a limit nor end one.
+_MALFORMED_RATES = ("-1", "nan", "many")
 _ROUTES = ("short", "short", "short", "once", "open", "open", "safe")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Played:
-    """What came of a schedule.
+class ScheduleResult:
+    """Result of a schedule.
 
     Attributes:
-        broken: What went wrong, a sentence each.
-        counts: How often limits were named, calls counted and withheld.
+        broken: A message for each violation.
+        counts: Calls by status, limits announced, and requests under a limit.
     """
 
     broken: list[str]
     counts: collections.Counter[str]
 
 
-def play(seed: int) -> Played:
-    """Plays one schedule."""
-    chance = random.Random(f"rate limits {seed}")
+def run_schedule(seed: int) -> ScheduleResult:
+    """Runs one schedule."""
+    rng = random.Random(f"rate limits {seed}")
     layout = gateway_cluster.Layout(
-        vms=chance.choice((2, 3, 6, 9)),
-        halls=chance.choice((1, 3)),
-        engines=chance.choice((3, 6, 9)),
-        services=chance.choice((1, 3, 6)),
+        vms=rng.choice((2, 3, 6, 9)),
+        halls=rng.choice((1, 3)),
+        engines=rng.choice((3, 6, 9)),
+        services=rng.choice((1, 3, 6)),
         seed=seed,
-        is_strict=chance.random() < 0.3,
-        keeps_names=chance.random() < 0.5,
+        is_strict=rng.random() < 0.3,
+        reuses_names=rng.random() < 0.5,
     )
-    return virtual_process.run(lambda: _play(layout, chance))
+    return virtual_process.run(lambda: _run(layout, rng))
 
 
-async def _play(
-    layout: gateway_cluster.Layout, chance: random.Random
-) -> Played:
+async def _run(
+    layout: gateway_cluster.Layout, rng: random.Random
+) -> ScheduleResult:
     cluster = gateway_cluster.GatewayCluster(layout)
     await cluster.start()
     caller = gateway_caller.Caller(cluster)
     kinds = (
-        *[gateway_schedules.play_fault] * _FAULTS,
-        *[_name_limits] * _LIMITS,
+        *[gateway_schedules.inject_fault] * _FAULTS,
+        *[_announce_limits] * _LIMITS,
         *[_join_vm] * _JOINS,
     )
     faults = [
-        asyncio.ensure_future(_begin_later(kind, cluster, chance))
+        asyncio.ensure_future(_inject_later(kind, cluster, rng))
         for kind in kinds
     ]
     calls = [
-        _call_later(cluster, caller, chance, number)
+        _call_later(cluster, caller, rng, number)
         for number in range(round(_CALLS_PER_S * _DURATION_S))
     ]
-    got = await asyncio.gather(*calls)
+    results = await asyncio.gather(*calls)
     for fault in faults:
         fault.cancel()
-    # What was set aside for the last calls must lapse by itself.
+    # Reservations for the last calls must expire by themselves.
     await asyncio.sleep(4.0)
-    broken = gateway_promises.find_broken(cluster, got)
-    broken += rate_limit_check.find_excess(cluster, got)
-    return Played(broken, _count(cluster, got))
+    broken = gateway_guarantees.find_broken(cluster, results)
+    broken += rate_limit_check.find_excess(cluster, results)
+    return ScheduleResult(broken, _count(cluster, results))
 
 
-async def _begin_later(kind, cluster, chance) -> None:  # noqa: ANN001
-    await asyncio.sleep(chance.uniform(0.0, _DURATION_S * 0.7))
-    await kind(cluster, chance)
+async def _inject_later(kind, cluster, rng) -> None:  # noqa: ANN001
+    await asyncio.sleep(rng.uniform(0.0, _DURATION_S * 0.7))
+    await kind(cluster, rng)
 
 
 async def _call_later(
     cluster: gateway_cluster.GatewayCluster,
     caller: gateway_caller.Caller,
-    chance: random.Random,
+    rng: random.Random,
     number: int,
-) -> gateway_caller.Got:
-    await asyncio.sleep(chance.uniform(0.0, _DURATION_S))
-    call = gateway_schedules.make_call(chance, cluster, number)
-    if chance.random() < 0.9:
-        route = chance.choice(_ROUTES)
+) -> gateway_caller.CallResult:
+    await asyncio.sleep(rng.uniform(0.0, _DURATION_S))
+    call = gateway_schedules.make_call(rng, cluster, number)
+    if rng.random() < 0.9:
+        route = rng.choice(_ROUTES)
         is_prompt = route in ("short", "once")
         call = dataclasses.replace(
             call,
             route=route,
-            prompt_tokens=chance.randrange(500, 9_000) if is_prompt else 0,
-            output_tokens=chance.randrange(50, 900) if is_prompt else 0,
+            prompt_tokens=rng.randrange(500, 9_000) if is_prompt else 0,
+            output_tokens=rng.randrange(50, 900) if is_prompt else 0,
         )
     return await caller.send(call)
 
 
-async def _name_limits(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+async def _announce_limits(
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
-    """Has some targets name limits, one after the other, and then none."""
-    count = chance.choice((1, 1, 2, 4))
-    names = chance.sample(
+    """Has some targets announce limits in turn, and often none in the end."""
+    count = rng.choice((1, 1, 2, 4))
+    names = rng.sample(
         sorted(cluster.targets), min(count, len(cluster.targets))
     )
     await asyncio.gather(
-        *(_name_limit(cluster.targets[name], chance) for name in names)
+        *(_announce_limit(cluster.targets[name], rng) for name in names)
     )
 
 
-async def _name_limit(
-    node: gateway_cluster.Node, chance: random.Random
+async def _announce_limit(
+    node: gateway_cluster.Node, rng: random.Random
 ) -> None:
     replica = node.replica
-    for _ in range(chance.choice((1, 1, 2))):
-        replica.name_limit(chance.choice(_RATES))
-        await asyncio.sleep(chance.uniform(3.0, 10.0))
-    if chance.random() < 0.2:
-        known = replica.rate_limit
-        replica.rate_limit = chance.choice(_ODD_RATES)
-        await asyncio.sleep(chance.uniform(0.5, 2.0))
-        if replica.rate_limit in _ODD_RATES:
-            replica.rate_limit = known
-    if chance.random() < 0.6:
-        replica.name_limit("")
+    for _ in range(rng.choice((1, 1, 2))):
+        replica.announce_limit(rng.choice(_RATES))
+        await asyncio.sleep(rng.uniform(3.0, 10.0))
+    if rng.random() < 0.2:
+        limit = replica.rate_limit
+        replica.rate_limit = rng.choice(_MALFORMED_RATES)
+        await asyncio.sleep(rng.uniform(0.5, 2.0))
+        if replica.rate_limit in _MALFORMED_RATES:
+            replica.rate_limit = limit
+    if rng.random() < 0.6:
+        replica.announce_limit("")
 
 
 async def _join_vm(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
     number = len(cluster.vms)
-    hall = f"hall-{chance.randrange(cluster.layout.halls)}"
+    hall = f"hall-{rng.randrange(cluster.layout.halls)}"
     process = virtual_process.VirtualProcess("", "")
     node = gateway_cluster.Node(f"vm-{number}", hall, process)
     cluster.start_vm(node)
@@ -173,34 +173,36 @@
 
 def _count(
     cluster: gateway_cluster.GatewayCluster,
-    got: Iterable[gateway_caller.Got],
+    results: Iterable[gateway_caller.CallResult],
 ) -> collections.Counter[str]:
     counts: collections.Counter[str] = collections.Counter()
-    for each in got:
+    for each in results:
         counts[f"status {each.status}"] += 1
     for replica in cluster.all_replicas:
-        counts["limits named"] += len(replica.limits)
-        counts["answers that named a limit"] += len(replica.limits_told)
+        counts["limits announced"] += len(replica.limits)
+        counts["answers that announced a limit"] += len(
+            replica.limit_answer_times_s
+        )
         counts["calls under a limit"] += sum(
             rate_limit_check.find_rate(replica.limits, each.at_s) < float("inf")
             for each in replica.arrivals
         )
         counts["probes and orders under a limit"] += sum(
             rate_limit_check.find_rate(replica.limits, at_s) < float("inf")
-            for at_s in (*replica.orders_s, *replica.probes_s)
+            for at_s in (*replica.order_times_s, *replica.probe_times_s)
         )
     return counts
 
 
 def main(*, first: int = 1, count: int = 20, jobs: int = 1) -> int:
-    """Plays many schedules.
+    """Runs many schedules.
 
     Args:
         first: First seed.
         count: Number of seeds.
-        jobs: Seeds that are played at once, each by a process.
+        jobs: Number of seeds that run in parallel, each in a process.
     """
-    return played_seeds.play_all(play, first, count, jobs)
+    return schedule_runner.run_all(run_schedule, first, count, jobs)
 
 
 if __name__ == "__main__":
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -23,9 +23,9 @@
 from standins import _private
 from standins import gateway_caller
 from standins import gateway_cluster
-from standins import gateway_promises
+from standins import gateway_guarantees
 from standins import gateway_schedules
-from standins import pass_engine
+from standins import iteration_engine
 from standins import platform_replica
 from standins import soak_caller
 from standins import soak_fleet
@@ -106,7 +106,7 @@
             self._chance, folder, sizes.without
         )
         self._fronts: list[int] = []
-        self._got: list[tuple[int, gateway_caller.Got]] = []
+        self._got: list[tuple[int, gateway_caller.CallResult]] = []
         self._leavings: list[soak_withdrawals.Leaving] = []
 
     async def play(self) -> tuple[list[str], dict[int, int]]:
@@ -117,7 +117,7 @@
             # Also when the soak itself fails: nothing of it may stay behind.
             await self._end()
         all_got = [got for _, got in self._got]
-        broken = gateway_promises.find_broken_by(
+        broken = gateway_guarantees.find_broken_by(
             self._replicas, all_got, self._was_disturbed
         )
         broken += soak_withdrawals.find_broken(
@@ -153,7 +153,7 @@
             proxy.mode = soak_proxy.Mode.PASS
         await asyncio.sleep(_SETTLE_S)
 
-    def _was_disturbed(self, got: gateway_caller.Got) -> bool:
+    def _was_disturbed(self, got: gateway_caller.CallResult) -> bool:
         # Everything goes through proxies, any of which may hold bytes back, so
         # lateness tells nothing here; schedules in virtual time check it.
         return True
@@ -209,7 +209,7 @@
         is_engine: bool,
         engines: dict[str, platform_replica.PlatformReplica],
     ) -> None:
-        figures = pass_engine.Figures() if is_engine else None
+        figures = iteration_engine.EngineSpec() if is_engine else None
         replica = platform_replica.PlatformReplica(
             f"replica-{number}", self._env, figures, engines
         )
@@ -245,7 +245,7 @@
             output_tokens=self._chance.randrange(50, 600) if prompt else 0,
             key=self._chance.choice(self._keys),
             time_limit_ms=4_000.0,
-            leaves_after_ms=self._chance.choice((None,) * 6 + (300.0,)),
+            disconnects_after_ms=self._chance.choice((None,) * 6 + (300.0,)),
         )
 
     async def _disturb_on(self, until_s: float) -> None:
@@ -281,7 +281,7 @@
         proxy.mode = soak_proxy.Mode.PASS
 
     async def _spoil_replica(self) -> None:
-        wrong = self._chance.choice(self._replicas).wrong
+        wrong = self._chance.choice(self._replicas).faults
         name = self._chance.choice(
             ("refuse", "fail", "lose", "break_off", "unsigned", "foreign")
         )
@@ -293,15 +293,15 @@
         """Has a replica leave, or shed calls, while the store is away."""
         replica = self._chance.choice(self._replicas)
         if self._chance.random() < 0.4:
-            replica.wrong.retry_after = self._chance.choice(("0.5", "2", "x"))
-            replica.wrong.refuse = 1.0
+            replica.faults.retry_after = self._chance.choice(("0.5", "2", "x"))
+            replica.faults.refuse = 1.0
             await asyncio.sleep(self._chance.uniform(0.3, 1.5))
-            replica.wrong.refuse = 0.0
+            replica.faults.refuse = 0.0
             return
-        if replica.leaving:
+        if replica.draining_hint:
             return
         from_s = time.monotonic()
-        replica.leaving = "1"
+        replica.draining_hint = "1"
         await self._published.play_outage(self._chance.uniform(2.5, 4.0))
         self._replace(replica, from_s)
 
@@ -342,9 +342,9 @@
         replica = self._chance.choice(self._replicas)
         if replica.rate_limit:
             return
-        replica.name_limit(self._chance.choice(("0", "0.5", "1", "3")))
+        replica.announce_limit(self._chance.choice(("0", "0.5", "1", "3")))
         await asyncio.sleep(self._chance.uniform(4.0, 9.0))
-        replica.name_limit("")
+        replica.announce_limit("")
 
     def _replace(
         self, replica: platform_replica.PlatformReplica, from_s: float
@@ -357,13 +357,13 @@
         )
         self._published.take_off(replica)
         replica.name += "n"
-        replica.leaving = ""
+        replica.draining_hint = ""
         self._published.list_anew(replica)
 
     async def _change_settings(self) -> None:
         self._published.publish()
         if self._chance.random() < 0.5:
-            self._store.forget_history()
+            self._store.compact_history()
         if self._chance.random() < 0.7:
             await self._published.play_outage(self._chance.uniform(0.1, 1.0))
 
--- a/standins/soak_rate_limits.py
+++ b/standins/soak_rate_limits.py
@@ -12,7 +12,7 @@
 def find_broken(
     replicas: Iterable[platform_replica.PlatformReplica],
     upsets: Sequence[soak_withdrawals.Upset],
-    all_got: Sequence[tuple[int, gateway_caller.Got]],
+    all_got: Sequence[tuple[int, gateway_caller.CallResult]],
 ) -> list[str]:
     """Returns windows in which gateways sent more than a limit allows.
 
@@ -24,7 +24,7 @@
     gateways = {got.call.request_id: gateway for gateway, got in all_got}
     broken: list[str] = []
     for replica in replicas:
-        passed_on_s = _find_passed_on(replica, all_got)
+        passed_on_s = _find_relayed(replica, all_got)
         counted_s = [
             each.at_s
             for each in replica.arrivals
@@ -35,18 +35,18 @@
                 upsets,
             )
         ]
-        broken += rate_limit_check.find_excess_of(replica, counted_s)
+        broken += rate_limit_check.find_replica_excess(replica, counted_s)
     return broken
 
 
-def _find_passed_on(
+def _find_relayed(
     replica: platform_replica.PlatformReplica,
-    all_got: Iterable[tuple[int, gateway_caller.Got]],
+    all_got: Iterable[tuple[int, gateway_caller.CallResult]],
 ) -> dict[int, float]:
     """Returns when each gateway first passed on an answer with a limit."""
     passed_on_s: dict[int, float] = {}
     for gateway, got in all_got:
-        is_its_own = got.call.request_id in replica.limits_told
+        is_its_own = got.call.request_id in replica.limit_answer_times_s
         if is_its_own and "server-limit" in got.headers:
             at_s = got.sent_s + got.took_ms / 1_000.0
             known_s = passed_on_s.get(gateway, float("inf"))
@@ -65,4 +65,4 @@
         each.gateway == gateway and since_s < each.at_s < at_s
         for each in upsets
     )
-    return at_s >= since_s + rate_limit_check.PASSED_ON_S and not was_upset
+    return at_s >= since_s + rate_limit_check.RELAY_S and not was_upset
--- a/standins/soak_withdrawals.py
+++ b/standins/soak_withdrawals.py
@@ -37,7 +37,7 @@
 def find_broken(
     leavings: Iterable[Leaving],
     upsets: Sequence[Upset],
-    all_got: Sequence[tuple[int, gateway_caller.Got]],
+    all_got: Sequence[tuple[int, gateway_caller.CallResult]],
 ) -> list[str]:
     """Returns calls that a gateway sent on although it had been told.
 
@@ -61,7 +61,7 @@
                 for each in upsets
             )
             late_s = got.sent_s - told_s
-            if late_s > withdrawal_schedules.LEAVE_S and not was_upset:
+            if late_s > withdrawal_schedules.DRAIN_GRACE_S and not was_upset:
                 broken.append(
                     f"{arrival.request_id} reached {leaving.name} "
                     f"{late_s:.1f} s after gateway {gateway} was told"
@@ -72,7 +72,7 @@
 def _find_told_s(
     leaving: Leaving,
     gateway: int,
-    all_got: Iterable[tuple[int, gateway_caller.Got]],
+    all_got: Iterable[tuple[int, gateway_caller.CallResult]],
 ) -> float:
     """Returns when a gateway had passed the first such answer on."""
     ends_s = [
--- a/standins/withdrawal_schedules.py
+++ b/standins/withdrawal_schedules.py
@@ -1,10 +1,10 @@
-"""Random schedules in which targets leave, or want no calls for a while.
+"""Random schedules in which targets drain, or ask callers to back off.
 
-`python -m standins.withdrawal_schedules --first 1 --count 100` plays many,
-among faults of VMs, halls, targets and, more often than elsewhere, of the
-store, so that answers are often the only way to know. It prints the seeds in
-which a VM sent calls to a target that had told it not to, or a promise was
-broken.
+`python -m standins.withdrawal_schedules --first 1 --count 100` runs many, among
+faults of VMs, halls, targets and the store. The store fails more often than in
+other schedules, so that hints in answers are often the only source. It prints
+the seeds in which a VM sent calls to a target that had told it not to, or a
+guarantee was violated.
 """
 
 import asyncio
@@ -18,42 +18,42 @@
 import cyclopts
 
 from ruddergate.fleet import incarnation as incarnations
+from standins import drain_coverage
+from standins import faulty_peer
 from standins import gateway_caller
 from standins import gateway_cluster
-from standins import gateway_promises
+from standins import gateway_guarantees
 from standins import gateway_schedules
-from standins import peer_liar
 from standins import platform_replica
-from standins import played_seeds
+from standins import schedule_runner
 from standins import virtual_process
-from standins import withdrawal_ways
 
 _CALLS = 160
 _DURATION_S = 20.0
 _FAULTS = 4
-_WITHDRAWALS = 5
+_DRAINS = 5
 _OUTAGES = 2
-_LIES = 1
-# A VM that lies tells its words again after this time.
-_LIE_EVERY_S = 0.4
-# A VM that has passed on that a target leaves sends it no calls that come later
-# than this.
-LEAVE_S = 2.0
-# What was on its way when a target refused is borne for so long.
-UNDER_WAY_S = 0.5
-# Calls of a VM that a target bears within a time in which it wants none.
-QUIET_MOST = 2
-_TIMES = ("0.3", "1", "2.5", "6", "-1", "soon", "1e9")
+_FALSE_GOSSIPS = 1
+# A faulty peer repeats its false gossip after this time.
+_FALSE_GOSSIP_INTERVAL_S = 0.4
+# After a VM has relayed the draining hint of a target, it sends the target none
+# of the calls that it receives later than this.
+DRAIN_GRACE_S = 2.0
+# Requests in flight when a target refused are tolerated for this time.
+IN_FLIGHT_S = 0.5
+# Calls of a VM that are tolerated within a target's backoff time.
+MAX_BACKOFF_CALLS = 2
+_RETRY_AFTER_VALUES = ("0.3", "1", "2.5", "6", "-1", "soon", "1e9")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Played:
-    """What came of a schedule.
+class ScheduleResult:
+    """Result of a schedule.
 
     Attributes:
-        broken: What went wrong, a sentence each.
-        statuses: How often callers got each status.
-        counts: How often each way to know of a leaving was taken.
+        broken: A message for each violation.
+        statuses: How often callers received each HTTP status.
+        counts: How often each way to learn of draining occurred.
     """
 
     broken: list[str]
@@ -61,187 +61,192 @@
     counts: collections.Counter[str]
 
 
-def play(seed: int) -> Played:
-    """Plays one schedule."""
-    chance = random.Random(f"withdrawals {seed}")
+def run_schedule(seed: int) -> ScheduleResult:
+    """Runs one schedule."""
+    rng = random.Random(f"withdrawals {seed}")
     layout = gateway_cluster.Layout(
-        vms=chance.choice((1, 3, 6, 9)),
-        halls=chance.choice((1, 3)),
-        engines=chance.choice((3, 6, 12)),
-        services=chance.choice((1, 3, 6)),
+        vms=rng.choice((1, 3, 6, 9)),
+        halls=rng.choice((1, 3)),
+        engines=rng.choice((3, 6, 12)),
+        services=rng.choice((1, 3, 6)),
         seed=seed,
-        is_strict=chance.random() < 0.3,
-        keeps_names=chance.random() < 0.5,
+        is_strict=rng.random() < 0.3,
+        reuses_names=rng.random() < 0.5,
     )
-    return virtual_process.run(lambda: _play(layout, chance))
+    return virtual_process.run(lambda: _run(layout, rng))
 
 
-async def _play(
-    layout: gateway_cluster.Layout, chance: random.Random
-) -> Played:
+async def _run(
+    layout: gateway_cluster.Layout, rng: random.Random
+) -> ScheduleResult:
     cluster = gateway_cluster.GatewayCluster(layout)
     await cluster.start()
     caller = gateway_caller.Caller(cluster)
-    ways: collections.Counter[str] = collections.Counter()
+    counts: collections.Counter[str] = collections.Counter()
     kinds = (
-        *[gateway_schedules.play_fault] * _FAULTS,
-        *[functools.partial(_withdraw_target, ways)] * _WITHDRAWALS,
-        *[_trouble_store] * _OUTAGES,
-        *[functools.partial(_lie, ways)] * _LIES,
+        *[gateway_schedules.inject_fault] * _FAULTS,
+        *[functools.partial(_drain_target, counts)] * _DRAINS,
+        *[_fail_store] * _OUTAGES,
+        *[functools.partial(_send_false_gossip, counts)] * _FALSE_GOSSIPS,
     )
     faults = [
-        asyncio.ensure_future(_begin_later(kind, cluster, chance))
+        asyncio.ensure_future(_inject_later(kind, cluster, rng))
         for kind in kinds
     ]
-    calls = [_call_later(cluster, caller, chance, n) for n in range(_CALLS)]
-    got = await asyncio.gather(*calls)
+    calls = [_call_later(cluster, caller, rng, n) for n in range(_CALLS)]
+    results = await asyncio.gather(*calls)
     for fault in faults:
         fault.cancel()
-    # What was set aside for the last calls must lapse by itself.
+    # Reservations for the last calls must expire by themselves.
     await asyncio.sleep(4.0)
-    broken = gateway_promises.find_broken(cluster, got)
-    broken += find_calls_after_leaving(cluster, got)
-    broken += find_calls_in_quiet(cluster, got)
-    await _rest(cluster)
-    broken += withdrawal_ways.find_wrongly_withdrawn(cluster)
-    ways += withdrawal_ways.count_ways(cluster.all_gateways)
-    return Played(broken, gateway_schedules.count_statuses(got), ways)
-
-
-async def _rest(cluster: gateway_cluster.GatewayCluster) -> None:
-    """Ends all trouble, and lets VMs find out what is so."""
-    cluster.store.trouble = ""
+    broken = gateway_guarantees.find_broken(cluster, results)
+    broken += find_calls_after_drain(cluster, results)
+    broken += find_calls_during_backoff(cluster, results)
+    await _settle(cluster)
+    broken += drain_coverage.find_wrongly_draining(cluster)
+    counts += drain_coverage.count_coverage(cluster.all_gateways)
+    return ScheduleResult(
+        broken, gateway_schedules.count_statuses(results), counts
+    )
+
+
+async def _settle(cluster: gateway_cluster.GatewayCluster) -> None:
+    """Ends all faults, and waits until VMs know the current state."""
+    cluster.store.failure = ""
     cluster.network.cuts.clear()
     for node in (*cluster.vms.values(), *cluster.targets.values()):
         if node.process.is_frozen:
-            node.process.wake()
-    await asyncio.sleep(withdrawal_ways.REST_S)
+            node.process.resume()
+    await asyncio.sleep(drain_coverage.SETTLE_S)
 
 
-async def _begin_later(kind, cluster, chance) -> None:  # noqa: ANN001
-    await asyncio.sleep(chance.uniform(0.0, _DURATION_S))
-    await kind(cluster, chance)
+async def _inject_later(kind, cluster, rng) -> None:  # noqa: ANN001
+    await asyncio.sleep(rng.uniform(0.0, _DURATION_S))
+    await kind(cluster, rng)
 
 
 async def _call_later(
     cluster: gateway_cluster.GatewayCluster,
     caller: gateway_caller.Caller,
-    chance: random.Random,
+    rng: random.Random,
     number: int,
-) -> gateway_caller.Got:
-    call = gateway_schedules.make_call(chance, cluster, number)
-    if chance.random() < 0.3:
+) -> gateway_caller.CallResult:
+    call = gateway_schedules.make_call(rng, cluster, number)
+    if rng.random() < 0.3:
         call = dataclasses.replace(
             call, route="open", prompt_tokens=0, output_tokens=0
         )
-    await asyncio.sleep(chance.uniform(0.0, _DURATION_S))
+    await asyncio.sleep(rng.uniform(0.0, _DURATION_S))
     return await caller.send(call)
 
 
-async def _trouble_store(
-    cluster: gateway_cluster.GatewayCluster, chance: random.Random
+async def _fail_store(
+    cluster: gateway_cluster.GatewayCluster, rng: random.Random
 ) -> None:
-    await gateway_schedules.trouble_store(cluster, chance, 3.0, 9.0)
+    await gateway_schedules.fail_store(cluster, rng, 3.0, 9.0)
 
 
-async def _withdraw_target(
-    ways: collections.Counter[str],
+async def _drain_target(
+    counts: collections.Counter[str],
     cluster: gateway_cluster.GatewayCluster,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    node = cluster.targets[chance.choice(sorted(cluster.targets))]
+    node = cluster.targets[rng.choice(sorted(cluster.targets))]
     if node.process.is_dead:
         return
-    if chance.random() < 0.4:
-        await _shed(node.replica, chance)
+    if rng.random() < 0.4:
+        await _shed_load(node.replica, rng)
         return
-    if chance.random() < 0.3:
-        ways[withdrawal_ways.BACK_UNLISTED] += 1
+    if rng.random() < 0.3:
+        counts[drain_coverage.RESTARTED_UNLISTED] += 1
         cluster.kill(node)
         cluster.start_target(node)
-    # The list is told late, or not at all, as while the store is away.
+    # The store learns of it late, or not at all, as in an outage of the store.
     replica = node.replica
-    word = chance.choice(("1", "1", "1", "true", ""))
-    if not replica.has_told:
-        # A target that has said it does not unsay it.
-        replica.leaving = word
-    await asyncio.sleep(chance.uniform(0.5, 8.0))
-    if not replica.started_ms and chance.random() < 0.3:
-        ways[withdrawal_ways.START_LATE] += 1
+    hint = rng.choice(("1", "1", "1", "true", ""))
+    if not replica.has_announced_draining:
+        # A target that has announced draining never takes it back.
+        replica.draining_hint = hint
+    await asyncio.sleep(rng.uniform(0.5, 8.0))
+    if not replica.started_ms and rng.random() < 0.3:
+        counts[drain_coverage.LATE_START_FIELD] += 1
         replica.started_ms = round(asyncio.get_running_loop().time() * 1_000.0)
-        await asyncio.sleep(chance.uniform(0.5, 8.0))
+        await asyncio.sleep(rng.uniform(0.5, 8.0))
     if node.process.is_dead or node.replica is not replica:
         return
     cluster.kill(node)
     cluster.unlist_target(node)
-    await asyncio.sleep(chance.uniform(0.2, 2.0))
+    await asyncio.sleep(rng.uniform(0.2, 2.0))
     if node.process.is_dead:
         cluster.start_target(node)
 
 
-async def _lie(
-    ways: collections.Counter[str],
+async def _send_false_gossip(
+    counts: collections.Counter[str],
     cluster: gateway_cluster.GatewayCluster,
-    chance: random.Random,
+    rng: random.Random,
 ) -> None:
-    """Has a peer tell of some targets, again and again, that they leave."""
-    ways[withdrawal_ways.LIED] += 1
-    names = chance.sample(sorted(cluster.targets), 2)
+    """Has a faulty peer gossip repeatedly that some targets are draining."""
+    counts[drain_coverage.FALSE_GOSSIP] += 1
+    names = rng.sample(sorted(cluster.targets), 2)
     replicas = [cluster.targets[name].replica for name in names]
-    lives_told = [
+    draining = [
         incarnations.Incarnation(each.name, each.started_ms)
         for each in replicas
     ]
-    words = tuple(map(incarnations.format_incarnation, lives_told))
-    for number in range(1, chance.randrange(2, 20)):
-        await peer_liar.tell_leaving(cluster, number, words)
-        await asyncio.sleep(_LIE_EVERY_S)
+    formatted = tuple(map(incarnations.format_incarnation, draining))
+    for number in range(1, rng.randrange(2, 20)):
+        await faulty_peer.announce_draining(cluster, number, formatted)
+        await asyncio.sleep(_FALSE_GOSSIP_INTERVAL_S)
 
 
-async def _shed(
-    replica: platform_replica.PlatformReplica, chance: random.Random
+async def _shed_load(
+    replica: platform_replica.PlatformReplica, rng: random.Random
 ) -> None:
-    replica.wrong.retry_after = chance.choice(_TIMES)
-    replica.wrong.refuse = chance.uniform(0.3, 1.0)
-    await asyncio.sleep(chance.uniform(1.0, 6.0))
-    replica.wrong.refuse = 0.0
+    replica.faults.retry_after = rng.choice(_RETRY_AFTER_VALUES)
+    replica.faults.refuse = rng.uniform(0.3, 1.0)
+    await asyncio.sleep(rng.uniform(1.0, 6.0))
+    replica.faults.refuse = 0.0
 
 
-def find_calls_after_leaving(
-    cluster: gateway_cluster.GatewayCluster, got: Iterable[gateway_caller.Got]
+def find_calls_after_drain(
+    cluster: gateway_cluster.GatewayCluster,
+    results: Iterable[gateway_caller.CallResult],
 ) -> list[str]:
-    """Returns calls that a VM sent to a target that had told it to leave."""
-    by_id = {each.call.request_id: each for each in got}
-    heads = _find_heads(cluster, by_id.values())
+    """Returns calls that a VM sent to a target after relaying its hint."""
+    by_id = {each.call.request_id: each for each in results}
+    hinting = _find_hinting_replicas(cluster, by_id.values())
     broken: list[str] = []
     for replica in cluster.all_replicas:
-        told_s = _find_told(replica, heads, by_id.values())
+        relayed_at_s = _find_relayed(replica, hinting, by_id.values())
         for arrival in replica.arrivals:
             call = by_id[arrival.request_id]
             vm = call.call.vm
-            since_s = told_s.get(vm, float("inf"))
-            is_late = call.sent_s > since_s + LEAVE_S
+            since_s = relayed_at_s.get(vm, float("inf"))
+            is_late = call.sent_s > since_s + DRAIN_GRACE_S
             if is_late and gateway_schedules.ran_undisturbed(
                 cluster, vm, since_s, arrival.at_s
             ):
                 late_ms = round((arrival.at_s - since_s) * 1_000.0)
                 broken.append(
                     f"{arrival.request_id} reached {replica.name} {late_ms} ms "
-                    f"after {vm} had passed on that it leaves"
+                    f"after {vm} had relayed its draining hint"
                 )
     return broken
 
 
-def _find_heads(
-    cluster: gateway_cluster.GatewayCluster, got: Iterable[gateway_caller.Got]
+def _find_hinting_replicas(
+    cluster: gateway_cluster.GatewayCluster,
+    results: Iterable[gateway_caller.CallResult],
 ) -> dict[str, platform_replica.PlatformReplica]:
-    """Returns whose head each caller got, of those that say of leaving.
+    """Returns the replica behind each answer whose head has a draining hint.
 
-    A call may have been sent to others before, and its stream may have gone on
-    elsewhere. The signature names the replica; the life is the one that ran it.
+    A call may have been sent to other replicas before, and its stream may have
+    been resumed on another one. The signature names the replica; its
+    incarnation is the one that ran the call.
     """
-    heads: dict[str, platform_replica.PlatformReplica] = {}
-    for each in got:
+    hinting: dict[str, platform_replica.PlatformReplica] = {}
+    for each in results:
         if each.headers.get("server-leaving") != "1":
             continue
         request_id = each.call.request_id
@@ -250,68 +255,70 @@
             is_named = signature == f"{replica.name}.{request_id}"
             ran = any(run.request_id == request_id for run in replica.runs)
             if is_named and ran:
-                heads.setdefault(request_id, replica)
-    return heads
+                hinting.setdefault(request_id, replica)
+    return hinting
 
 
-def _find_told(
+def _find_relayed(
     replica: platform_replica.PlatformReplica,
-    heads: dict[str, platform_replica.PlatformReplica],
-    got: Iterable[gateway_caller.Got],
+    hinting: dict[str, platform_replica.PlatformReplica],
+    results: Iterable[gateway_caller.CallResult],
 ) -> dict[str, float]:
-    """Returns when each VM first passed on that a replica leaves.
+    """Returns when each VM first relayed the draining hint of a replica.
 
     Args:
-        replica: One life of a replica.
-        heads: Whose head the callers of each call got, see `_find_heads`.
-        got: What callers got.
+        replica: One incarnation of a replica.
+        hinting: Replica behind the answer to each call; see
+            `_find_hinting_replicas`.
+        results: What callers received.
     """
-    told_s: dict[str, float] = {}
-    for each in got:
-        if heads.get(each.call.request_id) is not replica:
+    relayed_at_s: dict[str, float] = {}
+    for each in results:
+        if hinting.get(each.call.request_id) is not replica:
             continue
         at_s = each.sent_s + (each.first_ms or each.took_ms) / 1_000.0
         vm = each.call.vm
-        told_s[vm] = min(at_s, told_s.get(vm, float("inf")))
-    return told_s
+        relayed_at_s[vm] = min(at_s, relayed_at_s.get(vm, float("inf")))
+    return relayed_at_s
 
 
-def find_calls_in_quiet(
-    cluster: gateway_cluster.GatewayCluster, got: Iterable[gateway_caller.Got]
+def find_calls_during_backoff(
+    cluster: gateway_cluster.GatewayCluster,
+    results: Iterable[gateway_caller.CallResult],
 ) -> list[str]:
-    """Returns where a VM sent too much within a time that was told it."""
-    vms = {each.call.request_id: each.call.vm for each in got}
+    """Returns where a VM sent too many calls within a backoff time."""
+    vms = {each.call.request_id: each.call.vm for each in results}
     broken: list[str] = []
     for replica in cluster.all_replicas:
-        for told in replica.arrivals:
-            vm = vms[told.request_id]
-            until_s = told.at_s + told.quiet_s
+        for arrival in replica.arrivals:
+            vm = vms[arrival.request_id]
+            until_s = arrival.at_s + arrival.backoff_s
             within = [
                 each
                 for each in replica.arrivals
                 if vms[each.request_id] == vm
-                and told.at_s + UNDER_WAY_S < each.at_s < until_s
+                and arrival.at_s + IN_FLIGHT_S < each.at_s < until_s
                 and gateway_schedules.ran_undisturbed(
-                    cluster, vm, told.at_s, each.at_s
+                    cluster, vm, arrival.at_s, each.at_s
                 )
             ]
-            if len(within) > QUIET_MOST:
+            if len(within) > MAX_BACKOFF_CALLS:
                 broken.append(
                     f"{vm} sent {replica.name} {len(within)} calls within "
-                    f"{told.quiet_s} s for which it wanted none"
+                    f"its backoff time of {arrival.backoff_s} s"
                 )
     return broken
 
 
 def main(*, first: int = 1, count: int = 20, jobs: int = 1) -> int:
-    """Plays many schedules, and counts the ways that they took.
+    """Runs many schedules, and counts how VMs learned of draining.
 
     Args:
         first: First seed.
         count: Number of seeds.
-        jobs: Seeds that are played at once, each by a process.
+        jobs: Number of seeds that run in parallel, each in a process.
     """
-    return played_seeds.play_all(play, first, count, jobs)
+    return schedule_runner.run_all(run_schedule, first, count, jobs)
 
 
 if __name__ == "__main__":
--- a/tests/gateway_fixture.py
+++ b/tests/gateway_fixture.py
@@ -26,7 +26,7 @@
 
     async def call(
         self, route: str, vm: str = "vm-0", **fields: object
-    ) -> gateway_caller.Got:
+    ) -> gateway_caller.CallResult:
         """Sends one request and returns its response."""
         self._count += 1
         if route in ("short", "once"):
@@ -34,7 +34,9 @@
         call = gateway_caller.Call(f"r{self._count}", route, vm, **fields)
         return await self.caller.send(call)
 
-    def find_runs(self, got: gateway_caller.Got) -> list[platform_replica.Run]:
+    def find_runs(
+        self, got: gateway_caller.CallResult
+    ) -> list[platform_replica.Run]:
         """Returns the runs of a request on all replicas."""
         return [
             run
@@ -93,7 +95,7 @@
         chosen = [name for name in names if name.startswith(prefix)][:count]
         for name in chosen:
             for field, value in faults.items():
-                setattr(self.cluster.targets[name].replica.wrong, field, value)
+                setattr(self.cluster.targets[name].replica.faults, field, value)
 
 
 def run_scenario(
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -8,7 +8,7 @@
 
 from standins import gateway_caller
 from standins import gateway_cluster
-from standins import gateway_promises
+from standins import gateway_guarantees
 from tests import gateway_fixture
 
 _CRASHING_BODY = b"a prompt that ends engines"
@@ -36,7 +36,7 @@
 
     def test_request_that_crashed_three_engines_is_not_sent_again(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            fixture.cluster.fatal.add(_CRASHING_BODY)
+            fixture.cluster.poison_bodies.add(_CRASHING_BODY)
             vms = len(fixture.cluster.vms)
             for number in range(12):
                 got = await fixture.call(
@@ -51,7 +51,7 @@
 
     def test_restarted_replicas_count_as_separate_incarnations(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            fixture.cluster.fatal.add(_CRASHING_BODY)
+            fixture.cluster.poison_bodies.add(_CRASHING_BODY)
             for number in range(10):
                 await fixture.call(
                     "short", f"vm-{number % 3}", body=_CRASHING_BODY
@@ -61,12 +61,12 @@
             self.assertLessEqual(len(runs), _MAX_CRASHED)
 
         gateway_fixture.run_scenario(
-            scenario, engines=2, halls=1, keeps_names=True
+            scenario, engines=2, halls=1, reuses_names=True
         )
 
     def test_concurrent_attempts_on_many_vms_stop_soon(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            fixture.cluster.fatal.add(_CRASHING_BODY)
+            fixture.cluster.poison_bodies.add(_CRASHING_BODY)
             for _ in range(3):
                 await asyncio.gather(
                     *(
@@ -86,7 +86,7 @@
 
     def test_concurrent_requests_are_served(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            fixture.cluster.fatal.add(_CRASHING_BODY)
+            fixture.cluster.poison_bodies.add(_CRASHING_BODY)
             concurrent = [
                 asyncio.ensure_future(
                     fixture.call(
@@ -102,10 +102,10 @@
             for number in range(4):
                 await fixture.call("short", f"vm-{number}", body=_CRASHING_BODY)
             got = await asyncio.gather(*concurrent)
-            failed = [each for each in got if not each.is_whole]
+            failed = [each for each in got if not each.is_complete]
             self.assertEqual(failed, [])
             self.assertEqual(
-                gateway_promises.find_broken(fixture.cluster, got), []
+                gateway_guarantees.find_broken(fixture.cluster, got), []
             )
             # None of them is taken for the cause of a crash either.
             for number in range(24):
@@ -134,7 +134,7 @@
         self, restarted: tuple[str, ...], wait_s: float
     ) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            fixture.cluster.fatal.add(_CRASHING_BODY)
+            fixture.cluster.poison_bodies.add(_CRASHING_BODY)
             for vm in ("vm-0", "vm-1"):
                 await fixture.call("short", vm, body=_CRASHING_BODY)
             runs_before = len(fixture.cluster.list_runs(_CRASHING_BODY))
@@ -155,7 +155,7 @@
     def test_hall_learns_of_it_after_a_partition(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
-            cluster.fatal.add(_CRASHING_BODY)
+            cluster.poison_bodies.add(_CRASHING_BODY)
             cut = gateway_cluster.virtual_network.Cut("hall-2", "")
             cluster.network.cuts.append(cut)
             for vm in ("vm-0", "vm-1"):
@@ -177,7 +177,7 @@
     def test_large_fleet_learns_of_it_in_time(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
-            cluster.fatal.add(_CRASHING_BODY)
+            cluster.poison_bodies.add(_CRASHING_BODY)
             for vm in ("vm-0", "vm-1"):
                 await fixture.call("short", vm, body=_CRASHING_BODY)
             await asyncio.sleep(1.0)
@@ -218,7 +218,7 @@
             got = await asyncio.gather(*calls)
             refused = [each for each in got if b"quarantined" in each.body]
             self.assertEqual(refused, [])
-            served = sum(each.is_whole for each in got)
+            served = sum(each.is_complete for each in got)
             self.assertGreater(served, 0.97 * len(got))
 
         gateway_fixture.run_scenario(scenario, vms=6, engines=len(_ENGINES))
@@ -256,7 +256,9 @@
                         if not node.process.is_dead:
                             fixture.cluster.crash_target(node)
 
-            async def send_twice(number: int) -> list[gateway_caller.Got]:
+            async def send_twice(
+                number: int,
+            ) -> list[gateway_caller.CallResult]:
                 attempts = []
                 for vm in (f"vm-{number % 6}", f"vm-{(number + 1) % 6}"):
                     got = await fixture.call(
@@ -268,7 +270,7 @@
                         time_limit_ms=15_000.0,
                     )
                     attempts.append(got)
-                    if got.is_whole and got.status == 200:
+                    if got.is_complete and got.status == 200:
                         break
                 return attempts
 
--- a/tests/test_digest_cost.py
+++ b/tests/test_digest_cost.py
@@ -27,8 +27,10 @@
 class DigestCostTest(unittest.TestCase):
     def test_receiving_a_digest_takes_few_function_calls(self) -> None:
         datagrams = digest_cost.make_datagrams(rounds=4)
-        changes = digest_cost.hear(datagrams)
-        calls = digest_cost.count_calls(lambda: digest_cost.hear(datagrams))
+        changes = digest_cost.merge_datagrams(datagrams)
+        calls = digest_cost.count_calls(
+            lambda: digest_cost.merge_datagrams(datagrams)
+        )
         self.assertLessEqual(calls / changes, _MAX_CALLS)
 
 
--- a/tests/test_drain_delay.py
+++ b/tests/test_drain_delay.py
@@ -55,7 +55,7 @@
 
 async def _restore_store(fixture: gateway_fixture.Fixture, reader: str) -> None:
     """Restores the store from a copy that is two seconds old."""
-    copy = fixture.cluster.store.take_copy()
+    copy = fixture.cluster.store.take_snapshot()
     await asyncio.sleep(2.0)
     fixture.cluster.store.restore(copy)
 
--- a/tests/test_drain_gossip.py
+++ b/tests/test_drain_gossip.py
@@ -12,8 +12,8 @@
 
 import loguru
 
+from standins import faulty_peer
 from standins import gateway_cluster
-from standins import peer_liar
 from tests import gateway_fixture
 
 # A target that is falsely reported as draining is used again within this time.
@@ -68,9 +68,9 @@
     def test_reports_of_a_peer_do_not_evict_draining_hints(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
-            cluster.store.trouble = "busy"
+            cluster.store.failure = "busy"
             replica = cluster.targets["service-0"].replica
-            replica.leaving = "1"
+            replica.draining_hint = "1"
             await fixture.call_until_draining_hint(replica, "open")
             for first in range(
                 0, _MAX_REMEMBERED + _REPORTS_PER_DIGEST, _REPORTS_PER_DIGEST
@@ -79,7 +79,9 @@
                     f"none-{first + each}"
                     for each in range(_REPORTS_PER_DIGEST)
                 )
-                await peer_liar.tell_leaving(cluster, first + 1, tuple(reports))
+                await faulty_peer.announce_draining(
+                    cluster, first + 1, tuple(reports)
+                )
                 await asyncio.sleep(0.1)
             await asyncio.sleep(_MAX_DRAIN_DELAY_S)
             self.assertEqual(await fixture.count_arrivals(replica, "open"), 0)
@@ -90,7 +92,7 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             replica = cluster.targets["service-0"].replica
-            replica.leaving = "1"
+            replica.draining_hint = "1"
             await fixture.call_until_draining_hint(replica, "open")
             await asyncio.sleep(_GOSSIP_DURATION_S + 1.0)
             node = cluster.vms["vm-3"]
@@ -110,5 +112,5 @@
     number = 0
     while True:
         number += 1
-        await peer_liar.tell_leaving(cluster, number, reports)
+        await faulty_peer.announce_draining(cluster, number, reports)
         await asyncio.sleep(0.5)
--- a/tests/test_drain_hints.py
+++ b/tests/test_drain_hints.py
@@ -47,10 +47,10 @@
     def _check_no_late_requests(self, target_name: str, route: str) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
-            cluster.store.trouble = "busy"
+            cluster.store.failure = "busy"
             await asyncio.sleep(0.5)
             replica = cluster.targets[target_name].replica
-            replica.leaving = "1"
+            replica.draining_hint = "1"
             calls = []
             for number in range(round(_RUN_S / _REQUEST_INTERVAL_S)):
                 vm = f"vm-{number % len(cluster.vms)}"
@@ -68,7 +68,7 @@
 
 
 def _find_late_requests(
-    got: list[gateway_caller.Got], vm: str, arrived: set[str]
+    got: list[gateway_caller.CallResult], vm: str, arrived: set[str]
 ) -> list[str]:
     """Returns requests that a VM sent there too long after a hint."""
     own = [each for each in got if each.call.vm == vm]
@@ -95,9 +95,9 @@
     def test_peers_learn_of_it(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
-            cluster.store.trouble = "busy"
+            cluster.store.failure = "busy"
             replica = cluster.targets["service-0"].replica
-            replica.leaving = "1"
+            replica.draining_hint = "1"
             await fixture.call("open", "vm-0")
             self.assertEqual(len(replica.arrivals), 1)
             await asyncio.sleep(0.2)
@@ -112,11 +112,11 @@
     def test_partitioned_vm_learns_of_it_after_the_partition(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
-            cluster.store.trouble = "busy"
+            cluster.store.failure = "busy"
             replica = cluster.targets["service-0"].replica
             cut = gateway_cluster.virtual_network.Cut("vm-3", "")
             cluster.network.cuts.append(cut)
-            replica.leaving = "1"
+            replica.draining_hint = "1"
             await fixture.call("open", "vm-0")
             await asyncio.sleep(5.0)
             cluster.network.cuts.remove(cut)
@@ -133,14 +133,14 @@
         # reservation with a draining hint was named to the writer all the same.
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
-            cluster.store.trouble = "busy"
+            cluster.store.failure = "busy"
             draining_names = ("engine-0", "engine-1", "engine-2")
             for name in draining_names:
-                cluster.targets[name].replica.leaving = "1"
+                cluster.targets[name].replica.draining_hint = "1"
             got = await fixture.call(
                 "long", prompt_tokens=600_000, output_tokens=460
             )
-            self.assertEqual((got.status, got.is_whole), (200, True))
+            self.assertEqual((got.status, got.is_complete), (200, True))
             for name in draining_names:
                 replica = cluster.targets[name].replica
                 self.assertEqual((replica.helped, replica.runs), (0, []))
@@ -152,14 +152,14 @@
         # was left, one that had failed the request was used again.
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
-            cluster.store.trouble = "busy"
+            cluster.store.failure = "busy"
             fixture.inject_faults("engine", break_off=1.0)
             first, other = (
                 cluster.targets[f"engine-{number}"].replica for number in (0, 1)
             )
-            first.leaving = other.leaving = "1"
+            first.draining_hint = other.draining_hint = "1"
             got = await fixture.call("short")
-            self.assertFalse(got.is_whole)
+            self.assertFalse(got.is_complete)
             arrivals = len(first.arrivals) + len(other.arrivals)
             self.assertLessEqual(arrivals, 2)
             for _ in range(4):
@@ -176,7 +176,7 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             node = cluster.targets["service-0"]
-            node.replica.leaving = "1"
+            node.replica.draining_hint = "1"
             await fixture.call("open")
             cluster.kill(node)
             cluster.start_target(node)
@@ -185,15 +185,15 @@
                 await fixture.call("open")
             self.assertGreater(len(node.replica.arrivals), 0)
 
-        gateway_fixture.run_scenario(scenario, keeps_names=True)
+        gateway_fixture.run_scenario(scenario, reuses_names=True)
 
     def test_requests_are_refused_at_once_when_all_targets_drain(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
-            cluster.store.trouble = "busy"
+            cluster.store.failure = "busy"
             for number in range(3):
                 replica = cluster.targets[f"service-{number}"].replica
-                replica.leaving = "1"
+                replica.draining_hint = "1"
             for vm in cluster.vms:
                 await fixture.call("open", vm)
             await asyncio.sleep(0.2)
@@ -211,7 +211,7 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             for hint in ("0", "2", "true", "-1"):
                 replica = fixture.cluster.targets["service-0"].replica
-                replica.leaving = hint
+                replica.draining_hint = hint
                 arrivals = len(replica.arrivals)
                 for _ in range(3):
                     got = await fixture.call("open")
--- a/tests/test_early_drain_hints.py
+++ b/tests/test_early_drain_hints.py
@@ -38,7 +38,7 @@
     def _check_late_start(self, name: str, route: str) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             replica = fixture.cluster.targets[name].replica
-            replica.leaving = "1"
+            replica.draining_hint = "1"
             await fixture.call_until_draining_hint(replica, route)
             replica.started_ms = round(
                 asyncio.get_running_loop().time() * 1000.0
@@ -54,20 +54,20 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             node = cluster.targets["service-0"]
-            cluster.store.trouble = "busy"
+            cluster.store.failure = "busy"
             cluster.kill(node)
             await asyncio.sleep(0.1)
             cluster.start_target(node)
-            node.replica.leaving = "1"
+            node.replica.draining_hint = "1"
             await asyncio.sleep(0.1)
             await fixture.call_until_draining_hint(node.replica, "open")
-            cluster.store.trouble = ""
+            cluster.store.failure = ""
             await asyncio.sleep(_HEARTBEAT_S + _MAX_DRAIN_DELAY_S)
             arrivals = await fixture.count_arrivals(node.replica, "open")
             self.assertEqual(arrivals, 0)
 
         gateway_fixture.run_scenario(
-            scenario, vms=_VMS, keeps_names=True, is_strict=False, services=1
+            scenario, vms=_VMS, reuses_names=True, is_strict=False, services=1
         )
 
     def test_next_incarnation_without_a_hint_is_used_within_a_second(
@@ -76,7 +76,7 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             node = cluster.targets["service-0"]
-            node.replica.leaving = "1"
+            node.replica.draining_hint = "1"
             await fixture.call_until_draining_hint(node.replica, "open")
             cluster.kill(node)
             cluster.start_target(node)
@@ -84,4 +84,4 @@
             arrivals = await fixture.count_arrivals(node.replica, "open")
             self.assertGreater(arrivals, 0)
 
-        gateway_fixture.run_scenario(scenario, vms=_VMS, keeps_names=True)
+        gateway_fixture.run_scenario(scenario, vms=_VMS, reuses_names=True)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -217,7 +217,7 @@
                 self.assertEqual(
                     (await fixture.call("unsafe", name)).status, 200
                 )
-                self.assertEqual(await fixture.caller.ask_ready(name), 200)
+                self.assertEqual(await fixture.caller.check_ready(name), 200)
             # These VMs also refuse a key that is removed meanwhile.
             fixture.cluster.keys = {"w1": ["another"]}
             fixture.cluster.publish()
@@ -237,7 +237,7 @@
             cluster = fixture.cluster
             routes = gateway_cluster.make_idle_routes(1_500)
             # 10 Mbit/s; settings of about 340 KB.
-            cluster.network.thin_links["vm-3"] = 1_250_000.0
+            cluster.network.slow_links["vm-3"] = 1_250_000.0
             cluster.publish(routes=routes)
             before = cluster.store.calls
             seconds = 6.0
@@ -274,7 +274,7 @@
 
     def test_peers_do_not_renew_freshness_during_an_outage(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            fixture.cluster.store.trouble = "busy"
+            fixture.cluster.store.failure = "busy"
             await asyncio.sleep(5.0)
             for name, node in fixture.cluster.vms.items():
                 self.assertGreater(_find_age_ms(node), 4_800.0)
@@ -285,7 +285,7 @@
             await asyncio.sleep(10.0)
             # If each VM called the store every 0.4 s, that would be 225 calls.
             self.assertLess(fixture.cluster.store.calls - before, 130)
-            fixture.cluster.store.trouble = ""
+            fixture.cluster.store.failure = ""
             await asyncio.sleep(1.5)
             for node in fixture.cluster.vms.values():
                 self.assertLess(_find_age_ms(node), 1_500.0)
@@ -295,11 +295,11 @@
     def test_expired_entries_do_not_empty_a_hall_with_followers(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             store = fixture.cluster.store
-            store.trouble = "busy"
+            store.failure = "busy"
             await asyncio.sleep(4.0)
             for node in fixture.cluster.targets.values():
                 fixture.cluster.unlist_target(node)
-            store.trouble = ""
+            store.failure = ""
             # Live targets are listed again within 1.2 s.
             for _ in range(12):
                 await asyncio.sleep(0.1)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -5,7 +5,7 @@
 
 import loguru
 
-from standins import gateway_promises
+from standins import gateway_guarantees
 from tests import gateway_fixture
 
 
@@ -18,9 +18,9 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             for route in ("short", "once", "unsafe", "safe", "open"):
                 got = await fixture.call(route)
-                self.assertEqual((got.status, got.is_whole), (200, True))
+                self.assertEqual((got.status, got.is_complete), (200, True))
                 self.assertEqual(
-                    gateway_promises.find_broken(fixture.cluster, [got]), []
+                    gateway_guarantees.find_broken(fixture.cluster, [got]), []
                 )
                 self.assertEqual(len(fixture.find_runs(got)), 1)
 
@@ -57,7 +57,7 @@
         self,
     ) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            fixture.cluster.store.trouble = "silent"
+            fixture.cluster.store.failure = "silent"
             node = fixture.cluster.vms["vm-0"]
             fixture.cluster.kill(node)
             fixture.cluster.start_vm(node)
@@ -165,11 +165,11 @@
                 asyncio.ensure_future(fixture.call("short")) for _ in range(4)
             ]
             await asyncio.sleep(0.05)
-            self.assertEqual(await fixture.caller.ask_ready("vm-0"), 503)
-            self.assertEqual(await fixture.caller.ask_ready("vm-1"), 200)
+            self.assertEqual(await fixture.caller.check_ready("vm-0"), 503)
+            self.assertEqual(await fixture.caller.check_ready("vm-1"), 200)
             for got in await asyncio.gather(*calls):
-                self.assertEqual((got.status, got.is_whole), (200, True))
-            self.assertEqual(await fixture.caller.ask_ready("vm-0"), 200)
+                self.assertEqual((got.status, got.is_complete), (200, True))
+            self.assertEqual(await fixture.caller.check_ready("vm-0"), 200)
 
         gateway_fixture.run_scenario(scenario, connections_max=4)
 
@@ -193,7 +193,7 @@
                 asyncio.ensure_future(fixture.call("short")) for _ in range(4)
             ]
             for got in await asyncio.gather(*calls):
-                self.assertEqual((got.status, got.is_whole), (200, True))
+                self.assertEqual((got.status, got.is_complete), (200, True))
             await asyncio.sleep(5.0)
             self.assertTrue(node.task.done())
 
--- a/tests/test_gateway_schedules.py
+++ b/tests/test_gateway_schedules.py
@@ -18,16 +18,16 @@
             *range(_FIRST_SEED, _FIRST_SEED + _SEED_COUNT),
         ):
             with self.subTest(seed=seed):
-                violations, counts = gateway_schedules.play(seed)
+                violations, counts = gateway_schedules.run_schedule(seed)
                 self.assertEqual(violations, [])
                 self.assertGreater(counts.get(200, 0), 10)
 
     def test_guarantees_hold_on_random_deployments(self) -> None:
         for seed in range(_FIRST_SEED, _FIRST_SEED + _SEED_COUNT):
             with self.subTest(seed=seed):
-                violations, _ = gateway_schedules.play_drawn(seed)
+                violations, _ = gateway_schedules.run_drawn_schedule(seed)
                 self.assertEqual(violations, [])
 
     def test_same_seed_gives_the_same_run(self) -> None:
-        first = gateway_schedules.play(5)
-        self.assertEqual(gateway_schedules.play(5), first)
+        first = gateway_schedules.run_schedule(5)
+        self.assertEqual(gateway_schedules.run_schedule(5), first)
--- a/tests/test_gateway_store.py
+++ b/tests/test_gateway_store.py
@@ -41,7 +41,7 @@
             await asyncio.sleep(5.5)
             waiting.append(asyncio.ensure_future(fixture.call("unsafe")))
             await asyncio.sleep(0.1)
-            node.process.wake()
+            node.process.resume()
             got = await waiting[0]
             self.assertEqual(fixture.find_runs(got), [])
 
@@ -49,7 +49,7 @@
 
     def test_outage_of_the_store(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            fixture.cluster.store.trouble = "silent"
+            fixture.cluster.store.failure = "silent"
             await asyncio.sleep(2.0)
             self.assertEqual((await fixture.call("unsafe")).status, 200)
             await asyncio.sleep(3.0)
@@ -59,7 +59,7 @@
             self.assertEqual(got.headers.get("connection"), "close")
             # A request without a key needs no fresh settings.
             self.assertEqual((await fixture.call("open")).status, 200)
-            fixture.cluster.store.trouble = ""
+            fixture.cluster.store.failure = ""
             await asyncio.sleep(2.0)
             self.assertEqual((await fixture.call("unsafe")).status, 200)
 
@@ -67,12 +67,12 @@
 
     def test_lenient_vms_go_on_serving_during_an_outage(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            fixture.cluster.store.trouble = "silent"
+            fixture.cluster.store.failure = "silent"
             await asyncio.sleep(12.0)
             got = await fixture.call("unsafe")
             self.assertEqual(got.status, 200)
             self.assertNotEqual(got.headers.get("connection"), "close")
-            self.assertEqual(await fixture.caller.ask_ready("vm-0"), 200)
+            self.assertEqual(await fixture.caller.check_ready("vm-0"), 200)
             # An unknown key or route may have been added since settings this
             # old were read.
             got = await fixture.call("unsafe", key="added-since")
@@ -80,7 +80,7 @@
             self.assertEqual((await fixture.call("nowhere")).status, 503)
             fixture.cluster.keys = {"w1": ["another"]}
             fixture.cluster.publish()
-            fixture.cluster.store.trouble = ""
+            fixture.cluster.store.failure = ""
             await asyncio.sleep(2.0)
             got = await fixture.call("unsafe")
             self.assertEqual((got.status, fixture.find_runs(got)), (401, []))
@@ -96,7 +96,7 @@
             self.assertEqual((await fixture.call("open")).status, 200)
             # During an outage of the store it is refused within 900 ms at
             # first, and later at once.
-            fixture.cluster.store.trouble = "silent"
+            fixture.cluster.store.failure = "silent"
             fixture.cluster.kill(node)
             fixture.cluster.start_vm(node)
             await asyncio.sleep(0.0)
@@ -127,12 +127,12 @@
 
     def test_vm_without_settings_is_not_ready(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            fixture.cluster.store.trouble = "silent"
+            fixture.cluster.store.failure = "silent"
             node = fixture.cluster.vms["vm-0"]
             fixture.cluster.kill(node)
             fixture.cluster.start_vm(node)
             await asyncio.sleep(3.0)
-            self.assertEqual(await fixture.caller.ask_ready("vm-0"), 503)
+            self.assertEqual(await fixture.caller.check_ready("vm-0"), 503)
             self.assertEqual((await fixture.call("open")).status, 503)
 
         gateway_fixture.run_scenario(scenario, is_strict=False)
@@ -141,7 +141,7 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.cluster.keys = {"w1": [gateway_cluster.KEY], "w2": ["new"]}
             fixture.cluster.publish()
-            fixture.cluster.store.forget_history()
+            fixture.cluster.store.compact_history()
             await asyncio.sleep(1.9)
             for vm in fixture.cluster.vms:
                 got = await fixture.call("unsafe", vm, key="new")
@@ -153,7 +153,7 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             # 10 Mbit/s; settings of about 250 KB, changed every 0.5 s.
-            cluster.network.thin_links["vm-0"] = 1_250_000.0
+            cluster.network.slow_links["vm-0"] = 1_250_000.0
             routes = gateway_cluster.make_idle_routes(1_000)
             cluster.publish(routes=routes)
             await asyncio.sleep(4.0)
@@ -172,12 +172,12 @@
     def test_unreachable_store_is_polled_with_backoff(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             store = fixture.cluster.store
-            store.trouble = "reset"
+            store.failure = "reset"
             await asyncio.sleep(2.0)
             calls_before = store.calls
             await asyncio.sleep(10.0)
             self.assertLess(store.calls - calls_before, 3 * 10.0 / 0.35)
-            store.trouble = ""
+            store.failure = ""
             await asyncio.sleep(0.6)
             for node in fixture.cluster.vms.values():
                 view = node.gateway.context.view
@@ -253,7 +253,7 @@
             for number in range(3):
                 node = fixture.cluster.targets[f"service-{number}"]
                 fixture.cluster.kill(node)
-                await fixture.cluster.serve_stranger(node)
+                await fixture.cluster.serve_unlisted_replica(node)
             for route in ("unsafe", "safe"):
                 got = await fixture.call(route)
                 self.assertEqual(
@@ -267,9 +267,9 @@
     ) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             store = fixture.cluster.store
-            store.trouble = "reset"
+            store.failure = "reset"
             await asyncio.sleep(4.0)
-            store.trouble = ""
+            store.failure = ""
             context = fixture.cluster.vms["vm-0"].gateway.context
             now_ms = context.env.now_ms
             while context.view.settings_age_ms(now_ms()) > 1_000.0:
@@ -291,11 +291,11 @@
     def test_expired_entries_do_not_empty_the_target_list(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             store = fixture.cluster.store
-            store.trouble = "silent"
+            store.failure = "silent"
             await asyncio.sleep(3.2)
             for node in fixture.cluster.targets.values():
                 fixture.cluster.unlist_target(node)
-            store.trouble = ""
+            store.failure = ""
             await asyncio.sleep(0.9)
             self.assertEqual((await fixture.call("open")).status, 200)
 
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -9,7 +9,7 @@
 from ruddergate.entry import scheduler_messages
 from standins import gateway_caller
 from standins import gateway_cluster
-from standins import gateway_promises
+from standins import gateway_guarantees
 from tests import gateway_fixture
 
 
@@ -41,16 +41,16 @@
             }
             for node in fixture.cluster.targets.values():
                 if node.replica.name not in started:
-                    node.replica.wrong.break_off = 0.0
+                    node.replica.faults.break_off = 0.0
             got = await pending
             runs = sorted(
                 fixture.find_runs(got), key=lambda each: each.resumed_after
             )
             self.assertEqual(len(runs), 2)
             self.assertGreater(runs[1].resumed_after, 0)
-            self.assertTrue(got.is_whole)
+            self.assertTrue(got.is_complete)
             self.assertEqual(
-                gateway_promises.find_broken(fixture.cluster, [got]), []
+                gateway_guarantees.find_broken(fixture.cluster, [got]), []
             )
             signature = got.headers["x-replica-signature"]
             self.assertTrue(signature.startswith(runs[0].replica))
@@ -62,7 +62,7 @@
             fixture.inject_faults("engine", break_off=1.0)
             got = await fixture.call("once")
             self.assertEqual(len(fixture.find_runs(got)), 1)
-            self.assertFalse(got.is_whole)
+            self.assertFalse(got.is_complete)
 
         gateway_fixture.run_scenario(scenario, seed=3)
 
@@ -73,7 +73,9 @@
             names = sorted(fixture.cluster.targets)
             engines = [each for each in names if each.startswith("engine")]
             for name in engines[:3]:
-                fixture.cluster.targets[name].replica.wrong.helps_nobody = True
+                fixture.cluster.targets[
+                    name
+                ].replica.faults.is_unfit_helper = True
             for number in range(4):
                 got = await fixture.call(
                     "long",
@@ -82,7 +84,7 @@
                     output_tokens=100,
                     time_limit_ms=15_000.0,
                 )
-                self.assertEqual((got.status, got.is_whole), (200, True))
+                self.assertEqual((got.status, got.is_complete), (200, True))
                 self.assertEqual(len(fixture.find_runs(got)), 1)
 
         gateway_fixture.run_scenario(scenario, engines=8)
@@ -93,7 +95,7 @@
             engines = [each for each in names if each.startswith("engine")]
             for name in engines[1::2]:
                 node = fixture.cluster.targets[name]
-                node.replica.wrong.helps_nobody = True
+                node.replica.faults.is_unfit_helper = True
                 fixture.cluster.kill(node)
             budget = fixture.cluster.vms["vm-0"].gateway.context.budget
             budget.resize(1.0)
@@ -104,7 +106,7 @@
                 output_tokens=100,
                 time_limit_ms=15_000.0,
             )
-            self.assertEqual((got.status, got.is_whole), (200, True))
+            self.assertEqual((got.status, got.is_complete), (200, True))
             self.assertEqual(len(fixture.find_runs(got)), 1)
             self.assertLess(got.first_ms, 3_000.0)
 
@@ -137,7 +139,7 @@
 
     async def _crash_helper(
         self, fixture: gateway_fixture.Fixture, is_writer_lost: bool
-    ) -> gateway_caller.Got:
+    ) -> gateway_caller.CallResult:
         """Crashes a helper of a long prompt, which another VM detects."""
         # A VM that has reached no target lately reports no losses.
         await fixture.call("safe", "vm-1")
@@ -173,7 +175,7 @@
         other_scheduler = cluster.vms["vm-1"].gateway.context.scheduler
         other_scheduler.post(scheduler_messages.IncarnationEnded(helper))
         got = await pending
-        self.assertEqual((got.status, got.is_whole), (200, True))
+        self.assertEqual((got.status, got.is_complete), (200, True))
         return got
 
     def test_only_target_of_a_pool_gets_all_allowed_attempts(self) -> None:
@@ -189,14 +191,14 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             for node in fixture.cluster.targets.values():
                 if node.hall == "hall-1":
-                    node.replica.wrong.helps_nobody = True
+                    node.replica.faults.is_unfit_helper = True
             got = await fixture.call(
                 "long",
                 prompt_tokens=400_000,
                 output_tokens=100,
                 time_limit_ms=15_000.0,
             )
-            self.assertEqual((got.status, got.is_whole), (200, True))
+            self.assertEqual((got.status, got.is_complete), (200, True))
             # One attempt on each of two engines shows that it is the hall.
             context = fixture.cluster.vms["vm-0"].gateway.context
             self.assertGreaterEqual(context.budget.tokens, 4.0 - 2.0)
@@ -218,10 +220,10 @@
     def test_silent_target_is_abandoned_where_retries_are_allowed(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             for node in list(fixture.cluster.targets.values())[:1]:
-                node.replica.wrong.mute = True
+                node.replica.faults.mute = True
             for _ in range(4):
                 got = await fixture.call("short")
-                self.assertEqual((got.status, got.is_whole), (200, True))
+                self.assertEqual((got.status, got.is_complete), (200, True))
 
         gateway_fixture.run_scenario(scenario)
 
@@ -233,12 +235,12 @@
             await asyncio.sleep(0.1)
             for node in fixture.cluster.targets.values():
                 if node.replica.runs:
-                    node.replica.wrong.silent_s = 3_600.0
+                    node.replica.faults.silent_s = 3_600.0
             got = await pending
-            self.assertEqual((got.status, got.is_whole), (200, True))
+            self.assertEqual((got.status, got.is_complete), (200, True))
             self.assertEqual(len(fixture.find_runs(got)), 2)
             self.assertEqual(
-                gateway_promises.find_broken(fixture.cluster, [got]), []
+                gateway_guarantees.find_broken(fixture.cluster, [got]), []
             )
 
         gateway_fixture.run_scenario(scenario)
@@ -249,7 +251,7 @@
             # only break a stream that goes on after a long batch iteration.
             fixture.inject_faults("engine", silent_s=2.5)
             got = await fixture.call("short", output_tokens=2_000)
-            self.assertEqual((got.status, got.is_whole), (200, True))
+            self.assertEqual((got.status, got.is_complete), (200, True))
             self.assertEqual(len(fixture.find_runs(got)), 2)
 
         gateway_fixture.run_scenario(scenario)
@@ -259,7 +261,7 @@
             fixture.inject_faults("engine", silent_s=2.5)
             fixture.cluster.vms["vm-0"].gateway.context.budget.tokens = 0.0
             got = await fixture.call("short", output_tokens=2_000)
-            self.assertEqual((got.status, got.is_whole), (200, True))
+            self.assertEqual((got.status, got.is_complete), (200, True))
             self.assertEqual(len(fixture.find_runs(got)), 1)
 
         gateway_fixture.run_scenario(scenario)
@@ -291,7 +293,7 @@
             fixture.cluster.network.cuts.append(cut)
             for node in fixture.cluster.targets.values():
                 if node.hall == "hall-1":
-                    node.replica.wrong.helps_nobody = True
+                    node.replica.faults.is_unfit_helper = True
             # The prompt needs four engines; its own hall has three. Two
             # attempts show that a hall is unreachable, not one for each of its
             # engines.
@@ -301,7 +303,7 @@
                 output_tokens=100,
                 time_limit_ms=15_000.0,
             )
-            self.assertEqual((got.status, got.is_whole), (200, True))
+            self.assertEqual((got.status, got.is_complete), (200, True))
 
         gateway_fixture.run_scenario(scenario, engines=9)
 
@@ -316,10 +318,10 @@
 
     def test_work_stops_when_the_caller_disconnects(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            await fixture.call("short", leaves_after_ms=150.0)
+            await fixture.call("short", disconnects_after_ms=150.0)
             await asyncio.sleep(0.5)
             writing = [
-                len(node.replica.engine.writers)
+                len(node.replica.engine.streams)
                 for node in fixture.cluster.targets.values()
                 if node.replica.engine
             ]
@@ -408,7 +410,7 @@
 
     def _call(
         self, fixture: gateway_fixture.Fixture, prompt_tokens: int = 800_000
-    ) -> Awaitable[gateway_caller.Got]:
+    ) -> Awaitable[gateway_caller.CallResult]:
         return fixture.call(
             "long",
             prompt_tokens=prompt_tokens,
@@ -419,7 +421,7 @@
     def test_prompt_larger_than_one_engine_is_served(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             got = await self._call(fixture)
-            self.assertEqual((got.status, got.is_whole), (200, True))
+            self.assertEqual((got.status, got.is_complete), (200, True))
             await asyncio.sleep(0.5)
             held = [r.held_tokens() for r in fixture.cluster.all_replicas]
             self.assertEqual(sum(held), 0)
@@ -434,7 +436,7 @@
             held = [
                 (replica, name)
                 for replica in fixture.cluster.all_replicas
-                for name in replica.tickets
+                for name in replica.reservations
             ]
             self.assertTrue(held)
             for node in fixture.cluster.targets.values():
@@ -442,9 +444,9 @@
                     node.process.freeze()
             await asyncio.sleep(3.0)
             for replica, name in held:
-                self.assertNotIn(name, replica.tickets)
+                self.assertNotIn(name, replica.reservations)
             got = await pending
-            self.assertEqual((got.status, got.is_whole), (200, True))
+            self.assertEqual((got.status, got.is_complete), (200, True))
 
         gateway_fixture.run_scenario(scenario, engines=10)
 
--- a/tests/test_hanging_engine.py
+++ b/tests/test_hanging_engine.py
@@ -59,7 +59,7 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             # The engine that short prompts of the hall prefer.
             hung = _find_first_choice(fixture)
-            hung.replica.wrong.hang = 0.45
+            hung.replica.faults.hang = 0.45
             async with asyncio.TaskGroup() as group:
                 for number in range(400):
                     group.create_task(send_request(fixture, number))
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -242,6 +242,6 @@
             await asyncio.sleep(_LIST_READ_S)
             for vm in cluster.vms:
                 got = await fixture.call("short", vm)
-                self.assertEqual((got.status, got.is_whole), (200, True))
+                self.assertEqual((got.status, got.is_complete), (200, True))
 
-        gateway_fixture.run_scenario(scenario, engines=4, keeps_names=True)
+        gateway_fixture.run_scenario(scenario, engines=4, reuses_names=True)
--- a/tests/test_lost_settings.py
+++ b/tests/test_lost_settings.py
@@ -32,12 +32,12 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             store = cluster.store
-            copy = store.take_copy()
+            copy = store.take_snapshot()
             key_removed_s = asyncio.get_running_loop().time()
-            store.trouble = "reset"
+            store.failure = "reset"
             await asyncio.sleep(4.0)
             store.restore(copy)
-            store.trouble = ""
+            store.failure = ""
             await asyncio.sleep(0.5)
             cluster.keys = {"w1": ["another"]}
             cluster.publish()
@@ -71,7 +71,7 @@
     ) -> None:
         """Restarts VMs while the store has lost the removal of a key."""
         cluster = fixture.cluster
-        copy = cluster.store.take_copy()
+        copy = cluster.store.take_snapshot()
         cluster.keys = {"w1": ["another"]}
         cluster.publish()
         await asyncio.sleep(_LOST_DURATION_S)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -26,7 +26,7 @@
 
 async def _send_load(
     fixture: gateway_fixture.Fixture, for_s: float
-) -> list[gateway_caller.Got]:
+) -> list[gateway_caller.CallResult]:
     """Sends calls to all VMs at a steady rate."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + for_s
@@ -55,7 +55,7 @@
     def test_all_vms_enforce_a_limit_together(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             for name in ("engine-3", "service-0"):
-                fixture.cluster.targets[name].replica.name_limit("1")
+                fixture.cluster.targets[name].replica.announce_limit("1")
             got = await _send_load(fixture, 14.0)
             self.assertEqual(
                 rate_limit_check.find_excess(fixture.cluster, got), []
@@ -72,7 +72,7 @@
                 for number in range(3)
             ]
             for replica in replicas:
-                replica.name_limit("2")
+                replica.announce_limit("2")
             got = await _send_load(fixture, 14.0)
             self.assertEqual(
                 rate_limit_check.find_excess(fixture.cluster, got), []
@@ -100,14 +100,14 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             loop = asyncio.get_running_loop()
             replica = fixture.cluster.targets["engine-3"].replica
-            replica.name_limit("0")
+            replica.announce_limit("0")
             load = asyncio.ensure_future(_send_load(fixture, 18.0))
             await asyncio.sleep(_ENFORCED_AFTER_S)
             before = len(replica.arrivals)
             await asyncio.sleep(5.0)
             self.assertEqual(len(replica.arrivals), before)
             ended_s = loop.time()
-            replica.name_limit("")
+            replica.announce_limit("")
             got = await load
             self.assertEqual(
                 rate_limit_check.find_excess(fixture.cluster, got), []
@@ -131,7 +131,7 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             for number in (0, 3):
                 replica = fixture.cluster.targets[f"engine-{number}"].replica
-                replica.name_limit("1")
+                replica.announce_limit("1")
             for _ in range(_MAX_CALLS_UNTIL_KNOWN):
                 await fixture.call("short", "vm-0")
             await asyncio.sleep(_ENFORCED_AFTER_S)
@@ -140,7 +140,7 @@
                 for number in (0, 3)
             ]
             helped = [each.helped for each in limited]
-            orders = [len(each.orders_s) for each in limited]
+            orders = [len(each.order_times_s) for each in limited]
             calls = [
                 fixture.call(
                     "long", f"vm-{n}", prompt_tokens=210_000, output_tokens=46
@@ -150,7 +150,9 @@
             got = await asyncio.gather(*calls)
             self.assertEqual({each.status for each in got}, {200})
             self.assertEqual([each.helped for each in limited], helped)
-            self.assertEqual([len(each.orders_s) for each in limited], orders)
+            self.assertEqual(
+                [len(each.order_times_s) for each in limited], orders
+            )
 
         gateway_fixture.run_scenario(scenario, **_FLEET)
 
@@ -158,7 +160,7 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             for name, node in fixture.cluster.targets.items():
                 if name.startswith("engine"):
-                    node.replica.name_limit("4")
+                    node.replica.announce_limit("4")
             for _ in range(_MAX_CALLS_UNTIL_KNOWN):
                 await fixture.call("short", "vm-0")
             await asyncio.sleep(_ENFORCED_AFTER_S)
@@ -172,7 +174,7 @@
     def test_restarted_vm_learns_the_limit(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             replica = fixture.cluster.targets["service-0"].replica
-            replica.name_limit("1")
+            replica.announce_limit("1")
             load = asyncio.ensure_future(_send_load(fixture, 14.0))
             await asyncio.sleep(5.0)
             node = fixture.cluster.vms["vm-3"]
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -45,7 +45,7 @@
     async def _check(self, vm: str) -> None:
         missed = 0
         while True:
-            status = await self._fixture.caller.ask_ready(vm)
+            status = await self._fixture.caller.check_ready(vm)
             missed = 0 if status == 200 else missed + 1
             if missed >= _MISSES and vm in self.ready:
                 self.ready.remove(vm)
@@ -76,7 +76,7 @@
             lost = [
                 (each.call.request_id, each.call.vm, each.status)
                 for each in got
-                if each.status != 200 or not each.is_whole
+                if each.status != 200 or not each.is_complete
             ]
             self.assertEqual(lost, [])
             self.assertGreater(len(got), 400)
@@ -112,7 +112,7 @@
             node = cluster.vms["vm-5"]
             cluster.kill(node)
             cluster.start_vm(node)
-            while await fixture.caller.ask_ready("vm-5") != 200:
+            while await fixture.caller.check_ready("vm-5") != 200:
                 await asyncio.sleep(0.01)
             context = node.gateway.context
             self.assertEqual(context.view.catalog.revision, cluster.revision)
@@ -174,10 +174,10 @@
             await asyncio.sleep(30.0)
             fleet.network.cuts.remove(cut)
             rejoined = await _count_sent(fleet, _REJOIN_S)
-            fleet.set_work("vm-0", 3)
-            fleet.set_work("vm-1", 2)
+            fleet.set_own_streams("vm-0", 3)
+            fleet.set_own_streams("vm-1", 2)
             await asyncio.sleep(1.0)
-            self.assertEqual(fleet.find_wrong(), [])
+            self.assertEqual(fleet.find_inconsistent(), [])
             max_sent = max(rejoined[name] for name in fleet.members)
             self.assertLessEqual(
                 max_sent, _MAX_TRAFFIC_RATIO * max(baseline.values())
--- a/tests/test_restored_targets.py
+++ b/tests/test_restored_targets.py
@@ -39,7 +39,7 @@
     def _check_removed(self, vms: int = 9, epoch: str = "1") -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
-            copy = cluster.store.take_copy()
+            copy = cluster.store.take_snapshot()
             await asyncio.sleep(1.0)
             node = cluster.targets["service-0"]
             cluster.stop_listing(node)
@@ -71,7 +71,7 @@
     def test_removed_target_is_used_after_its_next_write(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
-            copy = cluster.store.take_copy()
+            copy = cluster.store.take_snapshot()
             node = cluster.targets["service-0"]
             cluster.unlist_target(node)
             await asyncio.sleep(0.1)
@@ -87,7 +87,7 @@
     def test_newer_incarnation_is_used_at_once(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
-            copy = cluster.store.take_copy()
+            copy = cluster.store.take_snapshot()
             await asyncio.sleep(1.0)
             node = cluster.targets["service-0"]
             cluster.stop_listing(node)
@@ -100,7 +100,9 @@
                 found = fixture.find_listed_condition(vm, node)
                 self.assertIs(found, condition.Condition.LIVE, vm)
 
-        gateway_fixture.run_scenario(scenario, vms=9, halls=1, keeps_names=True)
+        gateway_fixture.run_scenario(
+            scenario, vms=9, halls=1, reuses_names=True
+        )
 
 
 class TombstonesTest(unittest.TestCase):
@@ -171,7 +173,7 @@
     def test_no_live_target_is_dropped(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
-            copy = cluster.store.take_copy()
+            copy = cluster.store.take_snapshot()
             node = cluster.targets["service-0"]
             cluster.kill(node)
             cluster.unlist_target(node)
@@ -232,11 +234,11 @@
     def _check_outage(self, away_s: float) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
-            copy = cluster.store.take_copy()
-            cluster.store.trouble = "silent"
+            copy = cluster.store.take_snapshot()
+            cluster.store.failure = "silent"
             await asyncio.sleep(away_s)
             cluster.store.restore(copy)
-            cluster.store.trouble = ""
+            cluster.store.failure = ""
             await asyncio.sleep(0.3)
             node = cluster.targets["service-0"]
             cluster.stop_listing(node)
--- a/tests/test_startup_deadline.py
+++ b/tests/test_startup_deadline.py
@@ -27,7 +27,7 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             fixture.inject_faults("engine", mute=True)
-            cluster.store.trouble = "busy"
+            cluster.store.failure = "busy"
             node = cluster.vms["vm-0"]
             cluster.kill(node)
             cluster.start_vm(node)
@@ -36,7 +36,7 @@
                 fixture.call("once", time_limit_ms=_TIME_LIMIT_MS)
             )
             await asyncio.sleep(_OUTAGE_S)
-            cluster.store.trouble = ""
+            cluster.store.failure = ""
             got = await call
             self.assertEqual(got.status, 504)
             self.assertLessEqual(got.took_ms, _TIME_LIMIT_MS + _SLACK_MS)
--- a/tests/test_store_restore.py
+++ b/tests/test_store_restore.py
@@ -38,13 +38,13 @@
     ) -> None:
         """Restores the store from a copy taken _LOST_WRITES_S ago."""
         store = fixture.cluster.store
-        copy = store.take_copy()
+        copy = store.take_snapshot()
         await asyncio.sleep(_LOST_WRITES_S)
         if away_s:
-            store.trouble = "reset"
+            store.failure = "reset"
             await asyncio.sleep(away_s)
         store.restore(copy)
-        store.trouble = ""
+        store.failure = ""
 
     async def _check_drain(self, fixture: gateway_fixture.Fixture) -> None:
         """Drains a target, and checks that all VMs learn of it in time."""
@@ -128,7 +128,7 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             # All targets restart, under names that the copy does not list.
-            copy = cluster.store.take_copy()
+            copy = cluster.store.take_snapshot()
             for node in cluster.targets.values():
                 cluster.kill(node)
                 cluster.unlist_target(node)
@@ -169,7 +169,7 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             names = list(cluster.vms)
-            copy = cluster.store.take_copy()
+            copy = cluster.store.take_snapshot()
             for name in names[:6]:
                 cut = virtual_network.Cut(name, "store")
                 cluster.network.cuts.append(cut)
@@ -191,7 +191,7 @@
     def test_one_vm_of_a_hall_reads_a_restored_store(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             store = fixture.cluster.store
-            copy = store.take_copy()
+            copy = store.take_snapshot()
             await asyncio.sleep(_LOST_WRITES_S)
             store.restore(copy)
             before = store.calls
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -57,13 +57,15 @@
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def _call_after_sleep(self, counts_sleep: bool) -> gateway_caller.Got:
+    def _call_after_sleep(
+        self, counts_frozen_time: bool
+    ) -> gateway_caller.CallResult:
         """Returns the response to a caller whose key was removed meanwhile."""
         found = []
 
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
-            cluster.network.counts_sleep = counts_sleep
+            cluster.network.counts_frozen_time = counts_frozen_time
             node = cluster.vms["vm-0"]
             await asyncio.sleep(1.0)
             node.process.freeze()
@@ -73,16 +75,16 @@
             # In flight as the VM wakes, before any update can reach it.
             calling = asyncio.ensure_future(fixture.call("short"))
             await asyncio.sleep(0.1)
-            node.process.wake()
+            node.process.resume()
             found.append(await calling)
 
         gateway_fixture.run_scenario(scenario, vms=2)
         return found[0]
 
     def test_key_removed_during_a_suspension_is_refused(self) -> None:
-        got = self._call_after_sleep(counts_sleep=True)
+        got = self._call_after_sleep(counts_frozen_time=True)
         self.assertIn(got.status, (401, 503))
 
     def test_clock_that_stops_in_suspension_would_accept_it(self) -> None:
-        got = self._call_after_sleep(counts_sleep=False)
+        got = self._call_after_sleep(counts_frozen_time=False)
         self.assertEqual(got.status, 200)
