--- a/src/ruddergate/cli/gateway.py
+++ b/src/ruddergate/cli/gateway.py
@@ -133,7 +133,7 @@
         metrics_listen=environment.parse_address(metrics_listen),
         settings_age_max_ms=math.inf if is_lenient else key_age_max_ms,
         ready_age_max_ms=ready_age_max_ms,
-        certain_age_max_ms=key_age_max_ms,
+        not_found_age_max_ms=key_age_max_ms,
         stop_lag_ms=_STOP_LAG_MS,
         stop_limit_ms=grace_s * 1_000.0 - _STOP_MARGIN_MS,
         polling=make_pace(min(apply_ms, leave_ms), ready_age_max_ms),
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GatewayConfig:
-    """Settings of a gateway besides those of any entry.
+    """Settings of a gateway in addition to those in EntryConfig.
 
     Attributes:
         ready_listen: Address of the load balancer's readiness check.
@@ -68,8 +68,8 @@
         settings_age_max_ms: Maximum age of settings for accepting a key;
             infinite if a removed key may be used until a VM learns of it.
         ready_age_max_ms: Maximum age of settings for accepting new callers.
-        certain_age_max_ms: Maximum age of settings for rejecting a route or key
-            as unknown with certainty.
+        not_found_age_max_ms: Maximum age of settings for permanently rejecting
+            a route or key as unknown.
         stop_lag_ms: Time for the load balancer to notice that this VM stops.
         stop_limit_ms: Time after which a planned stop ends even if requests are
             still open.
@@ -83,7 +83,7 @@
     metrics_listen: environment.Address
     settings_age_max_ms: float
     ready_age_max_ms: float
-    certain_age_max_ms: float
+    not_found_age_max_ms: float
     stop_lag_ms: float
     stop_limit_ms: float
     polling: poll_config.PollConfig
@@ -217,7 +217,7 @@
             self._keeper,
             relay_admit.SettingsAgeLimits(
                 gateway_config.settings_age_max_ms,
-                gateway_config.certain_age_max_ms,
+                gateway_config.not_found_age_max_ms,
             ),
         )
         self._peers = peer_gossip.PeerGossip(
--- a/src/ruddergate/entry/relay_admit.py
+++ b/src/ruddergate/entry/relay_admit.py
@@ -14,7 +14,7 @@
 from ruddergate.settings import route as routes
 
 _NO_SETTINGS_RETRY_MS = 500.0
-# Another VM may have newer settings; this one gets an answer from the store
+# Another VM may have newer settings; this one gets a response from the store
 # within a second or two.
 _STALE_RETRY_MS = 300.0
 # One rank of a workspace spans this many ranks of routes, so that routes only
@@ -32,8 +32,8 @@
 
     Attributes:
         key_age_max_ms: To accept a key.
-        not_found_age_max_ms: To refuse an unknown route or key for good; it may
-            be newer than older settings.
+        not_found_age_max_ms: To refuse an unknown route or key permanently;
+            older settings may lack one that was added since.
     """
 
     key_age_max_ms: float
@@ -109,7 +109,7 @@
     context: contexts.EntryContext,
     age_limits: SettingsAgeLimits,
 ) -> outcomes.NotServed:
-    """Refuses for good, or with a retry if newer settings may know more."""
+    """Refuses permanently, or with a retry-after if the settings are old."""
     if _settings_age_ms(context) > age_limits.not_found_age_max_ms:
         return _refuse_stale(f"whether this still holds: {detail}")
     return outcomes.refuse(reason, detail)
--- a/standins/gateway_cluster.py
+++ b/standins/gateway_cluster.py
@@ -228,7 +228,7 @@
             metrics_listen=environment.Address(node.name, _METRICS_PORT),
             settings_age_max_ms=key_age_max_ms if is_strict else math.inf,
             ready_age_max_ms=REVOKE_MS * 0.5 if is_strict else math.inf,
-            certain_age_max_ms=key_age_max_ms,
+            not_found_age_max_ms=key_age_max_ms,
             stop_lag_ms=2_600.0,
             stop_limit_ms=7_600.0,
             polling=self.layout.pace,
