--- a/src/ruddergate/entry/attempt_log.py
+++ b/src/ruddergate/entry/attempt_log.py
@@ -43,16 +43,16 @@
 def log_failure(
     request: requests.Request,
     placement: scheduler_messages.Placement,
-    ended: outcomes.NotServed,
+    failure: outcomes.NotServed,
     progress: relay_progress.Progress,
     context: contexts.EntryContext,
 ) -> None:
     """Logs how an attempt failed, with the fingerprint of its request."""
     logs.make_logger("attempt").info(
         "Attempt failed: {} ({}). {}",
-        ended.reason.value,
-        ended.ran.value,
-        ended.detail,
+        failure.reason.value,
+        failure.ran.value,
+        failure.detail,
         request_id=request.request_id,
         target=placement.target.target_id,
         content=quarantine.find_fingerprint(request),
--- a/src/ruddergate/entry/config.py
+++ b/src/ruddergate/entry/config.py
@@ -30,7 +30,7 @@
         suspend_refresh_max_ms: Longest wait for a fresh view after that.
         engine_timeouts: How long to wait for engines.
         limits: Limits of caller connections and requests.
-        bounds: Times that the at-most-once guarantee of keys rests on.
+        bounds: Times that the at-most-once guarantee of keys depends on.
     """
 
     vm_id: str
--- a/src/ruddergate/entry/digest_relay.py
+++ b/src/ruddergate/entry/digest_relay.py
@@ -95,15 +95,15 @@
         """Sends all digests to the group, and its members' to other groups."""
         self._timer = None
         now_ms = self._forwarded_ms = self._env.now_ms()
-        own = tuple(self._from_members.values())
-        queued = (*own, *self._from_relays.values())
+        from_members = tuple(self._from_members.values())
+        queued = (*from_members, *self._from_relays.values())
         self._from_members.clear()
         self._from_relays.clear()
         self._send_bundles(queued, False, self._loads.list_group_members())
-        if own:
+        if from_members:
             rng = self._env.random
             relays = self._loads.find_other_relays(now_ms, rng)
-            self._send_bundles(own, True, relays)
+            self._send_bundles(from_members, True, relays)
 
     def _send_bundles(
         self,
--- a/src/ruddergate/entry/document_exchange.py
+++ b/src/ruddergate/entry/document_exchange.py
@@ -44,7 +44,7 @@
         self._parts: tuple[bytes, ...] = ()
 
     def answer(
-        self, request_id: str, version: Version, part: int
+        self, correlation_id: str, version: Version, part: int
     ) -> document_part.DocumentPart | None:
         """Returns a part, or None if this VM does not have it."""
         if version != self._version:
@@ -56,7 +56,7 @@
         if not 0 <= part < len(self._parts):
             return None
         return document_part.DocumentPart(
-            request_id, len(self._parts), self._parts[part]
+            correlation_id, len(self._parts), self._parts[part]
         )
 
     async def fetch(self, peer: str, version: Version) -> bytes | None:
--- a/src/ruddergate/entry/first_event.py
+++ b/src/ruddergate/entry/first_event.py
@@ -1,4 +1,4 @@
-"""Waits for the first event of an answer, or for a failure seen elsewhere."""
+"""Waits for the first event of a response, or a failure seen elsewhere."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -16,7 +16,7 @@
     """Returns the first event, or the failure that came before it.
 
     Args:
-        events: The answer.
+        events: The events of the response.
         failure_watches: Each returns a failure once no event can be expected.
     """
     reading = asyncio.ensure_future(anext(events))
--- a/src/ruddergate/entry/forwarding.py
+++ b/src/ruddergate/entry/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards requests to the VM that must run them, and relays the answers."""
+"""Forwards requests to the VM that must run them; relays its responses."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -30,7 +30,7 @@
     make_lost_response: Callable[[], message.Response],
     make_broken_tail: Callable[[], bytes],
 ) -> message.Response:
-    """Returns the answer of the entry at `address`.
+    """Returns the response of the entry at `address`.
 
     Args:
         env: Clock and network streams.
@@ -38,8 +38,8 @@
         peer_key: Key shared by the system's own processes.
         incoming: The caller's request.
         time_limit_ms: Time left of its time limit.
-        make_lost_response: Makes the answer if the other entry does not answer.
-        make_broken_tail: Makes the last bytes if its answer breaks off.
+        make_lost_response: Makes the response if the other entry sends none.
+        make_broken_tail: Makes the last bytes if its response breaks off.
     """
     deadline_ms = env.now_ms() + time_limit_ms
     stream, head = await _exchange(
@@ -68,8 +68,8 @@
     """Sends the request; returns the stream and the first reply."""
     stream: frames.FrameStream | None = None
     connect_ms = min(time_limit_ms, _CONNECT_TIMEOUT_MS)
-    # The other entry gets a slightly shorter limit, so that its own answer
-    # still arrives in time.
+    # The other entry gets a slightly shorter limit, so that its response still
+    # arrives in time.
     home_limit_ms = max(1.0, time_limit_ms - _RETURN_TRIP_MS)
     try:
         async with asyncio.timeout(time_limit_ms / 1000.0):
@@ -159,7 +159,7 @@
             if isinstance(forwarded, forward.Forward):
                 await _answer_forwarded(stream, forwarded, handle)
         except (OSError, TimeoutError):
-            pass  # The connection is closed; the other entry tells its caller.
+            pass  # The other entry reports the closed connection to its caller.
         finally:
             stream.close()
 
--- a/src/ruddergate/entry/handler.py
+++ b/src/ruddergate/entry/handler.py
@@ -274,9 +274,11 @@
     async def handle_in_span(
         incoming: message.IncomingRequest,
     ) -> message.Response:
-        before = incoming.headers.get("traceparent", "")
-        with context.tracer.span("request", before) as traceparent:
-            if traceparent == before:
+        incoming_traceparent = incoming.headers.get("traceparent", "")
+        with context.tracer.span(
+            "request", incoming_traceparent
+        ) as traceparent:
+            if traceparent == incoming_traceparent:
                 return await handle(incoming)
             headers = {**incoming.headers, "traceparent": traceparent}
             return await handle(
--- a/src/ruddergate/entry/keyed.py
+++ b/src/ruddergate/entry/keyed.py
@@ -62,7 +62,7 @@
         complete_since_ms = max(
             self._context.started_ms, self._ledger.complete_since_ms
         )
-        standing = ledgers.judge_key(
+        verdict = ledgers.judge_key(
             key,
             request.key_age_ms,
             self._context.config.vm_id,
@@ -71,12 +71,12 @@
             view.settled_ms(now_ms, complete_since_ms),
             self._context.config.bounds,
         )
-        if standing is ledgers.KeyVerdict.MAY_RUN:
+        if verdict is ledgers.KeyVerdict.MAY_RUN:
             return None
         return outcomes.NotServed(
             outcomes.Reason.KEY_HOME_UNSETTLED,
             outcomes.Ran.UNKNOWN,
-            f"the key may have been used before: {standing.value}",
+            f"the key may have been used before: {verdict.value}",
             _UNSETTLED_RETRY_MS,
         )
 
--- a/src/ruddergate/entry/lost_call.py
+++ b/src/ruddergate/entry/lost_call.py
@@ -7,16 +7,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LostCall:
-    """What is known of the request at that moment.
+    """A lost request, as known when its connection broke off.
 
     Attributes:
         request_id: Id of the request.
         fingerprint: Fingerprint of the request, which all its retries share.
-        target: The target that was to answer.
+        target: The target that was to respond.
         since_sent_ms: Time since the request was sent to it.
-        prefill_ms: Time that one engine would take to read the prompt.
-        streams: Number of answers that the target was generating, including
-            this one.
+        prefill_ms: Time that one engine would take to prefill the prompt.
+        streams: Estimated number of responses that the target was generating,
+            including this one.
     """
 
     request_id: str
--- a/src/ruddergate/entry/peer_gossip.py
+++ b/src/ruddergate/entry/peer_gossip.py
@@ -48,7 +48,8 @@
 # Interval while peers are known. It lets parts of a fleet find each other after
 # a partition that outlasted their memory of each other.
 SEED_INTERVAL_MS = 10_000.0
-# If another process holds the port, binding is retried after this time.
+# If another process holds the port, binding is retried after this time. Callers
+# are served meanwhile.
 _REBIND_MS = 2_000.0
 
 
@@ -193,7 +194,10 @@
         return [name for name in self.rank_hall() if name != self._own]
 
     def rank_hall(self) -> list[str]:
-        """Returns this hall's VMs, this one included, in order of readers."""
+        """Returns this hall's VMs, this one included.
+
+        They are in the order in which they become readers of the store.
+        """
         return self.loads.rank_hall(self._env.now_ms())
 
     def note_change(self) -> None:
@@ -201,7 +205,7 @@
         self._changed.set()
 
     async def _bind(self) -> environment.DatagramPort:
-        """Binds the port, retrying until it is free; callers are served."""
+        """Binds the port, retrying until it is free."""
         while True:
             try:
                 return await self._env.bind(self._receive, self._config.listen)
@@ -387,7 +391,7 @@
 
 
 def _answer_no_request(request: peer_rpc.Request) -> None:
-    """Handles requests where none are answered."""
+    """Default of a VM that does not reply to requests of peers."""
     return
 
 
--- a/src/ruddergate/entry/peer_rpc.py
+++ b/src/ruddergate/entry/peer_rpc.py
@@ -71,7 +71,7 @@
         """Returns a peer's changes of the store, or None without a reply."""
         request = store_changes.StoreChangesRequest(
             self._own,
-            self._make_request_id(),
+            self._make_correlation_id(),
             position.revision,
             position.epoch,
         )
@@ -87,7 +87,7 @@
     ) -> document_part.DocumentPart | None:
         """Returns a part of a peer's settings, or None without a reply."""
         request = document_part.SettingsRequest(
-            self._own, self._make_request_id(), revision, part
+            self._own, self._make_correlation_id(), revision, part
         )
         return await self._request_part(request, peer)
 
@@ -97,7 +97,7 @@
         """Returns a part of a peer's targets, or None without a reply."""
         request = document_part.TargetsRequest(
             self._own,
-            self._make_request_id(),
+            self._make_correlation_id(),
             position.epoch,
             position.revision,
             part,
@@ -116,7 +116,7 @@
         """Returns the retry budget that a peer transferred to this VM."""
         reply = await self._call(
             retry_transfer.RetryTransferRequest(
-                self._own, self._make_request_id(), retries, is_large
+                self._own, self._make_correlation_id(), retries, is_large
             ),
             peer,
         )
@@ -148,8 +148,8 @@
         if reply is not None:
             self._send(reply, request.sender)
 
-    def _make_request_id(self) -> str:
-        """Returns an id that no other request has, in any run of this VM.
+    def _make_correlation_id(self) -> str:
+        """Returns an id that no other request to a peer has, in any run.
 
         A reply that arrives late, or after a restart, then matches no request.
         """
--- a/src/ruddergate/entry/poll_config.py
+++ b/src/ruddergate/entry/poll_config.py
@@ -32,7 +32,8 @@
         stale_reread_ms: While the store lists targets from an older copy,
             everything is read again after this time. Each live target sends a
             heartbeat meanwhile.
-        outage_ms: Time without an answer that counts as an outage.
+        outage_ms: If the view was not known to be current for longer than this,
+            the store is taken to have had an outage.
     """
 
     interval_ms: float = 1_300.0
--- a/src/ruddergate/entry/rate_limiter.py
+++ b/src/ruddergate/entry/rate_limiter.py
@@ -2,7 +2,7 @@
 
 The rules are in decisions/rate_limits.py. This module applies response hints
 and updates of peers, admits requests in the step that sends them, and probes
-targets that have announced nothing for some time.
+limited targets that have not responded for `rate_limits.PROBE_MS`.
 """
 
 import asyncio
@@ -181,10 +181,10 @@
             self.limits.charge(target.target_id, self._env.now_ms())
 
         async def reserve(
-            wanted: orders.Reservation, hold_ms: float
+            reservation: orders.Reservation, hold_ms: float
         ) -> orders.OrderResult:
-            charge(wanted.target)
-            return await inner.reserve(wanted, hold_ms)
+            charge(reservation.target)
+            return await inner.reserve(reservation, hold_ms)
 
         async def release(held: orders.Reservation) -> orders.OrderResult:
             charge(held.target)
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -25,16 +25,16 @@
 # this timeout, a short prompt due in 300 ms can still be in time elsewhere.
 CONNECT_TIMEOUT_MS = 150.0
 # How long a target may be silent before the request fails over to another one,
-# where the route allows that: a multiple of the route's `aim_ms` for the first
-# event, and of its `gap_aim_ms` for later ones, with a minimum.
-SILENCE_TIMEOUT_AIMS = 3.0
+# where the route allows that: a multiple of the route's `latency_slo_ms` for
+# the first event, and of its `gap_slo_ms` for later ones, with a minimum.
+SILENCE_TIMEOUT_SLO_FACTOR = 3.0
 MIN_SILENCE_TIMEOUT_MS = 900.0
 # Retry-after when helpers refused memory; some may be free again by then.
 _NO_MEMORY_RETRY_MS = 500.0
 # Retry-after when targets did not answer a probe; others may serve by then.
 _PROBE_RETRY_MS = 500.0
 # Urgency of the shortest prompts and of plain calls. Longer prompts get higher
-# numbers, which targets let in later.
+# numbers, which targets admit later.
 _SHORTEST_PROMPT_URGENCY = 3
 # Nothing listens at the address any more, or another incarnation does.
 _EXITED_REASONS = (
@@ -228,7 +228,7 @@
                 yield event
 
     async def _wait_for_silence(self) -> outcomes.NotServed:
-        """Returns the failure once the target no longer answers probes."""
+        """Returns the failure once the target stops responding to probes."""
         await self._keeper.wait_until_unresponsive(self._placements[0].target)
         return outcomes.NotServed(
             outcomes.Reason.TARGET_LOST,
@@ -278,16 +278,16 @@
         """
         target_ids = [each.reservation.target.target_id for each in missing]
         self._progress.excluded |= set(target_ids)
-        lost_answers = (
+        lost_results = (
             orders.OrderResult.NOT_LISTENING,
             orders.OrderResult.UNREACHABLE,
         )
         for target_id, each in zip(target_ids, missing, strict=True):
-            if each.answer in lost_answers:
+            if each.result in lost_results:
                 self._faulted.add(target_id)
-            if each.answer is orders.OrderResult.UNREACHABLE:
+            if each.result is orders.OrderResult.UNREACHABLE:
                 self._unreachable.add(target_id)
-            if each.answer is orders.OrderResult.NOT_LISTENING:
+            if each.result is orders.OrderResult.NOT_LISTENING:
                 self._exited.add(target_id)
         return outcomes.refuse(
             outcomes.Reason.NO_MEMORY,
@@ -425,10 +425,11 @@
             CONNECT_TIMEOUT_MS,
             max(
                 MIN_SILENCE_TIMEOUT_MS,
-                SILENCE_TIMEOUT_AIMS * route.latency_slo_ms,
+                SILENCE_TIMEOUT_SLO_FACTOR * route.latency_slo_ms,
             ),
             max(
-                MIN_SILENCE_TIMEOUT_MS, SILENCE_TIMEOUT_AIMS * route.gap_slo_ms
+                MIN_SILENCE_TIMEOUT_MS,
+                SILENCE_TIMEOUT_SLO_FACTOR * route.gap_slo_ms,
             ),
             self._can_fail_over,
         )
@@ -461,7 +462,7 @@
 
 
 def _find_urgency(request: requests.Request) -> int:
-    """Returns the urgency, which lets shorter prompts in before longer ones."""
+    """Returns the urgency, by which targets admit shorter prompts first."""
     return _SHORTEST_PROMPT_URGENCY + length_band.find_band(
         request.prompt_tokens
     )
--- a/src/ruddergate/entry/relay_progress.py
+++ b/src/ruddergate/entry/relay_progress.py
@@ -16,15 +16,16 @@
         counted_attempts: Number of attempts that sent the request, without
             those that failed because of a helper.
         sent_targets: Targets that were sent the request in any attempt.
-        unsent_attempts: Number of attempts that ended before it was sent.
+        unsent_attempts: Number of attempts that ended before the request was
+            sent.
         has_head: Whether the caller has the head of the answer.
         excluded: Targets that must not be tried again.
         failed_answer: A target's own error answer, which the caller gets if all
             retries fail.
         faulted_helpers: Helpers that the last target reported as failed, in
             order.
-        helper_failures: How often the request was sent again because of that.
-        pinned_target_id: The target that it is sent to again, or empty.
+        helper_failures: How often the request was retried because of that.
+        pinned_target_id: The target that the retry has to use, or empty.
     """
 
     last_event_id: str
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -45,8 +45,8 @@
     outcomes.Reason.QUARANTINED,
     *_UNAVAILABLE_REASONS,
 )
-# The failure need not be that of the target that was to answer, which is not
-# excluded then.
+# The target that was to respond need not be the one that failed, so it is not
+# excluded.
 _KEEP_TARGET_REASONS = (
     outcomes.Reason.NO_MEMORY,
     outcomes.Reason.HELPER_UNREACHABLE,
@@ -58,13 +58,13 @@
 # retried; if all retries fail, the caller gets the last such answer.
 _MIN_SERVER_ERROR_STATUS = 500
 # How long a request waits for a target ahead of late ones, as a multiple of its
-# route's `aim_ms`, the latency below which an answer is in time. After that it
-# is late anyway, and requests that can still be in time go first. A policy that
+# route's `latency_slo_ms`, below which a response is in time. After that it is
+# late anyway, and requests that can still be in time go first. A policy that
 # holds long prompts back releases them earlier (routing/long_prompts.py).
-ON_TIME_WAIT_AIMS = 0.5
-# It then waits behind those for `aim_ms`, but at least this long. Callers give
-# up a stream that has not begun after four times `aim_ms`, but not before two
-# seconds.
+ON_TIME_WAIT_SLO_FACTOR = 0.5
+# It then waits behind those for `latency_slo_ms`, but at least this long.
+# Callers give up a stream that has not begun after four times that latency, but
+# not before two seconds.
 MIN_LATE_WAIT_MS = 1_200.0
 # Puts the ranks of late requests below those of all others.
 _LATE_RANK_OFFSET = 1_000_000
@@ -281,11 +281,11 @@
     Returns:
         Whether the request is late, and the wait in milliseconds, for each.
     """
-    aim_ms = request.payload.route.latency_slo_ms
-    on_time_ms = ON_TIME_WAIT_AIMS * aim_ms
+    latency_slo_ms = request.payload.route.latency_slo_ms
+    on_time_ms = ON_TIME_WAIT_SLO_FACTOR * latency_slo_ms
     if not progress.has_head:
         on_time_ms -= context.env.now_ms() - request.arrived_ms
-    return (False, on_time_ms), (True, max(MIN_LATE_WAIT_MS, aim_ms))
+    return (False, on_time_ms), (True, max(MIN_LATE_WAIT_MS, latency_slo_ms))
 
 
 def _make_placement_request(
--- a/src/ruddergate/entry/reservation_keeper.py
+++ b/src/ruddergate/entry/reservation_keeper.py
@@ -31,19 +31,19 @@
 RELEASE_TIMEOUT_MS = 50.0
 # A live target answers within a few milliseconds.
 PROBE_TIMEOUT_MS = 150.0
-# The engine for which memory is held is probed as often as memory is renewed.
-# After this many missed probes in a row it is considered dead. With the timeout
-# of a probe that is at most 2.6 s after its end; 4 s are allowed to free the
-# memory.
+# The target for which helpers hold memory is probed as often as memory is
+# renewed. After this many missed probes in a row it is considered dead. With
+# the timeout of an order, 500 ms, that is at most 2.6 s after its end, or 2.9 s
+# with a rate limit; 4 s are allowed to free the memory.
 MAX_MISSED_PROBES = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FailedReservation:
-    """A reservation that was not made, and what the target answered."""
+    """A reservation that was not confirmed, and the result of the order."""
 
     reservation: orders.Reservation
-    answer: orders.OrderResult
+    result: orders.OrderResult
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -93,23 +93,23 @@
 
         If one fails, all are released.
         """
-        answers = await asyncio.gather(
+        results = await asyncio.gather(
             *(self._orders.reserve(each, LEASE_MS) for each in reservations)
         )
         failed: list[FailedReservation] = []
-        for each, answer in zip(reservations, answers, strict=True):
-            if answer is orders.OrderResult.DONE:
+        for each, result in zip(reservations, results, strict=True):
+            if result is orders.OrderResult.DONE:
                 self._start_renewal(each)
                 continue
-            failed.append(FailedReservation(each, answer))
+            failed.append(FailedReservation(each, result))
             self._log.info(
                 "Could not reserve memory at {}: {}.",
                 each.target.target_id,
-                answer.value,
+                result.value,
                 request_id=request_id,
                 tokens=each.tokens,
             )
-            if answer is orders.OrderResult.UNKNOWN:
+            if result is orders.OrderResult.UNKNOWN:
                 # It may have been reserved nevertheless.
                 self._start_renewal(each)
         if failed:
@@ -137,10 +137,10 @@
             await asyncio.wait(releasing, timeout=RELEASE_TIMEOUT_MS / 1000.0)
 
     async def probe_all(
-        self, asked: Sequence[targets.Target]
+        self, probed: Sequence[targets.Target]
     ) -> tuple[orders.ProbeStatus, ...]:
-        """Probes targets at once; returns their signs of life, in order."""
-        results = await asyncio.gather(*map(self.probe, asked))
+        """Probes targets at once; returns the results in order."""
+        results = await asyncio.gather(*map(self.probe, probed))
         return tuple(each.status for each in results)
 
     async def probe(self, target: targets.Target) -> orders.ProbeResult:
@@ -152,10 +152,10 @@
             return orders.ProbeResult(orders.ProbeStatus.NO_RESPONSE)
 
     async def wait_until_unresponsive(self, target: targets.Target) -> None:
-        """Returns once a target does not answer probes any more.
+        """Returns once a target does not respond to probes any more.
 
         Helpers hold memory for what runs on it. Without this, the memory would
-        stay reserved until the request times out if the engine dies silently.
+        stay reserved until the request times out if the target dies silently.
         """
         missed = 0
         while missed < MAX_MISSED_PROBES:
@@ -191,24 +191,24 @@
                 return
             is_rate_limited = self._is_rate_limited(held.target.target_id)
             hold_ms = LEASE_RATE_LIMITED_MS if is_rate_limited else LEASE_MS
-            answer = await self._orders.reserve(held, hold_ms)
-            is_relaxed = is_rate_limited and answer is orders.OrderResult.DONE
+            result = await self._orders.reserve(held, hold_ms)
+            is_relaxed = is_rate_limited and result is orders.OrderResult.DONE
             delay_ms = (
                 RENEW_RATE_LIMITED_MS if is_relaxed else RENEW_INTERVAL_MS
             )
-            if answer is orders.OrderResult.NOT_LISTENING:
+            if result is orders.OrderResult.NOT_LISTENING:
                 self._on_ended(held.target)
-            if answer is orders.OrderResult.REFUSED:
+            if result is orders.OrderResult.REFUSED:
                 self._log.warning(
                     "Memory reservation lost at {}.", held.target.target_id
                 )
                 return
-        answer = await self._orders.release(held)
-        if answer is not orders.OrderResult.DONE:
+        result = await self._orders.release(held)
+        if result is not orders.OrderResult.DONE:
             self._log.info(
                 "Memory at {} was not released and will expire: {}.",
                 held.target.target_id,
-                answer.value,
+                result.value,
             )
 
 
--- a/src/ruddergate/entry/scheduler.py
+++ b/src/ruddergate/entry/scheduler.py
@@ -92,7 +92,7 @@
             config: Settings of the process.
             view: Current target list and settings.
             on_own_load_change: Called when the load that this VM puts on a
-                target changes, so that peers can be told.
+                target changes, to have it sent to peers.
             collect_peer_loads: Returns the load that peers put on targets, as
                 far as it has changed; called before requests are dispatched.
             lacks_peer_loads: Returns whether there are peers, but no load of
@@ -174,7 +174,7 @@
         return total
 
     def count_streams(self, target_id: str) -> float:
-        """Returns the estimated number of answers a target is generating."""
+        """Returns the estimated number of responses a target is generating."""
         estimate = self._table.find_by_id(target_id)
         if estimate is None:
             return 0.0
--- a/src/ruddergate/entry/store_reader.py
+++ b/src/ruddergate/entry/store_reader.py
@@ -24,7 +24,7 @@
     Attributes:
         changes: The changes.
         since: The position after which they start; None for a full read.
-        asked_ms: When the call began.
+        asked_ms: When the call began; the changes are current as of then.
     """
 
     changes: published.Changes
--- a/src/ruddergate/entry/store_sync.py
+++ b/src/ruddergate/entry/store_sync.py
@@ -1,8 +1,8 @@
 """The task that keeps the view in sync with the platform's store.
 
 It is the only writer of the view's catalog and targets. Each successful call
-proves that the view was current when the call began; whether an API key may
-still be used depends on the age of that proof.
+shows that the view was current when the call began; whether an API key may
+still be used depends on how long ago that was.
 
 In each hall one VM reads the store and the others ask it, see
 decisions/freshness.py. So the number of calls to the store does not grow with
@@ -224,7 +224,7 @@
         return self._polling.interval_ms
 
     async def _read_peers(self) -> bool:
-        """Returns whether a peer's reply made this VM's view fresh."""
+        """Reads from peers; returns whether the view is fresh after that."""
         for peer in self._peers.choose():
             asked_ms = self._env.now_ms()
             position = self._position
@@ -233,8 +233,8 @@
                 # The peer is in an older epoch: the store was restored since,
                 # and may have lost what the peer knows.
                 continue
-            proven_ms = freshness.find_current_as_of_ms(asked_ms, reply.age_ms)
-            if proven_ms is None:
+            as_of_ms = freshness.find_current_as_of_ms(asked_ms, reply.age_ms)
+            if as_of_ms is None:
                 self._log.warning(
                     "Ignoring peer's changes: their age is invalid.", peer=peer
                 )
@@ -242,7 +242,7 @@
             if _is_behind(reply, position):
                 if self._is_fresh():
                     return True
-                if proven_ms > self._current_as_of_ms:
+                if as_of_ms > self._current_as_of_ms:
                     # The peer read the store later than this VM and is at a
                     # lower revision: a store without epochs may have been
                     # restored, so only the store itself can tell.
@@ -254,7 +254,7 @@
             if changes is None or self._lacks_incarnation(changes):
                 return False
             is_delta = reply.is_complete and reply.epoch == position.epoch
-            self._apply(changes, proven_ms, position if is_delta else None)
+            self._apply(changes, as_of_ms, position if is_delta else None)
             if self._is_fresh():
                 return True
         return False
@@ -290,14 +290,14 @@
     def _apply(
         self,
         changes: published.Changes,
-        asked_ms: float,
+        as_of_ms: float,
         since: store_position.StorePosition | None,
     ) -> None:
         """Applies changes from the store or a peer.
 
         Args:
             changes: The changes.
-            asked_ms: The changes are known to be current as of this time.
+            as_of_ms: The changes are known to be current as of this time.
             since: The position after which they start; None for a full read.
         """
         # No VM can show that its data is current while the store is down, but
@@ -308,7 +308,7 @@
         is_restored = self._is_restored(changes.position)
         if (
             is_restored
-            or asked_ms - self._current_as_of_ms > self._polling.outage_ms
+            or as_of_ms - self._current_as_of_ms > self._polling.outage_ms
         ):
             away_ms = max(self._current_as_of_ms, self._reader.failed_ms)
             self._removed_until_ms = outage_grace.find_grace_end_ms(
@@ -321,16 +321,16 @@
             self._removed_until_ms,
             now_ms + self._polling.malformed_grace_ms,
         )
-        self._current_as_of_ms = max(self._current_as_of_ms, asked_ms)
+        self._current_as_of_ms = max(self._current_as_of_ms, as_of_ms)
         for problem in changes.problems:
             self._log.warning("Rejected published item. {}", problem)
         if since is None:
             self._is_history_lost = False
             self._full_read_ms = now_ms
-        self._apply_catalog(changes, asked_ms)
+        self._apply_catalog(changes, as_of_ms)
         self._record_changes(changes, since)
         self._set_position(changes.position)
-        self._apply_targets(changes, since is None, asked_ms, grace)
+        self._apply_targets(changes, since is None, as_of_ms, grace)
 
     def _is_restored(self, position: store_position.StorePosition) -> bool:
         """Returns whether a position shows that the store was restored."""
@@ -372,14 +372,14 @@
         )
 
     def _apply_catalog(
-        self, changes: published.Changes, asked_ms: float
+        self, changes: published.Changes, as_of_ms: float
     ) -> None:
         if changes.problems or changes.catalog is not None:
             self._is_unreadable = bool(changes.problems)
         if changes.catalog is not None:
             self._adopt_catalog(changes.catalog, changes.document)
         if not changes.problems:
-            self._confirm_settings(asked_ms)
+            self._confirm_settings(as_of_ms)
 
     def _adopt_catalog(
         self, catalog: catalogs.Catalog, document: bytes
@@ -396,34 +396,34 @@
             **self._view.store_position.describe(),
         )
 
-    def _confirm_settings(self, asked_ms: float) -> None:
+    def _confirm_settings(self, as_of_ms: float) -> None:
         """Records that the settings are current, if a read can show it.
 
         Not while a peer has later ones, or a restored store may lack some.
         """
         own = self._view.catalog.revision
-        is_known = self._claims.find_unconfirmed(own, asked_ms) is None
+        is_known = self._claims.find_unconfirmed(own, as_of_ms) is None
         if (
             is_known
-            and asked_ms >= self._restored_ms + self._polling.rewrite_ms
+            and as_of_ms >= self._restored_ms + self._polling.rewrite_ms
         ):
-            self._view.confirm_settings(asked_ms)
+            self._view.confirm_settings(as_of_ms)
 
     def _apply_targets(
         self,
         changes: published.Changes,
         is_full: bool,
-        asked_ms: float,
+        as_of_ms: float,
         grace: target_list.Grace,
     ) -> None:
         now_ms = self._env.now_ms()
         self._targets.apply_changes(changes, is_full, now_ms, grace)
         self._start_grace_timer()
-        self._publish_targets(asked_ms)
+        self._publish_targets(as_of_ms)
         self._on_listed()
 
     def mark_draining(self) -> None:
-        """Updates the view after targets were found to drain elsewhere."""
+        """Updates the view after a change of `drain_state`."""
         self._publish_targets(self._current_as_of_ms)
 
     def _start_grace_timer(self) -> None:
@@ -449,9 +449,9 @@
         self._start_grace_timer()
         self._publish_targets(self._current_as_of_ms)
 
-    def _publish_targets(self, asked_ms: float) -> None:
+    def _publish_targets(self, as_of_ms: float) -> None:
         """Hands the current list to the view and the scheduler."""
-        self._view.apply_targets(self._targets.list_targets(), asked_ms)
+        self._view.apply_targets(self._targets.list_targets(), as_of_ms)
         self._scheduler.post(schedulers.ViewChanged())
 
 
--- a/src/ruddergate/entry/target_availability.py
+++ b/src/ruddergate/entry/target_availability.py
@@ -1,7 +1,7 @@
 """Applies response hints of targets, and checks admission before each send.
 
 One object per process receives the hints of all responses, before the rest of
-the response is processed. It is asked in the step that sends a request, for
+the response is processed. It is consulted in the step that sends a request, for
 requests of every kind.
 """
 
@@ -16,7 +16,7 @@
 from ruddergate.decisions import peer_groups
 from ruddergate.fleet import incarnation as incarnations
 from ruddergate.fleet import target as targets
-from ruddergate.relay import hints as statements
+from ruddergate.relay import hints as hint_types
 from ruddergate.telemetry import logs
 from ruddergate.telemetry import metrics as metric_types
 from ruddergate.telemetry import told_once
@@ -30,7 +30,7 @@
 _CONFIRM_JITTER_MS = 1_500.0
 # VMs of a large fleet that pass on hints to a VM that has just started. In a
 # small fleet all do, as only one of them may have received a hint.
-_GREETING_VMS = 6
+_REANNOUNCING_VMS = 6
 # Longest name of an incarnation that a peer may send: a key of the store has at
 # most 200 bytes.
 _MAX_INCARNATION_LENGTH = 220
@@ -63,7 +63,7 @@
         self._logged = told_once.ToldOnce()
         self._log = logs.make_logger("target")
 
-    def on_hints(self, hints: statements.Hints) -> None:
+    def on_hints(self, hints: hint_types.Hints) -> None:
         """Applies the hints in a target's response."""
         if hints.is_draining:
             self._apply_draining(hints)
@@ -114,14 +114,14 @@
         for number, target in enumerate(chosen):
             if self._drain_state.accepts_requests(target.incarnation, now_ms):
                 continue
-            is_leaving = self._drain_state.may_be_draining(target.incarnation)
+            is_draining = self._drain_state.may_be_draining(target.incarnation)
             self._metrics.sends_withheld.inc(
                 {
-                    "reason": "leaving" if is_leaving else "quiet",
+                    "reason": "leaving" if is_draining else "quiet",
                     "part": "helper" if number else "writer",
                 }
             )
-            if is_leaving:
+            if is_draining:
                 return outcomes.refuse(
                     outcomes.Reason.TARGET_LEAVING,
                     f"target {target.target_id} is draining",
@@ -148,7 +148,7 @@
             peers: How many peers this VM knows.
         """
         is_large = peers > peer_groups.MAX_FULL_MESH_VMS
-        probability = _GREETING_VMS / peers if is_large else 1.0
+        probability = _REANNOUNCING_VMS / peers if is_large else 1.0
         if probability < 1.0 and self._env.random.random() >= probability:
             return
         if self._drain_state.reannounce(self._env.now_ms()):
@@ -158,7 +158,7 @@
         """Returns how many targets have asked this VM to back off now."""
         return self._drain_state.count_backing_off(self._env.now_ms())
 
-    def _apply_draining(self, hints: statements.Hints) -> None:
+    def _apply_draining(self, hints: hint_types.Hints) -> None:
         now_ms = self._env.now_ms()
         is_new = self._drain_state.note_drain_hint(
             hints.incarnation, now_ms, hints.has_start_time
@@ -174,12 +174,14 @@
         )
         self._on_draining()
 
-    def _apply_backoff(self, hints: statements.Hints, quiet_ms: float) -> None:
+    def _apply_backoff(
+        self, hints: hint_types.Hints, backoff_ms: float
+    ) -> None:
         jitter_ms = min(
-            _MAX_BACKOFF_JITTER_MS, _BACKOFF_JITTER_SHARE * quiet_ms
+            _MAX_BACKOFF_JITTER_MS, _BACKOFF_JITTER_SHARE * backoff_ms
         )
         jitter_ms = self._env.random.uniform(0.0, jitter_ms)
-        until_ms = self._env.now_ms() + quiet_ms + jitter_ms
+        until_ms = self._env.now_ms() + backoff_ms + jitter_ms
         received_wall_ms = None if hints.has_start_time else self._env.wall_ms()
         if self._drain_state.note_backoff(
             hints.incarnation, until_ms, received_wall_ms
@@ -187,12 +189,12 @@
             self._log.info(
                 "Target {} asks for a backoff of {:.0f} ms.",
                 hints.incarnation.target_id,
-                quiet_ms,
+                backoff_ms,
                 request_id=hints.request_id,
                 born_ms=hints.incarnation.started_ms,
             )
 
-    def _report_unreadable(self, hints: statements.Hints, detail: str) -> None:
+    def _report_unreadable(self, hints: hint_types.Hints, detail: str) -> None:
         self._metrics.statements_unread.inc({})
         name = incarnations.format_incarnation(hints.incarnation)
         if self._logged.is_new(name, detail):
--- a/src/ruddergate/entry/target_list.py
+++ b/src/ruddergate/entry/target_list.py
@@ -1,4 +1,4 @@
-"""The targets that the store lists, with state that outlasts its answers.
+"""The targets that the store lists, and what is remembered about them.
 
 An incarnation of a target that was ever found to be draining stays so, however
 this became known. A target may start again under the same name, and is then a
@@ -145,7 +145,7 @@
         """Returns the last entry of each target's latest incarnation.
 
         Draining is recorded from all entries that are not of an older
-        incarnation, as a later entry may have replaced the one that says so.
+        incarnation, as a later entry may have replaced the draining one.
         """
         latest: dict[str, targets.Target] = {}
         for each in found:
--- a/src/ruddergate/entry/view.py
+++ b/src/ruddergate/entry/view.py
@@ -79,15 +79,15 @@
         return True
 
     def apply_targets(
-        self, found: Sequence[targets.Target], asked_ms: float
+        self, found: Sequence[targets.Target], as_of_ms: float
     ) -> None:
-        """Sets the targets, as listed at or after `asked_ms`.
+        """Sets the targets, as listed at or after `as_of_ms`.
 
         The caller has marked the draining ones.
         """
         version = self.listing.version + 1
         self.listing = listings.Listing(version, self.listing.vms, tuple(found))
-        self._confirmed_ms = max(self._confirmed_ms, asked_ms)
+        self._confirmed_ms = max(self._confirmed_ms, as_of_ms)
 
     def is_superseded(self, incarnation: incarnations.Incarnation) -> bool:
         """Returns whether a later incarnation of the target is listed."""
@@ -97,9 +97,9 @@
             for each in self.listing.targets
         )
 
-    def confirm_settings(self, asked_ms: float) -> None:
-        """Records that the settings were current at `asked_ms`."""
-        self._settings_confirmed_ms = max(self._settings_confirmed_ms, asked_ms)
+    def confirm_settings(self, as_of_ms: float) -> None:
+        """Records that the settings were current at `as_of_ms`."""
+        self._settings_confirmed_ms = max(self._settings_confirmed_ms, as_of_ms)
 
     def settings_age_ms(self, now_ms: float) -> float:
         """Returns the time since the settings were known to be current."""
