--- a/src/ruddergate/entry/canceller.py
+++ b/src/ruddergate/entry/canceller.py
@@ -1,7 +1,7 @@
 """Frees what abandoned attempts may still hold on engines.
 
-A cancel is repeated until the engine confirms it, is no longer listed or has
-certainly been swept by the agents.
+A cancel is repeated until the engine confirms it or is no longer listed, or
+until the agents have certainly swept what it is about.
 """
 
 import asyncio
--- a/src/ruddergate/entry/context.py
+++ b/src/ruddergate/entry/context.py
@@ -62,10 +62,10 @@
             from a peer if needed and possible. Takes whether it is for a large
             prompt, which is worth many short ones. Returns whether a retry is
             available.
-        report_lost_call: Starts finding out whether the target of a lost
+        report_lost_call: Starts to find out whether the target of a lost
             request has ended.
-        check_admission: Returns a refusal if any of some targets accepts no
-            requests at this moment; called in the step that sends.
+        check_admission: Returns a refusal if one of the given targets accepts
+            no requests at this moment; called in the step that sends.
         take_rate_token: Counts a request against its target's rate limit, or
             returns a refusal. Takes the target and the attempt id; called in
             the step that sends.
--- a/src/ruddergate/entry/digest_relay.py
+++ b/src/ruddergate/entry/digest_relay.py
@@ -36,7 +36,7 @@
     Args:
         env: Clock and random numbers.
         own: Where this VM receives datagrams.
-        loads: Knows the groups and their relays.
+        loads: Known VMs, their groups and the relays of these.
         send: Sends a message to VMs.
     """
 
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -181,8 +181,8 @@
                 lost
             ),
             check_admission=self._check_admission,
-            take_rate_token=self._rate_limiter.admit,
-            return_rate_token=self._rate_limiter.give_back,
+            take_rate_token=self._rate_limiter.take_token,
+            return_rate_token=self._rate_limiter.return_token,
         )
         self._orders = platform.make_orders(self._on_hints)
         self._keeper = reservation_keeper.ReservationKeeper(
@@ -234,7 +234,7 @@
             summarize_draining=self._availability.summarize,
             merge_draining=self._availability.merge_gossip,
             summarize_rate_limits=self._rate_limiter.summarize,
-            merge_rate_limits=self._rate_limiter.merge,
+            merge_rate_limits=self._rate_limiter.merge_gossip,
             find_settings_revision=lambda: view.catalog.revision,
             note_newer_settings=self.note_newer_settings,
         )
@@ -266,7 +266,7 @@
     def _on_hints(self, hints: hint_types.Hints) -> None:
         """Applies the hints in a target's response."""
         self._availability.on_hints(hints)
-        self._rate_limiter.observe(hints)
+        self._rate_limiter.on_hints(hints)
 
     def _check_admission(
         self, chosen: Sequence[targets.Target]
--- a/src/ruddergate/entry/in_flight.py
+++ b/src/ruddergate/entry/in_flight.py
@@ -38,7 +38,7 @@
         return self._count
 
     def track(self, handle: Handle) -> Handle:
-        """Wraps a handler: counts its requests and answers its exceptions."""
+        """Wraps a handler: counts its requests and handles its exceptions."""
 
         async def handle_counted(
             incoming: message.IncomingRequest,
--- a/src/ruddergate/entry/quarantine_gossip.py
+++ b/src/ruddergate/entry/quarantine_gossip.py
@@ -81,7 +81,10 @@
             self._queue_change(fingerprint)
 
     def on_peer_started(self, peer: str) -> None:
-        """Sends evidence to a VM that has just started, by chance."""
+        """Sends evidence to a VM that has just started.
+
+        Each VM does so at random; on average FANOUT of them do.
+        """
         probability = FANOUT / max(1, len(self._list_peers()))
         if len(self.table) and self._env.random.random() < probability:
             self._send_ranked([peer])
--- a/src/ruddergate/entry/rate_limiter.py
+++ b/src/ruddergate/entry/rate_limiter.py
@@ -109,7 +109,7 @@
             lambda: len(self._members),
         )
 
-    def observe(self, hints: hint_types.Hints) -> None:
+    def on_hints(self, hints: hint_types.Hints) -> None:
         """Applies the rate limit in a target's response, or its absence."""
         now_ms = self._env.now_ms()
         target_id = hints.incarnation.target_id
@@ -133,7 +133,7 @@
         """Returns the updates due for peers."""
         return self.limits.summarize(self._env.now_ms())
 
-    def merge(
+    def merge_gossip(
         self, updates: Sequence[rate_limit.RateLimitUpdate], peer: str
     ) -> None:
         """Merges a peer's updates for listed targets."""
@@ -147,7 +147,7 @@
             if self.limits.merge(update, now_ms):
                 self._log_change(update.target_id, update.rate_per_s, peer=peer)
 
-    def admit(
+    def take_token(
         self, target: targets.Target, attempt_id: str
     ) -> outcomes.NotServed | None:
         """Takes a token in the step that sends, or returns a refusal."""
@@ -170,7 +170,7 @@
                 return self._refuse(helper.target_id, "helper", _RETRY_MS)
         return None
 
-    def give_back(self, target: targets.Target) -> None:
+    def return_token(self, target: targets.Target) -> None:
         """Returns the token of a request that was not sent after all."""
         self.limits.return_token(target.target_id)
 
--- a/src/ruddergate/entry/relay_admit.py
+++ b/src/ruddergate/entry/relay_admit.py
@@ -22,7 +22,7 @@
 _RANK_STEP = 16
 # Relayed requests are sent at once; this only bounds the queue while no target
 # is available.
-_QUEUE_COST_MS_MAX = 600_000.0
+_MAX_QUEUE_COST_MS = 600_000.0
 _OUTPUT_TOKENS_TYPICAL = 512
 
 
@@ -149,7 +149,7 @@
         workspace=workspace.name,
         revision=revision,
         priority=effective.PriorityClass(
-            str(rank), rank, 0.0, _QUEUE_COST_MS_MAX
+            str(rank), rank, 0.0, _MAX_QUEUE_COST_MS
         ),
         pool=pool,
         time_limit_ms=route.time_limit_ms,
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a relayed request answered by one target."""
+"""One attempt to relay a request to one target."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -31,7 +31,7 @@
 MIN_SILENCE_TIMEOUT_MS = 900.0
 # Retry-after when helpers refused memory; some may be free again by then.
 _NO_MEMORY_RETRY_MS = 500.0
-# Retry-after when targets did not answer a probe; others may serve by then.
+# Retry-after when targets did not respond to a probe; others may serve by then.
 _PROBE_RETRY_MS = 500.0
 # Urgency of the shortest prompts and of plain calls. Longer prompts get higher
 # numbers, which targets admit later.
@@ -59,12 +59,12 @@
 
 
 class RelayAttempt:
-    """One attempt; `run` is called once and yields the answer.
+    """One attempt; `run` is called once and yields the response.
 
     Args:
         request: The relayed request.
         grant: The target, and its helpers.
-        progress: Updated as the answer comes in.
+        progress: Updated as the response arrives.
         send: Sends the request to the target.
         keeper: Holds memory on the helpers.
         context: Shared objects of the entry.
@@ -123,7 +123,7 @@
             traceparent = self._request.traceparent
             with self._context.tracer.span("attempt", traceparent):
                 async with contextlib.aclosing(
-                    self._read_answer(upstream_request, bool(reservations))
+                    self._read_response(upstream_request, bool(reservations))
                 ) as events:
                     async for event in events:
                         if self._process_event(event):
@@ -193,12 +193,12 @@
             _PROBE_RETRY_MS,
         )
 
-    async def _read_answer(
+    async def _read_response(
         self,
         upstream_request: upstream_requests.UpstreamRequest,
         is_watched: bool,
     ) -> AsyncIterator[response_events.Event]:
-        """Yields the answer, or a failure that is found before its first event.
+        """Yields the response, or a failure found before its first event.
 
         A watched target is probed until its first event; after that, gaps
         between events show its failure. Helpers are watched for just as long,
@@ -209,7 +209,7 @@
             is_watched: Whether the target is probed.
 
         Yields:
-            The events of the answer.
+            The events of the response.
         """
         async with contextlib.aclosing(self._send(upstream_request)) as events:
             failure_watches = []
--- a/src/ruddergate/entry/relay_handler.py
+++ b/src/ruddergate/entry/relay_handler.py
@@ -16,7 +16,7 @@
 from ruddergate.relay import upstream_request as upstream_requests
 from ruddergate.telemetry import logs
 
-# Outcome in logs and metrics when the caller did not wait for the answer.
+# Outcome in logs and metrics when the caller did not wait for the response.
 CALLER_LEFT = "caller_left"
 # A VM that has just started gets its settings within a few milliseconds, or
 # within half a second on a slow link while many others start. Without the wait,
@@ -28,7 +28,7 @@
 
 
 class RelayHandler:
-    """Admits a request, runs it and returns its answer.
+    """Admits a request, runs it and returns the response.
 
     Args:
         context: Shared objects of the entry.
@@ -122,8 +122,8 @@
                             event.detail,
                             pauses,
                         )
-                        # A proper end of the response would make a broken
-                        # answer look complete.
+                        # A regular end would make a broken response look
+                        # complete.
                         raise ConnectionAbortedError(event.detail)
         except (GeneratorExit, asyncio.CancelledError):
             self._log_caller_left(request, pauses)
--- a/src/ruddergate/entry/relay_progress.py
+++ b/src/ruddergate/entry/relay_progress.py
@@ -18,10 +18,10 @@
         sent_targets: Targets that were sent the request in any attempt.
         unsent_attempts: Number of attempts that ended before the request was
             sent.
-        has_head: Whether the caller has the head of the answer.
+        has_head: Whether the caller has the head of the response.
         excluded: Targets that must not be tried again.
-        failed_answer: A target's own error answer, which the caller gets if all
-            retries fail.
+        error_response: A target's own error response, which the caller gets if
+            all retries fail.
         faulted_helpers: Helpers that the last target reported as failed, in
             order.
         helper_failures: How often the request was retried because of that.
@@ -35,7 +35,7 @@
     unsent_attempts: int = 0
     has_head: bool = False
     excluded: frozenset[str] = frozenset()
-    failed_answer: response_events.CompleteResponse | None = None
+    error_response: response_events.CompleteResponse | None = None
     faulted_helpers: tuple[str, ...] = ()
     helper_failures: int = 0
     pinned_target_id: str = ""
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -54,8 +54,8 @@
 )
 # After these, a target that refused because of a helper stays pinned.
 _KEEP_PIN_REASONS = (outcomes.Reason.HELPER_UNREACHABLE, *_UNAVAILABLE_REASONS)
-# Answers below this status are final. From here on a repeatable request is
-# retried; if all retries fail, the caller gets the last such answer.
+# Responses below this status are final. From here on a repeatable request is
+# retried; if all retries fail, the caller gets the last such response.
 _MIN_SERVER_ERROR_STATUS = 500
 # How long a request waits for a target ahead of late ones, as a multiple of its
 # route's `latency_slo_ms`, below which a response is in time. After that it is
@@ -79,7 +79,10 @@
     keeper: reservation_keeper.ReservationKeeper,
     context: contexts.EntryContext,
 ) -> AsyncIterator[response_events.Event]:
-    """Yields the answer's events in order, each once, and last the outcome."""
+    """Yields the response's events in order, and last the outcome.
+
+    Each event is yielded once.
+    """
     progress = relay_progress.Progress(request.payload.last_event_id)
     refusal = context.quarantine.check_admission(request)
     if refusal is not None:
@@ -131,7 +134,7 @@
     if isinstance(outcome, response_events.CompleteResponse):
         if outcome.status < _MIN_SERVER_ERROR_STATUS:
             return outcome
-        progress.failed_answer = outcome
+        progress.error_response = outcome
         outcome = outcomes.NotServed(
             outcomes.Reason.TARGET_REFUSED,
             outcomes.Ran.RAN,
@@ -225,11 +228,11 @@
 ) -> response_events.CompleteResponse | outcomes.NotServed:
     """Returns the outcome of all attempts.
 
-    That is a target's own error answer, if there was one and the caller has no
-    response head yet.
+    That is a target's own error response, if there was one and the caller has
+    no response head yet.
     """
-    if progress.failed_answer is not None and not progress.has_head:
-        return progress.failed_answer
+    if progress.error_response is not None and not progress.has_head:
+        return progress.error_response
     ran = model_run.combine_ran(progress.ran, outcome.ran)
     return dataclasses.replace(outcome, ran=ran)
 
--- a/src/ruddergate/platform/orders.py
+++ b/src/ruddergate/platform/orders.py
@@ -29,7 +29,7 @@
         on_hints: Handles the hints in the responses of targets.
     """
 
-    async def ask(
+    async def fetch(
         target: targets.Target, request: message.OutgoingRequest
     ) -> client.CompleteResponse | client.Fault:
         sent_ms = env.now_ms()
@@ -57,18 +57,18 @@
             "hold-ms": round(hold_ms),
         }
         return _read_result(
-            await ask(reservation.target, _make_order(document))
+            await fetch(reservation.target, _make_order(document))
         )
 
     async def release(reservation: orders.Reservation) -> orders.OrderResult:
         document = {"op": "release", "id": reservation.name}
         return _read_result(
-            await ask(reservation.target, _make_order(document))
+            await fetch(reservation.target, _make_order(document))
         )
 
     async def probe(target: targets.Target) -> orders.ProbeResult:
         request = client.make_json_request("GET", _REPORT_PATH)
-        response = await ask(target, request)
+        response = await fetch(target, request)
         if not isinstance(response, client.Fault):
             return _read_probe(target, response)
         if response.timed_out:
--- a/src/ruddergate/platform/store.py
+++ b/src/ruddergate/platform/store.py
@@ -59,7 +59,7 @@
             read_ms=timeouts.read_ms + wait_ms,
             total_ms=timeouts.total_ms + wait_ms,
         )
-        response = await _ask(
+        response = await _fetch(
             env, address, "/api/kv-watch", query, watch_timeouts
         )
         if isinstance(response, published.HistoryLost | published.Unavailable):
@@ -90,7 +90,7 @@
     first_position: store_position.StorePosition | None = None
     query: dict[str, object] = {"path-prefix": ""}
     while True:
-        response = await _ask(env, address, "/api/kv-range", query, timeouts)
+        response = await _fetch(env, address, "/api/kv-range", query, timeouts)
         if isinstance(response, published.HistoryLost):
             return published.Unavailable(
                 "a page of the store is no longer available"
@@ -128,7 +128,7 @@
     position: store_position.StorePosition | None
 
 
-async def _ask(
+async def _fetch(
     env: environment.Environment,
     address: environment.Address,
     path: str,
--- a/standins/rate_limit_fleet.py
+++ b/standins/rate_limit_fleet.py
@@ -163,7 +163,7 @@
             f"{name}.{self._starts[name]}",
             lambda: (),
             summarize_rate_limits=limiter.summarize,
-            merge_rate_limits=limiter.merge,
+            merge_rate_limits=limiter.merge_gossip,
         )
         self.vms[name] = _Vm(process, exchange, limiter, env, {})
         process.start(exchange.run)
@@ -221,7 +221,7 @@
             self.counts["refused"] += 1
             return
         each = vm.env.random.choice(near or able)
-        if vm.limiter.admit(each.target, "") is not None:
+        if vm.limiter.take_token(each.target, "") is not None:
             self.counts["withheld"] += 1
             return
         self.counts["sent"] += 1
@@ -236,7 +236,7 @@
         is_unlimited = rate_per_s == float("inf")
         if not is_unlimited:
             vm.passed_on_s.setdefault(each.name, loop.time())
-        vm.limiter.observe(
+        vm.limiter.on_hints(
             hint_types.Hints(
                 incarnations.Incarnation(each.name),
                 rate_limit_per_s=None if is_unlimited else rate_per_s,
@@ -256,7 +256,7 @@
             rate_per_s = rate_limit_check.find_rate(each.limits, loop.time())
             await asyncio.sleep(0.002)
             is_unlimited = rate_per_s == float("inf")
-            vm.limiter.observe(
+            vm.limiter.on_hints(
                 hint_types.Hints(
                     incarnations.Incarnation(each.name),
                     rate_limit_per_s=None if is_unlimited else rate_per_s,
