--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -362,13 +362,13 @@
             )
 
     def _post_attempt_ends(self) -> None:
-        answering_hall = self._placements[0].target.hall
+        target_hall = self._placements[0].target.hall
         for placement in self._placements:
             target_id = placement.target.target_id
             # A helper in another hall that the target reports as failed may
             # just be unreachable from there.
             is_reported = target_id in self._progress.faulted_helpers
-            is_in_other_hall = placement.target.hall != answering_hall
+            is_in_other_hall = placement.target.hall != target_hall
             self._context.scheduler.post(
                 scheduler_messages.AttemptEnded(
                     placement,
--- a/src/ruddergate/entry/scheduler_messages.py
+++ b/src/ruddergate/entry/scheduler_messages.py
@@ -36,7 +36,7 @@
     """Allows a request to be sent now.
 
     Attributes:
-        placements: The target that answers and those that help it, or one for
+        placements: The target that responds and those that help it, or one for
             each segment of a gang.
     """
 
@@ -96,9 +96,9 @@
         placement: The attempt and its target.
         is_target_fault: Whether the target is at fault.
         is_unreachable: Whether nothing came back from the target.
-        has_answered: Whether the target answered, and so is reachable.
+        has_answered: Whether the target responded, and so is reachable.
         has_exited: Whether nothing listened at the target's address any more,
-            or another incarnation answered there.
+            or another incarnation responded there.
     """
 
     placement: Placement
@@ -117,6 +117,6 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReported:
-    """A target reported its load along with an answer."""
+    """A target reported its load along with a response."""
 
     report: load_report.LoadReport
--- a/src/ruddergate/entry/store_epochs.py
+++ b/src/ruddergate/entry/store_epochs.py
@@ -1,4 +1,4 @@
-"""Checks that an answer of the store belongs to the expected epoch."""
+"""Checks that a response of the store belongs to the expected epoch."""
 
 import dataclasses
 
@@ -11,13 +11,13 @@
     since: store_position.StorePosition | None,
     known_epoch: int,
 ) -> published.Changes | published.HistoryLost | published.Unavailable:
-    """Returns an answer if it can be used, or what is wrong with it.
+    """Returns a response if it can be used, or what is wrong with it.
 
     A store that was restored from a copy may since have passed the requested
     position again, with a different history before that position.
 
     Args:
-        found: The answer. Without an epoch it counts as of the known one.
+        found: The response. Without an epoch it counts as of the known one.
         since: The position after which it starts; None for a full read.
         known_epoch: The last epoch that was read from the store itself.
     """
@@ -26,7 +26,7 @@
         position = dataclasses.replace(position, epoch=known_epoch)
     if position.epoch < known_epoch:
         return published.Unavailable(
-            f"the answer is of epoch {position.epoch},"
+            f"the response is of epoch {position.epoch},"
             f" but epoch {known_epoch} has been read before"
         )
     if since is not None:
--- a/src/ruddergate/entry/store_reader.py
+++ b/src/ruddergate/entry/store_reader.py
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Read:
-    """An answer of the store.
+    """A response of the store.
 
     Attributes:
         changes: The changes.
@@ -43,7 +43,7 @@
         find_age_ms: Returns the age of this VM's view.
 
     Attributes:
-        failed_ms: When the last call began that the store did not answer.
+        failed_ms: When the last call began that found the store unavailable.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
             retry_max_ms: Longest delay after a failed call.
 
         Returns:
-            The answer, or None if there was no valid one.
+            The response, or None if there was no valid one.
         """
         asked_ms = self._env.now_ms()
         found = await self._call_store(since)
--- a/src/ruddergate/entry/store_sync.py
+++ b/src/ruddergate/entry/store_sync.py
@@ -36,7 +36,7 @@
 
 # What is left of a pause may round to zero, and the loop would not yield.
 _MIN_PAUSE_MS = 1.0
-# While the next call to the store is not due, peers that had no current answer
+# While the next call to the store is not due, peers that had no current reply
 # are asked again after this time.
 PEER_RETRY_MS = 300.0
 
@@ -181,7 +181,7 @@
         return min(PEER_RETRY_MS, self._reader.find_wait_ms())
 
     async def _read_store(self) -> bool:
-        """Reads the store; returns whether it answered."""
+        """Reads the store; returns whether that succeeded."""
         is_urgent = self._peers.is_reader() and not self._is_fresh()
         polling = self._polling
         found = await self._reader.read(
@@ -301,7 +301,7 @@
             since: The position after which they start; None for a full read.
         """
         # No VM can show that its data is current while the store is down, but
-        # peers keep answering. So an outage is a gap in the times as of which
+        # peers keep replying. So an outage is a gap in the times as of which
         # the view is known to be current. A restore counts as an outage, too:
         # entries may be missing until they are written again.
         now_ms = self._env.now_ms()
@@ -442,7 +442,7 @@
     def _end_grace(self) -> None:
         """Drops targets that were not listed again in time.
 
-        This does not wait for the store's next answer, which may be a whole
+        This does not wait for the store's next response, which may be a whole
         poll away: a removed target must get no requests longer than necessary.
         """
         self._targets.drop_expired(self._env.now_ms())
