--- a/src/ruddergate/entry/digest_relay.py
+++ b/src/ruddergate/entry/digest_relay.py
@@ -36,7 +36,7 @@
     Args:
         env: Clock and random numbers.
         own: Where this VM receives datagrams.
-        loads: Knows the groups and their relays.
+        loads: Known VMs, their groups and the relays of these.
         send: Sends a message to VMs.
     """
 
@@ -95,15 +95,15 @@
         """Sends all digests to the group, and its members' to other groups."""
         self._timer = None
         now_ms = self._forwarded_ms = self._env.now_ms()
-        own = tuple(self._from_members.values())
-        queued = (*own, *self._from_relays.values())
+        from_members = tuple(self._from_members.values())
+        queued = (*from_members, *self._from_relays.values())
         self._from_members.clear()
         self._from_relays.clear()
         self._send_bundles(queued, False, self._loads.list_group_members())
-        if own:
+        if from_members:
             rng = self._env.random
             relays = self._loads.find_other_relays(now_ms, rng)
-            self._send_bundles(own, True, relays)
+            self._send_bundles(from_members, True, relays)
 
     def _send_bundles(
         self,
--- a/src/ruddergate/entry/gateway.py
+++ b/src/ruddergate/entry/gateway.py
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GatewayConfig:
-    """Settings of a gateway besides those of any entry.
+    """Settings of a gateway in addition to those in EntryConfig.
 
     Attributes:
         ready_listen: Address of the load balancer's readiness check.
@@ -68,8 +68,8 @@
         settings_age_max_ms: Maximum age of settings for accepting a key;
             infinite if a removed key may be used until a VM learns of it.
         ready_age_max_ms: Maximum age of settings for accepting new callers.
-        certain_age_max_ms: Maximum age of settings for rejecting a route or key
-            as unknown with certainty.
+        not_found_age_max_ms: Maximum age of settings for permanently rejecting
+            a route or key as unknown.
         stop_lag_ms: Time for the load balancer to notice that this VM stops.
         stop_limit_ms: Time after which a planned stop ends even if requests are
             still open.
@@ -83,7 +83,7 @@
     metrics_listen: environment.Address
     settings_age_max_ms: float
     ready_age_max_ms: float
-    certain_age_max_ms: float
+    not_found_age_max_ms: float
     stop_lag_ms: float
     stop_limit_ms: float
     polling: poll_config.PollConfig
@@ -181,8 +181,8 @@
                 lost
             ),
             check_admission=self._check_admission,
-            take_rate_token=self._rate_limiter.admit,
-            return_rate_token=self._rate_limiter.give_back,
+            take_rate_token=self._rate_limiter.take_token,
+            return_rate_token=self._rate_limiter.return_token,
         )
         self._orders = platform.make_orders(self._on_hints)
         self._keeper = reservation_keeper.ReservationKeeper(
@@ -217,7 +217,7 @@
             self._keeper,
             relay_admit.SettingsAgeLimits(
                 gateway_config.settings_age_max_ms,
-                gateway_config.certain_age_max_ms,
+                gateway_config.not_found_age_max_ms,
             ),
         )
         self._peers = peer_gossip.PeerGossip(
@@ -234,7 +234,7 @@
             summarize_draining=self._availability.summarize,
             merge_draining=self._availability.merge_gossip,
             summarize_rate_limits=self._rate_limiter.summarize,
-            merge_rate_limits=self._rate_limiter.merge,
+            merge_rate_limits=self._rate_limiter.merge_gossip,
             find_settings_revision=lambda: view.catalog.revision,
             note_newer_settings=self.note_newer_settings,
         )
@@ -266,7 +266,7 @@
     def _on_hints(self, hints: hint_types.Hints) -> None:
         """Applies the hints in a target's response."""
         self._availability.on_hints(hints)
-        self._rate_limiter.observe(hints)
+        self._rate_limiter.on_hints(hints)
 
     def _check_admission(
         self, chosen: Sequence[targets.Target]
--- a/src/ruddergate/entry/relay_attempt.py
+++ b/src/ruddergate/entry/relay_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a relayed request answered by one target."""
+"""One attempt to relay a request to one target."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -25,16 +25,16 @@
 # this timeout, a short prompt due in 300 ms can still be in time elsewhere.
 CONNECT_TIMEOUT_MS = 150.0
 # How long a target may be silent before the request fails over to another one,
-# where the route allows that: a multiple of the route's `aim_ms` for the first
-# event, and of its `gap_aim_ms` for later ones, with a minimum.
-SILENCE_TIMEOUT_AIMS = 3.0
+# where the route allows that: a multiple of the route's `latency_slo_ms` for
+# the first event, and of its `gap_slo_ms` for later ones, with a minimum.
+SILENCE_TIMEOUT_SLO_FACTOR = 3.0
 MIN_SILENCE_TIMEOUT_MS = 900.0
 # Retry-after when helpers refused memory; some may be free again by then.
 _NO_MEMORY_RETRY_MS = 500.0
-# Retry-after when targets did not answer a probe; others may serve by then.
+# Retry-after when targets did not respond to a probe; others may serve by then.
 _PROBE_RETRY_MS = 500.0
 # Urgency of the shortest prompts and of plain calls. Longer prompts get higher
-# numbers, which targets let in later.
+# numbers, which targets admit later.
 _SHORTEST_PROMPT_URGENCY = 3
 # Nothing listens at the address any more, or another incarnation does.
 _EXITED_REASONS = (
@@ -59,12 +59,12 @@
 
 
 class RelayAttempt:
-    """One attempt; `run` is called once and yields the answer.
+    """One attempt; `run` is called once and yields the response.
 
     Args:
         request: The relayed request.
         grant: The target, and its helpers.
-        progress: Updated as the answer comes in.
+        progress: Updated as the response arrives.
         send: Sends the request to the target.
         keeper: Holds memory on the helpers.
         context: Shared objects of the entry.
@@ -123,7 +123,7 @@
             traceparent = self._request.traceparent
             with self._context.tracer.span("attempt", traceparent):
                 async with contextlib.aclosing(
-                    self._read_answer(upstream_request, bool(reservations))
+                    self._read_response(upstream_request, bool(reservations))
                 ) as events:
                     async for event in events:
                         if self._process_event(event):
@@ -193,12 +193,12 @@
             _PROBE_RETRY_MS,
         )
 
-    async def _read_answer(
+    async def _read_response(
         self,
         upstream_request: upstream_requests.UpstreamRequest,
         is_watched: bool,
     ) -> AsyncIterator[response_events.Event]:
-        """Yields the answer, or a failure that is found before its first event.
+        """Yields the response, or a failure found before its first event.
 
         A watched target is probed until its first event; after that, gaps
         between events show its failure. Helpers are watched for just as long,
@@ -209,7 +209,7 @@
             is_watched: Whether the target is probed.
 
         Yields:
-            The events of the answer.
+            The events of the response.
         """
         async with contextlib.aclosing(self._send(upstream_request)) as events:
             failure_watches = []
@@ -228,7 +228,7 @@
                 yield event
 
     async def _wait_for_silence(self) -> outcomes.NotServed:
-        """Returns the failure once the target no longer answers probes."""
+        """Returns the failure once the target stops responding to probes."""
         await self._keeper.wait_until_unresponsive(self._placements[0].target)
         return outcomes.NotServed(
             outcomes.Reason.TARGET_LOST,
@@ -278,16 +278,16 @@
         """
         target_ids = [each.reservation.target.target_id for each in missing]
         self._progress.excluded |= set(target_ids)
-        lost_answers = (
+        lost_results = (
             orders.OrderResult.NOT_LISTENING,
             orders.OrderResult.UNREACHABLE,
         )
         for target_id, each in zip(target_ids, missing, strict=True):
-            if each.answer in lost_answers:
+            if each.result in lost_results:
                 self._faulted.add(target_id)
-            if each.answer is orders.OrderResult.UNREACHABLE:
+            if each.result is orders.OrderResult.UNREACHABLE:
                 self._unreachable.add(target_id)
-            if each.answer is orders.OrderResult.NOT_LISTENING:
+            if each.result is orders.OrderResult.NOT_LISTENING:
                 self._exited.add(target_id)
         return outcomes.refuse(
             outcomes.Reason.NO_MEMORY,
@@ -362,13 +362,13 @@
             )
 
     def _post_attempt_ends(self) -> None:
-        answering_hall = self._placements[0].target.hall
+        target_hall = self._placements[0].target.hall
         for placement in self._placements:
             target_id = placement.target.target_id
             # A helper in another hall that the target reports as failed may
             # just be unreachable from there.
             is_reported = target_id in self._progress.faulted_helpers
-            is_in_other_hall = placement.target.hall != answering_hall
+            is_in_other_hall = placement.target.hall != target_hall
             self._context.scheduler.post(
                 scheduler_messages.AttemptEnded(
                     placement,
@@ -425,10 +425,11 @@
             CONNECT_TIMEOUT_MS,
             max(
                 MIN_SILENCE_TIMEOUT_MS,
-                SILENCE_TIMEOUT_AIMS * route.latency_slo_ms,
+                SILENCE_TIMEOUT_SLO_FACTOR * route.latency_slo_ms,
             ),
             max(
-                MIN_SILENCE_TIMEOUT_MS, SILENCE_TIMEOUT_AIMS * route.gap_slo_ms
+                MIN_SILENCE_TIMEOUT_MS,
+                SILENCE_TIMEOUT_SLO_FACTOR * route.gap_slo_ms,
             ),
             self._can_fail_over,
         )
@@ -461,7 +462,7 @@
 
 
 def _find_urgency(request: requests.Request) -> int:
-    """Returns the urgency, which lets shorter prompts in before longer ones."""
+    """Returns the urgency, by which targets admit shorter prompts first."""
     return _SHORTEST_PROMPT_URGENCY + length_band.find_band(
         request.prompt_tokens
     )
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -45,8 +45,8 @@
     outcomes.Reason.QUARANTINED,
     *_UNAVAILABLE_REASONS,
 )
-# The failure need not be that of the target that was to answer, which is not
-# excluded then.
+# The target that was to respond need not be the one that failed, so it is not
+# excluded.
 _KEEP_TARGET_REASONS = (
     outcomes.Reason.NO_MEMORY,
     outcomes.Reason.HELPER_UNREACHABLE,
@@ -54,17 +54,17 @@
 )
 # After these, a target that refused because of a helper stays pinned.
 _KEEP_PIN_REASONS = (outcomes.Reason.HELPER_UNREACHABLE, *_UNAVAILABLE_REASONS)
-# Answers below this status are final. From here on a repeatable request is
-# retried; if all retries fail, the caller gets the last such answer.
+# Responses below this status are final. From here on a repeatable request is
+# retried; if all retries fail, the caller gets the last such response.
 _MIN_SERVER_ERROR_STATUS = 500
 # How long a request waits for a target ahead of late ones, as a multiple of its
-# route's `aim_ms`, the latency below which an answer is in time. After that it
-# is late anyway, and requests that can still be in time go first. A policy that
+# route's `latency_slo_ms`, below which a response is in time. After that it is
+# late anyway, and requests that can still be in time go first. A policy that
 # holds long prompts back releases them earlier (routing/long_prompts.py).
-ON_TIME_WAIT_AIMS = 0.5
-# It then waits behind those for `aim_ms`, but at least this long. Callers give
-# up a stream that has not begun after four times `aim_ms`, but not before two
-# seconds.
+ON_TIME_WAIT_SLO_FACTOR = 0.5
+# It then waits behind those for `latency_slo_ms`, but at least this long.
+# Callers give up a stream that has not begun after four times that latency, but
+# not before two seconds.
 MIN_LATE_WAIT_MS = 1_200.0
 # Puts the ranks of late requests below those of all others.
 _LATE_RANK_OFFSET = 1_000_000
@@ -79,7 +79,10 @@
     keeper: reservation_keeper.ReservationKeeper,
     context: contexts.EntryContext,
 ) -> AsyncIterator[response_events.Event]:
-    """Yields the answer's events in order, each once, and last the outcome."""
+    """Yields the response's events in order, and last the outcome.
+
+    Each event is yielded once.
+    """
     progress = relay_progress.Progress(request.payload.last_event_id)
     refusal = context.quarantine.check_admission(request)
     if refusal is not None:
@@ -131,7 +134,7 @@
     if isinstance(outcome, response_events.CompleteResponse):
         if outcome.status < _MIN_SERVER_ERROR_STATUS:
             return outcome
-        progress.failed_answer = outcome
+        progress.error_response = outcome
         outcome = outcomes.NotServed(
             outcomes.Reason.TARGET_REFUSED,
             outcomes.Ran.RAN,
@@ -225,11 +228,11 @@
 ) -> response_events.CompleteResponse | outcomes.NotServed:
     """Returns the outcome of all attempts.
 
-    That is a target's own error answer, if there was one and the caller has no
-    response head yet.
+    That is a target's own error response, if there was one and the caller has
+    no response head yet.
     """
-    if progress.failed_answer is not None and not progress.has_head:
-        return progress.failed_answer
+    if progress.error_response is not None and not progress.has_head:
+        return progress.error_response
     ran = model_run.combine_ran(progress.ran, outcome.ran)
     return dataclasses.replace(outcome, ran=ran)
 
@@ -281,11 +284,11 @@
     Returns:
         Whether the request is late, and the wait in milliseconds, for each.
     """
-    aim_ms = request.payload.route.latency_slo_ms
-    on_time_ms = ON_TIME_WAIT_AIMS * aim_ms
+    latency_slo_ms = request.payload.route.latency_slo_ms
+    on_time_ms = ON_TIME_WAIT_SLO_FACTOR * latency_slo_ms
     if not progress.has_head:
         on_time_ms -= context.env.now_ms() - request.arrived_ms
-    return (False, on_time_ms), (True, max(MIN_LATE_WAIT_MS, aim_ms))
+    return (False, on_time_ms), (True, max(MIN_LATE_WAIT_MS, latency_slo_ms))
 
 
 def _make_placement_request(
--- a/standins/rate_limit_fleet.py
+++ b/standins/rate_limit_fleet.py
@@ -164,7 +164,7 @@
             f"{name}.{self._starts[name]}",
             lambda: (),
             summarize_rate_limits=limiter.summarize,
-            merge_rate_limits=limiter.merge,
+            merge_rate_limits=limiter.merge_gossip,
         )
         self.vms[name] = _Vm(process, gossip, limiter, env, {})
         process.start(gossip.run)
@@ -222,7 +222,7 @@
             self.counts["refused"] += 1
             return
         limited = vm.env.random.choice(local or candidates)
-        if vm.limiter.admit(limited.target, "") is not None:
+        if vm.limiter.take_token(limited.target, "") is not None:
             self.counts["withheld"] += 1
             return
         self.counts["sent"] += 1
@@ -237,7 +237,7 @@
         is_unlimited = rate_per_s == float("inf")
         if not is_unlimited:
             vm.relayed_at_s.setdefault(limited.name, loop.time())
-        vm.limiter.observe(
+        vm.limiter.on_hints(
             hint_types.Hints(
                 incarnations.Incarnation(limited.name),
                 rate_limit_per_s=None if is_unlimited else rate_per_s,
@@ -257,7 +257,7 @@
             rate_per_s = rate_limit_check.find_rate(limited.limits, loop.time())
             await asyncio.sleep(0.002)
             is_unlimited = rate_per_s == float("inf")
-            vm.limiter.observe(
+            vm.limiter.on_hints(
                 hint_types.Hints(
                     incarnations.Incarnation(limited.name),
                     rate_limit_per_s=None if is_unlimited else rate_per_s,
