--- a/src/ruddergate/decisions/estimate.py
+++ b/src/ruddergate/decisions/estimate.py
@@ -314,7 +314,7 @@
     def streams_by_gap_class(self, now_ms: float) -> tuple[int, ...]:
         """Returns the streams of this VM and its peers by gap class."""
         own = self._own_streams_by_gap_class()
-        peers = self._peer_work.streams_by_pause
+        peers = self._peer_work.streams_by_gap_class
         if now_ms - self._peer_ms >= PEER_LOAD_TTL_MS or len(peers) != len(own):
             return own
         return tuple(map(sum, zip(own, peers, strict=True)))
--- a/src/ruddergate/decisions/gap_class.py
+++ b/src/ruddergate/decisions/gap_class.py
@@ -32,15 +32,15 @@
     It is what the shortest gap SLO of the class leaves beside an iteration
     without any prefill.
     """
-    return _compute_prefill_budgets_ms(pool.pause_slos_ms, pool.iteration_ms)
+    return _compute_prefill_budgets_ms(pool.gap_slos_ms, pool.iteration_ms)
 
 
 @functools.lru_cache(maxsize=64)
 def _compute_prefill_budgets_ms(
-    pause_slos_ms: tuple[float, ...], iteration_ms: float
+    gap_slos_ms: tuple[float, ...], iteration_ms: float
 ) -> tuple[float, ...]:
     budgets_ms = list(DEFAULT_PREFILL_BUDGETS_MS)
-    for gap_slo_ms in sorted(pause_slos_ms, reverse=True):
+    for gap_slo_ms in sorted(gap_slos_ms, reverse=True):
         remaining_ms = (
             gap_slo_ms * _USABLE_GAP_SHARE - iteration_ms - _DELIVERY_MS
         )
--- a/src/ruddergate/decisions/peer_loads.py
+++ b/src/ruddergate/decisions/peer_loads.py
@@ -301,20 +301,20 @@
     held_tokens = 0
     streams = 0
     prefill_ms = 0.0
-    by_pause = [0] * gap_class.CLASSES
+    by_gap_class = [0] * gap_class.CLASSES
     pending = [0] * length_band.BANDS
     for row in rows:
         held_tokens += row.held_tokens
         streams += row.streams
         prefill_ms += row.prefill_ms
-        _add_counts(by_pause, row.streams_by_pause)
+        _add_counts(by_gap_class, row.streams_by_gap_class)
         _add_counts(pending, row.pending_tokens)
     return dispatched.Dispatched(
         target_id,
         tuple(pending),
         held_tokens,
         streams,
-        tuple(by_pause),
+        tuple(by_gap_class),
         prefill_ms,
     )
 
--- a/src/ruddergate/fleet/dispatched.py
+++ b/src/ruddergate/fleet/dispatched.py
@@ -21,7 +21,7 @@
     pending_tokens: tuple[int, ...]
     held_tokens: int
     streams: int
-    streams_by_pause: tuple[int, ...] = ()
+    streams_by_gap_class: tuple[int, ...] = ()
     prefill_ms: float = 0.0
 
     @property
--- a/src/ruddergate/settings/catalog.py
+++ b/src/ruddergate/settings/catalog.py
@@ -47,7 +47,7 @@
         routes_ = tuple(routes_)
         self.pools = {
             name: dataclasses.replace(
-                pool, pause_slos_ms=_find_pause_slos_ms(name, routes_)
+                pool, gap_slos_ms=_find_gap_slos_ms(name, routes_)
             )
             for name, pool in pools.items()
         }
@@ -78,7 +78,7 @@
 EMPTY = Catalog(0, (), {}, {})
 
 
-def _find_pause_slos_ms(
+def _find_gap_slos_ms(
     pool: str, routes_: Iterable[routes.Route]
 ) -> tuple[float, ...]:
     """Returns the different pause limits of the routes to a pool, sorted."""
--- a/src/ruddergate/settings/effective.py
+++ b/src/ruddergate/settings/effective.py
@@ -63,7 +63,7 @@
     gang_engines_max: int
     weight_reads_per_s_max: float
     iteration_ms: float = 0.0
-    pause_slos_ms: tuple[float, ...] = ()
+    gap_slos_ms: tuple[float, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/tests/test_gap_class.py
+++ b/tests/test_gap_class.py
@@ -33,7 +33,7 @@
         pool = _make_pool(
             {"a": 250, "b": 600, "c": 1_000, "d": 220}, stride=34, step_ms=1.31
         )
-        self.assertEqual(pool.pause_slos_ms, (220.0, 250.0, 600.0, 1_000.0))
+        self.assertEqual(pool.gap_slos_ms, (220.0, 250.0, 600.0, 1_000.0))
         short, middle, long_ = gap_class.find_prefill_budgets_ms(pool)
         # The shortest gap of a class applies.
         self.assertAlmostEqual(short, 220.0 * 0.95 - 34 * 1.31 - 17.0)
--- a/tests/test_peer_gossip.py
+++ b/tests/test_peer_gossip.py
@@ -58,7 +58,7 @@
         self.loads.merge(_digest("1.1.1.3:1", streams=2), 0.0)
         (row,) = self.loads.collect_sums()
         self.assertEqual(row.streams, 3)
-        self.assertEqual(row.streams_by_pause, (3, 0, 0))
+        self.assertEqual(row.streams_by_gap_class, (3, 0, 0))
         self.assertEqual(row.pending_tokens, (200, 0, 0, 0, 0))
         self.assertEqual(row.held_tokens, 1_000)
         self.assertEqual(row.prefill_ms, 40.0)
