--- a/src/ruddergate/decisions/poison_requests.py
+++ b/src/ruddergate/decisions/poison_requests.py
@@ -194,7 +194,7 @@
             return None
         completed_age_ms = now_ms - record.completed_ms
         if math.isinf(completed_age_ms):
-            completed_age_ms = messages.NEVER_FINISHED
+            completed_age_ms = messages.NEVER_COMPLETED
         crashes = tuple(
             messages.EndedIncarnation(
                 incarnation, now_ms - each.at_ms, each.weight
@@ -256,7 +256,7 @@
 
     def _merge_row(self, row: messages.PoisonReport, now_ms: float) -> bool:
         is_new = False
-        if row.finished_age_ms != messages.NEVER_FINISHED:
+        if row.completed_age_ms != messages.NEVER_COMPLETED:
             is_new = self._merge_completion(row, now_ms)
         for each in row.ended:
             at_ms = now_ms - each.age_ms
@@ -268,7 +268,7 @@
     def _merge_completion(
         self, row: messages.PoisonReport, now_ms: float
     ) -> bool:
-        completed_ms = now_ms - row.finished_age_ms
+        completed_ms = now_ms - row.completed_age_ms
         if now_ms - completed_ms >= SUSPECT_MS:
             return False
         record = self._records.setdefault(row.fingerprint, _Record())
@@ -356,8 +356,8 @@
 def _find_row_error(row: messages.PoisonReport) -> str:
     if len(row.ended) > MAX_CRASHES:
         return f"{len(row.ended)} crashes of one fingerprint"
-    completed_ms = row.finished_age_ms
-    if completed_ms != messages.NEVER_FINISHED and not _is_age(completed_ms):
+    completed_ms = row.completed_age_ms
+    if completed_ms != messages.NEVER_COMPLETED and not _is_age(completed_ms):
         return "a completion with an invalid age"
     for each in row.ended:
         if not _is_age(each.age_ms):
--- a/src/ruddergate/messages/poison_reports.py
+++ b/src/ruddergate/messages/poison_reports.py
@@ -5,7 +5,7 @@
 from ruddergate.fleet import incarnation as incarnations
 
 # Age of a request that has never completed.
-NEVER_FINISHED = -1.0
+NEVER_COMPLETED = -1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
 
     fingerprint: str
     ended: tuple[EndedIncarnation, ...]
-    finished_age_ms: float = NEVER_FINISHED
+    completed_age_ms: float = NEVER_COMPLETED
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -24,15 +24,15 @@
 
 
 def _make_row(
-    fingerprint: str, *numbers: int, finished_age_ms=None
+    fingerprint: str, *numbers: int, completed_age_ms=None
 ) -> messages.PoisonReport:
     ended = tuple(
         messages.EndedIncarnation(_make_incarnation(number), 100.0, 1.0)
         for number in numbers
     )
-    if finished_age_ms is None:
+    if completed_age_ms is None:
         return messages.PoisonReport(fingerprint, ended)
-    return messages.PoisonReport(fingerprint, ended, finished_age_ms)
+    return messages.PoisonReport(fingerprint, ended, completed_age_ms)
 
 
 class QuarantineTest(unittest.TestCase):
@@ -180,7 +180,7 @@
     def test_rows_round_trip_on_the_wire(self) -> None:
         message = messages.PoisonReports(
             "10.0.0.1:83",
-            (_make_row("a", 0, 1, finished_age_ms=5.0), _make_row("b", 2)),
+            (_make_row("a", 0, 1, completed_age_ms=5.0), _make_row("b", 2)),
         )
         self.assertEqual(codec.decode(codec.encode(message)), message)
 
