--- a/src/ruddergate/decisions/change_log.py
+++ b/src/ruddergate/decisions/change_log.py
@@ -62,7 +62,7 @@
         """Drops all steps, after everything was read anew."""
         self._steps.clear()
 
-    def find_since(self, position: int, until: int) -> Step | None:
+    def find_since(self, revision: int, until: int) -> Step | None:
         """Returns all changes between two revisions as one step.
 
         Args:
@@ -73,12 +73,12 @@
             The step, or None if it is not known, could not be read, is too
             large for a reply, or would begin after its end.
         """
-        if position > until:
+        if revision > until:
             return None
-        if position == until:
+        if revision == until:
             return Step(until, until, False)
-        steps = [each for each in self._steps if each.until > position]
-        if not steps or steps[0].since > position:
+        steps = [each for each in self._steps if each.until > revision]
+        if not steps or steps[0].since > revision:
             return None
         if steps[-1].until != until:
             return None
@@ -88,7 +88,7 @@
         removed, malformed = _find_last_states(steps)
         if len(rows) + len(removed) + len(malformed) > MAX_ROWS:
             return None
-        return Step(position, until, False, rows, removed, malformed)
+        return Step(revision, until, False, rows, removed, malformed)
 
 
 def _find_last_states(
--- a/src/ruddergate/entry/peer_reader.py
+++ b/src/ruddergate/entry/peer_reader.py
@@ -109,7 +109,7 @@
                 return None
             catalog, document = fetched
         return published.Changes(
-            store_position.StorePosition(reply.epoch, reply.position),
+            store_position.StorePosition(reply.epoch, reply.revision),
             catalog,
             listed,
             reply.removed,
@@ -140,7 +140,7 @@
         self, peer: str, reply: store_changes.StoreChangesReply
     ) -> tuple[targets.Target, ...] | None:
         """Fetches all of a peer's targets."""
-        position = store_position.StorePosition(reply.epoch, reply.position)
+        position = store_position.StorePosition(reply.epoch, reply.revision)
         data = await self.targets.fetch(peer, position)
         if data is None:
             return None
--- a/src/ruddergate/entry/store_sync.py
+++ b/src/ruddergate/entry/store_sync.py
@@ -135,7 +135,7 @@
             self._is_history_lost = True
         step = None
         if request.epoch == position.epoch:
-            step = self._changes.find_since(request.position, position.revision)
+            step = self._changes.find_since(request.revision, position.revision)
         reply = store_changes.StoreChangesReply(
             request.correlation_id,
             position.revision,
@@ -461,4 +461,4 @@
 ) -> bool:
     """Returns whether a peer is at a lower revision of the same epoch."""
     is_same = reply.epoch == position.epoch
-    return is_same and reply.position < position.revision
+    return is_same and reply.revision < position.revision
--- a/src/ruddergate/messages/store_changes.py
+++ b/src/ruddergate/messages/store_changes.py
@@ -20,7 +20,7 @@
 
     sender: str
     correlation_id: str
-    position: int
+    revision: int
     epoch: int = store_position.EPOCH_UNKNOWN
 
 
@@ -45,7 +45,7 @@
     """
 
     correlation_id: str
-    position: int
+    revision: int
     age_ms: float
     is_complete: bool
     settings_revision: int = 0
