--- a/src/ruddergate/clock.py
+++ b/src/ruddergate/clock.py
@@ -1,8 +1,8 @@
 """The clock behind ages, deadlines and timers.
 
 A VM may be suspended for seconds. The monotonic clock stops meanwhile, so a VM
-that relied on it would resume with freshness proofs, leases and deadlines that
-look as young as before, and would for instance accept a key that was removed
+that relied on it would resume with settings, leases and deadlines that look as
+fresh as before, and would for instance accept a key that was removed
 during the suspension. The clock used here includes suspended time.
 """
 
--- a/src/ruddergate/decisions/change_log.py
+++ b/src/ruddergate/decisions/change_log.py
@@ -1,8 +1,8 @@
 """Changelog of what the store published, for peers that ask for changes.
 
-A change is identified by the store's revisions between which it came, all of
-one epoch. Applying a change twice does no harm: it holds the last state of each
-target that it names.
+A step holds what changed between two revisions of the store, both of one epoch.
+Applying a step twice does no harm: it holds the last state of each target that
+it names.
 """
 
 import collections
@@ -66,7 +66,7 @@
         """Returns all changes between two revisions as one step.
 
         Args:
-            position: The revision after which it begins.
+            revision: The revision after which it begins.
             until: The revision with which it ends.
 
         Returns:
--- a/src/ruddergate/decisions/cost.py
+++ b/src/ruddergate/decisions/cost.py
@@ -45,7 +45,10 @@
 
 
 def is_long(pool: effective.Pool, tokens: int) -> bool:
-    """Returns whether prefilling a prompt delays streams decoded beside it."""
+    """Returns whether prefilling a prompt delays streams decoded beside it.
+
+    Unlike `length_band.is_long`, this depends on the pool.
+    """
     return (
         predict_prefill_ms(pool, tokens)
         > gap_class.find_prefill_budgets_ms(pool)[0]
--- a/src/ruddergate/decisions/document_parts.py
+++ b/src/ruddergate/decisions/document_parts.py
@@ -9,7 +9,7 @@
 MAX_PARTS = 400
 # The platform's largest value is one megabyte; this allows for growth.
 MAX_DOCUMENT_BYTES = 8_000_000
-# Higher levels gain little and would block the VM for longer.
+# Higher levels gain little and would block the event loop for longer.
 _ZLIB_LEVEL = 1
 
 
--- a/src/ruddergate/decisions/drain_suspects.py
+++ b/src/ruddergate/decisions/drain_suspects.py
@@ -1,7 +1,7 @@
 """Incarnations that are suspected of draining, and when to probe them.
 
 A drain hint does not always name the incarnation that it came from: a response
-may not tell when its target started, and gossip may be about another start of
+may not state when its target started, and gossip may be about another start of
 it. An incarnation that such a hint may be about is suspected of draining. It
 gets no requests and is probed: each response to a probe says whether its target
 drains, which confirms or refutes the suspicion.
--- a/src/ruddergate/decisions/draining.py
+++ b/src/ruddergate/decisions/draining.py
@@ -1,7 +1,7 @@
 """Which incarnations of targets accept no requests from this VM.
 
 A target that drains says so in its entry in the store and in the hints beside
-each of its responses, and VMs gossip what they were told. An entry or a
+each of its responses, and VMs gossip what these responses say. An entry or a
 response that names its incarnation holds for that incarnation for good: an
 older entry, a peer that does not know of it yet or a list read after an outage
 may still show the target as ready, and does not undo it. Where a hint may be
@@ -24,8 +24,8 @@
 MAX_DRAINING = 24_000
 # Incarnations whose backoff is remembered; a VM has requests on fewer targets.
 MAX_BACKOFFS = 4_096
-# How long peers are told of a drain that a response has shown. A hall that was
-# cut off for 5 s still receives it twice.
+# How long a drain that a response has shown is announced to peers. A hall that
+# was cut off for 5 s still receives it twice.
 ANNOUNCE_DURATION_MS = 10_000.0
 # Drains announced at once, the latest ones; each takes about 30 bytes.
 MAX_ANNOUNCED = 16
@@ -144,8 +144,8 @@
             gossiped: The incarnation, as far as the peer knows it.
             peer: The peer.
             now_ms: Time.
-            due_ms: When to probe the target, unless the matter is settled
-                before.
+            due_ms: When to probe the target, unless the suspicion is confirmed
+                or refuted before.
 
         Returns:
             Whether this is new.
--- a/src/ruddergate/decisions/estimate.py
+++ b/src/ruddergate/decisions/estimate.py
@@ -68,7 +68,8 @@
         generation: Incarnation of the target, empty until known.
         draining: Whether it has reported that it accepts no new requests.
         open_until_ms: Circuit breaker: no requests are sent before this time.
-        answered_ms: When it last worked as expected for this VM.
+        answered_ms: When an attempt of this VM last ended with an answer and
+            without a fault of the target.
         faults: Consecutive failures.
         peak_ms: Peak-sensitive moving average of its response time.
     """
@@ -93,7 +94,7 @@
         self._peer_work = dispatched.Dispatched(target.target_id, (), 0, 0)
         self._peer_ms = float("-inf")
         self._prefixes: dict[str, int] = {}
-        self._event_number = -1
+        self._event_sequence = -1
 
     def is_usable(self, now_ms: float) -> bool:
         """Returns whether it accepts requests and its breaker is closed."""
@@ -114,8 +115,9 @@
     def note_first_token(self, attempt_id: str, now_ms: float) -> bool:
         """Notes that an attempt's prefill has ended.
 
-        Returns whether the prompt was long, so that its end matters to other
-        prompts: a short prefill is over before peers learn that it has ended.
+        Returns:
+            Whether the prompt was long, so that peers need to know of the end:
+            a short prefill is over before they learn of it.
         """
         work = self._attempts.get(attempt_id)
         if work is None or work.has_first_token:
@@ -172,7 +174,7 @@
         self._failed_until_ms = now_ms + RECENT_FAULT_MS
 
     def has_failed_recently(self, now_ms: float) -> bool:
-        """Returns whether it failed recently and did nothing right since."""
+        """Returns whether it failed recently without a first token since."""
         return now_ms < self._failed_until_ms
 
     def note_reported_lost(self, now_ms: float, open_ms: float) -> None:
@@ -195,7 +197,7 @@
             self.generation = report.generation
             self.draining = False
             self._prefixes.clear()
-            self._event_number = -1
+            self._event_sequence = -1
         elif self._report is not None and report_ms < self._report_ms:
             return
         self._report = report
@@ -222,14 +224,14 @@
     def apply_cache_event(self, event: cache_event.CacheEvent) -> None:
         """Applies a cache event of the target.
 
-        A gap in the numbers means that events were lost, evictions perhaps
+        A gap in the sequence means that events were lost, evictions perhaps
         among them, so the older half of the known prefixes is dropped.
         """
-        if event.sequence <= self._event_number:
+        if event.sequence <= self._event_sequence:
             return
-        if event.sequence != self._event_number + 1:
+        if event.sequence != self._event_sequence + 1:
             self._drop_older_half()
-        self._event_number = event.sequence
+        self._event_sequence = event.sequence
         if event.tokens > 0:
             self.note_prefix(event.prefix, event.tokens)
         else:
@@ -271,13 +273,13 @@
 
     def held_tokens(self, now_ms: float) -> int:
         """Returns the estimated memory in use."""
-        own = self._totals.held_tokens
+        known = self._totals.held_tokens
         if now_ms - self._peer_ms < PEER_WORK_TTL_MS:
-            own += self._peer_work.held_tokens
+            known += self._peer_work.held_tokens
         if self._report is None:
-            return own
+            return known
         return max(
-            own, self._report.held_tokens + self._since_report.held_tokens
+            known, self._report.held_tokens + self._since_report.held_tokens
         )
 
     def free_tokens(self, now_ms: float) -> float:
@@ -287,12 +289,12 @@
 
     def streams(self, now_ms: float) -> int:
         """Returns the estimated number of requests in flight."""
-        own = len(self._attempts)
+        known = len(self._attempts)
         if now_ms - self._peer_ms < PEER_WORK_TTL_MS:
-            own += self._peer_work.streams
+            known += self._peer_work.streams
         if self._report is None:
-            return own
-        return max(own, self._report.running + self._since_report.streams)
+            return known
+        return max(known, self._report.running + self._since_report.streams)
 
     def recent_streams(self, now_ms: float) -> float:
         """Returns the streams of this VM and others, as recently known.
--- a/src/ruddergate/decisions/freshness.py
+++ b/src/ruddergate/decisions/freshness.py
@@ -1,11 +1,12 @@
 """Freshness of what the store published, which gateways pass on to each other.
 
 A VM's knowledge is current as of a moment on its own monotonic clock: at that
-moment nothing newer was published than what it knows. A call of the store shows
-the moment at which it began. A peer that is asked at u and replies that its
-own knowledge is current as of a ms ago shows u - a, whatever the two clocks say
-and however late the reply comes, because the age was taken after the request
-was sent.
+moment nothing newer was published than what it knows. After a call of the
+store, that is the moment at which the call began. After a request to a peer, it
+is `u - a`: `u` is when the request was sent, and `a` is the age of the peer's
+knowledge according to its reply. This holds whatever the two clocks say and
+however late the reply comes, because the age was taken after the request was
+sent.
 
 Nobody is elected to read the store. All VMs of a hall rank the VMs that they
 know in the same way; the first one reads the store and the others ask the
@@ -27,8 +28,8 @@
 # to its peers. An age at a reader and one interval of a follower add up to it.
 READER_INTERVAL_FACTOR = 0.75
 FOLLOWER_INTERVAL_FACTOR = 0.25
-# What is this much older than a reader's interval still counts as fresh: the
-# replies of the store and of the peer take some milliseconds.
+# Knowledge that is older than a reader's interval by up to this still counts as
+# fresh: the replies of the store and of the peer take some milliseconds.
 FRESHNESS_SLACK_MS = 100.0
 
 
--- a/src/ruddergate/decisions/ledger.py
+++ b/src/ruddergate/decisions/ledger.py
@@ -17,7 +17,7 @@
 
 MAX_ENTRIES = 200_000
 MAX_RECORDING_BYTES = 65_536
-MAX_RECORDINGS_BYTES = 16_000_000
+MAX_KEPT_BYTES = 16_000_000
 
 T = TypeVar("T")
 
@@ -151,7 +151,7 @@
         entry.size_bytes = size_bytes
         self._kept_keys.append(key)
         self._kept_bytes += size_bytes
-        while self._kept_bytes > MAX_RECORDINGS_BYTES:
+        while self._kept_bytes > MAX_KEPT_BYTES:
             self._drop_recording(self._kept_keys.popleft())
 
     def _drop_recording(self, key: str) -> None:
--- a/src/ruddergate/decisions/loss_reports.py
+++ b/src/ruddergate/decisions/loss_reports.py
@@ -1,4 +1,4 @@
-"""Which unreachable targets a VM reports to its peers, and what it takes over.
+"""Which unreachable targets a VM reports, and which reports it applies.
 
 With many VMs and many targets, each loss is found many times over: seven
 engines that died in a fleet of 195 VMs cost each VM requests of its own until
@@ -23,7 +23,7 @@
 # and it reports nothing.
 MAX_REPORTED = 16
 # How long a target that a peer reported is avoided, drawn from this range: the
-# first VM that tries it again then tells the others the result.
+# first VM that tries it again then reports the result to the others.
 AVOID_RANGE_MS = (600.0, 1_800.0)
 
 
@@ -31,9 +31,9 @@
     """Losses that this VM has found; owned by the scheduler task."""
 
     def __init__(self) -> None:
-        self._gone: dict[incarnations.Incarnation, float] = {}
-        self._silent: dict[incarnations.Incarnation, float] = {}
-        self._halls: dict[str, float] = {}
+        self._terminated: dict[incarnations.Incarnation, float] = {}
+        self._unresponsive: dict[incarnations.Incarnation, float] = {}
+        self._unreachable_halls: dict[str, float] = {}
         self._reached_ms: dict[str, float] = {}
 
     def note_reached(
@@ -41,15 +41,15 @@
     ) -> None:
         """Notes that a target has responded."""
         self._reached_ms[hall] = now_ms
-        self._gone.pop(incarnation, None)
-        self._silent.pop(incarnation, None)
-        self._halls.pop(hall, None)
+        self._terminated.pop(incarnation, None)
+        self._unresponsive.pop(incarnation, None)
+        self._unreachable_halls.pop(hall, None)
 
     def note_unreachable(
         self,
         hall: str,
         incarnation: incarnations.Incarnation,
-        is_silent: bool,
+        is_unresponsive: bool,
         now_ms: float,
     ) -> bool:
         """Notes that a target is unreachable.
@@ -57,8 +57,8 @@
         Args:
             hall: Its data hall.
             incarnation: The incarnation that was tried.
-            is_silent: Whether nothing came back at all; otherwise nobody or
-                another target answered in its place.
+            is_unresponsive: Whether nothing came back at all; otherwise the
+                connection was refused or another target answered.
             now_ms: Time.
 
         Returns:
@@ -67,26 +67,34 @@
         reached_ms = self._reached_ms.get(hall, float("-inf"))
         if now_ms - reached_ms > HALL_REACHED_MS:
             return False
-        losses = self._silent if is_silent else self._gone
+        losses = self._unresponsive if is_unresponsive else self._terminated
         losses[incarnation] = now_ms
         return True
 
     def note_hall_unreachable(self, hall: str, now_ms: float) -> None:
         """Notes a hall that seems cut off."""
-        self._halls[hall] = now_ms
+        self._unreachable_halls[hall] = now_ms
 
     def summarize(self, now_ms: float) -> loss_report.LossReport:
         """Returns the losses to report to peers now."""
-        for losses in (self._gone, self._silent, self._halls):
+        for losses in (
+            self._terminated,
+            self._unresponsive,
+            self._unreachable_halls,
+        ):
             _drop_expired(losses, now_ms)
-        if not self._gone and not self._silent and not self._halls:
+        if (
+            not self._terminated
+            and not self._unresponsive
+            and not self._unreachable_halls
+        ):
             return loss_report.EMPTY
-        if len(self._gone) + len(self._silent) > MAX_REPORTED:
+        if len(self._terminated) + len(self._unresponsive) > MAX_REPORTED:
             return loss_report.EMPTY
         return loss_report.LossReport(
-            tuple(map(incarnations.format_incarnation, self._gone)),
-            tuple(map(incarnations.format_incarnation, self._silent)),
-            tuple(self._halls),
+            tuple(map(incarnations.format_incarnation, self._terminated)),
+            tuple(map(incarnations.format_incarnation, self._unresponsive)),
+            tuple(self._unreachable_halls),
         )
 
 
--- a/src/ruddergate/decisions/outage_grace.py
+++ b/src/ruddergate/decisions/outage_grace.py
@@ -1,19 +1,20 @@
-"""How long a target is kept that the store does not list after an outage.
+"""How long to keep a target that the store does not list after an outage.
 
-It may be live and listed again by its next heartbeat, or may have left since
-the store is back. When the store came back is only known to lie between the
-last sign that it was away and the first read that succeeded again.
+The target may be live and listed again by its next heartbeat, or it may have
+been removed since the store came back. The store came back at some time between
+the last sign that it was away and the first read that succeeded again.
 """
 
 # Grace from that read on, after an outage and after a restore from an older
 # copy: heartbeats since the return of the store are read within this time.
 OUTAGE_GRACE_MS = 1_500.0
 RESTORED_GRACE_MS = 1_700.0
-# A target that left right after the return must get no requests once this VM is
-# required to know of it, this long after the last sign that the store was away.
+# A target that was removed right after the return must get no requests from
+# this long after the last sign that the store was away: by then this VM is
+# required to know of the removal.
 MAX_SINCE_AWAY_MS = 2_900.0
-# Minimum grace. A VM without a recent sign of its own relies on the reads of
-# its peers.
+# Minimum grace. A VM that relies on the reads of its peers may have no recent
+# sign of its own.
 MIN_GRACE_MS = 1_000.0
 
 
--- a/src/ruddergate/decisions/peer_groups.py
+++ b/src/ruddergate/decisions/peer_groups.py
@@ -76,7 +76,7 @@
 
 
 def _divide_hall(hall: str, ranked: Sequence[str]) -> list[Group]:
-    """Deals the VMs out by rank, so that groups are of even size."""
+    """Assigns the VMs by rank to groups in turn, so that sizes are even."""
     count = -(-len(ranked) // MAX_GROUP_SIZE)
     return [Group(hall, tuple(ranked[index::count])) for index in range(count)]
 
--- a/src/ruddergate/decisions/peer_loads.py
+++ b/src/ruddergate/decisions/peer_loads.py
@@ -39,9 +39,10 @@
 
     Attributes:
         attributes: What its role in the groups depends on.
-        heard_ms: When a newer digest of it arrived, directly or by a relay.
+        received_ms: When a newer digest of it last arrived, directly or by a
+            relay.
         incarnation: The run of its process.
-        number: Sequence number of its last digest.
+        sequence: Sequence number of its last digest.
         rows: Its work by target.
         losses: The losses that it last reported.
         awaiting_since_ms: When a digest was first sent to it as relay since it
@@ -49,7 +50,7 @@
     """
 
     attributes: peer_groups.VmAttributes
-    heard_ms: float
+    received_ms: float
     incarnation: str
     sequence: int
     rows: dict[str, dispatched.Dispatched]
@@ -110,7 +111,7 @@
         if is_same_run and digest.sequence <= peer.sequence:
             return False
         peer.attributes = attributes
-        peer.heard_ms = now_ms
+        peer.received_ms = now_ms
         peer.incarnation = digest.incarnation
         peer.sequence = digest.sequence
         self._replace_rows(digest.sender, peer, digest.rows)
@@ -155,7 +156,7 @@
     def forget_silent(self, now_ms: float) -> None:
         """Drops expired rows, and peers that were silent for too long."""
         for name, peer in list(self._peers.items()):
-            silent_ms = now_ms - peer.heard_ms
+            silent_ms = now_ms - peer.received_ms
             if silent_ms > DIGEST_TTL_MS and peer.rows:
                 self._replace_rows(name, peer, ())
             if silent_ms > FORGET_AFTER_MS:
@@ -193,7 +194,8 @@
             relay = peer_groups.choose_relay(
                 group,
                 lambda name: (
-                    now_ms - self._peers[name].heard_ms <= OTHER_RELAY_SILENT_MS
+                    now_ms - self._peers[name].received_ms
+                    <= OTHER_RELAY_SILENT_MS
                 ),
             )
             relays.append(relay or rng.choice(group.members))
@@ -213,7 +215,7 @@
             name
             for name in self._ranked_hall
             if name == self._own
-            or now_ms - self._peers[name].heard_ms <= MEMBER_SILENT_MS
+            or now_ms - self._peers[name].received_ms <= MEMBER_SILENT_MS
         ]
 
     def find_member_halls(self, now_ms: float) -> dict[str, str]:
@@ -224,7 +226,7 @@
         members = {
             name: peer.attributes.hall
             for name, peer in self._peers.items()
-            if now_ms - peer.heard_ms <= MEMBER_SILENT_MS
+            if now_ms - peer.received_ms <= MEMBER_SILENT_MS
         }
         members[self._own] = self._attributes.hall
         return members
@@ -249,7 +251,7 @@
         if name == self._own:
             return True
         peer = self._peers[name]
-        if now_ms - peer.heard_ms > MEMBER_SILENT_MS:
+        if now_ms - peer.received_ms > MEMBER_SILENT_MS:
             return False
         since_ms = peer.awaiting_since_ms
         if since_ms is None:
--- a/src/ruddergate/decisions/poison_requests.py
+++ b/src/ruddergate/decisions/poison_requests.py
@@ -37,10 +37,10 @@
 # sent counts as a whole.
 IMMEDIATE_CRASH_MS = 1_000.0
 # A request that had been on its target for longer was more likely there by
-# chance: with a sixth of the targets crashing every two seconds, a prompt that
-# is read for four seconds loses one target in three, and was quarantined after
-# it had lost two. Such a fingerprint needs five crashes, two more than one that
-# crashes its targets at once.
+# chance: with a sixth of the targets crashing every two seconds, a prompt whose
+# prefill takes four seconds loses one target in three, and was quarantined
+# after it had lost two. Such a fingerprint needs five crashes, two more than
+# one that crashes its targets at once.
 LATE_CRASH_WEIGHT = 0.6
 # How long a quarantine lasts, and how long a fingerprint below the threshold is
 # kept, from its last crash. One that stays fatal costs three targets an hour.
@@ -329,14 +329,14 @@
 def weigh_crash(elapsed_ms: float, prefill_ms: float) -> float:
     """Returns how much the crash of a target counts against a request.
 
-    A prompt that one engine would read for longer than IMMEDIATE_CRASH_MS can't
-    have begun to run within it, so its crash counts less. Then the two tries of
-    its caller, with two sends each, do not reach the threshold, whatever
-    crashes meanwhile.
+    A prompt that one engine would prefill for longer than IMMEDIATE_CRASH_MS
+    can't have begun to run within it, so its crash counts less. Then the two
+    tries of its caller, with two sends each, do not reach the threshold,
+    whatever crashes meanwhile.
 
     Args:
         elapsed_ms: How long before the crash the request had been sent.
-        prefill_ms: How long one engine would read its prompt.
+        prefill_ms: How long one engine would prefill its prompt.
     """
     is_immediate = max(elapsed_ms, prefill_ms) <= IMMEDIATE_CRASH_MS
     return 1.0 if is_immediate else LATE_CRASH_WEIGHT
@@ -356,8 +356,10 @@
 def _find_row_error(row: messages.PoisonReport) -> str:
     if len(row.ended) > MAX_CRASHES:
         return f"{len(row.ended)} crashes of one fingerprint"
-    completed_ms = row.completed_age_ms
-    if completed_ms != messages.NEVER_COMPLETED and not _is_age(completed_ms):
+    completion_age_ms = row.completed_age_ms
+    if completion_age_ms != messages.NEVER_COMPLETED and not _is_age(
+        completion_age_ms
+    ):
         return "a completion with an invalid age"
     for each in row.ended:
         if not _is_age(each.age_ms):
--- a/src/ruddergate/decisions/rate_limits.py
+++ b/src/ruddergate/decisions/rate_limits.py
@@ -297,10 +297,10 @@
                 updates.append(make_update(target_id, limit.rate_per_s, age_ms))
         for target_id, ended in self._ended_limits.items():
             age_ms = now_ms - ended.ended_ms
-            is_gone = self._find_active(target_id) is None
+            has_ended = self._find_active(target_id) is None
             if (
                 ended.is_first_hand
-                and is_gone
+                and has_ended
                 and age_ms <= ANNOUNCE_DURATION_MS
             ):
                 updates.append(make_update(target_id, None, age_ms))
--- a/src/ruddergate/decisions/retries.py
+++ b/src/ruddergate/decisions/retries.py
@@ -140,5 +140,5 @@
 
 
 def is_safe_to_retry(ended: outcomes.NotServed, repeatable: bool) -> bool:
-    """Returns whether running again is safe after an attempt so ended."""
+    """Returns whether a retry is safe after an attempt that ended this way."""
     return repeatable or ended.ran is outcomes.Ran.NOT_RUN
--- a/src/ruddergate/decisions/routing/by_region.py
+++ b/src/ruddergate/decisions/routing/by_region.py
@@ -112,12 +112,12 @@
 
     loads = [measure_load(estimate) for estimate in candidates]
     min_load = min(loads)
-    idle = [
+    least_loaded = [
         estimate
         for estimate, load in zip(candidates, loads, strict=True)
         if load == min_load
     ]
-    return rng.choice(idle)
+    return rng.choice(least_loaded)
 
 
 def _choose_helpers(
--- a/src/ruddergate/decisions/routing/job.py
+++ b/src/ruddergate/decisions/routing/job.py
@@ -15,7 +15,7 @@
         held_tokens: Memory that it will hold, in tokens.
         prefix: Name of its shared prefix, or empty.
         prefix_tokens: Length of the shared prefix.
-        is_long: Whether it counts as a long prompt.
+        is_long: Whether it is in one of the long bands, see `length_band`.
         waited_ms: How long it has waited on this VM.
         ttft_slo_ms: Longest time to first token that is in time; 0 when none is
             known.
@@ -26,8 +26,8 @@
         pinned_target_id: The target that must write the answer, or empty.
         tie_break_seed: Random number that orders equally good targets
             differently for each request.
-        may_be_poison: Whether a target has died while it ran a request with
-            this content.
+        may_be_poison: Whether a target has crashed while it ran a request with
+            this fingerprint.
     """
 
     prompt_tokens: int
--- a/src/ruddergate/decisions/shares.py
+++ b/src/ruddergate/decisions/shares.py
@@ -81,7 +81,7 @@
         workspace: str,
         base: float,
         used: float,
-        wanted: float,
+        requested: float,
         valid_ms: float,
         now_ms: float,
     ) -> float:
@@ -91,7 +91,7 @@
             workspace: The workspace.
             base: This VM's base share.
             used: Share that this VM's recent demand takes.
-            wanted: Share that is requested.
+            requested: Share that is requested.
             valid_ms: Time for which it is requested.
             now_ms: Monotonic time.
 
@@ -100,7 +100,7 @@
         """
         own = base - _sum_open(self._granted, workspace, now_ms)
         spare = own - used * KEPT_USE_FACTOR
-        fraction = max(0.0, min(wanted, spare / 2.0))
+        fraction = max(0.0, min(requested, spare / 2.0))
         if fraction > 0.0:
             until_ms = now_ms + valid_ms + LOAN_CLOCK_MARGIN_MS
             loans = self._granted.setdefault(workspace, [])
--- a/src/ruddergate/decisions/subset.py
+++ b/src/ruddergate/decisions/subset.py
@@ -13,7 +13,7 @@
 from ruddergate.fleet import target as targets
 
 SUBSET_TARGETS = 32
-_MIN_HOLDERS = 2
+_MIN_VMS_PER_TARGET = 2
 
 
 def choose_all(
@@ -40,10 +40,10 @@
     if len(pool_targets) <= SUBSET_TARGETS:
         return pool_targets
     names = sorted({*vm_ids, vm_id})
-    wanted = math.ceil(SUBSET_TARGETS * len(names) / len(pool_targets))
-    holders = max(_MIN_HOLDERS, wanted)
+    needed_vms = math.ceil(SUBSET_TARGETS * len(names) / len(pool_targets))
+    vms_per_target = max(_MIN_VMS_PER_TARGET, needed_vms)
     return tuple(
         target
         for target in pool_targets
-        if vm_id in rendezvous.choose(target.target_id, names, holders)
+        if vm_id in rendezvous.choose(target.target_id, names, vms_per_target)
     )
--- a/src/ruddergate/decisions/tombstones.py
+++ b/src/ruddergate/decisions/tombstones.py
@@ -1,9 +1,9 @@
 """Tombstones of targets that were removed from the list.
 
 A store that is restored from an older copy lists targets again that have been
-removed since. Such an entry says nothing: a live target writes its entry anew.
-Heartbeats without other changes are no changes in the store, so they are seen
-only by reading the whole list twice.
+removed since. Such an entry doesn't show that its target is live; a live target
+writes its entry again. The store does not report a heartbeat that changes
+nothing else as a change, so it is seen only by reading the whole list twice.
 """
 
 import dataclasses
--- a/src/ruddergate/environment.py
+++ b/src/ruddergate/environment.py
@@ -68,7 +68,8 @@
     Attributes:
         now_ms: Clock in milliseconds that never goes back and includes the time
             of a suspension, see `clock`.
-        wall_ms: Wall clock in milliseconds; used only to order incarnations.
+        wall_ms: Wall clock in milliseconds; used only to order incarnations, to
+            compare with start times of targets and for dates in responses.
         random: Random generator for jitter, sampling and identifiers.
         connect: Opens a stream; raises OSError on failure.
         serve: Starts listening and calls the handler for each stream.
--- a/src/ruddergate/fleet/dispatched.py
+++ b/src/ruddergate/fleet/dispatched.py
@@ -11,9 +11,9 @@
         pending_tokens: Prompt tokens of requests that are still waiting for
             their first output token, by prompt length band.
         held_tokens: Memory that the work occupies, in tokens.
-        streams: Requests in flight.
-        streams_by_pause: The requests by class of the longest pause that their
-            responses tolerate, see decisions/pause_class.py.
+        streams: Requests in flight whose answers the target decodes.
+        streams_by_gap_class: The same requests, by the class of the longest gap
+            that their answers tolerate, see decisions/gap_class.py.
         prefill_ms: Predicted remaining prefill time on the target.
     """
 
--- a/src/ruddergate/fleet/incarnation.py
+++ b/src/ruddergate/fleet/incarnation.py
@@ -22,10 +22,10 @@
 
 
 def format_incarnation(incarnation: Incarnation) -> str:
-    """Returns an incarnation as one word, for digests and logs.
+    """Returns an incarnation as one string, for digests and logs.
 
-    If the start time is unknown, the word is the target's name, which is all
-    that VMs of earlier releases send and understand.
+    If the start time is unknown, it is the target's name, which is all that VMs
+    of earlier releases send and understand.
     """
     if incarnation.started_ms == START_UNKNOWN:
         return incarnation.target_id
--- a/src/ruddergate/fleet/loss_report.py
+++ b/src/ruddergate/fleet/loss_report.py
@@ -11,7 +11,7 @@
 
     Attributes:
         terminated: Targets whose address refuses connections or is served by
-            another target, which is the case for every VM.
+            another target; every VM will find the same.
         unresponsive: Targets from which this VM received nothing.
         unreachable_halls: Data halls that appear to be cut off from this VM.
     """
--- a/src/ruddergate/fleet/vm.py
+++ b/src/ruddergate/fleet/vm.py
@@ -11,7 +11,7 @@
     """An entry VM.
 
     Attributes:
-        vm_id: Name; a replacement in the same place may keep the name.
+        vm_id: Name; a VM that replaces this one may keep it.
         hall: Data hall.
         entry: Address at which its entry serves callers.
         entry_peer: Address at which its entry serves other entries.
--- a/src/ruddergate/messages/poison_reports.py
+++ b/src/ruddergate/messages/poison_reports.py
@@ -30,8 +30,8 @@
     Attributes:
         fingerprint: Fingerprint of the request.
         ended: Incarnations that ended while they ran it.
-        finished_age_ms: Time since the request last completed;
-            NEVER_FINISHED if it never has.
+        completed_age_ms: Time since the request last completed;
+            NEVER_COMPLETED if it never has.
     """
 
     fingerprint: str
--- a/src/ruddergate/messages/store_changes.py
+++ b/src/ruddergate/messages/store_changes.py
@@ -8,12 +8,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreChangesRequest:
-    """Asks a peer for what the store has published since a position.
+    """Asks a peer for what the store has published since a revision.
 
     Attributes:
         sender: Address at which the requester receives datagrams (HOST:PORT).
         correlation_id: Identifies the request; the reply repeats it.
-        position: The store's revision up to which the requester is current.
+        revision: The store's revision up to which the requester is current.
         epoch: The store's epoch of that revision; EPOCH_UNKNOWN from a VM of
             an earlier release.
     """
@@ -30,17 +30,17 @@
 
     Attributes:
         correlation_id: Identifies the request.
-        position: The store's revision up to which the responder is current.
+        revision: The store's revision up to which the responder is current.
         age_ms: How long before this reply the responder last knew for certain,
             by its own clock, that nothing newer had been published.
         is_complete: Whether this is everything that has changed since the
-            requester's position; if not, the requester fetches the
+            requester's revision; if not, the requester fetches the
             responder's whole list of targets or reads the store.
         settings_revision: Revision of the settings in force at the responder.
         listed: Target entries in order, as in `published.Changes`.
         removed: Names of targets that are no longer listed.
         malformed: Names whose entry is not a valid target entry.
-        epoch: The store's epoch of `position`; EPOCH_UNKNOWN from a VM of an
+        epoch: The store's epoch of `revision`; EPOCH_UNKNOWN from a VM of an
             earlier release.
     """
 
--- a/src/ruddergate/payload.py
+++ b/src/ruddergate/payload.py
@@ -14,10 +14,10 @@
         route: The route that the request matches.
         method: HTTP method.
         host: Host that the caller requested.
-        target: Path and query exactly as received.
+        target: HTTP request target: path and query exactly as received.
         fields: Header fields to forward.
         body: Whole body.
-        last_event: Id of the last event that the caller has received; empty
+        last_event_id: Id of the last event that the caller has received; empty
             when it requests a stream from its start.
     """
 
--- a/src/ruddergate/settings/catalog.py
+++ b/src/ruddergate/settings/catalog.py
@@ -81,7 +81,7 @@
 def _find_gap_slos_ms(
     pool: str, routes_: Iterable[routes.Route]
 ) -> tuple[float, ...]:
-    """Returns the different pause limits of the routes to a pool, sorted."""
+    """Returns the different gap SLOs of the streams to a pool, sorted."""
     slos_ms = {
         each.gap_slo_ms
         for each in routes_
--- a/src/ruddergate/settings/check.py
+++ b/src/ruddergate/settings/check.py
@@ -272,8 +272,8 @@
         required_kind = schema.BY_NAME[key].refers_to
         if required_kind is None:
             continue
-        target = branches.get(str(value))
-        if target is None or target.kind is not required_kind:
+        referenced = branches.get(str(value))
+        if referenced is None or referenced.kind is not required_kind:
             yield problem.Problem(
                 f"{name}: {key}",
                 f"a branch of kind {required_kind}",
--- a/src/ruddergate/settings/effective.py
+++ b/src/ruddergate/settings/effective.py
@@ -42,8 +42,9 @@
     Attributes:
         iteration_ms: Duration of an engine's batch iteration without prefill,
             if published.
-        pause_slos_ms: Longest acceptable pauses between two events, over all
-            routes to the pool, without duplicates and sorted, if published.
+        gap_slos_ms: Objectives for the longest gap between two events, of all
+            stream routes to the pool, without duplicates and sorted; empty if
+            not published.
     """
 
     name: str
--- a/src/ruddergate/settings/route.py
+++ b/src/ruddergate/settings/route.py
@@ -30,7 +30,7 @@
         latency_slo_ms: Latency objective for the complete response or, for a
             stream, for the first event.
         is_stream: Whether responses are event streams.
-        gap_slo_ms: Objective for the longest pause between events of a stream.
+        gap_slo_ms: Objective for the longest gap between events of a stream.
         repeatable: Whether requests are idempotent, so that running one twice
             does no harm.
         is_resumable: Whether another target can resume an interrupted stream.
--- a/src/ruddergate/settings/schema.py
+++ b/src/ruddergate/settings/schema.py
@@ -10,8 +10,8 @@
 
 SettingValue = bool | int | float | str
 
-_ANY_TARGET = "the name of a pool branch"
-_ANY_CLASS = "the name of a class branch"
+_POOL_NAME = "the name of a pool branch"
+_CLASS_NAME = "the name of a class branch"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -72,15 +72,15 @@
     )
 
 
-def _reference(name: str, target: kinds.Kind, description: str) -> Setting:
+def _reference(name: str, refers_to: kinds.Kind, description: str) -> Setting:
     return Setting(
-        name, str, "", kinds.Kind.WORKLOAD, description, refers_to=target
+        name, str, "", kinds.Kind.WORKLOAD, description, refers_to=refers_to
     )
 
 
 SETTINGS: tuple[Setting, ...] = (
-    _reference("class", kinds.Kind.CLASS, "priority class, " + _ANY_CLASS),
-    _reference("pool", kinds.Kind.POOL, "where it runs, " + _ANY_TARGET),
+    _reference("class", kinds.Kind.CLASS, "priority class, " + _CLASS_NAME),
+    _reference("pool", kinds.Kind.POOL, "where it runs, " + _POOL_NAME),
     _workload("time_limit_ms", 60_000, "total time limit", 10, 3_600_000),
     _workload(
         "repeatable", True, "whether requests are idempotent and may run twice"
