--- a/src/ruddergate/decisions/poison_requests.py
+++ b/src/ruddergate/decisions/poison_requests.py
@@ -37,10 +37,10 @@
 # sent counts as a whole.
 IMMEDIATE_CRASH_MS = 1_000.0
 # A request that had been on its target for longer was more likely there by
-# chance: with a sixth of the targets crashing every two seconds, a prompt that
-# is read for four seconds loses one target in three, and was quarantined after
-# it had lost two. Such a fingerprint needs five crashes, two more than one that
-# crashes its targets at once.
+# chance: with a sixth of the targets crashing every two seconds, a prompt whose
+# prefill takes four seconds loses one target in three, and was quarantined
+# after it had lost two. Such a fingerprint needs five crashes, two more than
+# one that crashes its targets at once.
 LATE_CRASH_WEIGHT = 0.6
 # How long a quarantine lasts, and how long a fingerprint below the threshold is
 # kept, from its last crash. One that stays fatal costs three targets an hour.
@@ -194,7 +194,7 @@
             return None
         completed_age_ms = now_ms - record.completed_ms
         if math.isinf(completed_age_ms):
-            completed_age_ms = messages.NEVER_FINISHED
+            completed_age_ms = messages.NEVER_COMPLETED
         crashes = tuple(
             messages.EndedIncarnation(
                 incarnation, now_ms - each.at_ms, each.weight
@@ -256,7 +256,7 @@
 
     def _merge_row(self, row: messages.PoisonReport, now_ms: float) -> bool:
         is_new = False
-        if row.finished_age_ms != messages.NEVER_FINISHED:
+        if row.completed_age_ms != messages.NEVER_COMPLETED:
             is_new = self._merge_completion(row, now_ms)
         for each in row.ended:
             at_ms = now_ms - each.age_ms
@@ -268,7 +268,7 @@
     def _merge_completion(
         self, row: messages.PoisonReport, now_ms: float
     ) -> bool:
-        completed_ms = now_ms - row.finished_age_ms
+        completed_ms = now_ms - row.completed_age_ms
         if now_ms - completed_ms >= SUSPECT_MS:
             return False
         record = self._records.setdefault(row.fingerprint, _Record())
@@ -329,14 +329,14 @@
 def weigh_crash(elapsed_ms: float, prefill_ms: float) -> float:
     """Returns how much the crash of a target counts against a request.
 
-    A prompt that one engine would read for longer than IMMEDIATE_CRASH_MS can't
-    have begun to run within it, so its crash counts less. Then the two tries of
-    its caller, with two sends each, do not reach the threshold, whatever
-    crashes meanwhile.
+    A prompt that one engine would prefill for longer than IMMEDIATE_CRASH_MS
+    can't have begun to run within it, so its crash counts less. Then the two
+    tries of its caller, with two sends each, do not reach the threshold,
+    whatever crashes meanwhile.
 
     Args:
         elapsed_ms: How long before the crash the request had been sent.
-        prefill_ms: How long one engine would read its prompt.
+        prefill_ms: How long one engine would prefill its prompt.
     """
     is_immediate = max(elapsed_ms, prefill_ms) <= IMMEDIATE_CRASH_MS
     return 1.0 if is_immediate else LATE_CRASH_WEIGHT
@@ -356,8 +356,10 @@
 def _find_row_error(row: messages.PoisonReport) -> str:
     if len(row.ended) > MAX_CRASHES:
         return f"{len(row.ended)} crashes of one fingerprint"
-    completed_ms = row.finished_age_ms
-    if completed_ms != messages.NEVER_FINISHED and not _is_age(completed_ms):
+    completion_age_ms = row.completed_age_ms
+    if completion_age_ms != messages.NEVER_COMPLETED and not _is_age(
+        completion_age_ms
+    ):
         return "a completion with an invalid age"
     for each in row.ended:
         if not _is_age(each.age_ms):
--- a/src/ruddergate/messages/poison_reports.py
+++ b/src/ruddergate/messages/poison_reports.py
@@ -5,7 +5,7 @@
 from ruddergate.fleet import incarnation as incarnations
 
 # Age of a request that has never completed.
-NEVER_FINISHED = -1.0
+NEVER_COMPLETED = -1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -30,13 +30,13 @@
     Attributes:
         fingerprint: Fingerprint of the request.
         ended: Incarnations that ended while they ran it.
-        finished_age_ms: Time since the request last completed;
-            NEVER_FINISHED if it never has.
+        completed_age_ms: Time since the request last completed;
+            NEVER_COMPLETED if it never has.
     """
 
     fingerprint: str
     ended: tuple[EndedIncarnation, ...]
-    finished_age_ms: float = NEVER_FINISHED
+    completed_age_ms: float = NEVER_COMPLETED
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
