--- a/standins/soak.py
+++ b/standins/soak.py
@@ -28,22 +28,22 @@
 from standins import pass_engine
 from standins import platform_replica
 from standins import soak_caller
+from standins import soak_draining
 from standins import soak_fleet
 from standins import soak_gateways
 from standins import soak_proxy
 from standins import soak_rate_limits
 from standins import soak_store
-from standins import soak_withdrawals
 
 _ROOT = pathlib.Path(__file__).parent.parent
-_LOGS = _ROOT / "soak-logs"
-_START_S = 2.0
-_PLAY_S = 6.0
+_LOG_FOLDER = _ROOT / "soak-logs"
+_STARTUP_S = 2.0
+_RUN_S = 6.0
 # Leavings bind after some seconds without trouble, and keys after five.
-_FLEET_PLAY_S = 12.0
+_FLEET_RUN_S = 12.0
 # Gateways that are seeds of the others; one more seed is dead.
-_SEEDS = 2
-_DEAD_SEED = "127.0.1.250"
+_SEED_GATEWAYS = 2
+_UNREACHABLE_SEED = "127.0.1.250"
 # The last calls end, and what was set aside lapses by itself.
 _SETTLE_S = 4.0
 _LOOPBACK = "127.0.0.1"
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sizes:
+class SoakOptions:
     """How much runs in one seed."""
 
     gateways: int = 2
@@ -69,7 +69,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Played:
+class SoakResult:
     """What came of a seed.
 
     Attributes:
@@ -78,82 +78,85 @@
         counts: What was brought about, and how often promises were tested.
     """
 
-    broken: list[str]
+    violations: list[str]
     statuses: dict[int, int]
     counts: collections.Counter[str]
 
 
-class Soak:
+class SoakRun:
     """One seed."""
 
-    def __init__(self, seed: int, sizes: Sizes, folder: pathlib.Path) -> None:
-        self._chance = random.Random(seed)
-        self._sizes = sizes
+    def __init__(
+        self, seed: int, options: SoakOptions, folder: pathlib.Path
+    ) -> None:
+        self._rng = random.Random(seed)
+        self._options = options
         # Callers' keys; one of them goes in a fleet.
         self._keys = [gateway_cluster.KEY] * 3
-        if sizes.fleet:
+        if options.fleet:
             self._keys.append(soak_store.REMOVED_KEY)
         self._env = environment.make_system_environment()
-        self._published = soak_store.SoakStore(self._chance)
-        self._store = self._published.store
+        self._soak_store = soak_store.SoakStore(self._rng)
+        self._store = self._soak_store.store
         # Each gateway's own way to the store, in a fleet.
         self._store_proxies: list[soak_proxy.Proxy] = []
         self._tasks: list[asyncio.Task] = []
-        self.counts = self._published.counts
+        self.counts = self._soak_store.counts
         self._proxies: list[soak_proxy.Proxy] = []
         self._replicas: list[platform_replica.PlatformReplica] = []
         self._gateways = soak_gateways.SoakGateways(
-            self._chance, folder, sizes.without
+            self._rng, folder, options.without
         )
-        self._fronts: list[int] = []
-        self._got: list[tuple[int, gateway_caller.Got]] = []
-        self._leavings: list[soak_withdrawals.Leaving] = []
+        self._caller_ports: list[int] = []
+        self._responses: list[tuple[int, gateway_caller.Got]] = []
+        self._drain_periods: list[soak_draining.DrainPeriod] = []
 
-    async def play(self) -> tuple[list[str], dict[int, int]]:
+    async def run(self) -> tuple[list[str], dict[int, int]]:
         """Returns broken promises and counts of statuses."""
         try:
-            await self._play()
+            await self._run_faults_and_callers()
         finally:
             # Also when the soak itself fails: nothing of it may stay behind.
-            await self._end()
-        all_got = [got for _, got in self._got]
-        broken = gateway_promises.find_broken_by(
-            self._replicas, all_got, self._was_disturbed
+            await self._stop()
+        all_responses = [response for _, response in self._responses]
+        violations = gateway_promises.find_broken_by(
+            self._replicas, all_responses, self._was_disturbed
         )
-        broken += soak_withdrawals.find_broken(
-            self._leavings, self._gateways.upsets, self._got
+        violations += soak_draining.find_violations(
+            self._drain_periods, self._gateways.interruptions, self._responses
         )
-        broken += soak_fleet.find_broken(
-            self._published,
-            self._leavings,
-            self._gateways.upsets,
-            self._got,
+        violations += soak_fleet.find_violations(
+            self._soak_store,
+            self._drain_periods,
+            self._gateways.interruptions,
+            self._responses,
             self.counts,
         )
-        broken += soak_rate_limits.find_broken(
-            self._replicas, self._gateways.upsets, self._got
+        violations += soak_rate_limits.find_violations(
+            self._replicas, self._gateways.interruptions, self._responses
         )
-        return broken, gateway_schedules.count_statuses(all_got)
+        return violations, gateway_schedules.count_statuses(all_responses)
 
-    async def _play(self) -> None:
+    async def _run_faults_and_callers(self) -> None:
         await self._start()
-        play_s = _FLEET_PLAY_S if self._sizes.fleet else _PLAY_S
-        until_s = time.monotonic() + play_s
+        duration_s = _FLEET_RUN_S if self._options.fleet else _RUN_S
+        until_s = time.monotonic() + duration_s
         calls = [
-            asyncio.ensure_future(self._call_on(number, until_s))
-            for number in range(self._sizes.callers)
+            asyncio.ensure_future(self._run_caller(number, until_s))
+            for number in range(self._options.callers)
         ]
         faults = [
-            asyncio.ensure_future(self._disturb_on(until_s)) for _ in range(2)
+            asyncio.ensure_future(self._inject_faults(until_s))
+            for _ in range(2)
         ]
-        if self._sizes.fleet:
+        if self._options.fleet:
             faults.append(asyncio.ensure_future(self._remove_key_early()))
         await asyncio.gather(*calls, *faults)
         for proxy in self._proxies:
-            proxy.mode = soak_proxy.Mode.PASS
+            proxy.mode = soak_proxy.Mode.FORWARD
         await asyncio.sleep(_SETTLE_S)
 
-    def _was_disturbed(self, got: gateway_caller.Got) -> bool:
+    def _was_disturbed(self, response: gateway_caller.Got) -> bool:
         # Everything goes through proxies, any of which may hold bytes back, so
         # lateness tells nothing here; schedules in virtual time check it.
         return True
@@ -161,26 +164,28 @@
     async def _start(self) -> None:
         store_port = await self._serve(self._store.make_handler())
         store = await self._add_proxy(store_port)
-        self._published.publish()
-        self._tasks.append(asyncio.ensure_future(self._published.run()))
+        self._soak_store.publish_settings()
+        self._tasks.append(asyncio.ensure_future(self._soak_store.run()))
         engines: dict[str, platform_replica.PlatformReplica] = {}
-        for number in range(self._sizes.engines + self._sizes.services):
-            is_engine = number < self._sizes.engines
+        for number in range(self._options.engines + self._options.services):
+            is_engine = number < self._options.engines
             await self._add_replica(number, is_engine, engines)
         peer_port = _private.find_free_port()
-        for number in range(self._sizes.gateways):
-            host = f"127.0.1.{number + 1}" if self._sizes.fleet else _LOOPBACK
+        for number in range(self._options.gateways):
+            host = f"127.0.1.{number + 1}" if self._options.fleet else _LOOPBACK
             ports = [_private.find_free_port() for _ in range(4)]
-            self._fronts.append((await self._add_proxy(ports[0], host)).port)
+            self._caller_ports.append(
+                (await self._add_proxy(ports[0], host)).port
+            )
             seeds = ""
-            if self._sizes.fleet:
+            if self._options.fleet:
                 store = await self._add_proxy(store_port)
                 self._store_proxies.append(store)
                 ports[3] = peer_port
-                seeds = _name_seeds(peer_port)
-            halls = 3 if self._sizes.fleet else 2
+                seeds = _format_seeds(peer_port)
+            halls = 3 if self._options.fleet else 2
             await self._gateways.add(
-                soak_gateways.Place(
+                soak_gateways.LaunchConfig(
                     host,
                     f"hall-{number % halls}",
                     tuple(ports),
@@ -188,8 +193,8 @@
                     seeds,
                 )
             )
-        await self._gateways.await_listening()
-        await asyncio.sleep(_START_S)
+        await self._gateways.wait_until_listening()
+        await asyncio.sleep(_STARTUP_S)
 
     async def _serve(self, handler: environment.StreamHandler) -> int:
         server = await asyncio.start_server(handler, "127.0.0.1")
@@ -219,178 +224,180 @@
         engines[f"127.0.0.1:{proxy.port}"] = replica
         if replica.engine is not None:
             asyncio.ensure_future(replica.engine.run())
-        self._published.add(replica, f"127.0.0.1:{proxy.port}")
+        self._soak_store.add_replica(replica, f"127.0.0.1:{proxy.port}")
 
-    async def _call_on(self, caller: int, until_s: float) -> None:
-        gateway = caller % len(self._fronts)
-        kept = soak_caller.KeptCaller(self._fronts[gateway])
+    async def _run_caller(self, caller: int, until_s: float) -> None:
+        gateway = caller % len(self._caller_ports)
+        client = soak_caller.KeepAliveCaller(self._caller_ports[gateway])
         number = 0
         while time.monotonic() < until_s:
             number += 1
             call = self._make_call(f"c{caller}.{number}")
-            self._got.append((gateway, await kept.send(call)))
-            await asyncio.sleep(self._chance.uniform(0.0, 0.15))
-        kept.close()
+            self._responses.append((gateway, await client.send(call)))
+            await asyncio.sleep(self._rng.uniform(0.0, 0.15))
+        client.close()
 
     def _make_call(self, request_id: str) -> gateway_caller.Call:
-        route = self._chance.choice(_ROUTES)
+        route = self._rng.choice(_ROUTES)
         prompt = {"short": 5_000, "once": 3_000}.get(route, 0)
         if route == "long":
-            prompt = self._chance.choice((45_000, 120_000, 600_000))
+            prompt = self._rng.choice((45_000, 120_000, 600_000))
         return gateway_caller.Call(
             request_id,
             route,
             "",
             prompt_tokens=prompt,
-            output_tokens=self._chance.randrange(50, 600) if prompt else 0,
-            key=self._chance.choice(self._keys),
+            output_tokens=self._rng.randrange(50, 600) if prompt else 0,
+            key=self._rng.choice(self._keys),
             time_limit_ms=4_000.0,
-            leaves_after_ms=self._chance.choice((None,) * 6 + (300.0,)),
+            leaves_after_ms=self._rng.choice((None,) * 6 + (300.0,)),
         )
 
-    async def _disturb_on(self, until_s: float) -> None:
+    async def _inject_faults(self, until_s: float) -> None:
         """Plays faults in series; two of these overlap."""
         faults = (
-            self._trouble_proxy,
-            self._trouble_proxy,
-            self._spoil_replica,
+            self._disrupt_proxy,
+            self._disrupt_proxy,
+            self._inject_replica_errors,
             self._gateways.pause,
             self._gateways.kill,
             self._gateways.stop,
             self._change_settings,
         )
-        if self._sizes.withdraws:
-            faults += (self._withdraw_replica,) * 3
-        if self._sizes.limits:
-            faults += (self._limit_replica,) * 3
-        if self._sizes.fleet:
-            faults += (self._remove_replica,) * 4
-            faults += (self._published.play_restore,) * 2
-            faults += (self._part_from_store,)
+        if self._options.withdraws:
+            faults += (self._drain_by_hint,) * 3
+        if self._options.limits:
+            faults += (self._limit_replica_rate,) * 3
+        if self._options.fleet:
+            faults += (self._drain_by_store,) * 4
+            faults += (self._soak_store.inject_restore,) * 2
+            faults += (self._partition_from_store,)
         while time.monotonic() < until_s:
-            await asyncio.sleep(self._chance.uniform(0.1, 0.8))
-            await self._chance.choice(faults)()
+            await asyncio.sleep(self._rng.uniform(0.1, 0.8))
+            await self._rng.choice(faults)()
 
-    async def _trouble_proxy(self) -> None:
-        proxy = self._chance.choice(self._proxies)
-        if self._chance.random() < 0.4:
-            proxy.reset_all()
+    async def _disrupt_proxy(self) -> None:
+        proxy = self._rng.choice(self._proxies)
+        if self._rng.random() < 0.4:
+            proxy.reset_connections()
             return
-        proxy.mode = self._chance.choice(list(soak_proxy.Mode))
-        await asyncio.sleep(self._chance.uniform(0.2, 1.5))
-        proxy.mode = soak_proxy.Mode.PASS
+        proxy.mode = self._rng.choice(list(soak_proxy.Mode))
+        await asyncio.sleep(self._rng.uniform(0.2, 1.5))
+        proxy.mode = soak_proxy.Mode.FORWARD
 
-    async def _spoil_replica(self) -> None:
-        wrong = self._chance.choice(self._replicas).wrong
-        name = self._chance.choice(
+    async def _inject_replica_errors(self) -> None:
+        wrong = self._rng.choice(self._replicas).wrong
+        name = self._rng.choice(
             ("refuse", "fail", "lose", "break_off", "unsigned", "foreign")
         )
-        setattr(wrong, name, self._chance.uniform(0.3, 1.0))
-        await asyncio.sleep(self._chance.uniform(0.3, 1.5))
+        setattr(wrong, name, self._rng.uniform(0.3, 1.0))
+        await asyncio.sleep(self._rng.uniform(0.3, 1.5))
         setattr(wrong, name, 0.0)
 
-    async def _withdraw_replica(self) -> None:
+    async def _drain_by_hint(self) -> None:
         """Has a replica leave, or shed calls, while the store is away."""
-        replica = self._chance.choice(self._replicas)
-        if self._chance.random() < 0.4:
-            replica.wrong.retry_after = self._chance.choice(("0.5", "2", "x"))
+        replica = self._rng.choice(self._replicas)
+        if self._rng.random() < 0.4:
+            replica.wrong.retry_after = self._rng.choice(("0.5", "2", "x"))
             replica.wrong.refuse = 1.0
-            await asyncio.sleep(self._chance.uniform(0.3, 1.5))
+            await asyncio.sleep(self._rng.uniform(0.3, 1.5))
             replica.wrong.refuse = 0.0
             return
         if replica.leaving:
             return
         from_s = time.monotonic()
         replica.leaving = "1"
-        await self._published.play_outage(self._chance.uniform(2.5, 4.0))
-        self._replace(replica, from_s)
+        await self._soak_store.inject_outage(self._rng.uniform(2.5, 4.0))
+        self._replace_replica(replica, from_s)
 
-    async def _remove_replica(self) -> None:
+    async def _drain_by_store(self) -> None:
         """Has a replica leave by the list, and another take its place."""
-        replica = self._chance.choice(self._replicas)
-        if self._published.states[replica.name] != soak_store.READY:
+        replica = self._rng.choice(self._replicas)
+        if self._soak_store.states[replica.name] != soak_store.READY:
             return
         from_s = time.monotonic()
-        self._published.begin_leaving(
+        self._soak_store.start_drain(
             replica,
-            self._chance.choice((soak_store.DRAINING, soak_store.REMOVED)),
+            self._rng.choice((soak_store.DRAINING, soak_store.REMOVED)),
         )
-        await asyncio.sleep(self._chance.uniform(3.0, 5.0))
-        self._replace(replica, from_s)
+        await asyncio.sleep(self._rng.uniform(3.0, 5.0))
+        self._replace_replica(replica, from_s)
 
-    async def _part_from_store(self) -> None:
+    async def _partition_from_store(self) -> None:
         """Keeps one gateway from the store for a while."""
-        number = self._chance.randrange(len(self._store_proxies))
+        number = self._rng.randrange(len(self._store_proxies))
         proxy = self._store_proxies[number]
         self.counts["gateways parted from the store"] += 1
-        self._gateways.note_upset(number)
-        proxy.mode = self._chance.choice(
-            (soak_proxy.Mode.SILENCE, soak_proxy.Mode.CUT_BACK)
+        self._gateways.record_interruption(number)
+        proxy.mode = self._rng.choice(
+            (soak_proxy.Mode.STALL, soak_proxy.Mode.STALL_RESPONSES)
         )
-        await asyncio.sleep(self._chance.uniform(0.5, 3.0))
-        proxy.mode = soak_proxy.Mode.PASS
-        proxy.reset_all()
-        self._gateways.note_upset(number)
+        await asyncio.sleep(self._rng.uniform(0.5, 3.0))
+        proxy.mode = soak_proxy.Mode.FORWARD
+        proxy.reset_connections()
+        self._gateways.record_interruption(number)
 
     async def _remove_key_early(self) -> None:
         """Removes a key, so early that its time ends while callers call."""
-        await asyncio.sleep(self._chance.uniform(0.5, 4.0))
-        self._published.publish(removes_key=True)
+        await asyncio.sleep(self._rng.uniform(0.5, 4.0))
+        self._soak_store.publish_settings(removes_key=True)
 
-    async def _limit_replica(self) -> None:
+    async def _limit_replica_rate(self) -> None:
         """Has a replica name a rate limit for longer than until it binds."""
-        replica = self._chance.choice(self._replicas)
+        replica = self._rng.choice(self._replicas)
         if replica.rate_limit:
             return
-        replica.name_limit(self._chance.choice(("0", "0.5", "1", "3")))
-        await asyncio.sleep(self._chance.uniform(4.0, 9.0))
+        replica.name_limit(self._rng.choice(("0", "0.5", "1", "3")))
+        await asyncio.sleep(self._rng.uniform(4.0, 9.0))
         replica.name_limit("")
 
-    def _replace(
+    def _replace_replica(
         self, replica: platform_replica.PlatformReplica, from_s: float
     ) -> None:
         """Lists another replica in the place of one that has left."""
-        self._leavings.append(
-            soak_withdrawals.Leaving(
+        self._drain_periods.append(
+            soak_draining.DrainPeriod(
                 replica, replica.name, from_s, time.monotonic()
             )
         )
-        self._published.take_off(replica)
+        self._soak_store.delist_replica(replica)
         replica.name += "n"
         replica.leaving = ""
-        self._published.list_anew(replica)
+        self._soak_store.list_replica(replica)
 
     async def _change_settings(self) -> None:
-        self._published.publish()
-        if self._chance.random() < 0.5:
+        self._soak_store.publish_settings()
+        if self._rng.random() < 0.5:
             self._store.forget_history()
-        if self._chance.random() < 0.7:
-            await self._published.play_outage(self._chance.uniform(0.1, 1.0))
+        if self._rng.random() < 0.7:
+            await self._soak_store.inject_outage(self._rng.uniform(0.1, 1.0))
 
-    async def _end(self) -> None:
+    async def _stop(self) -> None:
         for task in self._tasks:
             task.cancel()
-        await self._gateways.end_all()
+        await self._gateways.kill_all()
         for proxy in self._proxies:
             await proxy.stop()
 
 
-def _name_seeds(port: int) -> str:
-    hosts = [f"127.0.1.{number + 1}" for number in range(_SEEDS)]
-    return ",".join(f"{host}:{port}" for host in (*hosts, _DEAD_SEED))
+def _format_seeds(port: int) -> str:
+    hosts = [f"127.0.1.{number + 1}" for number in range(_SEED_GATEWAYS)]
+    return ",".join(f"{host}:{port}" for host in (*hosts, _UNREACHABLE_SEED))
 
 
-def play(
-    seed: int, sizes: Sizes = Sizes(), keep: pathlib.Path | None = None
-) -> Played:
+def run_seed(
+    seed: int,
+    options: SoakOptions = SoakOptions(),
+    log_folder: pathlib.Path | None = None,
+) -> SoakResult:
     """Plays one seed; logs are kept in a folder if one is given."""
     with tempfile.TemporaryDirectory() as folder:
-        path = keep if keep is not None else pathlib.Path(folder)
+        path = log_folder if log_folder is not None else pathlib.Path(folder)
         path.mkdir(parents=True, exist_ok=True)
-        soak = Soak(seed, sizes, path)
-        broken, statuses = asyncio.run(soak.play())
-        broken += _find_tracebacks(path)
-    return Played(broken, statuses, soak.counts)
+        soak_run = SoakRun(seed, options, path)
+        violations, statuses = asyncio.run(soak_run.run())
+        violations += _find_tracebacks(path)
+    return SoakResult(violations, statuses, soak_run.counts)
 
 
 def _find_tracebacks(folder: pathlib.Path) -> list[str]:
@@ -401,19 +408,19 @@
     ]
 
 
-def _make_again(seed: int, sizes: Sizes) -> str:
+def _make_rerun_command(seed: int, options: SoakOptions) -> str:
     """Returns the command that plays a seed once more."""
-    words = [
+    arguments = [
         "python -m standins.soak",
         f"--first {seed} --count 1",
-        f"--gateways {sizes.gateways} --engines {sizes.engines}",
-        f"--callers {sizes.callers}",
-        *(["--withdraws"] if sizes.withdraws else []),
-        *(["--limits"] if sizes.limits else []),
-        *(["--fleet"] if sizes.fleet else []),
-        *([f"--without {sizes.without}"] if sizes.without else []),
+        f"--gateways {options.gateways} --engines {options.engines}",
+        f"--callers {options.callers}",
+        *(["--withdraws"] if options.withdraws else []),
+        *(["--limits"] if options.limits else []),
+        *(["--fleet"] if options.fleet else []),
+        *([f"--without {options.without}"] if options.without else []),
     ]
-    return " ".join(words)
+    return " ".join(arguments)
 
 
 def main(
@@ -427,7 +434,7 @@
     limits: bool = False,
     fleet: bool = False,
     without: str = "",
-    logs: pathlib.Path = _LOGS,
+    logs: pathlib.Path = _LOG_FOLDER,
 ) -> int:
     """Plays many seeds; logs of those that fail are kept.
 
@@ -444,7 +451,7 @@
         logs: Folder for the logs of seeds that fail, a folder each.
     """
     loguru.logger.remove()
-    sizes = Sizes(
+    options = SoakOptions(
         gateways,
         engines,
         callers=callers,
@@ -458,15 +465,17 @@
     counts: collections.Counter[str] = collections.Counter()
     for seed in range(first, first + count):
         folder = logs / f"seed-{seed}"
-        played = play(seed, sizes, folder)
-        failed += bool(played.broken)
-        total.update(played.statuses)
-        counts.update(played.counts)
-        if not played.broken:
+        result = run_seed(seed, options, folder)
+        failed += bool(result.violations)
+        total.update(result.statuses)
+        counts.update(result.counts)
+        if not result.violations:
             shutil.rmtree(folder)
             continue
-        lines = [f"seed {seed}: {each}" for each in played.broken]
-        lines.append(f"again: {_make_again(seed, sizes)}; logs: {folder}")
+        lines = [f"seed {seed}: {each}" for each in result.violations]
+        lines.append(
+            f"again: {_make_rerun_command(seed, options)}; logs: {folder}"
+        )
         (folder / "broken.txt").write_text("\n".join(lines) + "\n")
         print("\n".join(lines), flush=True)
     for name, number in sorted(counts.items()):
--- a/standins/soak_withdrawals.py
+++ b/standins/soak_draining.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Leaving:
+class DrainPeriod:
     """A time in which all answers of a replica said that it leaves.
 
     Attributes:
@@ -27,17 +27,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Upset:
+class Interruption:
     """A moment at which a gateway was stopped, paused or killed."""
 
     gateway: int
     at_s: float
 
 
-def find_broken(
-    leavings: Iterable[Leaving],
-    upsets: Sequence[Upset],
-    all_got: Sequence[tuple[int, gateway_caller.Got]],
+def find_violations(
+    drain_periods: Iterable[DrainPeriod],
+    interruptions: Sequence[Interruption],
+    all_responses: Sequence[tuple[int, gateway_caller.Got]],
 ) -> list[str]:
     """Returns calls that a gateway sent on although it had been told.
 
@@ -46,42 +46,46 @@
         upsets: What befell gateways.
         all_got: What callers got, with the gateway that they asked.
     """
-    by_id = {got.call.request_id: each for each in all_got for got in each[1:]}
-    broken: list[str] = []
-    for leaving in leavings:
-        for arrival in leaving.replica.arrivals:
-            if not leaving.from_s < arrival.at_s < leaving.to_s:
+    by_id = {
+        response.call.request_id: each
+        for each in all_responses
+        for response in each[1:]
+    }
+    violations: list[str] = []
+    for period in drain_periods:
+        for arrival in period.replica.arrivals:
+            if not period.from_s < arrival.at_s < period.to_s:
                 continue
             if arrival.request_id not in by_id:
                 continue
-            gateway, got = by_id[arrival.request_id]
-            told_s = _find_told_s(leaving, gateway, all_got)
-            was_upset = any(
-                each.gateway == gateway and told_s < each.at_s < arrival.at_s
-                for each in upsets
+            gateway, response = by_id[arrival.request_id]
+            relayed_s = _find_first_relayed_s(period, gateway, all_responses)
+            was_interrupted = any(
+                each.gateway == gateway and relayed_s < each.at_s < arrival.at_s
+                for each in interruptions
             )
-            late_s = got.sent_s - told_s
-            if late_s > withdrawal_schedules.LEAVE_S and not was_upset:
-                broken.append(
-                    f"{arrival.request_id} reached {leaving.name} "
+            late_s = response.sent_s - relayed_s
+            if late_s > withdrawal_schedules.LEAVE_S and not was_interrupted:
+                violations.append(
+                    f"{arrival.request_id} reached {period.name} "
                     f"{late_s:.1f} s after gateway {gateway} was told"
                 )
-    return broken
+    return violations
 
 
-def _find_told_s(
-    leaving: Leaving,
+def _find_first_relayed_s(
+    period: DrainPeriod,
     gateway: int,
-    all_got: Iterable[tuple[int, gateway_caller.Got]],
+    all_responses: Iterable[tuple[int, gateway_caller.Got]],
 ) -> float:
     """Returns when a gateway had passed the first such answer on."""
     ends_s = [
-        got.sent_s + got.took_ms / 1_000.0
-        for asked, got in all_got
-        if asked == gateway
-        and got.headers.get("server-leaving") == "1"
-        and got.headers.get("x-replica-signature", "").startswith(
-            f"{leaving.name}."
+        response.sent_s + response.took_ms / 1_000.0
+        for asked_gateway, response in all_responses
+        if asked_gateway == gateway
+        and response.headers.get("server-leaving") == "1"
+        and response.headers.get("x-replica-signature", "").startswith(
+            f"{period.name}."
         )
     ]
     return min(ends_s, default=float("inf"))
--- a/standins/soak_fleet.py
+++ b/standins/soak_fleet.py
@@ -9,20 +9,20 @@
 
 from standins import gateway_caller
 from standins import gateway_cluster
+from standins import soak_draining
 from standins import soak_store
-from standins import soak_withdrawals
 
-_CONTACT_S = 3.0
-_LEAVE_S = 2.0
-DUE = "calls due to keep off a target that left"
-KEYS_DUE = "calls with a removed key"
+_UNDISTURBED_S = 3.0
+_DRAIN_DEADLINE_S = 2.0
+DRAIN_CHECKS = "calls due to keep off a target that left"
+KEY_REMOVAL_CHECKS = "calls with a removed key"
 
 
-def find_broken(
+def find_violations(
     store: soak_store.SoakStore,
-    leavings: Sequence[soak_withdrawals.Leaving],
-    upsets: Sequence[soak_withdrawals.Upset],
-    all_got: Sequence[tuple[int, gateway_caller.Got]],
+    drain_periods: Sequence[soak_draining.DrainPeriod],
+    interruptions: Sequence[soak_draining.Interruption],
+    all_responses: Sequence[tuple[int, gateway_caller.Got]],
     counts: collections.Counter[str],
 ) -> list[str]:
     """Returns calls that reached what they were not to reach.
@@ -34,59 +34,70 @@
         all_got: What callers got, with the gateway that they asked.
         counts: Is told how often each promise was put to the test.
     """
-    by_id = {got.call.request_id: (vm, got) for vm, got in all_got}
-    broken = _find_late_keys(store, all_got, counts)
-    for leaving in leavings:
-        due_s = store.published_s.get(leaving.name, float("inf")) + _LEAVE_S
-        counts[DUE] += sum(
-            due_s < got.sent_s < leaving.to_s for _, got in all_got
+    by_id = {
+        response.call.request_id: (vm, response)
+        for vm, response in all_responses
+    }
+    violations = _find_late_key_uses(store, all_responses, counts)
+    for period in drain_periods:
+        due_s = (
+            store.drain_published_s.get(period.name, float("inf"))
+            + _DRAIN_DEADLINE_S
         )
-        for arrival in leaving.replica.arrivals:
-            is_its_own = leaving.from_s < arrival.at_s < leaving.to_s
+        counts[DRAIN_CHECKS] += sum(
+            due_s < response.sent_s < period.to_s
+            for _, response in all_responses
+        )
+        for arrival in period.replica.arrivals:
+            is_its_own = period.from_s < arrival.at_s < period.to_s
             if not is_its_own or arrival.request_id not in by_id:
                 continue
-            gateway, got = by_id[arrival.request_id]
-            is_bound = _is_in_touch(store, upsets, gateway, got.sent_s)
-            if got.sent_s > due_s and is_bound:
-                late_s = got.sent_s - due_s + _LEAVE_S
-                broken.append(
-                    f"{arrival.request_id} reached {leaving.name} "
+            gateway, response = by_id[arrival.request_id]
+            was_undisturbed = _was_undisturbed(
+                store, interruptions, gateway, response.sent_s
+            )
+            if response.sent_s > due_s and was_undisturbed:
+                late_s = response.sent_s - due_s + _DRAIN_DEADLINE_S
+                violations.append(
+                    f"{arrival.request_id} reached {period.name} "
                     f"{late_s:.2f} s after the store told that it leaves, by "
                     f"gateway {gateway}"
                 )
-    return broken
+    return violations
 
 
-def _find_late_keys(
+def _find_late_key_uses(
     store: soak_store.SoakStore,
-    all_got: Sequence[tuple[int, gateway_caller.Got]],
+    all_responses: Sequence[tuple[int, gateway_caller.Got]],
     counts: collections.Counter[str],
 ) -> list[str]:
     """Returns calls that were served with a key that was to be refused."""
     until_s = store.key_removed_s + gateway_cluster.REVOKE_MS / 1_000.0
     late = [
-        (gateway, got)
-        for gateway, got in all_got
-        if got.call.key == soak_store.REMOVED_KEY and got.sent_s > until_s
+        (gateway, response)
+        for gateway, response in all_responses
+        if response.call.key == soak_store.REMOVED_KEY
+        and response.sent_s > until_s
     ]
-    counts[KEYS_DUE] += len(late)
+    counts[KEY_REMOVAL_CHECKS] += len(late)
     return [
-        f"{got.call.request_id} was served with a removed key by {gateway}"
-        for gateway, got in late
-        if got.status == 200
+        f"{response.call.request_id} was served with a removed key by {gateway}"
+        for gateway, response in late
+        if response.status == 200
     ]
 
 
-def _is_in_touch(
+def _was_undisturbed(
     store: soak_store.SoakStore,
-    upsets: Sequence[soak_withdrawals.Upset],
+    interruptions: Sequence[soak_draining.Interruption],
     gateway: int,
     at_s: float,
 ) -> bool:
     """Returns whether a gateway is bound by what the store tells."""
-    from_s = at_s - _CONTACT_S
-    if any(from_s < each < at_s for each in store.troubled_s):
+    from_s = at_s - _UNDISTURBED_S
+    if any(from_s < each < at_s for each in store.disrupted_s):
         return False
     return not any(
-        each.gateway == gateway and from_s < each.at_s < at_s for each in upsets
+        each.gateway == gateway and from_s < each.at_s < at_s
+        for each in interruptions
     )
--- a/standins/soak_gateways.py
+++ b/standins/soak_gateways.py
@@ -9,16 +9,16 @@
 import sys
 import time
 
-from standins import soak_withdrawals
+from standins import soak_draining
 
 _ROOT = pathlib.Path(__file__).parent.parent
 GRACE_S = 3.0
 # 100 gateways on five cores listen after some ten seconds.
-_START_MOST_S = 60.0
+_START_TIMEOUT_S = 60.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class LaunchConfig:
     """Where a gateway runs.
 
     Attributes:
@@ -49,92 +49,92 @@
     """
 
     def __init__(
-        self, chance: random.Random, folder: pathlib.Path, without: str
+        self, rng: random.Random, folder: pathlib.Path, without: str
     ) -> None:
-        self.upsets: list[soak_withdrawals.Upset] = []
-        self._chance = chance
+        self.interruptions: list[soak_draining.Interruption] = []
+        self._rng = rng
         self._folder = folder
         self._without = without
-        self._places: list[Place] = []
+        self._configs: list[LaunchConfig] = []
         self._processes: list[asyncio.subprocess.Process] = []
-        self._ending: set[int] = set()
+        self._restarting: set[int] = set()
 
-    async def add(self, place: Place) -> None:
+    async def add(self, config: LaunchConfig) -> None:
         """Starts one more gateway."""
-        self._places.append(place)
-        self._processes.append(await self._run(len(self._processes)))
+        self._configs.append(config)
+        self._processes.append(await self._start_process(len(self._processes)))
 
-    async def await_listening(self) -> None:
+    async def wait_until_listening(self) -> None:
         """Returns once all listen; many of them start slowly."""
-        await asyncio.gather(*map(_await_listening, self._places))
+        await asyncio.gather(*map(_wait_until_listening, self._configs))
 
     async def pause(self) -> None:
         """Stops one for a while, as a suspended VM does."""
-        number = self._choose()
+        number = self._choose_gateway()
         process = self._processes[number]
-        self.note_upset(number)
+        self.record_interruption(number)
         if _signal(process, signal.SIGSTOP):
-            await asyncio.sleep(self._chance.uniform(0.2, 2.0))
+            await asyncio.sleep(self._rng.uniform(0.2, 2.0))
             _signal(process, signal.SIGCONT)
-            self.note_upset(number)
+            self.record_interruption(number)
 
     async def kill(self) -> None:
         """Ends one at once, and starts it again."""
-        await self._end(self._choose(), signal.SIGKILL)
+        await self._restart(self._choose_gateway(), signal.SIGKILL)
 
     async def stop(self) -> None:
         """Ends one as planned, and starts it again."""
-        number = self._choose()
+        number = self._choose_gateway()
         _signal(self._processes[number], signal.SIGHUP)
-        await self._end(number, signal.SIGTERM)
+        await self._restart(number, signal.SIGTERM)
 
-    def note_upset(self, number: int) -> None:
+    def record_interruption(self, number: int) -> None:
         """Notes that something befell a gateway."""
-        upset = soak_withdrawals.Upset(number, time.monotonic())
-        self.upsets.append(upset)
+        interruption = soak_draining.Interruption(number, time.monotonic())
+        self.interruptions.append(interruption)
 
-    async def end_all(self) -> None:
+    async def kill_all(self) -> None:
         """Ends all for good."""
         for process in self._processes:
             _signal(process, signal.SIGCONT)
             _signal(process, signal.SIGKILL)
             await process.wait()
 
-    def _choose(self) -> int:
-        return self._chance.randrange(len(self._processes))
+    def _choose_gateway(self) -> int:
+        return self._rng.randrange(len(self._processes))
 
-    async def _end(self, number: int, how: signal.Signals) -> None:
-        if number in self._ending:
+    async def _restart(self, number: int, how: signal.Signals) -> None:
+        if number in self._restarting:
             # It is on its way out: another signal, but one new start.
             _signal(self._processes[number], how)
             return
-        self._ending.add(number)
+        self._restarting.add(number)
         process = self._processes[number]
-        self.note_upset(number)
+        self.record_interruption(number)
         _signal(process, how)
         try:
             await asyncio.wait_for(process.wait(), GRACE_S)
         except TimeoutError:
             _signal(process, signal.SIGKILL)
             await process.wait()
-        self._processes[number] = await self._run(number)
-        self.note_upset(number)
-        self._ending.discard(number)
+        self._processes[number] = await self._start_process(number)
+        self.record_interruption(number)
+        self._restarting.discard(number)
 
-    async def _run(self, number: int) -> asyncio.subprocess.Process:
-        command = _make_command(number, self._places[number], self._without)
+    async def _start_process(self, number: int) -> asyncio.subprocess.Process:
+        command = _make_command(number, self._configs[number], self._without)
         log = open(self._folder / f"gateway-{number}.log", "ab")  # noqa: SIM115
         return await asyncio.create_subprocess_exec(
             *command, stdout=log, stderr=log, cwd=_ROOT
         )
 
 
-async def _await_listening(place: Place) -> None:
-    until_s = time.monotonic() + _START_MOST_S
+async def _wait_until_listening(config: LaunchConfig) -> None:
+    until_s = time.monotonic() + _START_TIMEOUT_S
     while time.monotonic() < until_s:
         with contextlib.suppress(OSError):
             _, writer = await asyncio.open_connection(
-                place.host, place.ports[1]
+                config.host, config.ports[1]
             )
             writer.close()
             return
@@ -152,22 +152,22 @@
     return True
 
 
-def _make_command(number: int, place: Place, without: str) -> list[str]:
-    front, ready, metrics, peers = place.ports
+def _make_command(number: int, config: LaunchConfig, without: str) -> list[str]:
+    caller_port, ready, metrics, peers = config.ports
     flags = {
         "--vm-id": f"vm-{number}",
-        "--hall": place.hall,
-        "--listen": f"{place.host}:{front}",
-        "--ready-listen": f"{place.host}:{ready}",
-        "--metrics-listen": f"{place.host}:{metrics}",
-        "--peer-listen": f"{place.host}:{peers}",
-        "--store-address": f"127.0.0.1:{place.store_port}",
+        "--hall": config.hall,
+        "--listen": f"{config.host}:{caller_port}",
+        "--ready-listen": f"{config.host}:{ready}",
+        "--metrics-listen": f"{config.host}:{metrics}",
+        "--peer-listen": f"{config.host}:{peers}",
+        "--store-address": f"127.0.0.1:{config.store_port}",
         "--grace-s": str(GRACE_S),
     }
-    if place.seeds:
-        flags["--seeds"] = place.seeds
-    words = [word for pair in flags.items() for word in pair]
+    if config.seeds:
+        flags["--seeds"] = config.seeds
+    arguments = [argument for pair in flags.items() for argument in pair]
     program = [str(_ROOT / "deploy" / "gateway.py")]
     if without:
         program = ["-m", "standins.soak_ablations", without]
-    return [sys.executable, *program, *words]
+    return [sys.executable, *program, *arguments]
--- a/standins/soak_proxy.py
+++ b/standins/soak_proxy.py
@@ -8,11 +8,11 @@
 class Mode(enum.Enum):
     """What the proxy does with its connections."""
 
-    PASS = "pass"
+    FORWARD = "pass"
     DELAY = "delay"
-    SILENCE = "silence"
-    CUT_FORTH = "cut_forth"
-    CUT_BACK = "cut_back"
+    STALL = "silence"
+    STALL_REQUESTS = "cut_forth"
+    STALL_RESPONSES = "cut_back"
 
 
 _DELAY_S = 0.15
@@ -28,24 +28,24 @@
         port: Where it listens.
     """
 
-    def __init__(self, port_beyond: int, host: str = "127.0.0.1") -> None:
-        self.mode = Mode.PASS
+    def __init__(self, upstream_port: int, host: str = "127.0.0.1") -> None:
+        self.mode = Mode.FORWARD
         self.port = 0
-        self._beyond = port_beyond
+        self._upstream_port = upstream_port
         self._host = host
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
         """Begins to listen at a free port."""
-        self._server = await asyncio.start_server(self._pass_on, "127.0.0.1")
+        self._server = await asyncio.start_server(self._forward, "127.0.0.1")
         self.port = self._server.sockets[0].getsockname()[1]
 
-    def set_beyond(self, port: int) -> None:
+    def set_upstream_port(self, port: int) -> None:
         """Has new connections go to another port."""
-        self._beyond = port
+        self._upstream_port = port
 
-    def reset_all(self) -> None:
+    def reset_connections(self) -> None:
         """Resets every open connection."""
         for writer in list(self._writers):
             writer.transport.abort()
@@ -53,38 +53,38 @@
     async def stop(self) -> None:
         """Stops listening and resets what is open."""
         self._server.close()
-        self.reset_all()
+        self.reset_connections()
 
-    async def _pass_on(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
-            far_reader, far_writer = await asyncio.open_connection(
-                self._host, self._beyond
+            upstream_reader, upstream_writer = await asyncio.open_connection(
+                self._host, self._upstream_port
             )
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, far_writer}
+        self._writers |= {writer, upstream_writer}
         try:
             await asyncio.gather(
-                self._copy(reader, far_writer, Mode.CUT_FORTH),
-                self._copy(far_reader, writer, Mode.CUT_BACK),
+                self._copy(reader, upstream_writer, Mode.STALL_REQUESTS),
+                self._copy(upstream_reader, writer, Mode.STALL_RESPONSES),
             )
         finally:
-            self._writers -= {writer, far_writer}
+            self._writers -= {writer, upstream_writer}
             writer.close()
-            far_writer.close()
+            upstream_writer.close()
 
     async def _copy(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        cut: Mode,
+        stalling_mode: Mode,
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(_READ_BYTES):
-                while self.mode in (Mode.SILENCE, cut):
+                while self.mode in (Mode.STALL, stalling_mode):
                     await asyncio.sleep(_POLL_S)
                 if self.mode is Mode.DELAY:
                     await asyncio.sleep(_DELAY_S)
--- a/standins/soak_rate_limits.py
+++ b/standins/soak_rate_limits.py
@@ -6,13 +6,13 @@
 from standins import gateway_caller
 from standins import platform_replica
 from standins import rate_limit_check
-from standins import soak_withdrawals
+from standins import soak_draining
 
 
-def find_broken(
+def find_violations(
     replicas: Iterable[platform_replica.PlatformReplica],
-    upsets: Sequence[soak_withdrawals.Upset],
-    all_got: Sequence[tuple[int, gateway_caller.Got]],
+    interruptions: Sequence[soak_draining.Interruption],
+    all_responses: Sequence[tuple[int, gateway_caller.Got]],
 ) -> list[str]:
     """Returns windows in which gateways sent more than a limit allows.
 
@@ -21,48 +21,52 @@
         upsets: What befell gateways.
         all_got: What callers got, with the gateway that they asked.
     """
-    gateways = {got.call.request_id: gateway for gateway, got in all_got}
-    broken: list[str] = []
+    gateways = {
+        response.call.request_id: gateway for gateway, response in all_responses
+    }
+    violations: list[str] = []
     for replica in replicas:
-        passed_on_s = _find_passed_on(replica, all_got)
+        relayed_s = _find_first_relayed_s(replica, all_responses)
         counted_s = [
             each.at_s
             for each in replica.arrivals
             if _is_bound(
                 gateways.get(each.request_id, -1),
                 each.at_s,
-                passed_on_s,
-                upsets,
+                relayed_s,
+                interruptions,
             )
         ]
-        broken += rate_limit_check.find_excess_of(replica, counted_s)
-    return broken
+        violations += rate_limit_check.find_excess_of(replica, counted_s)
+    return violations
 
 
-def _find_passed_on(
+def _find_first_relayed_s(
     replica: platform_replica.PlatformReplica,
-    all_got: Iterable[tuple[int, gateway_caller.Got]],
+    all_responses: Iterable[tuple[int, gateway_caller.Got]],
 ) -> dict[int, float]:
     """Returns when each gateway first passed on an answer with a limit."""
-    passed_on_s: dict[int, float] = {}
-    for gateway, got in all_got:
-        is_its_own = got.call.request_id in replica.limits_told
-        if is_its_own and "server-limit" in got.headers:
-            at_s = got.sent_s + got.took_ms / 1_000.0
-            known_s = passed_on_s.get(gateway, float("inf"))
-            passed_on_s[gateway] = min(at_s, known_s)
-    return passed_on_s
+    relayed_s: dict[int, float] = {}
+    for gateway, response in all_responses:
+        is_its_own = response.call.request_id in replica.limits_told
+        if is_its_own and "server-limit" in response.headers:
+            at_s = response.sent_s + response.took_ms / 1_000.0
+            known_s = relayed_s.get(gateway, float("inf"))
+            relayed_s[gateway] = min(at_s, known_s)
+    return relayed_s
 
 
 def _is_bound(
     gateway: int,
     at_s: float,
-    passed_on_s: dict[int, float],
-    upsets: Iterable[soak_withdrawals.Upset],
+    relayed_s: dict[int, float],
+    interruptions: Iterable[soak_draining.Interruption],
 ) -> bool:
-    since_s = passed_on_s.get(gateway, float("inf"))
-    was_upset = any(
+    since_s = relayed_s.get(gateway, float("inf"))
+    was_interrupted = any(
         each.gateway == gateway and since_s < each.at_s < at_s
-        for each in upsets
+        for each in interruptions
+    )
+    return (
+        at_s >= since_s + rate_limit_check.PASSED_ON_S and not was_interrupted
     )
-    return at_s >= since_s + rate_limit_check.PASSED_ON_S and not was_upset
--- a/standins/soak_store.py
+++ b/standins/soak_store.py
@@ -14,8 +14,8 @@
 REMOVED = ""
 # What a restored store has lost is written again within this time.
 _REWRITE_S = 0.5
-_COPY_EVERY_S = 0.5
-_COPIES = 10
+_COPY_INTERVAL_S = 0.5
+_MAX_COPIES = 10
 REMOVED_KEY = "removed-key"
 
 
@@ -37,17 +37,19 @@
         counts: What was brought about, by name.
     """
 
-    def __init__(self, chance: random.Random) -> None:
-        self._chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
         self.store = platform_store.PlatformStore()
         self.addresses: dict[int, str] = {}
         self.states: dict[str, str] = {}
-        self.published_s: dict[str, float] = {}
-        self.troubled_s: list[float] = []
+        self.drain_published_s: dict[str, float] = {}
+        self.disrupted_s: list[float] = []
         self.key_removed_s = float("inf")
         self.counts: collections.Counter[str] = collections.Counter()
         self._replicas: list[platform_replica.PlatformReplica] = []
-        self._sequences: collections.Counter[str] = collections.Counter()
+        self._heartbeat_numbers: collections.Counter[str] = (
+            collections.Counter()
+        )
         self._copies: list[platform_store.Copy] = []
         self._keys = {"w1": [gateway_cluster.KEY], "w2": [REMOVED_KEY]}
         self._revision = 0
@@ -57,41 +59,41 @@
         heartbeat_s = 0.0
         while True:
             self._copies.append(self.store.take_copy())
-            del self._copies[:-_COPIES]
+            del self._copies[:-_MAX_COPIES]
             if time.monotonic() >= heartbeat_s + gateway_cluster.HEARTBEAT_S:
                 heartbeat_s = time.monotonic()
-                self._write_all()
-            await asyncio.sleep(_COPY_EVERY_S)
+                self._write_replicas()
+            await asyncio.sleep(_COPY_INTERVAL_S)
 
-    def add(
+    def add_replica(
         self, replica: platform_replica.PlatformReplica, address: str
     ) -> None:
         """Lists a replica."""
         self._replicas.append(replica)
         self.addresses[id(replica)] = address
-        self.list_anew(replica)
+        self.list_replica(replica)
 
-    def list_anew(self, replica: platform_replica.PlatformReplica) -> None:
+    def list_replica(self, replica: platform_replica.PlatformReplica) -> None:
         """Lists a replica under the name that it has now."""
         self.states[replica.name] = READY
-        self._write(replica)
+        self._write_replica(replica)
 
-    def begin_leaving(
+    def start_drain(
         self, replica: platform_replica.PlatformReplica, state: str
     ) -> None:
         """Has a replica leave, with a word in the list or without."""
         name = replica.name
         self.counts[f"leavings, {'drained' if state else 'removed'}"] += 1
         self.states[name] = state
-        self.published_s[name] = time.monotonic()
-        self._write(replica)
+        self.drain_published_s[name] = time.monotonic()
+        self._write_replica(replica)
 
-    def take_off(self, replica: platform_replica.PlatformReplica) -> None:
+    def delist_replica(self, replica: platform_replica.PlatformReplica) -> None:
         """Removes a replica's entry, as it has ended."""
         self.states[replica.name] = REMOVED
-        self._write(replica)
+        self._write_replica(replica)
 
-    def publish(self, removes_key: bool = False) -> None:
+    def publish_settings(self, removes_key: bool = False) -> None:
         """Publishes the next settings."""
         if removes_key and self._keys.pop("w2", None):
             self.counts["removed keys"] += 1
@@ -99,48 +101,50 @@
         self._revision += 1
         self._write_settings()
 
-    async def play_restore(self) -> None:
+    async def inject_restore(self) -> None:
         """Has the store go back, at times after a while of being away."""
-        away_s = self._chance.choice((0.0, 0.0, 0.5, 1.5))
-        copy = self._chance.choice(self._copies)
-        if away_s:
-            await self.play_outage(away_s)
+        outage_s = self._rng.choice((0.0, 0.0, 0.5, 1.5))
+        copy = self._rng.choice(self._copies)
+        if outage_s:
+            await self.inject_outage(outage_s)
         self.counts["restores of the store"] += 1
-        self.troubled_s.append(time.monotonic())
+        self.disrupted_s.append(time.monotonic())
         self.store.restore(copy)
         # No copy of what was lost is left.
         self._copies = [copy]
-        for name in self.published_s:
-            self.published_s[name] = float("inf")
-        await asyncio.sleep(self._chance.uniform(0.0, _REWRITE_S))
+        for name in self.drain_published_s:
+            self.drain_published_s[name] = float("inf")
+        await asyncio.sleep(self._rng.uniform(0.0, _REWRITE_S))
         self._write_settings()
-        self._write_all()
+        self._write_replicas()
         now_s = time.monotonic()
-        for name in self.published_s:
-            self.published_s[name] = min(self.published_s[name], now_s)
+        for name in self.drain_published_s:
+            self.drain_published_s[name] = min(
+                self.drain_published_s[name], now_s
+            )
 
-    async def play_outage(self, away_s: float) -> None:
+    async def inject_outage(self, outage_s: float) -> None:
         """Has the store answer nobody for a while."""
         self.counts["outages of the store"] += 1
-        self.troubled_s.append(time.monotonic())
-        self.store.trouble = self._chance.choice(("busy", "reset", "silent"))
-        await asyncio.sleep(away_s)
+        self.disrupted_s.append(time.monotonic())
+        self.store.trouble = self._rng.choice(("busy", "reset", "silent"))
+        await asyncio.sleep(outage_s)
         self.store.trouble = ""
-        self.troubled_s.append(time.monotonic())
+        self.disrupted_s.append(time.monotonic())
 
-    def _write_all(self) -> None:
+    def _write_replicas(self) -> None:
         for name, state in self.states.items():
             if state == REMOVED:
                 self.store.remove(f"servers/{name}")
         for replica in self._replicas:
-            self._write(replica)
+            self._write_replica(replica)
 
-    def _write(self, replica: platform_replica.PlatformReplica) -> None:
+    def _write_replica(self, replica: platform_replica.PlatformReplica) -> None:
         name = replica.name
         if self.states[name] == REMOVED:
             self.store.remove(f"servers/{name}")
             return
-        self._sequences[name] += 1
+        self._heartbeat_numbers[name] += 1
         number = self._replicas.index(replica)
         self.store.put(
             f"servers/{name}",
@@ -150,7 +154,7 @@
                 "zone": f"hall-{number % 3}",
                 "slots": 8,
                 "state": self.states[name],
-                "sequence": self._sequences[name],
+                "sequence": self._heartbeat_numbers[name],
             },
         )
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -21,20 +21,24 @@
         loguru.logger.remove()
         for seed in _REGRESSIONS:
             with self.subTest(seed=seed):
-                self._check(soak.play(seed))
+                self._check(soak.run_seed(seed))
 
     def test_what_targets_say_holds(self) -> None:
         loguru.logger.remove()
         for seed in _WITHDRAWALS:
             with self.subTest(seed=seed):
-                self._check(soak.play(seed, soak.Sizes(withdraws=True)))
+                self._check(
+                    soak.run_seed(seed, soak.SoakOptions(withdraws=True))
+                )
 
     def test_gateways_that_know_each_other_keep_their_promises(self) -> None:
         loguru.logger.remove()
         for seed in _FLEETS:
             with self.subTest(seed=seed):
-                self._check(soak.play(seed, soak.Sizes(6, fleet=True)))
+                self._check(
+                    soak.run_seed(seed, soak.SoakOptions(6, fleet=True))
+                )
 
-    def _check(self, played: soak.Played) -> None:
-        self.assertEqual(played.broken, [])
-        self.assertGreater(played.statuses.get(200, 0), 10)
+    def _check(self, result: soak.SoakResult) -> None:
+        self.assertEqual(result.violations, [])
+        self.assertGreater(result.statuses.get(200, 0), 10)
