--- a/standins/engine.py
+++ b/standins/engine.py
@@ -22,9 +22,9 @@
 from standins import engine_batch as batches
 from standins import engine_state as states
 
-_ALIVE_MS = 1_000.0
-_EVENTS_MAX = 1_000
-_TOMBSTONES_MAX = 10_000
+_KEEPALIVE_INTERVAL_MS = 1_000.0
+_MAX_EVENTS = 1_000
+_MAX_TOMBSTONES = 10_000
 
 
 class Engine:
@@ -49,18 +49,18 @@
         self._settings = settings
         self._weight_store = weight_store
         self._generation = environment.make_random_id(env.random)
-        self._chance = random.Random(self._generation)
+        self._rng = random.Random(self._generation)
         self._batch = batches.Batch(settings)
-        self._items = self._batch.items
+        self._allocations = self._batch.allocations
         self._tombstones: dict[str, None] = {}
         self._keys: set[str] = set()
         self._events: list[tuple[float, int, str, int]] = []
         self._event_number = 0
-        self._number = 0
-        self._work = asyncio.Event()
+        self._arrivals = 0
+        self._work_available = asyncio.Event()
         self._loaded = {"model": "", "version": "", "adapters": [], "role": ""}
         self._loading: asyncio.Task | None = None
-        self._report = (env.now_ms(), 0, 0, 0)
+        self._load_report = (env.now_ms(), 0, 0, 0)
 
     def held_tokens(self) -> int:
         """Returns the memory in use."""
@@ -69,30 +69,37 @@
     async def run(self) -> None:
         """Does steps for as long as there is work."""
         while True:
-            self._work.clear()
+            self._work_available.clear()
             took_ms = self._batch.step()
             if took_ms is None:
-                await self._work.wait()
+                await self._work_available.wait()
             else:
                 await asyncio.sleep(took_ms / 1000.0)
-                self._publish(self._batch.finish_step())
+                self._record_cache_changes(self._batch.finish_step())
 
-    def _publish(self, changes: list[tuple[str, int]]) -> None:
+    def _record_cache_changes(self, changes: list[tuple[str, int]]) -> None:
         visible_ms = self._env.now_ms() + self._settings.event_lag_ms
         for prefix, tokens in changes:
             number = self._event_number
             self._event_number += 1
-            if self._chance.random() >= self._settings.event_loss:
+            if self._rng.random() >= self._settings.event_loss_ratio:
                 self._events.append((visible_ms, number, prefix, tokens))
-        del self._events[:-_EVENTS_MAX]
+        del self._events[:-_MAX_EVENTS]
 
-    def _take_report(self) -> tuple[float, int, int, int]:
+    def _refresh_load_report(self) -> tuple[float, int, int, int]:
         now_ms = self._env.now_ms()
-        if now_ms - self._report[0] >= self._settings.report_ms:
-            streams = [x for x in self._items.values() if x.is_stream]
-            waiting = sum(x.to_prefill for x in self._items.values())
-            self._report = (now_ms, len(streams), waiting, self.held_tokens())
-        return self._report
+        if now_ms - self._load_report[0] >= self._settings.report_ms:
+            streams = [x for x in self._allocations.values() if x.is_stream]
+            waiting = sum(
+                x.prefill_tokens_left for x in self._allocations.values()
+            )
+            self._load_report = (
+                now_ms,
+                len(streams),
+                waiting,
+                self.held_tokens(),
+            )
+        return self._load_report
 
     async def handle(
         self, incoming: message.IncomingRequest
@@ -120,62 +127,67 @@
             case "/admin/drain":
                 self.draining = True
                 return message.make_json_response(200, {})
-        return _refuse(404, "unknown path")
+        return _make_refusal(404, "unknown path")
 
     async def _handle_generate(self, document: dict) -> message.Response:
         if self.draining:
-            return _refuse(503, "draining")
-        item_id = document["stream"]
-        if item_id in self._tombstones or item_id in self._items:
-            return _refuse(409, "a stream of that name came before")
+            return _make_refusal(503, "draining")
+        allocation_id = document["stream"]
+        if (
+            allocation_id in self._tombstones
+            or allocation_id in self._allocations
+        ):
+            return _make_refusal(409, "a stream of that name came before")
         key = document["key"]
         if key and self._settings.checks_key:
             if key in self._keys:
-                return _refuse(409, "a key seen before")
+                return _make_refusal(409, "a key seen before")
             self._keys.add(key)
-        if not await self._import_parts(document):
-            return _refuse(409, "a part of the prompt is missing")
-        item = self._make_stream(document)
+        if not await self._import_kv_parts(document):
+            return _make_refusal(409, "a part of the prompt is missing")
+        allocation = self._make_stream(document)
         prompt = document["prompt"]
         self.executions[prompt] = self.executions.get(prompt, 0) + 1
-        self._items[item_id] = item
-        self._work.set()
-        return self._respond(item, item.first_position)
+        self._allocations[allocation_id] = allocation
+        self._work_available.set()
+        return self._respond(allocation, allocation.first_token)
 
-    def _make_stream(self, document: dict) -> states.Item:
+    def _make_stream(self, document: dict) -> states.Allocation:
         delivered = len(document["delivered"])
-        reserved = self._items.get(document["reservation"])
-        fresh = document["prompt_tokens"] - document["first_token"] + delivered
+        reserved = self._allocations.get(document["reservation"])
+        fresh_tokens = (
+            document["prompt_tokens"] - document["first_token"] + delivered
+        )
         held = document["prompt_tokens"] + document["output_tokens_max"]
-        item = self._make_item(document["stream"], document, held)
-        item.priority = document["priority"]
-        item.prompt = document["prompt"]
-        item.prefix = document["prefix"]
-        item.prefix_tokens = document["prefix_tokens"]
-        item.to_prefill = max(1, fresh)
-        item.position = item.first_position = delivered
-        item.last_position = document["output_tokens_max"]
+        allocation = self._make_allocation(document["stream"], document, held)
+        allocation.priority = document["priority"]
+        allocation.prompt = document["prompt"]
+        allocation.prefix = document["prefix"]
+        allocation.prefix_tokens = document["prefix_tokens"]
+        allocation.prefill_tokens_left = max(1, fresh_tokens)
+        allocation.generated_tokens = allocation.first_token = delivered
+        allocation.output_tokens = document["output_tokens_max"]
         if reserved is not None:
             # The reservation holds the memory and stays until it is freed.
-            item.held_tokens = 0
-            item.is_admitted = True
-        return item
-
-    def _make_item(
-        self, item_id: str, document: dict, held_tokens: int
-    ) -> states.Item:
-        self._number += 1
-        return states.Item(
-            item_id=item_id,
+            allocation.held_tokens = 0
+            allocation.is_admitted = True
+        return allocation
+
+    def _make_allocation(
+        self, allocation_id: str, document: dict, held_tokens: int
+    ) -> states.Allocation:
+        self._arrivals += 1
+        return states.Allocation(
+            allocation_id=allocation_id,
             owner=document["owner"],
-            lapse_ms=document["lapse_ms"],
-            began_ms=self._env.now_ms(),
+            expiry_ms=document["lapse_ms"],
+            started_ms=self._env.now_ms(),
             held_tokens=held_tokens,
             priority=0,
-            number=self._number,
+            number=self._arrivals,
         )
 
-    async def _import_parts(self, document: dict) -> bool:
+    async def _import_kv_parts(self, document: dict) -> bool:
         for part in document["kv_parts"]:
             address = environment.parse_address(part["engine"])
             path = f"/v1/kv/{part['reservation']}"
@@ -185,92 +197,104 @@
                 return False
         return True
 
-    def _respond(self, item: states.Item, after: int) -> message.Response:
-        taken_ms, running, waiting, held = self._take_report()
-        age_ms = self._env.now_ms() - taken_ms
+    def _respond(
+        self, allocation: states.Allocation, after: int
+    ) -> message.Response:
+        reported_ms, running, waiting, held = self._refresh_load_report()
+        age_ms = self._env.now_ms() - reported_ms
         fields = (running, waiting, held, int(self.draining), int(age_ms))
         load = ";".join([self._generation, *(str(each) for each in fields)])
         headers = {
             "content-type": message.EVENT_STREAM_TYPE,
             "x-engine-load": load,
         }
-        return message.Response(200, headers, self._send(item, after))
+        return message.Response(
+            200, headers, self._stream_tokens(allocation, after)
+        )
 
-    async def _send(self, item: states.Item, sent: int) -> AsyncIterator[bytes]:
+    async def _stream_tokens(
+        self, allocation: states.Allocation, sent: int
+    ) -> AsyncIterator[bytes]:
         # An early sign of life: the head goes out with the first part.
         yield b": taken\n\n"
-        while not item.is_freed:
-            changed = item.changed
-            if item.position > sent:
-                texts = item.texts(sent, item.position)
+        while not allocation.is_released:
+            changed = allocation.changed
+            if allocation.generated_tokens > sent:
+                texts = allocation.make_token_texts(
+                    sent, allocation.generated_tokens
+                )
                 document = {
-                    "stream": item.item_id,
+                    "stream": allocation.allocation_id,
                     "first": sent,
                     "tokens": texts,
                 }
-                sent = item.position
+                sent = allocation.generated_tokens
                 yield b"data: " + orjson.dumps(document) + b"\n\n"
-            if sent >= item.last_position:
-                yield _make_end(item)
-                self._free(item.item_id)
+            if sent >= allocation.output_tokens:
+                yield _encode_end_event(allocation)
+                self._release(allocation.allocation_id)
                 return
             try:
-                async with asyncio.timeout(_ALIVE_MS / 1000.0):
+                async with asyncio.timeout(_KEEPALIVE_INTERVAL_MS / 1000.0):
                     await changed.wait()
             except TimeoutError:
                 yield b": alive\n\n"
-            if self._settings.flush_ms and sent > item.first_position:
+            if self._settings.flush_ms and sent > allocation.first_token:
                 await asyncio.sleep(self._settings.flush_ms / 1000.0)
 
     def _handle_resume(self, path: str, query: dict) -> message.Response:
-        item = self._items.get(path.rpartition("/")[2])
-        if item is None:
-            return _refuse(404, "no such stream")
-        return self._respond(item, int(query["after"]))
+        allocation = self._allocations.get(path.rpartition("/")[2])
+        if allocation is None:
+            return _make_refusal(404, "no such stream")
+        return self._respond(allocation, int(query["after"]))
 
     def _handle_kv(self, path: str) -> message.Response:
-        item = self._items.get(path.rpartition("/")[2])
-        ready = item is not None and item.to_prefill == 0
+        allocation = self._allocations.get(path.rpartition("/")[2])
+        ready = allocation is not None and allocation.prefill_tokens_left == 0
         return message.make_json_response(200 if ready else 404, {})
 
     def _handle_cancel(self, document: dict) -> message.Response:
-        for item_id in document["ids"]:
+        for allocation_id in document["ids"]:
             # A cancel may overtake the start of what it cancels.
-            self._tombstones[item_id] = None
-            if len(self._tombstones) > _TOMBSTONES_MAX:
+            self._tombstones[allocation_id] = None
+            if len(self._tombstones) > _MAX_TOMBSTONES:
                 del self._tombstones[next(iter(self._tombstones))]
-            self._free(item_id)
+            self._release(allocation_id)
         return message.make_json_response(200, {})
 
-    def _free(self, item_id: str) -> None:
-        item = self._items.pop(item_id, None)
-        if item is not None:
-            item.is_freed = True
-            item.tell()
-            self._work.set()
+    def _release(self, allocation_id: str) -> None:
+        allocation = self._allocations.pop(allocation_id, None)
+        if allocation is not None:
+            allocation.is_released = True
+            allocation.notify()
+            self._work_available.set()
 
     def _handle_reserve(self, document: dict) -> message.Response:
-        item_id = document["reservation"]
-        if self.draining or item_id in self._tombstones:
-            return _refuse(503, "draining")
+        allocation_id = document["reservation"]
+        if self.draining or allocation_id in self._tombstones:
+            return _make_refusal(503, "draining")
         free = self._settings.memory_tokens - self.held_tokens()
         if document["tokens"] > free:
-            return _refuse(409, "no memory")
-        item = self._make_item(item_id, document, document["tokens"])
-        item.is_stream = False
-        item.is_admitted = True
-        self._items[item_id] = item
+            return _make_refusal(409, "no memory")
+        allocation = self._make_allocation(
+            allocation_id, document, document["tokens"]
+        )
+        allocation.is_stream = False
+        allocation.is_admitted = True
+        self._allocations[allocation_id] = allocation
         return message.make_json_response(200, {})
 
     async def _handle_prefill(self, document: dict) -> message.Response:
-        item = self._items.get(document["reservation"])
-        if item is None or not await self._import_parts(document):
-            return _refuse(409, "nothing reserved or imported")
-        item.to_prefill = document["tokens"]
-        self._work.set()
-        while item.to_prefill > 0 and not item.is_freed:
-            await item.changed.wait()
-        return message.make_json_response(409 if item.is_freed else 200, {})
+        allocation = self._allocations.get(document["reservation"])
+        if allocation is None or not await self._import_kv_parts(document):
+            return _make_refusal(409, "nothing reserved or imported")
+        allocation.prefill_tokens_left = document["tokens"]
+        self._work_available.set()
+        while allocation.prefill_tokens_left > 0 and not allocation.is_released:
+            await allocation.changed.wait()
+        return message.make_json_response(
+            409 if allocation.is_released else 200, {}
+        )
 
     def _handle_order(self, document: dict) -> message.Response:
         revision = document["revision"]
@@ -278,7 +302,7 @@
             newest = max(self.revisions, default=0)
             stale = revision < newest
             if stale or document["generation"] != self._generation:
-                return _refuse(409, "an old fence")
+                return _make_refusal(409, "an old fence")
         self.revisions.append(revision)
         if self._loading is not None:
             self._loading.cancel()
@@ -299,7 +323,7 @@
 
     def _handle_load(self, query: dict) -> message.Response:
         now_ms = self._env.now_ms()
-        taken_ms, running, waiting, held = self._take_report()
+        reported_ms, running, waiting, held = self._refresh_load_report()
         after = int(query.get("after", -1))
         events = [
             {"number": number, "prefix": prefix, "tokens": tokens}
@@ -312,7 +336,7 @@
             "waiting_tokens": waiting,
             "held_tokens": held,
             "draining": self.draining,
-            "age_ms": now_ms - taken_ms,
+            "age_ms": now_ms - reported_ms,
             "events": events,
             "order_revision": max(self.revisions, default=0),
             "loading": self._loading is not None,
@@ -321,26 +345,26 @@
         if "held" in query:
             document["held"] = [
                 {
-                    "id": item.item_id,
-                    "owner": item.owner,
-                    "age_ms": now_ms - item.began_ms,
-                    "lapse_ms": item.lapse_ms,
+                    "id": allocation.allocation_id,
+                    "owner": allocation.owner,
+                    "age_ms": now_ms - allocation.started_ms,
+                    "lapse_ms": allocation.expiry_ms,
                 }
-                for item in self._items.values()
+                for allocation in self._allocations.values()
             ]
         return message.make_json_response(200, document)
 
 
-def _make_end(item: states.Item) -> bytes:
+def _encode_end_event(allocation: states.Allocation) -> bytes:
     document = {
-        "stream": item.item_id,
+        "stream": allocation.allocation_id,
         "end": "stop",
-        "count": item.last_position,
+        "count": allocation.output_tokens,
     }
     return b"data: " + orjson.dumps(document) + b"\n\n"
 
 
-def _refuse(status: int, reason: str) -> message.Response:
+def _make_refusal(status: int, reason: str) -> message.Response:
     document = {"reason": reason, "started": False}
     return message.make_json_response(status, document)
 
--- a/standins/engine_batch.py
+++ b/standins/engine_batch.py
@@ -11,32 +11,46 @@
     """
 
     def __init__(self, settings: states.EngineSettings) -> None:
-        self.items: dict[str, states.Item] = {}
+        self.allocations: dict[str, states.Allocation] = {}
         self._settings = settings
         self._cache = states.PrefixCache(settings.cache_tokens)
-        self._chunks: list[tuple[states.Item, int]] = []
-        self._decodes: list[states.Item] = []
+        self._chunks: list[tuple[states.Allocation, int]] = []
+        self._decodes: list[states.Allocation] = []
 
     def held_tokens(self) -> int:
         """Returns the memory in use."""
         return sum(
-            item.held_tokens for item in self.items.values() if item.is_admitted
+            allocation.held_tokens
+            for allocation in self.allocations.values()
+            if allocation.is_admitted
         )
 
     def step(self) -> float | None:
         """Plans one step; returns its time in ms, or None without work."""
         self._admit()
-        live = [item for item in self.items.values() if item.is_admitted]
-        prefills = [item for item in live if item.to_prefill > 0]
-        prefills.sort(key=lambda item: (-item.priority, item.number))
+        live = [
+            allocation
+            for allocation in self.allocations.values()
+            if allocation.is_admitted
+        ]
+        prefills = [
+            allocation
+            for allocation in live
+            if allocation.prefill_tokens_left > 0
+        ]
+        prefills.sort(
+            key=lambda allocation: (-allocation.priority, allocation.number)
+        )
         left = self._settings.chunk_tokens
         self._chunks = []
-        for item in prefills:
-            tokens = min(left, item.to_prefill)
+        for allocation in prefills:
+            tokens = min(left, allocation.prefill_tokens_left)
             if tokens > 0:
-                self._chunks.append((item, tokens))
+                self._chunks.append((allocation, tokens))
                 left -= tokens
-        self._decodes = [item for item in live if item.is_decoding()]
+        self._decodes = [
+            allocation for allocation in live if allocation.is_decoding()
+        ]
         if not self._chunks and not self._decodes:
             return None
         used = self._settings.chunk_tokens - left
@@ -48,26 +62,37 @@
 
     def finish_step(self) -> list[tuple[str, int]]:
         """Carries the step out; returns changes of the prefix cache."""
-        for item in self._decodes:
-            item.position += 1
-            item.tell()
+        for allocation in self._decodes:
+            allocation.generated_tokens += 1
+            allocation.notify()
         changes: list[tuple[str, int]] = []
-        for item, tokens in self._chunks:
-            item.to_prefill -= tokens
-            if item.to_prefill == 0:
-                changes += self._cache.store(item.prefix, item.prefix_tokens)
-                if item.is_stream and item.position < item.last_position:
-                    item.position += 1
-                item.tell()
+        for allocation, tokens in self._chunks:
+            allocation.prefill_tokens_left -= tokens
+            if allocation.prefill_tokens_left == 0:
+                changes += self._cache.add(
+                    allocation.prefix, allocation.prefix_tokens
+                )
+                if (
+                    allocation.is_stream
+                    and allocation.generated_tokens < allocation.output_tokens
+                ):
+                    allocation.generated_tokens += 1
+                allocation.notify()
         return changes
 
     def _admit(self) -> None:
-        waiting = [x for x in self.items.values() if not x.is_admitted]
-        waiting.sort(key=lambda item: (-item.priority, item.number))
+        waiting = [x for x in self.allocations.values() if not x.is_admitted]
+        waiting.sort(
+            key=lambda allocation: (-allocation.priority, allocation.number)
+        )
         free = self._settings.memory_tokens - self.held_tokens()
-        for item in waiting:
-            if item.held_tokens <= free:
-                free -= item.held_tokens
-                item.is_admitted = True
-                cached = self._cache.use(item.prefix, item.prefix_tokens)
-                item.to_prefill = max(1, item.to_prefill - cached)
+        for allocation in waiting:
+            if allocation.held_tokens <= free:
+                free -= allocation.held_tokens
+                allocation.is_admitted = True
+                cached = self._cache.find_cached_tokens(
+                    allocation.prefix, allocation.prefix_tokens
+                )
+                allocation.prefill_tokens_left = max(
+                    1, allocation.prefill_tokens_left - cached
+                )
--- a/standins/engine_state.py
+++ b/standins/engine_state.py
@@ -35,7 +35,7 @@
     decode_ms: float = 0.1
     report_ms: float = 500.0
     event_lag_ms: float = 500.0
-    event_loss: float = 0.02
+    event_loss_ratio: float = 0.02
     flush_ms: float = 0.0
     load_ms: float = 3_000.0
     checks_fence: bool = True
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Item:
+class Allocation:
     """A stream or a reservation in an engine's memory.
 
     Attributes:
@@ -67,36 +67,36 @@
         changed: Set when there is something new to send.
     """
 
-    item_id: str
+    allocation_id: str
     owner: str
-    lapse_ms: float
-    began_ms: float
+    expiry_ms: float
+    started_ms: float
     held_tokens: int
     priority: int
     number: int
     prompt: str = ""
     prefix: str = ""
     prefix_tokens: int = 0
-    to_prefill: int = 0
-    position: int = 0
-    last_position: int = 0
-    first_position: int = 0
+    prefill_tokens_left: int = 0
+    generated_tokens: int = 0
+    output_tokens: int = 0
+    first_token: int = 0
     is_stream: bool = True
     is_admitted: bool = False
-    is_freed: bool = False
+    is_released: bool = False
     changed: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
     def is_decoding(self) -> bool:
         """Returns whether it has a token to come in the next step."""
-        is_prefilled = self.is_stream and self.to_prefill == 0
-        return is_prefilled and self.position < self.last_position
+        is_prefilled = self.is_stream and self.prefill_tokens_left == 0
+        return is_prefilled and self.generated_tokens < self.output_tokens
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         """Wakes whoever waits for news of the item."""
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def texts(self, first: int, end: int) -> list[str]:
+    def make_token_texts(self, first: int, end: int) -> list[str]:
         """Returns the tokens from `first` up to `end`."""
         return [
             answers.make_token_text(self.prompt, each)
@@ -113,14 +113,14 @@
             collections.OrderedDict()
         )
 
-    def use(self, prefix: str, tokens: int) -> int:
+    def find_cached_tokens(self, prefix: str, tokens: int) -> int:
         """Returns how many tokens of a prefix need no prefill."""
         if prefix not in self._prefixes:
             return 0
         self._prefixes.move_to_end(prefix)
         return min(tokens, self._prefixes[prefix])
 
-    def store(self, prefix: str, tokens: int) -> list[tuple[str, int]]:
+    def add(self, prefix: str, tokens: int) -> list[tuple[str, int]]:
         """Stores a prefix; returns the changes as prefix and tokens."""
         if not prefix or tokens > self._tokens_max:
             return []
