--- a/standins/_private.py
+++ b/standins/_private.py
@@ -9,22 +9,22 @@
 
 import cyclopts
 
-AT_LEAST_ZERO = cyclopts.Parameter(validator=cyclopts.validators.Number(gte=0))
+NON_NEGATIVE = cyclopts.Parameter(validator=cyclopts.validators.Number(gte=0))
 
 
 # Below the range from which the system takes ports for outgoing connections
 # (32,768 on): one of those may take a port between its choice and its use.
-_PORTS = range(10_000, 32_000)
+_PORT_RANGE = range(10_000, 32_000)
 # Each process chooses from a range of its own, so that two that run at once
 # hardly ever meet; the step is more than a run of one process takes.
-_PORTS_OF_PROCESS = 97
-_NEXT_PORT = itertools.count(os.getpid() * _PORTS_OF_PROCESS)
+_PORTS_PER_PROCESS = 97
+_PORT_NUMBERS = itertools.count(os.getpid() * _PORTS_PER_PROCESS)
 
 
 def find_free_port() -> int:
     """Returns a port that nobody listens at, another one at each call."""
-    for number in _NEXT_PORT:
-        port = _PORTS[number % len(_PORTS)]
+    for number in _PORT_NUMBERS:
+        port = _PORT_RANGE[number % len(_PORT_RANGE)]
         with socket.socket() as probe:
             try:
                 probe.bind(("127.0.0.1", port))
@@ -34,11 +34,11 @@
     raise AssertionError("the numbers do not end")
 
 
-def run_until_signal(work: Coroutine) -> None:
+def run_until_signal(coroutine: Coroutine) -> None:
     """Runs a coroutine until SIGTERM or SIGINT."""
 
     async def run() -> None:
-        task = asyncio.ensure_future(work)
+        task = asyncio.ensure_future(coroutine)
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, task.cancel)
--- a/standins/bench.py
+++ b/standins/bench.py
@@ -98,10 +98,10 @@
             await _time(env, entry, request)
             done += 1
 
-    began, cpu = time.monotonic(), run.cpu_s("entry vm-1")
+    began, cpu = time.monotonic(), run.measure_cpu_s("entry vm-1")
     await asyncio.gather(*(work(number) for number in range(workers)))
     took = time.monotonic() - began
-    used = run.cpu_s("entry vm-1") - cpu
+    used = run.measure_cpu_s("entry vm-1") - cpu
     return {
         "requests_per_s": round(done / took, 1),
         "entry_core": round(used / took, 3),
@@ -114,7 +114,7 @@
 ) -> dict[str, float]:
     env = environment.make_system_environment()
     entry = environment.Address("127.0.0.1", run.entries["vm-1"])
-    began, cpu = time.monotonic(), run.cpu_s("entry vm-1")
+    began, cpu = time.monotonic(), run.measure_cpu_s("entry vm-1")
     await asyncio.gather(
         *(
             _time(env, entry, _through(number, tokens, stream=True))
@@ -122,12 +122,12 @@
         )
     )
     took = time.monotonic() - began
-    used = run.cpu_s("entry vm-1") - cpu
+    used = run.measure_cpu_s("entry vm-1") - cpu
     return {
         "tokens_per_s": round(streams * tokens / took, 1),
         "entry_core": round(used / took, 3),
         "entry_us_per_token": round(used / (streams * tokens) * 1e6, 2),
-        "entry_memory_mb": round(run.memory_mb("entry vm-1"), 1),
+        "entry_memory_mb": round(run.measure_memory_mb("entry vm-1"), 1),
     }
 
 
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -63,7 +63,7 @@
         flush_ms=200.0
     )
     stop_lag_ms: float = 2_000.0
-    with_entries: bool = True
+    runs_entries: bool = True
 
 
 @dataclasses.dataclass(slots=True)
@@ -121,26 +121,26 @@
         env = self.network.make_environment(self._platform, 0)
         for index in range(layout.vms):
             name = f"vm-{index + 1}"
-            self.vms[name] = Node(name, self._hall(index))
+            self.vms[name] = Node(name, self._assign_hall(index))
         for kind, count in (
             ("engine", layout.engines),
             ("service", layout.services),
         ):
             for index in range(count):
                 name = f"{kind}-{index + 1}"
-                self.targets[name] = Node(name, self._hall(index))
+                self.targets[name] = Node(name, self._assign_hall(index))
         self.vm_list = vm_lists.VmList(
             env,
-            [self._vm_row(node) for node in self.vms.values()],
-            [self._target_row(node) for node in self.targets.values()],
+            [self._make_vm_row(node) for node in self.vms.values()],
+            [self._make_target_row(node) for node in self.targets.values()],
             layout.list_lag_ms,
         )
         self._start_platform(env)
 
-    def _hall(self, index: int) -> str:
+    def _assign_hall(self, index: int) -> str:
         return f"hall-{index % self.layout.halls + 1}"
 
-    def _vm_row(self, node: Node) -> dict:
+    def _make_vm_row(self, node: Node) -> dict:
         return {
             "id": node.name,
             "hall": node.hall,
@@ -151,7 +151,7 @@
             "state": "live",
         }
 
-    def _target_row(self, node: Node) -> dict:
+    def _make_target_row(self, node: Node) -> dict:
         is_engine = node.name.startswith("engine")
         layout = self.layout
         return {
@@ -212,7 +212,7 @@
         node.stop = asyncio.Event()
         node.agent = agent_programs.Agent(env, agent_config)
         agent, stop = node.agent, node.stop
-        if not self.layout.with_entries:
+        if not self.layout.runs_entries:
             node.process.start(lambda: agent.run(stop))
             return
         entry_config = entry_configs.EntryConfig(
@@ -245,35 +245,35 @@
         self.start_node(node)
         self._set_listed(node, is_listed=True)
 
-    def leave(self, node: Node) -> None:
+    def start_drain(self, node: Node) -> None:
         """Begins the planned stop of a VM, or has a target leave."""
-        row = self._row(node)
-        setter = self._setter(node)
+        row = self._make_row(node)
+        setter = self._find_setter(node)
         setter(node.name, **{**row, "state": "leaving"})
         if node.name in self.vms:
             node.stop.set()
         else:
             node.target.draining = True
 
-    def has_left(self, node: Node) -> bool:
+    def has_drained(self, node: Node) -> bool:
         """Returns whether a node has left as planned."""
         if node.entry_task is not None:
             return node.entry_task.done()
         return node.target is not None and node.target.draining
 
     def _set_listed(self, node: Node, is_listed: bool) -> None:
-        setter = self._setter(node)
-        setter(node.name, **(self._row(node) if is_listed else {}))
+        setter = self._find_setter(node)
+        setter(node.name, **(self._make_row(node) if is_listed else {}))
 
-    def _row(self, node: Node) -> dict:
+    def _make_row(self, node: Node) -> dict:
         is_vm = node.name in self.vms
-        return self._vm_row(node) if is_vm else self._target_row(node)
+        return self._make_vm_row(node) if is_vm else self._make_target_row(node)
 
-    def _setter(self, node: Node):  # noqa: ANN202
+    def _find_setter(self, node: Node):  # noqa: ANN202
         is_vm = node.name in self.vms
         return self.vm_list.set_vm if is_vm else self.vm_list.set_target
 
-    def executions(self) -> dict[str, int]:
+    def count_executions(self) -> dict[str, int]:
         """Returns how often each prompt or body was run, by its text."""
         total: dict[str, int] = {}
         for _, target in self.all_targets:
@@ -291,7 +291,7 @@
         )
 
 
-def digest_key(key: str) -> str:
+def hash_key(key: str) -> str:
     """Returns the digest under which the tree keeps a workspace's key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
@@ -337,7 +337,7 @@
         branches[workspace] = {
             "kind": "workspace",
             "parent": "root",
-            "settings": {"key_sha256": digest_key(make_key(workspace))},
+            "settings": {"key_sha256": hash_key(make_key(workspace))},
         }
     name = f"{workspace}/{workload}"
     if name not in branches:
--- a/standins/configuration.py
+++ b/standins/configuration.py
@@ -24,31 +24,31 @@
 
     def __init__(self) -> None:
         self.calls: dict[str, int] = {}
-        self.serves_behind = 0
+        self.revisions_behind = 0
         self._manifests: list[manifests.Manifest] = [manifests.EMPTY]
         self._shards: dict[str, bytes] = {}
         self._changed = asyncio.Event()
 
     @property
-    def newest(self) -> int:
+    def newest_revision(self) -> int:
         """The newest revision published."""
         return self._manifests[-1].revision
 
     def publish(self, shards: dict[str, bytes]) -> int:
         """Publishes the next revision and returns its number."""
-        revision = self.newest + 1
+        revision = self.newest_revision + 1
         self._manifests.append(manifests.make_manifest(revision, shards))
         for data in shards.values():
             self._shards[manifests.digest(data)] = data
-        self.wake()
+        self.notify_watchers()
         return revision
 
-    def newest_shards(self) -> dict[str, bytes]:
+    def find_newest_shards(self) -> dict[str, bytes]:
         """Returns the shards of the newest revision by name."""
         shards = self._manifests[-1].shards
         return {shard.name: self._shards[shard.digest] for shard in shards}
 
-    def wake(self) -> None:
+    def notify_watchers(self) -> None:
         """Lets waiting watches look again."""
         self._changed.set()
         self._changed = asyncio.Event()
@@ -80,17 +80,17 @@
     async def _watch(self, after: int, wait_ms: float) -> message.Response:
         try:
             async with asyncio.timeout(wait_ms / 1000.0):
-                while self._served().revision <= after:
+                while self._find_served().revision <= after:
                     await self._changed.wait()
         except TimeoutError:
             return message.Response(204, {}, b"")
-        served = self._served()
+        served = self._find_served()
         shards = {shard.name: shard.digest for shard in served.shards}
         document = {"revision": served.revision, "shards": shards}
         return message.make_json_response(200, document)
 
-    def _served(self) -> manifests.Manifest:
-        behind = min(self.serves_behind, len(self._manifests) - 1)
+    def _find_served(self) -> manifests.Manifest:
+        behind = min(self.revisions_behind, len(self._manifests) - 1)
         return self._manifests[-1 - behind]
 
     def _count(self, kind: str) -> None:
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -58,7 +58,7 @@
     run: processes.Processes, vm: str, workload: str, prompt: str, stream: bool
 ) -> bool:
     document = {"prompt": prompt, "max_tokens": 8, "stream": stream}
-    reply = processes.request(
+    reply = processes.send_request(
         run.entries[vm],
         "POST",
         "/v1/completions",
@@ -92,7 +92,7 @@
 
 def _show_service(run: processes.Processes, vm: str) -> bool:
     body = '{"flat": 12, "fault": "burst pipe"}'
-    reply = processes.request(
+    reply = processes.send_request(
         run.entries[vm],
         "POST",
         "/services/plumbers/dispatch",
@@ -105,12 +105,12 @@
 
 def _show_keyed(run: processes.Processes) -> bool:
     """Sends one ticket's request to both VMs: it runs once."""
-    ticket = processes.request(
+    ticket = processes.send_request(
         run.entries["vm-1"], "POST", "/v1/tickets", _headers("")
     ).json()["ticket"]
     headers = {**_headers("plumbers"), "ruddergate-ticket": ticket}
     bodies = [
-        processes.request(
+        processes.send_request(
             port, "POST", "/services/plumbers/dispatch", headers, b"once"
         ).body
         for port in run.entries.values()
@@ -120,7 +120,7 @@
 
 
 def _show_status(run: processes.Processes, vm: str) -> None:
-    status = processes.request(run.entries[vm], "GET", "/status").json()
+    status = processes.send_request(run.entries[vm], "GET", "/status").json()
     shown = ("vm", "hall", "revision", "view_age_ms", "agent_connected")
     row = {key: status[key] for key in shown}
     print(f"Status: {row}, {len(status['targets'])} targets")
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -384,7 +384,7 @@
 def main(
     *,
     listen: str,
-    flush_ms: Annotated[float, _private.AT_LEAST_ZERO] = 0.0,
+    flush_ms: Annotated[float, _private.NON_NEGATIVE] = 0.0,
     memory_tokens: int = 400_000,
     step_ms: float = 18.0,
 ) -> None:
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -5,7 +5,7 @@
 from standins import virtual_network
 
 
-class Faults:
+class FaultInjector:
     """Faults in force on one cluster."""
 
     def __init__(self, cluster: clusters.Cluster) -> None:
@@ -26,7 +26,7 @@
                 for node in self._find(fault.on):
                     self._apply_to_node(fault.fault, node)
 
-    def heal_all(self) -> None:
+    def clear_faults(self) -> None:
         """Ends every fault that can end; the dead stay dead."""
         self._cluster.network.cuts.clear()
         self._set_stale(False)
@@ -49,9 +49,9 @@
                 node.process.freeze()
             case "leave":
                 if not node.process.is_dead:
-                    self._cluster.leave(node)
+                    self._cluster.start_drain(node)
             case "resume":
-                if node.process.is_dead or self._cluster.has_left(node):
+                if node.process.is_dead or self._cluster.has_drained(node):
                     self._cluster.restart(node)
                 else:
                     node.process.wake()
@@ -72,12 +72,12 @@
     def _publish_again(self) -> None:
         """Publishes the newest tree as a further revision."""
         configuration = self._cluster.configuration
-        configuration.publish(configuration.newest_shards())
+        configuration.publish(configuration.find_newest_shards())
 
     def _set_stale(self, is_stale: bool) -> None:
-        self._cluster.configuration.serves_behind = 1 if is_stale else 0
-        self._cluster.vm_list.set_stale(is_stale)
-        self._cluster.configuration.wake()
+        self._cluster.configuration.revisions_behind = 1 if is_stale else 0
+        self._cluster.vm_list.set_frozen(is_stale)
+        self._cluster.configuration.notify_watchers()
 
     def _heal(self, fault: trace.TracedFault) -> None:
         network = self._cluster.network
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -16,7 +16,7 @@
 from standins import _private
 
 PEER_KEY = "a-key-for-the-demo-only"
-_READY_S = 20.0
+_READY_TIMEOUT_S = 20.0
 _HOST = "127.0.0.1"
 
 
@@ -51,10 +51,10 @@
         self.entries: dict[str, int] = {}
         self.ports: dict[str, int] = {}
         self._tree = tree
-        self._children: dict[str, subprocess.Popen] = {}
+        self._processes: dict[str, subprocess.Popen] = {}
         self._vm_rows: dict[str, dict] = {}
-        self._folder = tempfile.TemporaryDirectory()
-        self._logs = pathlib.Path(self._folder.name)
+        self._temporary_folder = tempfile.TemporaryDirectory()
+        self._log_folder = pathlib.Path(self._temporary_folder.name)
 
     def start_platform(
         self,
@@ -80,7 +80,7 @@
             targets.append({**row, "host": _HOST, "state": "live"})
         for name, hall in vms.items():
             self._vm_rows[name] = _make_vm_row(name, hall)
-        listing = self._logs / "listing.json"
+        listing = self._log_folder / "listing.json"
         rows = {"vms": list(self._vm_rows.values()), "targets": targets}
         listing.write_text(json.dumps(rows))
         port = self.ports["configuration"] = _private.find_free_port()
@@ -125,7 +125,7 @@
 
     def wait_ready(self) -> None:
         """Returns when all entries are ready and know their targets."""
-        until_s = time.monotonic() + _READY_S
+        until_s = time.monotonic() + _READY_TIMEOUT_S
         waiting = set(self.entries)
         while waiting:
             if time.monotonic() > until_s:
@@ -137,56 +137,56 @@
 
     def signal(self, name: str, number: int) -> None:
         """Sends a signal to a process that this run has started."""
-        self._children[name].send_signal(number)
+        self._processes[name].send_signal(number)
 
     def wait(self, name: str, timeout_s: float = 30.0) -> int:
         """Waits for a process to end and returns its exit status."""
-        return self._children[name].wait(timeout_s)
+        return self._processes[name].wait(timeout_s)
 
-    def cpu_s(self, name: str) -> float:
+    def measure_cpu_s(self, name: str) -> float:
         """Returns the processor time that a process has used."""
-        stat = pathlib.Path(f"/proc/{self._children[name].pid}/stat")
+        stat = pathlib.Path(f"/proc/{self._processes[name].pid}/stat")
         fields = stat.read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
-    def memory_mb(self, name: str) -> float:
+    def measure_memory_mb(self, name: str) -> float:
         """Returns the memory that a process holds, in megabytes."""
-        statm = pathlib.Path(f"/proc/{self._children[name].pid}/statm")
+        statm = pathlib.Path(f"/proc/{self._processes[name].pid}/statm")
         pages = int(statm.read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE") / 1e6
 
     def is_running(self, name: str) -> bool:
         """Returns whether a process has not ended."""
-        return self._children[name].poll() is None
+        return self._processes[name].poll() is None
 
     def read_logs(self) -> str:
         """Returns what the processes have logged."""
-        files = sorted(self._logs.glob("*.log"))
+        files = sorted(self._log_folder.glob("*.log"))
         return "\n".join(each.read_text()[-2000:] for each in files)
 
     def read_log(self, name: str) -> str:
         """Returns what one process has logged."""
-        return (self._logs / f"{name}.log").read_text()
+        return (self._log_folder / f"{name}.log").read_text()
 
     def close(self) -> None:
         """Ends all processes: as planned at first, then by force."""
-        for child in self._children.values():
-            if child.poll() is None:
-                child.send_signal(signal.SIGCONT)
-                child.terminate()
-        for child in self._children.values():
+        for process in self._processes.values():
+            if process.poll() is None:
+                process.send_signal(signal.SIGCONT)
+                process.terminate()
+        for process in self._processes.values():
             try:
-                child.wait(10.0)
+                process.wait(10.0)
             except subprocess.TimeoutExpired:
-                child.kill()
-                child.wait()
-        self._folder.cleanup()
+                process.kill()
+                process.wait()
+        self._temporary_folder.cleanup()
 
     def _is_ready(self, name: str) -> bool:
-        reply = request(self.entries[name], "GET", "/readyz")
+        reply = send_request(self.entries[name], "GET", "/readyz")
         if reply.status != 200:
             return False
-        status = request(self.entries[name], "GET", "/status").json()
+        status = send_request(self.entries[name], "GET", "/status").json()
         return bool(status["targets"])
 
     def _start_standin(
@@ -215,8 +215,8 @@
     def _start(
         self, name: str, command: list[str], variables: dict[str, str]
     ) -> None:
-        with open(self._logs / f"{name}.log", "ab") as log:
-            self._children[name] = subprocess.Popen(
+        with open(self._log_folder / f"{name}.log", "ab") as log:
+            self._processes[name] = subprocess.Popen(
                 command,
                 env={**os.environ, **variables},
                 stdout=log,
@@ -238,7 +238,7 @@
     return {"id": name, "hall": hall, "host": _HOST, "state": "live", **ports}
 
 
-def request(
+def send_request(
     port: int,
     method: str,
     path: str,
--- a/standins/replay.py
+++ b/standins/replay.py
@@ -84,9 +84,9 @@
         await process.start(balancer.wait_ready)
         await asyncio.sleep(_SETTLE_MS / 1000.0)
         found = await self._play(cluster, process, balancer, env)
-        fault_types.Faults(cluster).heal_all()
+        fault_types.FaultInjector(cluster).clear_faults()
         await self._drain(cluster)
-        executions = cluster.executions()
+        executions = cluster.count_executions()
         counted = tuple(
             dataclasses.replace(each, executions=executions.get(each.id, 0))
             for each in found
@@ -100,7 +100,7 @@
         balancer: balancers.Balancer,
         env: environment.Environment,
     ) -> list[outcomes.TracedOutcome]:
-        faults = fault_types.Faults(cluster)
+        faults = fault_types.FaultInjector(cluster)
         began_ms = env.now_ms()
         sending = []
         for line in self._lines:
--- a/standins/service.py
+++ b/standins/service.py
@@ -45,9 +45,9 @@
         if self.draining:
             document = {"reason": "draining", "started": False}
             return message.make_json_response(503, document)
-        return await self._work(incoming.body.decode())
+        return await self._process(incoming.body.decode())
 
-    async def _work(self, body: str) -> message.Response:
+    async def _process(self, body: str) -> message.Response:
         self.executions[body] = self.executions.get(body, 0) + 1
         self._running += 1
         try:
--- a/standins/slopes.py
+++ b/standins/slopes.py
@@ -97,7 +97,7 @@
         halls=_HALLS,
         engines=0,
         services=0,
-        with_entries=False,
+        runs_entries=False,
         list_lag_ms=0.0,
     )
 
@@ -196,10 +196,12 @@
         for name in names:
             run.start_agent(name, log_level="ERROR")
         time.sleep(_SETTLE_S + size * 0.1)
-        before = {name: run.cpu_s(f"agent {name}") for name in names}
+        before = {name: run.measure_cpu_s(f"agent {name}") for name in names}
         time.sleep(_MEASURE_S)
-        used = [run.cpu_s(f"agent {name}") - before[name] for name in names]
-        memory = [run.memory_mb(f"agent {name}") for name in names]
+        used = [
+            run.measure_cpu_s(f"agent {name}") - before[name] for name in names
+        ]
+        memory = [run.measure_memory_mb(f"agent {name}") for name in names]
     finally:
         run.close()
         path.unlink()
@@ -221,9 +223,9 @@
         run.start_platform(pools, {"vm-1": "hall-1"})
         run.start_agent("vm-1", log_level="ERROR")
         time.sleep(_SETTLE_S)
-        before = run.cpu_s("agent vm-1")
+        before = run.measure_cpu_s("agent vm-1")
         time.sleep(_MEASURE_S)
-        used = run.cpu_s("agent vm-1") - before
+        used = run.measure_cpu_s("agent vm-1") - before
     finally:
         run.close()
         path.unlink()
--- a/standins/vm_list.py
+++ b/standins/vm_list.py
@@ -30,13 +30,13 @@
     ) -> None:
         self.calls = 0
         self.lag_ms = lag_ms
-        self.is_stale = False
+        self.is_frozen = False
         self._env = env
         self._vms = {row["id"]: row for row in vms}
         self._targets = {row["id"]: row for row in targets}
         self._version = 1
-        self._states = [(float("-inf"), self._encode())]
-        self._stale_body = b""
+        self._snapshots = [(float("-inf"), self._encode())]
+        self._frozen_body = b""
 
     def set_vm(self, vm_id: str, **fields: object) -> None:
         """Changes a VM's row; with no fields, takes it off the list."""
@@ -46,10 +46,10 @@
         """Changes a target's row; with no fields, takes it off."""
         self._set(self._targets, target_id, fields)
 
-    def set_stale(self, is_stale: bool) -> None:
+    def set_frozen(self, is_frozen: bool) -> None:
         """Freezes what is served, or lets it go on."""
-        self._stale_body = self._current() if is_stale else b""
-        self.is_stale = is_stale
+        self._frozen_body = self._find_visible() if is_frozen else b""
+        self.is_frozen = is_frozen
 
     def _set(self, rows: dict, name: str, fields: dict) -> None:
         if fields:
@@ -58,7 +58,7 @@
             rows.pop(name, None)
         self._version += 1
         visible_ms = self._env.now_ms() + self.lag_ms
-        self._states.append((visible_ms, self._encode()))
+        self._snapshots.append((visible_ms, self._encode()))
 
     def _encode(self) -> bytes:
         document = {
@@ -68,11 +68,11 @@
         }
         return orjson.dumps(document)
 
-    def _current(self) -> bytes:
+    def _find_visible(self) -> bytes:
         now_ms = self._env.now_ms()
-        while len(self._states) > 1 and self._states[1][0] <= now_ms:
-            del self._states[0]
-        return self._states[0][1]
+        while len(self._snapshots) > 1 and self._snapshots[1][0] <= now_ms:
+            del self._snapshots[0]
+        return self._snapshots[0][1]
 
     async def handle(
         self, incoming: message.IncomingRequest
@@ -85,7 +85,7 @@
             setter(name, **change.get("fields", {}))
             return message.make_json_response(200, {})
         self.calls += 1
-        body = self._stale_body if self.is_stale else self._current()
+        body = self._frozen_body if self.is_frozen else self._find_visible()
         return message.Response(200, {"content-type": message.JSON_TYPE}, body)
 
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -12,7 +12,7 @@
 from standins import virtual_process
 
 _AGENTS = clusters.Layout(
-    vms=8, halls=3, engines=0, services=0, with_entries=False
+    vms=8, halls=3, engines=0, services=0, runs_entries=False
 )
 _WITHIN_S = 4.0
 
@@ -25,7 +25,7 @@
     return clusters.encode_tree(tree)
 
 
-Story = Callable[[clusters.Cluster, faults.Faults], Awaitable[None]]
+Story = Callable[[clusters.Cluster, faults.FaultInjector], Awaitable[None]]
 
 
 def _run(story: Story, layout: clusters.Layout = _AGENTS) -> clusters.Cluster:
@@ -34,7 +34,7 @@
         cluster.configuration.publish(_tree(1.0))
         cluster.start()
         await asyncio.sleep(10.0)
-        await story(cluster, faults.Faults(cluster))
+        await story(cluster, faults.FaultInjector(cluster))
         return cluster
 
     return virtual_process.run(run)
@@ -49,14 +49,16 @@
 
 
 def _do(
-    fault_types: faults.Faults, fault: str, on: str, from_: str = ""
+    fault_types: faults.FaultInjector, fault: str, on: str, from_: str = ""
 ) -> None:
     fault_types.apply(trace.TracedFault(0.0, fault, on, from_))
 
 
 class ConfigurationTest(unittest.TestCase):
     def test_in_force_everywhere_within_seconds(self) -> None:
-        async def story(cluster: clusters.Cluster, _: faults.Faults) -> None:
+        async def story(
+            cluster: clusters.Cluster, _: faults.FaultInjector
+        ) -> None:
             cluster.configuration.publish(_tree(2.0))
             await asyncio.sleep(_WITHIN_S)
             self.assertEqual(_revisions(cluster), {2})
@@ -64,7 +66,9 @@
         _run(story)
 
     def test_service_down_for_hours(self) -> None:
-        async def story(cluster: clusters.Cluster, f: faults.Faults) -> None:
+        async def story(
+            cluster: clusters.Cluster, f: faults.FaultInjector
+        ) -> None:
             _do(f, "outage", "config")
             await asyncio.sleep(3 * 3600.0)
             self.assertEqual(_revisions(cluster), {1})
@@ -77,10 +81,12 @@
         _run(story, layout)
 
     def test_stale_service_reverts_nobody_not_even_the_restarted(self) -> None:
-        async def story(cluster: clusters.Cluster, f: faults.Faults) -> None:
+        async def story(
+            cluster: clusters.Cluster, f: faults.FaultInjector
+        ) -> None:
             cluster.configuration.publish(_tree(2.0))
             await asyncio.sleep(_WITHIN_S)
-            cluster.configuration.serves_behind = 1
+            cluster.configuration.revisions_behind = 1
             for name in ("vm-1", "vm-5"):
                 _do(f, "kill", name)
                 await asyncio.sleep(1.0)
@@ -91,7 +97,9 @@
         _run(story)
 
     def test_cut_hall_keeps_its_settings_and_catches_up(self) -> None:
-        async def story(cluster: clusters.Cluster, f: faults.Faults) -> None:
+        async def story(
+            cluster: clusters.Cluster, f: faults.FaultInjector
+        ) -> None:
             _do(f, "cut", "hall-2")
             cluster.configuration.publish(_tree(2.0))
             await asyncio.sleep(60.0)
@@ -104,7 +112,9 @@
         _run(story)
 
     def test_two_changes_at_once_end_at_the_later(self) -> None:
-        async def story(cluster: clusters.Cluster, _: faults.Faults) -> None:
+        async def story(
+            cluster: clusters.Cluster, _: faults.FaultInjector
+        ) -> None:
             cluster.configuration.publish(_tree(2.0))
             cluster.configuration.publish(_tree(3.0))
             await asyncio.sleep(_WITHIN_S)
@@ -118,7 +128,9 @@
         _run(story)
 
     def test_refused_revision_leaves_the_last_good_in_force(self) -> None:
-        async def story(cluster: clusters.Cluster, _: faults.Faults) -> None:
+        async def story(
+            cluster: clusters.Cluster, _: faults.FaultInjector
+        ) -> None:
             cluster.configuration.publish({"main": b'{"branches": {}}'})
             await asyncio.sleep(_WITHIN_S)
             self.assertEqual(_revisions(cluster), {1})
@@ -134,7 +146,7 @@
             layout = dataclasses.replace(_AGENTS, vms=vms)
 
             async def story(
-                cluster: clusters.Cluster, _: faults.Faults
+                cluster: clusters.Cluster, _: faults.FaultInjector
             ) -> None:
                 cluster.configuration.calls.clear()
                 for number in range(5):
@@ -147,7 +159,9 @@
         self.assertLessEqual(calls[80], 1.5 * calls[8])
 
     def test_death_is_known_within_seconds(self) -> None:
-        async def story(cluster: clusters.Cluster, f: faults.Faults) -> None:
+        async def story(
+            cluster: clusters.Cluster, f: faults.FaultInjector
+        ) -> None:
             _do(f, "kill", "vm-4")
             await asyncio.sleep(6.0)
             hall = cluster.vms["vm-1"].agent.knowledge
@@ -159,7 +173,9 @@
     def test_160_agents_with_one_in_ten_failing_and_a_hall_cut(self) -> None:
         layout = dataclasses.replace(_AGENTS, vms=160, halls=12)
 
-        async def story(cluster: clusters.Cluster, f: faults.Faults) -> None:
+        async def story(
+            cluster: clusters.Cluster, f: faults.FaultInjector
+        ) -> None:
             for number in range(5, 160, 10):
                 _do(f, "kill", f"vm-{number}")
             _do(f, "cut", "hall-2")
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -39,7 +39,7 @@
         cluster = clusters.Cluster(layout)
         cluster.configuration.publish(_tree("0", checks_fence))
         cluster.start()
-        fault_types = faults.Faults(cluster)
+        fault_types = faults.FaultInjector(cluster)
         await asyncio.sleep(20.0)
         for number in range(5):
             name = f"vm-{number % 4 + 1}"
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -33,7 +33,7 @@
     document = {"prompt": prompt, "max_tokens": 8, **fields}
     body = json.dumps(document).encode()
     path = "/v1/completions"
-    return processes.request(port, "POST", path, _headers("repairs"), body)
+    return processes.send_request(port, "POST", path, _headers("repairs"), body)
 
 
 def _run_program(program: str, *arguments: str) -> tuple[int, str]:
@@ -68,7 +68,7 @@
         self.assertTrue(reply.body.endswith(b"data: [DONE]\n\n"), reply)
 
     def test_service_answers(self) -> None:
-        reply = processes.request(
+        reply = processes.send_request(
             self.run_.entries["vm-2"],
             "POST",
             "/services/plumbers/dispatch",
@@ -115,10 +115,10 @@
         run.start_agent("vm-1", status_listen=f"127.0.0.1:{port}")
         run.start_entry("vm-1")
         run.wait_ready()
-        status = processes.request(port, "GET", "/status").json()
+        status = processes.send_request(port, "GET", "/status").json()
         self.assertEqual(status["revision"], 1)
         self.assertEqual(status["live_in_hall"], ["vm-1"])
-        page = processes.request(port, "GET", "/metrics").body
+        page = processes.send_request(port, "GET", "/metrics").body
         self.assertIn(b"ruddergate_platform_calls_total", page)
 
 
@@ -147,7 +147,7 @@
         """Returns when vm-1 has a stream on a target."""
         for _ in range(1_000):
             port = self.run_.entries["vm-1"]
-            status = processes.request(port, "GET", "/status").json()
+            status = processes.send_request(port, "GET", "/status").json()
             if any(row["streams"] for row in status["targets"]):
                 return
         self.fail("no stream began")
