--- a/standins/bench.py
+++ b/standins/bench.py
@@ -17,13 +17,13 @@
 from ruddergate.http import client
 from standins import processes
 
-_TREE = pathlib.Path(__file__).parent.parent / "examples"
+_EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
 _KEY = "demo-bezigrad"
 _STEP_MS = 50.0
 _TIMEOUT_MS = 120_000.0
 
 
-def _direct(number: int) -> client.message.OutgoingRequest:
+def _make_direct_request(number: int) -> client.message.OutgoingRequest:
     document = {
         "stream": f"direct-{number}",
         "owner": "bench",
@@ -44,7 +44,7 @@
     return client.make_json_request("POST", "/v1/generate", document)
 
 
-def _through(number: int, tokens: int, stream: bool):  # noqa: ANN202
+def _make_entry_request(number: int, tokens: int, stream: bool):  # noqa: ANN202
     document = {"prompt": f"p{number}", "max_tokens": tokens, "stream": stream}
     headers = {
         "authorization": f"Bearer {_KEY}",
@@ -55,7 +55,7 @@
     )
 
 
-async def _time(env, address, request) -> float:  # noqa: ANN001
+async def _time_request(env, address, request) -> float:  # noqa: ANN001
     began_ms = env.now_ms()
     answer = await client.fetch(env, address, request, _TIMEOUT_MS)
     if isinstance(answer, client.Fault) or answer.status != 200:
@@ -69,15 +69,17 @@
     env = environment.make_system_environment()
     engine = environment.Address("127.0.0.1", run.ports["engine-1"])
     entry = environment.Address("127.0.0.1", run.entries["vm-1"])
-    direct, through = [], []
+    direct, through_entry = [], []
     for number in range(pairs):
-        direct.append(await _time(env, engine, _direct(number)))
-        request = _through(number, 1, stream=True)
-        through.append(await _time(env, entry, request))
+        direct.append(
+            await _time_request(env, engine, _make_direct_request(number))
+        )
+        request = _make_entry_request(number, 1, stream=True)
+        through_entry.append(await _time_request(env, entry, request))
     figures = {}
     for percent in (50, 99):
         own = summary.percentile(direct, percent)
-        added = summary.percentile(through, percent) - own
+        added = summary.percentile(through_entry, percent) - own
         figures[f"direct_p{percent}_ms"] = own
         figures[f"added_p{percent}_ms"] = round(added, 3)
     return figures
@@ -94,18 +96,20 @@
     async def work(worker: int) -> None:
         nonlocal done
         while time.monotonic() < until:
-            request = _through(worker * 1_000_000 + done, 1, stream=False)
-            await _time(env, entry, request)
+            request = _make_entry_request(
+                worker * 1_000_000 + done, 1, stream=False
+            )
+            await _time_request(env, entry, request)
             done += 1
 
     began, cpu = time.monotonic(), run.measure_cpu_s("entry vm-1")
     await asyncio.gather(*(work(number) for number in range(workers)))
     took = time.monotonic() - began
-    used = run.measure_cpu_s("entry vm-1") - cpu
+    cpu_used_s = run.measure_cpu_s("entry vm-1") - cpu
     return {
         "requests_per_s": round(done / took, 1),
-        "entry_core": round(used / took, 3),
-        "entry_ms_per_request": round(used / done * 1000.0, 3),
+        "entry_core": round(cpu_used_s / took, 3),
+        "entry_ms_per_request": round(cpu_used_s / done * 1000.0, 3),
     }
 
 
@@ -117,16 +121,18 @@
     began, cpu = time.monotonic(), run.measure_cpu_s("entry vm-1")
     await asyncio.gather(
         *(
-            _time(env, entry, _through(number, tokens, stream=True))
+            _time_request(
+                env, entry, _make_entry_request(number, tokens, stream=True)
+            )
             for number in range(streams)
         )
     )
     took = time.monotonic() - began
-    used = run.measure_cpu_s("entry vm-1") - cpu
+    cpu_used_s = run.measure_cpu_s("entry vm-1") - cpu
     return {
         "tokens_per_s": round(streams * tokens / took, 1),
-        "entry_core": round(used / took, 3),
-        "entry_us_per_token": round(used / (streams * tokens) * 1e6, 2),
+        "entry_core": round(cpu_used_s / took, 3),
+        "entry_us_per_token": round(cpu_used_s / (streams * tokens) * 1e6, 2),
         "entry_memory_mb": round(run.measure_memory_mb("entry vm-1"), 1),
     }
 
@@ -161,7 +167,7 @@
         streams: Streams at once for the tokens.
         tokens: Tokens of each stream.
     """
-    tree = json.loads((_TREE / "stanovanjski-signal.json").read_text())
+    tree = json.loads((_EXAMPLES / "stanovanjski-signal.json").read_text())
     for branch in tree["branches"].values():
         settings = branch.get("settings", {})
         settings.pop("requests_per_s_max", None)
--- a/standins/decision_cost.py
+++ b/standins/decision_cost.py
@@ -22,26 +22,26 @@
         policy = by_name.make_policy(name)
         cells = ""
         for size in _SIZES:
-            known = _make_busy(size)
-            chance = random.Random(1)
+            loads = _make_busy_targets(size)
+            rng = random.Random(1)
             began = time.perf_counter()
             for number in range(_DECISIONS):
-                policy.choose(job, known, 10.0 + number, chance)
+                policy.choose(job, loads, 10.0 + number, rng)
             took = time.perf_counter() - began
             cells += f"{took / _DECISIONS * 1e6:>10.1f}"
         print(f"{name:<16}{cells} us")
 
 
-def _make_busy(size: int) -> list[estimates.Estimate]:
-    known = paper_table.make_estimates(size)
-    for number, each in enumerate(known):
+def _make_busy_targets(size: int) -> list[estimates.Estimate]:
+    loads = paper_table.make_estimates(size)
+    for number, each in enumerate(loads):
         work = own_work.OwnWork(1_000 + number, 2_000, 5.0, 0)
         each.begin_attempt("a", work)
         report = load_report.LoadReport(
             each.target.target_id, "g", 3, 2_000, 9_000, False, 0.0
         )
         each.apply_report(report, 1.0)
-    return known
+    return loads
 
 
 if __name__ == "__main__":
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -7,7 +7,7 @@
 from standins import answers
 from standins import processes
 
-_EXAMPLE = pathlib.Path(__file__).parent.parent / "examples"
+_EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
 _KEY = "demo-bezigrad"
 _SHORT = "Water is dripping from the ceiling in flat 12."
 _LONG = "Minutes of the owners' assembly, article by article. " * 2_000
@@ -16,7 +16,7 @@
 
 def main() -> int:
     """Runs the demo; returns 0 if every answer was right."""
-    run = processes.Processes(_EXAMPLE / "stanovanjski-signal.json")
+    run = processes.Processes(_EXAMPLES / "stanovanjski-signal.json")
     try:
         return _show(run)
     finally:
@@ -46,7 +46,7 @@
     return 0 if all(right) else 1
 
 
-def _headers(workload: str) -> dict[str, str]:
+def _make_headers(workload: str) -> dict[str, str]:
     return {
         "authorization": f"Bearer {_KEY}",
         "ruddergate-workload": workload,
@@ -62,23 +62,23 @@
         run.entries[vm],
         "POST",
         "/v1/completions",
-        _headers(workload),
+        _make_headers(workload),
         json.dumps(document).encode(),
     )
-    text = _read_stream(reply) if stream else _read_text(reply)
+    text = _parse_stream(reply) if stream else _parse_text(reply)
     form = "streamed" if stream else "plain"
     size = len(prompt)
     print(f"{vm} {workload} ({form}, {size} bytes): {reply.status} {text!r}")
     return text == answers.make_answer(prompt, 8)
 
 
-def _read_text(reply: processes.Reply) -> str:
+def _parse_text(reply: processes.Reply) -> str:
     if reply.status != 200:
         return reply.body.decode()
     return reply.json()["choices"][0]["text"]
 
 
-def _read_stream(reply: processes.Reply) -> str:
+def _parse_stream(reply: processes.Reply) -> str:
     events = reply.body.decode().split("\n\n")
     if "data: [DONE]" not in events:
         return reply.body.decode()
@@ -96,7 +96,7 @@
         run.entries[vm],
         "POST",
         "/services/plumbers/dispatch",
-        _headers("plumbers"),
+        _make_headers("plumbers"),
         body.encode(),
     )
     print(f"{vm} plumbers: {reply.status} {reply.body.decode()}")
@@ -106,9 +106,9 @@
 def _show_keyed(run: processes.Processes) -> bool:
     """Sends one ticket's request to both VMs: it runs once."""
     ticket = processes.send_request(
-        run.entries["vm-1"], "POST", "/v1/tickets", _headers("")
+        run.entries["vm-1"], "POST", "/v1/tickets", _make_headers("")
     ).json()["ticket"]
-    headers = {**_headers("plumbers"), "ruddergate-ticket": ticket}
+    headers = {**_make_headers("plumbers"), "ruddergate-ticket": ticket}
     bodies = [
         processes.send_request(
             port, "POST", "/services/plumbers/dispatch", headers, b"once"
--- a/standins/epoch_model.py
+++ b/standins/epoch_model.py
@@ -12,9 +12,9 @@
 from ruddergate.fleet import store_position
 from standins import explore
 
-_TICKS = 2
-_CHANGES = 2
-_QUESTIONS = 2
+_MAX_TICKS = 2
+_MAX_CHANGES = 2
+_MAX_REQUESTS = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Held:
+class KnownState:
     """What a VM knows, and since when that was certainly all.
 
     Attributes:
@@ -44,7 +44,7 @@
     epoch: int = 1
     changes: frozenset[Change] = frozenset()
     revision: int = 0
-    proven: int = 0
+    current_as_of: int = 0
 
     def position(self) -> store_position.StorePosition:
         """Returns up to where the VM knows the store."""
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class News:
+class Reply:
     """An answer under way to the follower.
 
     Attributes:
@@ -62,10 +62,10 @@
         held: What the reader held then.
     """
 
-    asked_at: int
-    asked: store_position.StorePosition
-    told: tuple[Change, ...]
-    held: Held
+    requested_at: int
+    requested_position: store_position.StorePosition
+    reader_changes: tuple[Change, ...]
+    known: KnownState
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -91,39 +91,39 @@
     store: tuple[Change, ...] = ()
     written: int = 0
     calls: tuple[int, ...] = ()
-    reader: Held = Held()
+    reader: KnownState = KnownState()
     reader_log: tuple[Change, ...] = ()
-    questions: tuple[tuple[int, store_position.StorePosition], ...] = ()
-    asked: int = 0
-    news: tuple[News, ...] = ()
-    follower: Held = Held()
+    requests: tuple[tuple[int, store_position.StorePosition], ...] = ()
+    requests_sent: int = 0
+    replies: tuple[Reply, ...] = ()
+    follower: KnownState = KnownState()
 
 
-def make_first() -> EpochState:
+def make_first_state() -> EpochState:
     """Returns the state in which all know the first change."""
     first = Change(0, 0)
-    held = Held(1, frozenset((first,)), 1, 0)
+    known = KnownState(1, frozenset((first,)), 1, 0)
     return EpochState(
         store=(first,),
         written=1,
-        reader=held,
+        reader=known,
         reader_log=(first,),
-        follower=held,
+        follower=known,
     )
 
 
-def is_true(state: EpochState) -> bool:
+def is_claim_valid(state: EpochState) -> bool:
     """Returns whether the follower knows all that it claims to know."""
-    proven = state.follower.proven
+    current_as_of = state.follower.current_as_of
     return all(
         change in state.follower.changes
         for change in state.store
-        if change.at < proven
+        if change.at < current_as_of
     )
 
 
-def steps(
-    state: EpochState, compares_epochs: bool = True
+def find_steps(
+    state: EpochState, compares_within_epoch: bool = True
 ) -> Iterator[explore.Step[EpochState]]:
     """Yields all that can happen next.
 
@@ -131,25 +131,25 @@
         state: The state.
         compares_epochs: Whether positions are compared within an epoch only.
     """
-    if state.now < _TICKS:
+    if state.now < _MAX_TICKS:
         yield explore.Step(
             "tick", dataclasses.replace(state, now=state.now + 1)
         )
-    yield from _write(state)
-    yield from _read(state)
-    yield from _ask(state)
-    for index, news in enumerate(state.news):
-        rest = state.news[:index] + state.news[index + 1 :]
-        arrived = dataclasses.replace(state, news=rest)
-        held = _take(state.follower, news, compares_epochs)
-        if held is not None:
+    yield from _change_store(state)
+    yield from _read_store(state)
+    yield from _exchange(state)
+    for index, reply in enumerate(state.replies):
+        rest = state.replies[:index] + state.replies[index + 1 :]
+        arrived = dataclasses.replace(state, replies=rest)
+        known = _apply_reply(state.follower, reply, compares_within_epoch)
+        if known is not None:
             yield explore.Step(
-                "take", dataclasses.replace(arrived, follower=held)
+                "take", dataclasses.replace(arrived, follower=known)
             )
 
 
-def _write(state: EpochState) -> Iterator[explore.Step[EpochState]]:
-    if state.written < _CHANGES:
+def _change_store(state: EpochState) -> Iterator[explore.Step[EpochState]]:
+    if state.written < _MAX_CHANGES:
         change = Change(state.written, state.now)
         yield explore.Step(
             "publish",
@@ -166,67 +166,82 @@
         )
 
 
-def _read(state: EpochState) -> Iterator[explore.Step[EpochState]]:
+def _read_store(state: EpochState) -> Iterator[explore.Step[EpochState]]:
     """The reader's call begins, and is answered at any time later."""
     if not state.calls:
         yield explore.Step(
             "call store", dataclasses.replace(state, calls=(state.now,))
         )
     for began in state.calls:
-        held = Held(
+        known = KnownState(
             state.epoch, frozenset(state.store), len(state.store), began
         )
         yield explore.Step(
             "store answers",
             dataclasses.replace(
-                state, reader=held, reader_log=state.store, calls=()
+                state, reader=known, reader_log=state.store, calls=()
             ),
         )
 
 
-def _ask(state: EpochState) -> Iterator[explore.Step[EpochState]]:
-    if state.asked < _QUESTIONS:
-        question = (state.now, state.follower.position())
+def _exchange(state: EpochState) -> Iterator[explore.Step[EpochState]]:
+    if state.requests_sent < _MAX_REQUESTS:
+        request = (state.now, state.follower.position())
         yield explore.Step(
             "ask",
             dataclasses.replace(
                 state,
-                questions=(*state.questions, question),
-                asked=state.asked + 1,
+                requests=(*state.requests, request),
+                requests_sent=state.requests_sent + 1,
             ),
         )
-    for index, (asked_at, position) in enumerate(state.questions):
-        rest = state.questions[:index] + state.questions[index + 1 :]
-        news = News(asked_at, position, state.reader_log, state.reader)
+    for index, (requested_at, position) in enumerate(state.requests):
+        rest = state.requests[:index] + state.requests[index + 1 :]
+        reply = Reply(requested_at, position, state.reader_log, state.reader)
         yield explore.Step(
             "answer",
             dataclasses.replace(
-                state, questions=rest, news=(*state.news, news)
+                state, requests=rest, replies=(*state.replies, reply)
             ),
         )
 
 
-def _take(own: Held, news: News, compares_epochs: bool) -> Held | None:
+def _apply_reply(
+    own: KnownState, reply: Reply, compares_within_epoch: bool
+) -> KnownState | None:
     """Returns what a follower knows after an answer, None if nothing new."""
-    told = news.held.position()
-    if own.position() != news.asked:
+    reported = reply.known.position()
+    if own.position() != reply.requested_position:
         # It answers an earlier question.
         return None
-    if compares_epochs and told.epoch == news.asked.epoch and told < news.asked:
+    if (
+        compares_within_epoch
+        and reported.epoch == reply.requested_position.epoch
+        and reported < reply.requested_position
+    ):
         return None
-    if compares_epochs and told.epoch < news.asked.epoch:
+    if (
+        compares_within_epoch
+        and reported.epoch < reply.requested_position.epoch
+    ):
         return None
-    since = news.asked.revision
-    if compares_epochs and told.epoch > news.asked.epoch:
+    since = reply.requested_position.revision
+    if (
+        compares_within_epoch
+        and reported.epoch > reply.requested_position.epoch
+    ):
         since = 0
-    position = max(own.position(), told)
-    if not compares_epochs:
+    position = max(own.position(), reported)
+    if not compares_within_epoch:
         position = dataclasses.replace(
-            position, revision=max(own.revision, told.revision)
+            position, revision=max(own.revision, reported.revision)
         )
-    return Held(
+    return KnownState(
         position.epoch,
-        own.changes | frozenset(news.told[since:]),
+        own.changes | frozenset(reply.reader_changes[since:]),
         position.revision,
-        max(own.proven, min(news.asked_at, news.held.proven)),
+        max(
+            own.current_as_of,
+            min(reply.requested_at, reply.known.current_as_of),
+        ),
     )
--- a/standins/explore.py
+++ b/standins/explore.py
@@ -10,7 +10,7 @@
 
 State = TypeVar("State", bound=Hashable)
 
-STATES_MAX = 2_000_000
+MAX_STATES = 2_000_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Explored:
+class Exploration:
     """What an exploration found.
 
     Attributes:
@@ -32,37 +32,39 @@
     """
 
     states: int
-    trail: tuple[str, ...]
+    counterexample: tuple[str, ...]
 
 
 def explore(
     first: State,
-    steps: Callable[[State], Iterable[Step[State]]],
-    holds: Callable[[State], bool],
-) -> Explored:
+    find_steps: Callable[[State], Iterable[Step[State]]],
+    is_valid: Callable[[State], bool],
+) -> Exploration:
     """Visits all states breadth first; the trail found is a shortest one."""
-    before: dict[State, tuple[State, str] | None] = {first: None}
-    waiting = collections.deque([first])
-    while waiting:
-        state = waiting.popleft()
-        if not holds(state):
-            return Explored(len(before), _trail(state, before))
-        for step in steps(state):
-            if step.state not in before:
-                before[step.state] = (state, step.name)
-                waiting.append(step.state)
-        if len(before) > STATES_MAX:
+    predecessors: dict[State, tuple[State, str] | None] = {first: None}
+    frontier = collections.deque([first])
+    while frontier:
+        state = frontier.popleft()
+        if not is_valid(state):
+            return Exploration(
+                len(predecessors), _trace_steps(state, predecessors)
+            )
+        for step in find_steps(state):
+            if step.state not in predecessors:
+                predecessors[step.state] = (state, step.name)
+                frontier.append(step.state)
+        if len(predecessors) > MAX_STATES:
             raise OverflowError("the model has too many states")
-    return Explored(len(before), ())
+    return Exploration(len(predecessors), ())
 
 
-def _trail(
-    state: State, before: dict[State, tuple[State, str] | None]
+def _trace_steps(
+    state: State, predecessors: dict[State, tuple[State, str] | None]
 ) -> tuple[str, ...]:
     names = []
-    link = before[state]
-    while link is not None:
-        state, name = link
+    predecessor = predecessors[state]
+    while predecessor is not None:
+        state, name = predecessor
         names.append(name)
-        link = before[state]
+        predecessor = predecessors[state]
     return tuple(reversed(names))
--- a/standins/proof_model.py
+++ b/standins/freshness_model.py
@@ -14,25 +14,25 @@
 
 from standins import explore
 
-_TICKS = 3
-_CHANGES = 1
-_QUESTIONS = 2
+_MAX_TICKS = 3
+_MAX_CHANGES = 1
+_MAX_REQUESTS = 2
 # The reader's clock shows this when the follower's shows 0: they share none.
-_CLOCK_AHEAD = 100
+_READER_CLOCK_OFFSET = 100
 
-FindProven: TypeAlias = Callable[[float, float], float | None]
+FindCurrentAsOf: TypeAlias = Callable[[float, float], float | None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Held:
+class KnownState:
     """What a VM knows, and since when that was certainly the newest."""
 
     revision: int
-    proven: int
+    current_as_of: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class Reply:
     """A datagram under way to the follower.
 
     Attributes:
@@ -41,13 +41,13 @@
         age: Age of the reader's proof as it answered.
     """
 
-    question: int
+    request: int
     revision: int
     age: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ProofState:
+class FreshnessState:
     """One state; times are whole ticks.
 
     Attributes:
@@ -68,39 +68,39 @@
 
     now: int = 0
     published: tuple[int, ...] = ()
-    reader: Held = Held(0, _CLOCK_AHEAD)
+    reader: KnownState = KnownState(0, _READER_CLOCK_OFFSET)
     calls: tuple[tuple[int, int], ...] = ()
-    asked: tuple[int, ...] = ()
-    is_open: bool = False
-    heard: tuple[int, ...] = ()
-    under_way: tuple[Answer, ...] = ()
-    follower: Held = Held(0, 0)
-    starts: int = 0
-    follower_slept: int = 0
-    reader_slept: int = 0
-
-    def follower_clock(self) -> int:
+    requested_at: tuple[int, ...] = ()
+    is_awaiting_reply: bool = False
+    received: tuple[int, ...] = ()
+    in_flight: tuple[Reply, ...] = ()
+    follower: KnownState = KnownState(0, 0)
+    restarts: int = 0
+    follower_suspended: int = 0
+    reader_suspended: int = 0
+
+    def read_follower_clock(self) -> int:
         """Returns what the follower's clock shows."""
-        return self.now - self.follower_slept
+        return self.now - self.follower_suspended
 
-    def reader_clock(self) -> int:
+    def read_reader_clock(self) -> int:
         """Returns what the reader's clock shows."""
-        return self.now + _CLOCK_AHEAD - self.reader_slept
+        return self.now + _READER_CLOCK_OFFSET - self.reader_suspended
 
 
-def is_true(state: ProofState) -> bool:
+def is_claim_valid(state: FreshnessState) -> bool:
     """Returns whether nothing newer was published than the follower claims."""
-    claimed = state.follower.proven + state.follower_slept
-    newest = sum(at < claimed for at in state.published)
+    claimed_as_of = state.follower.current_as_of + state.follower_suspended
+    newest = sum(at < claimed_as_of for at in state.published)
     return newest <= state.follower.revision
 
 
-def steps(
-    state: ProofState,
-    find_proven: FindProven,
-    matches_questions: bool = True,
-    counts_sleep: bool = True,
-) -> Iterator[explore.Step[ProofState]]:
+def find_steps(
+    state: FreshnessState,
+    find_current_as_of: FindCurrentAsOf,
+    matches_requests: bool = True,
+    counts_suspension: bool = True,
+) -> Iterator[explore.Step[FreshnessState]]:
     """Yields all that can happen next.
 
     Args:
@@ -111,56 +111,65 @@
         counts_sleep: Whether the VMs' clocks count the time for which they
             are suspended; if they do, that is a tick like any other.
     """
-    if state.now < _TICKS:
+    if state.now < _MAX_TICKS:
         yield explore.Step(
             "tick", dataclasses.replace(state, now=state.now + 1)
         )
-    if state.now < _TICKS and not counts_sleep:
-        yield from _sleep(state)
-    if len(state.published) < _CHANGES:
+    if state.now < _MAX_TICKS and not counts_suspension:
+        yield from _suspend(state)
+    if len(state.published) < _MAX_CHANGES:
         published = (*state.published, state.now)
         yield explore.Step(
             "publish", dataclasses.replace(state, published=published)
         )
     yield from _read_store(state)
-    yield from _ask(state)
-    yield from _answer(state)
-    for index, answer in enumerate(state.under_way):
-        rest = state.under_way[:index] + state.under_way[index + 1 :]
-        arrived = dataclasses.replace(state, under_way=rest)
-        fits = state.is_open and answer.question == len(state.asked) - 1
-        if state.asked and (fits or not matches_questions):
-            yield from _take(arrived, answer, find_proven)
-    if state.starts == 0 and state.now > 0:
+    yield from _send_request(state)
+    yield from _send_reply(state)
+    for index, reply in enumerate(state.in_flight):
+        rest = state.in_flight[:index] + state.in_flight[index + 1 :]
+        arrived = dataclasses.replace(state, in_flight=rest)
+        matches = (
+            state.is_awaiting_reply
+            and reply.request == len(state.requested_at) - 1
+        )
+        if state.requested_at and (matches or not matches_requests):
+            yield from _apply_reply(arrived, reply, find_current_as_of)
+    if state.restarts == 0 and state.now > 0:
         # It reads the store as it starts.
-        fresh = Held(len(state.published), state.follower_clock())
+        initial = KnownState(len(state.published), state.read_follower_clock())
         yield explore.Step(
             "restart",
-            dataclasses.replace(state, follower=fresh, is_open=False, starts=1),
+            dataclasses.replace(
+                state, follower=initial, is_awaiting_reply=False, restarts=1
+            ),
         )
 
 
-def _sleep(state: ProofState) -> Iterator[explore.Step[ProofState]]:
+def _suspend(state: FreshnessState) -> Iterator[explore.Step[FreshnessState]]:
     """A VM is suspended for a tick, and its clock stands still."""
     yield explore.Step(
         "follower sleeps",
         dataclasses.replace(
             state,
             now=state.now + 1,
-            follower_slept=state.follower_slept + 1,
+            follower_suspended=state.follower_suspended + 1,
         ),
     )
     yield explore.Step(
         "reader sleeps",
         dataclasses.replace(
-            state, now=state.now + 1, reader_slept=state.reader_slept + 1
+            state,
+            now=state.now + 1,
+            reader_suspended=state.reader_suspended + 1,
         ),
     )
 
 
-def _read_store(state: ProofState) -> Iterator[explore.Step[ProofState]]:
+def _read_store(
+    state: FreshnessState,
+) -> Iterator[explore.Step[FreshnessState]]:
     """The reader's call begins, and its answer comes at any time later."""
-    clock = state.reader_clock()
+    clock = state.read_reader_clock()
     if not state.calls:
         call = (clock, len(state.published))
         yield explore.Step(
@@ -168,52 +177,63 @@
         )
     for began, revision in state.calls:
         newest = max(revision, state.reader.revision)
-        proven = max(began, state.reader.proven)
+        current_as_of = max(began, state.reader.current_as_of)
         yield explore.Step(
             "store answers",
-            dataclasses.replace(state, reader=Held(newest, proven), calls=()),
+            dataclasses.replace(
+                state, reader=KnownState(newest, current_as_of), calls=()
+            ),
         )
 
 
-def _ask(state: ProofState) -> Iterator[explore.Step[ProofState]]:
-    if len(state.asked) < _QUESTIONS:
+def _send_request(
+    state: FreshnessState,
+) -> Iterator[explore.Step[FreshnessState]]:
+    if len(state.requested_at) < _MAX_REQUESTS:
         yield explore.Step(
             "ask",
             dataclasses.replace(
                 state,
-                asked=(*state.asked, state.follower_clock()),
-                is_open=True,
-                heard=(*state.heard, len(state.asked)),
+                requested_at=(*state.requested_at, state.read_follower_clock()),
+                is_awaiting_reply=True,
+                received=(*state.received, len(state.requested_at)),
             ),
         )
-    if state.is_open:
-        yield explore.Step("give up", dataclasses.replace(state, is_open=False))
+    if state.is_awaiting_reply:
+        yield explore.Step(
+            "give up", dataclasses.replace(state, is_awaiting_reply=False)
+        )
 
 
-def _answer(state: ProofState) -> Iterator[explore.Step[ProofState]]:
-    clock = state.reader_clock()
-    for index, question in enumerate(state.heard):
-        rest = state.heard[:index] + state.heard[index + 1 :]
-        age = clock - state.reader.proven
-        answer = Answer(question, state.reader.revision, age)
+def _send_reply(
+    state: FreshnessState,
+) -> Iterator[explore.Step[FreshnessState]]:
+    clock = state.read_reader_clock()
+    for index, request in enumerate(state.received):
+        rest = state.received[:index] + state.received[index + 1 :]
+        age = clock - state.reader.current_as_of
+        reply = Reply(request, state.reader.revision, age)
         yield explore.Step(
             "answer",
             dataclasses.replace(
-                state, heard=rest, under_way=(*state.under_way, answer)
+                state, received=rest, in_flight=(*state.in_flight, reply)
             ),
         )
 
 
-def _take(
-    state: ProofState, answer: Answer, find_proven: FindProven
-) -> Iterator[explore.Step[ProofState]]:
-    proven = find_proven(float(state.asked[-1]), float(answer.age))
-    if proven is None:
+def _apply_reply(
+    state: FreshnessState, reply: Reply, find_current_as_of: FindCurrentAsOf
+) -> Iterator[explore.Step[FreshnessState]]:
+    current_as_of = find_current_as_of(
+        float(state.requested_at[-1]), float(reply.age)
+    )
+    if current_as_of is None:
         return
-    held = Held(
-        max(state.follower.revision, answer.revision),
-        max(state.follower.proven, int(proven)),
+    known = KnownState(
+        max(state.follower.revision, reply.revision),
+        max(state.follower.current_as_of, int(current_as_of)),
     )
     yield explore.Step(
-        "take", dataclasses.replace(state, follower=held, is_open=False)
+        "take",
+        dataclasses.replace(state, follower=known, is_awaiting_reply=False),
     )
--- a/standins/make_overload.py
+++ b/standins/make_overload.py
@@ -28,17 +28,17 @@
         duration_ms: Length of the trace.
         seed: Seed of all chance.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     lines = []
     at_ms = 0.0
     while at_ms < duration_ms:
-        at_ms += chance.expovariate(rate_per_s) * 1000.0
+        at_ms += rng.expovariate(rate_per_s) * 1000.0
         lines.append(
             trace.TracedRequest(
                 round(at_ms, 3),
                 f"r{len(lines)}",
-                chance.choice(("ljubljana-center", "bezigrad", "siska")),
-                chance.choice(_WORKLOADS),
+                rng.choice(("ljubljana-center", "bezigrad", "siska")),
+                rng.choice(_WORKLOADS),
                 prompt_tokens=_TOKENS,
                 output_tokens=_OUTPUT_TOKENS,
                 time_limit_ms=_TIME_LIMIT_MS,
--- a/standins/make_traces.py
+++ b/standins/make_traces.py
@@ -43,7 +43,7 @@
     workspaces: tuple[str, ...]
     weights: tuple[float, ...]
     short: str
-    middle: str
+    medium: str
     long: str
     service: str
     output: tuple[int, int]
@@ -66,7 +66,7 @@
         ),
         weights=_LARGE + (1.0,) * 7,
         short="repairs",
-        middle="letters",
+        medium="letters",
         long="archives",
         service="plumbers",
         output=(40, 200),
@@ -86,7 +86,7 @@
         ),
         weights=_LARGE + (1.0,) * 7,
         short="taps",
-        middle="questions",
+        medium="questions",
         long="histories",
         service="billing",
         output=(20, 120),
@@ -98,18 +98,18 @@
     user: User, load: float, duration_ms: float, seed: int
 ) -> list[trace.Line]:
     """Returns a trace at a part of the fleet's capacity."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     lines: list[trace.Line] = []
     at_ms = 0.0
     while True:
-        rate = CAPACITY_PER_S * load * _swing(at_ms, duration_ms)
-        at_ms += chance.expovariate(rate) * 1000.0
+        rate = CAPACITY_PER_S * load * _find_rate_factor(at_ms, duration_ms)
+        at_ms += rng.expovariate(rate) * 1000.0
         if at_ms >= duration_ms:
             return lines
-        lines.append(_make_request(user, chance, at_ms, len(lines)))
+        lines.append(_make_request(user, rng, at_ms, len(lines)))
 
 
-def _swing(at_ms: float, duration_ms: float) -> float:
+def _find_rate_factor(at_ms: float, duration_ms: float) -> float:
     """Rises and falls once, with bursts; its mean is about 1."""
     slope = 0.9 + 0.2 * math.sin(math.pi * at_ms / duration_ms)
     in_burst = at_ms % _BURST_EVERY_MS < _BURST_MS
@@ -117,12 +117,12 @@
 
 
 def _make_request(
-    user: User, chance: random.Random, at_ms: float, number: int
+    user: User, rng: random.Random, at_ms: float, number: int
 ) -> trace.TracedRequest:
-    workspace = chance.choices(user.workspaces, user.weights)[0]
+    workspace = rng.choices(user.workspaces, user.weights)[0]
     name = f"r{number}"
     at_ms = round(at_ms, 3)
-    if chance.random() < _SERVICE_SHARE:
+    if rng.random() < _SERVICE_SHARE:
         return trace.TracedRequest(
             at_ms,
             name,
@@ -131,34 +131,36 @@
             repeatable=False,
             time_limit_ms=10_000.0,
         )
-    tokens = _pick_length(chance)
+    tokens = _pick_length(rng)
     workload, limit_ms = _pick_workload(user, tokens)
-    has_prefix = tokens < 64_000 and chance.random() < 0.5
-    prefix = f"p{chance.randrange(20)}" if has_prefix else ""
+    has_prefix = tokens < 64_000 and rng.random() < 0.5
+    prefix = f"p{rng.randrange(20)}" if has_prefix else ""
     return trace.TracedRequest(
         at_ms,
         name,
         workspace,
         workload,
         prompt_tokens=tokens,
-        output_tokens=chance.randint(*user.output),
+        output_tokens=rng.randint(*user.output),
         prefix=prefix,
         prefix_tokens=int(tokens * 0.6) if prefix else 0,
         time_limit_ms=limit_ms,
     )
 
 
-def _pick_length(chance: random.Random) -> int:
+def _pick_length(rng: random.Random) -> int:
     shares = [band[0] for band in _BANDS]
-    _, least, most = chance.choices(_BANDS, shares)[0]
-    return int(math.exp(chance.uniform(math.log(least), math.log(most))))
+    _, min_tokens, max_tokens = rng.choices(_BANDS, shares)[0]
+    return int(
+        math.exp(rng.uniform(math.log(min_tokens), math.log(max_tokens)))
+    )
 
 
 def _pick_workload(user: User, tokens: int) -> tuple[str, float]:
     if tokens <= 4_096:
         return user.short, 15_000.0
     if tokens < 100_000:
-        return user.middle, 45_000.0
+        return user.medium, 45_000.0
     return user.long, 600_000.0
 
 
--- a/standins/models.py
+++ b/standins/models.py
@@ -47,12 +47,12 @@
     vms: tuple[tuple[int, int, int, int, bool], ...]
     sends: int
     first_sent: int
-    under_way: tuple[int, ...]
+    in_flight: tuple[int, ...]
     runs: int
 
 
-_TICKS = 4
-_SENDS = 2
+_MAX_TICKS = 4
+_MAX_SENDS = 2
 _NAMES = ("vm-1", "vm-2")
 
 
@@ -78,14 +78,14 @@
     return ledger.find_home(_KEY, _make_listing(version)) or ""
 
 
-def first_key_state() -> KeyState:
+def make_first_key_state() -> KeyState:
     """Returns the state in which both VMs have long known each other."""
     vm = (1, 0, -10, -10, False)
     return KeyState(0, 1, 0, (vm, vm), 0, -1, (), 0)
 
 
-def key_steps(
-    state: KeyState, bounds: ledger.Bounds, lag: int
+def find_key_steps(
+    state: KeyState, bounds: ledger.Bounds, lag_ticks: int
 ) -> Iterator[explore.Step[KeyState]]:
     """Yields all that can happen next.
 
@@ -94,7 +94,7 @@
         bounds: Bounds of the promise, in ticks for milliseconds.
         lag: Ticks within which the platform serves a new list to all.
     """
-    if state.now < _TICKS:
+    if state.now < _MAX_TICKS:
         yield explore.Step(
             "tick", dataclasses.replace(state, now=state.now + 1)
         )
@@ -104,38 +104,42 @@
         )
         yield explore.Step("publish", changed)
     for index in range(len(state.vms)):
-        yield from _refresh(state, index, lag)
-        yield from _restart(state, index)
-        yield from _send(state, index)
-    for position, index in enumerate(state.under_way):
-        rest = state.under_way[:position] + state.under_way[position + 1 :]
-        arrived = dataclasses.replace(state, under_way=rest)
-        yield from _decide(arrived, index, bounds)
+        yield from _refresh_list(state, index, lag_ticks)
+        yield from _restart_vm(state, index)
+        yield from _send_request(state, index)
+    for position, index in enumerate(state.in_flight):
+        rest = state.in_flight[:position] + state.in_flight[position + 1 :]
+        arrived = dataclasses.replace(state, in_flight=rest)
+        yield from _decide_run(arrived, index, bounds)
 
 
-def _refresh(
-    state: KeyState, index: int, lag: int
+def _refresh_list(
+    state: KeyState, index: int, lag_ticks: int
 ) -> Iterator[explore.Step[KeyState]]:
-    view, seen, settled, began, holds = state.vms[index]
-    is_all = state.now - state.published_at >= lag
+    view, confirmed_at, unchanged_since, started_at, has_key = state.vms[index]
+    is_all = state.now - state.published_at >= lag_ticks
     served = [state.published] if is_all else [1, state.published]
     for version in sorted(set(served)):
         if version < view:
             continue
-        since = settled if version == view else state.now
-        vm = (version, state.now, since, began, holds)
+        since = unchanged_since if version == view else state.now
+        vm = (version, state.now, since, started_at, has_key)
         yield explore.Step(f"refresh {index}", _with_vm(state, index, vm))
 
 
-def _restart(state: KeyState, index: int) -> Iterator[explore.Step[KeyState]]:
+def _restart_vm(
+    state: KeyState, index: int
+) -> Iterator[explore.Step[KeyState]]:
     if state.vms[index][3] < 0 and state.now > 0:
         served = state.published
         vm = (served, state.now, state.now, state.now, False)
         yield explore.Step(f"restart {index}", _with_vm(state, index, vm))
 
 
-def _send(state: KeyState, index: int) -> Iterator[explore.Step[KeyState]]:
-    if state.sends >= _SENDS:
+def _send_request(
+    state: KeyState, index: int
+) -> Iterator[explore.Step[KeyState]]:
+    if state.sends >= _MAX_SENDS:
         return
     view = state.vms[index][0]
     home = _find_home(view)
@@ -144,31 +148,31 @@
         state,
         sends=state.sends + 1,
         first_sent=first,
-        under_way=tuple(sorted((*state.under_way, _NAMES.index(home)))),
+        in_flight=tuple(sorted((*state.in_flight, _NAMES.index(home)))),
     )
     yield explore.Step(f"send by {index}", sent)
 
 
-def _decide(
+def _decide_run(
     state: KeyState, index: int, bounds: ledger.Bounds
 ) -> Iterator[explore.Step[KeyState]]:
-    view, seen, settled, began, holds = state.vms[index]
-    if holds:
+    view, confirmed_at, unchanged_since, started_at, has_key = state.vms[index]
+    if has_key:
         yield explore.Step(f"join at {index}", state)
         return
-    standing = ledger.judge_key(
+    verdict = ledger.judge_key(
         _KEY,
         state.now - state.first_sent,
         _NAMES[index],
         _make_listing(view),
-        state.now - seen,
-        state.now - max(settled, began),
+        state.now - confirmed_at,
+        state.now - max(unchanged_since, started_at),
         bounds,
     )
-    if standing is not ledger.KeyVerdict.MAY_RUN:
+    if verdict is not ledger.KeyVerdict.MAY_RUN:
         yield explore.Step(f"refuse at {index}", state)
         return
-    vm = (view, seen, settled, began, True)
+    vm = (view, confirmed_at, unchanged_since, started_at, True)
     ran = dataclasses.replace(state, runs=state.runs + 1)
     yield explore.Step(f"run at {index}", _with_vm(ran, index, vm))
 
@@ -203,16 +207,16 @@
     reverted: bool
 
 
-_REVISIONS = 3
-_MESSAGES_MAX = 2
+_MAX_REVISIONS = 3
+_MAX_MESSAGES = 2
 
 
-def first_adoption_state() -> AdoptionState:
+def make_first_adoption_state() -> AdoptionState:
     """Returns the state with revision 1 in force everywhere."""
     return AdoptionState(1, 1, (1, 1), (1, 1), (), False)
 
 
-def adoption_steps(
+def find_adoption_steps(
     state: AdoptionState, asks_first: bool
 ) -> Iterator[explore.Step[AdoptionState]]:
     """Yields all that can happen next.
@@ -222,7 +226,7 @@
         asks_first: Whether a fresh agent asks its entry and peers before it
             trusts the service.
     """
-    if state.newest < _REVISIONS:
+    if state.newest < _MAX_REVISIONS:
         newest = state.newest + 1
         yield explore.Step(
             "publish", dataclasses.replace(state, newest=newest, served=newest)
@@ -231,14 +235,14 @@
         moved = dataclasses.replace(state, served=revision)
         yield explore.Step(f"serve {revision}", moved)
     for index in range(len(state.agents)):
-        yield from _agent_steps(state, index, asks_first)
+        yield from _find_agent_steps(state, index, asks_first)
     for position, (index, revision) in enumerate(state.messages):
         rest = state.messages[:position] + state.messages[position + 1 :]
         arrived = dataclasses.replace(state, messages=rest)
         yield explore.Step("arrive", _adopt(arrived, index, revision))
 
 
-def _agent_steps(
+def _find_agent_steps(
     state: AdoptionState, index: int, asks_first: bool
 ) -> Iterator[explore.Step[AdoptionState]]:
     agent = state.agents[index]
@@ -254,7 +258,7 @@
     yield explore.Step(
         f"agent {index} dies", dataclasses.replace(state, agents=stopped)
     )
-    if len(state.messages) < _MESSAGES_MAX and other >= 0:
+    if len(state.messages) < _MAX_MESSAGES and other >= 0:
         sent = tuple(sorted((*state.messages, (1 - index, agent))))
         yield explore.Step("tell", dataclasses.replace(state, messages=sent))
     fed = feed_entry(state.entries[index], agent)
@@ -280,8 +284,8 @@
 
 def feed_entry(entry: int, agent: int) -> int:
     """Returns what an entry has in force after its agent fed it."""
-    wanted = adoption.is_wanted(_in_force(max(0, entry)), agent)
-    return agent if wanted else entry
+    is_newer = adoption.is_wanted(_in_force(max(0, entry)), agent)
+    return agent if is_newer else entry
 
 
 def _in_force(revision: int) -> adoption.InForce:
--- a/standins/paper_table.py
+++ b/standins/paper_table.py
@@ -25,7 +25,7 @@
 
 _SERVERS = 10
 _IN_FLIGHT = 16
-_AT_ONCE = 8
+_SERVER_CONCURRENCY = 8
 _FAULT_MS = 1_000.0
 _FAILURE_MS = 1.0
 _POLICIES = ("round_robin", "least_requests", "peak_ewma_p2c", "by_length")
@@ -33,22 +33,22 @@
 
 
 class _Server:
-    def __init__(self, chance: random.Random, is_faulty: bool) -> None:
-        self.mean_ms = chance.gauss(50.0, 10.0)
+    def __init__(self, rng: random.Random, is_faulty: bool) -> None:
+        self.mean_ms = rng.gauss(50.0, 10.0)
         self.is_faulty = is_faulty
-        self.free_at_ms = [0.0] * _AT_ONCE
+        self.worker_free_ms = [0.0] * _SERVER_CONCURRENCY
 
     def serve(
-        self, now_ms: float, chance: random.Random, fast_failures: bool
+        self, now_ms: float, rng: random.Random, fast_failures: bool
     ) -> tuple[float, bool]:
         """Returns when a request ends and whether it failed."""
-        if self.is_faulty and fast_failures and chance.random() < 0.5:
+        if self.is_faulty and fast_failures and rng.random() < 0.5:
             return now_ms + _FAILURE_MS, True
-        took_ms = max(1.0, chance.gauss(self.mean_ms, 5.0))
-        if self.is_faulty and not fast_failures and chance.random() < 0.1:
+        took_ms = max(1.0, rng.gauss(self.mean_ms, 5.0))
+        if self.is_faulty and not fast_failures and rng.random() < 0.1:
             took_ms += _FAULT_MS
-        begin_ms = max(now_ms, heapq.heappop(self.free_at_ms))
-        heapq.heappush(self.free_at_ms, begin_ms + took_ms)
+        begin_ms = max(now_ms, heapq.heappop(self.worker_free_ms))
+        heapq.heappush(self.worker_free_ms, begin_ms + took_ms)
         return begin_ms + took_ms, False
 
 
@@ -75,7 +75,7 @@
     ]
 
 
-def play(
+def simulate(
     policy_name: str,
     seed: int,
     requests: int,
@@ -83,40 +83,42 @@
     fault_guard: bool,
 ) -> tuple[list[float], int]:
     """Returns response times and failures under one policy."""
-    chance = random.Random(seed)
-    servers = [_Server(chance, n == 0) for n in range(_SERVERS)]
-    known = make_estimates(_SERVERS)
+    rng = random.Random(seed)
+    servers = [_Server(rng, n == 0) for n in range(_SERVERS)]
+    loads = make_estimates(_SERVERS)
     policy = by_name.make_policy(policy_name)
-    open_: list[tuple[float, int, int, float, bool]] = []
+    in_flight: list[tuple[float, int, int, float, bool]] = []
     times, failures, now_ms = [], 0, 0.0
     for number in range(requests):
-        while len(open_) >= _IN_FLIGHT:
-            now_ms, done, index, began_ms, failed = heapq.heappop(open_)
+        while len(in_flight) >= _IN_FLIGHT:
+            now_ms, done, index, began_ms, failed = heapq.heappop(in_flight)
             times.append(now_ms - began_ms)
             failures += failed
-            _note(known[index], str(done), now_ms, failed, fault_guard)
-        chosen = policy.choose(_JOB, known, now_ms, chance)
-        index = known.index(chosen)
+            _record_outcome(
+                loads[index], str(done), now_ms, failed, fault_guard
+            )
+        chosen = policy.choose(_JOB, loads, now_ms, rng)
+        index = loads.index(chosen)
         chosen.begin_attempt(str(number), own_work.OwnWork(1, 1, now_ms, 0))
-        end_ms, failed = servers[index].serve(now_ms, chance, fast_failures)
-        heapq.heappush(open_, (end_ms, number, index, now_ms, failed))
+        end_ms, failed = servers[index].serve(now_ms, rng, fast_failures)
+        heapq.heappush(in_flight, (end_ms, number, index, now_ms, failed))
     return times, failures
 
 
-def _note(
-    known: estimates.Estimate,
+def _record_outcome(
+    loads: estimates.Estimate,
     name: str,
     now_ms: float,
     failed: bool,
     fault_guard: bool,
 ) -> None:
     if failed and fault_guard:
-        known.note_fault(now_ms)
+        loads.note_fault(now_ms)
         # This table has no circuit breaker: only the guarded average counts.
-        known.open_until_ms = 0.0
+        loads.open_until_ms = 0.0
     else:
-        known.note_first_token(name, now_ms)
-    known.end_attempt(name)
+        loads.note_first_token(name, now_ms)
+    loads.end_attempt(name)
 
 
 def main(*, requests: int = 20_000, seed: int = 1) -> None:
@@ -127,13 +129,15 @@
         seed: Seed of all chance.
     """
     for name in _POLICIES:
-        times, _ = play(name, seed, requests, False, True)
+        times, _ = simulate(name, seed, requests, False, True)
         p50, p99 = (summary.percentile(times, x) for x in (50, 99))
         print(f"{name:<16} p50 {p50:>8.1f} ms  p99 {p99:>8.1f} ms")
     for guard in (False, True):
-        _, failures = play("peak_ewma_p2c", seed, requests, True, guard)
-        part = failures / requests
-        print(f"peak_ewma_p2c, fast failures, guard {guard}: {part:.1%} failed")
+        _, failures = simulate("peak_ewma_p2c", seed, requests, True, guard)
+        failure_ratio = failures / requests
+        print(
+            f"peak_ewma_p2c, fast failures, guard {guard}: {failure_ratio:.1%} failed"
+        )
 
 
 if __name__ == "__main__":
--- a/standins/replay.py
+++ b/standins/replay.py
@@ -35,13 +35,13 @@
 from standins import virtual_process as processes
 
 _SETTLE_MS = 5_000.0
-_DRAIN_MS = 60_000.0
+_DRAIN_TIMEOUT_MS = 60_000.0
 
 PolicyName = Literal[tuple(sorted(by_name.FACTORIES))]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Replayed:
+class ReplayResult:
     """What a replay gave.
 
     Attributes:
@@ -62,13 +62,13 @@
         self._lines = lines
         self._layout = layout
         self._tree = tree
-        self._first_ms: dict[str, float] = {}
+        self._first_sent_ms: dict[str, float] = {}
         requests = [x for x in lines if isinstance(x, trace.TracedRequest)]
         names = [request.id for request in requests]
         counts = collections.Counter(names)
-        self._resent = {name for name, count in counts.items() if count > 1}
+        self._resent_ids = {name for name, count in counts.items() if count > 1}
 
-    async def run(self) -> Replayed:
+    async def run(self) -> ReplayResult:
         """Runs the whole trace and waits for what it leaves."""
         cluster = clusters.Cluster(self._layout)
         cluster.configuration.publish(clusters.encode_tree(self._tree))
@@ -83,7 +83,7 @@
         process.start(balancer.run)
         await process.start(balancer.wait_ready)
         await asyncio.sleep(_SETTLE_MS / 1000.0)
-        found = await self._play(cluster, process, balancer, env)
+        found = await self._send_requests(cluster, process, balancer, env)
         fault_types.FaultInjector(cluster).clear_faults()
         await self._drain(cluster)
         executions = cluster.count_executions()
@@ -91,9 +91,9 @@
             dataclasses.replace(each, executions=executions.get(each.id, 0))
             for each in found
         )
-        return Replayed(counted, cluster.held_tokens())
+        return ReplayResult(counted, cluster.held_tokens())
 
-    async def _play(
+    async def _send_requests(
         self,
         cluster: clusters.Cluster,
         process: processes.VirtualProcess,
@@ -130,7 +130,7 @@
                     address,
                     request,
                     outgoing,
-                    lambda text: _is_right(request, text),
+                    lambda text: _is_expected_answer(request, text),
                 )
                 if found is not None:
                     return found
@@ -141,19 +141,19 @@
     def _make_outgoing(
         self, request: trace.TracedRequest, now_ms: float
     ) -> message.OutgoingRequest:
-        first_ms = self._first_ms.setdefault(request.id, now_ms)
-        key = request.id if request.id in self._resent else ""
+        first_sent_ms = self._first_sent_ms.setdefault(request.id, now_ms)
+        key = request.id if request.id in self._resent_ids else ""
         return caller.make_request(
             request,
             clusters.make_key(request.workspace),
             key,
-            now_ms - first_ms,
+            now_ms - first_sent_ms,
         )
 
     async def _drain(self, cluster: clusters.Cluster) -> None:
         """Waits until nothing is held, or for as long as a sweep may take."""
-        passed_ms = 0.0
-        longest_ms = max(
+        waited_ms = 0.0
+        time_limit_max_ms = max(
             (
                 line.time_limit_ms
                 for line in self._lines
@@ -161,12 +161,15 @@
             ),
             default=0.0,
         )
-        while passed_ms < _DRAIN_MS + longest_ms and cluster.held_tokens():
+        while (
+            waited_ms < _DRAIN_TIMEOUT_MS + time_limit_max_ms
+            and cluster.held_tokens()
+        ):
             await asyncio.sleep(1.0)
-            passed_ms += 1_000.0
+            waited_ms += 1_000.0
 
 
-def _is_right(request: trace.TracedRequest, text: str) -> bool:
+def _is_expected_answer(request: trace.TracedRequest, text: str) -> bool:
     prompt = caller.make_prompt(request, full_size=False)
     if not request.prompt_tokens:
         return answers.make_service_answer(prompt) in text
@@ -174,7 +177,7 @@
     return text == answers.make_answer(prompt, tokens)
 
 
-def complete_tree(
+def add_missing_workloads(
     tree: dict, lines: tuple[trace.Line, ...], layout: clusters.Layout
 ) -> dict:
     """Adds what the trace names and the tree does not have."""
@@ -186,7 +189,7 @@
     return tree
 
 
-def find_pools(tree: dict, layout: clusters.Layout) -> clusters.Layout:
+def apply_pool_names(tree: dict, layout: clusters.Layout) -> clusters.Layout:
     """Takes the names of the pools from a tree."""
     checked = check.parse_tree(1, clusters.encode_tree(tree))
     if not isinstance(checked, trees.Tree):
@@ -203,16 +206,16 @@
     lines: tuple[trace.Line, ...],
     layout: clusters.Layout,
     tree: dict | None = None,
-) -> Replayed:
+) -> ReplayResult:
     """Replays a trace in a fresh virtual loop."""
     logs.configure("CRITICAL", False)
     tree = tree or clusters.make_default_tree(layout.engine)
-    layout = find_pools(tree, layout)
-    tree = complete_tree(tree, lines, layout)
+    layout = apply_pool_names(tree, layout)
+    tree = add_missing_workloads(tree, lines, layout)
     return processes.run(lambda: Replay(lines, layout, tree).run())
 
 
-def without_long(lines: tuple[trace.Line, ...]) -> tuple[trace.Line, ...]:
+def drop_long_requests(lines: tuple[trace.Line, ...]) -> tuple[trace.Line, ...]:
     """Returns the trace without its long requests."""
     return tuple(
         line
@@ -266,7 +269,7 @@
     found = replay(lines, layout, document)
     alone: tuple[outcomes.TracedOutcome, ...] = ()
     if slowdown:
-        alone = replay(without_long(lines), layout, document).outcomes
+        alone = replay(drop_long_requests(lines), layout, document).outcomes
     once = frozenset(
         line.id
         for line in lines
--- a/standins/slopes.py
+++ b/standins/slopes.py
@@ -31,15 +31,15 @@
 
 SIZES = (8, 40, 80, 120, 160)
 # From this size on a hall has more members than a digest has rows.
-_FULL_SIZE = 40
+_FULL_DIGEST_SIZE = 40
 _REAL_SIZES = (8, 24, 48, 96)
 _TARGET_SIZES = (4, 8, 16, 32)
 # At 940 nodes a hall has 78, as it has here at 234.
 _HALLS = 3
 _SETTLE_S = 8.0
 _MEASURE_S = 20.0
-_LONGEST_S = 30.0
-_TICK_S = 0.05
+_TIMEOUT_S = 30.0
+_POLL_S = 0.05
 _TARGET_NODES = 940
 _TARGET_REPLICAS = 12_000
 _TARGET_WORKSPACES = 600
@@ -66,7 +66,7 @@
 
 
 # What a busy entry has on its targets.
-_BUSY = tuple(
+_BUSY_ENTRY_LOAD = tuple(
     dispatched.Dispatched(f"engine-{n}", (9_000, 4_000, 0, 0, 0), 70_000, 12)
     for n in range(32)
 )
@@ -77,11 +77,11 @@
     count = len(sizes)
     mean_x = sum(sizes) / count
     mean_y = sum(values) / count
-    spread = sum((x - mean_x) ** 2 for x in sizes)
-    shared = sum(
+    sum_xx = sum((x - mean_x) ** 2 for x in sizes)
+    sum_xy = sum(
         (x - mean_x) * (y - mean_y) for x, y in zip(sizes, values, strict=True)
     )
-    slope = shared / spread
+    slope = sum_xy / sum_xx
     base = mean_y - slope * mean_x
     error = max(
         abs(base + slope * x - y) / max(1e-9, abs(y))
@@ -118,29 +118,29 @@
     await asyncio.sleep(_SETTLE_S)
     agents = [node.agent for node in cluster.vms.values()]
     for agent in agents:
-        agent.knowledge.own_dispatched = _BUSY
+        agent.knowledge.own_dispatched = _BUSY_ENTRY_LOAD
     before = sum(agent.peer_bytes() for agent in agents)
     calls = sum(cluster.configuration.calls.values())
     list_calls = cluster.vm_list.calls
     began = time.process_time()
     await asyncio.sleep(_MEASURE_S)
-    used = time.process_time() - began
+    cpu_s = time.process_time() - began
     # Both ends count a byte, so the sum is what goes in and out of nodes.
-    moved = sum(agent.peer_bytes() for agent in agents) - before
+    peer_bytes = sum(agent.peer_bytes() for agent in agents) - before
     calls = sum(cluster.configuration.calls.values()) - calls
     list_calls = cluster.vm_list.calls - list_calls
-    wrongly = sum(
+    wrongly_suspected = sum(
         len(cluster.vms) // _HALLS - len(agent.knowledge.live_in_hall())
         for agent in agents
     )
     change_s = await _wait_for_change(cluster)
     death_s = await _wait_for_death(cluster)
     return {
-        "peer_bytes_per_s_a_node": moved / size / _MEASURE_S,
+        "peer_bytes_per_s_a_node": peer_bytes / size / _MEASURE_S,
         "service_calls_per_s": calls / _MEASURE_S,
         "list_calls_per_s": list_calls / _MEASURE_S,
-        "virtual_cpu_ms_per_s_a_node": used * 1000.0 / size / _MEASURE_S,
-        "wrongly_suspected_a_node": max(0, wrongly) / size,
+        "virtual_cpu_ms_per_s_a_node": cpu_s * 1000.0 / size / _MEASURE_S,
+        "wrongly_suspected_a_node": max(0, wrongly_suspected) / size,
         "change_everywhere_s": change_s,
         "death_known_s": death_s,
     }
@@ -150,38 +150,38 @@
     revision = cluster.configuration.publish(
         clusters.encode_tree(make_tree(2.0))
     )
-    passed = 0.0
-    while passed < _LONGEST_S:
+    waited = 0.0
+    while waited < _TIMEOUT_S:
         behind = [
             node
             for node in cluster.vms.values()
             if node.agent.knowledge.in_force.manifest.revision < revision
         ]
         if not behind:
-            return passed
-        await asyncio.sleep(_TICK_S)
-        passed += _TICK_S
-    return passed
+            return waited
+        await asyncio.sleep(_POLL_S)
+        waited += _POLL_S
+    return waited
 
 
 async def _wait_for_death(cluster: clusters.Cluster) -> float:
     dead = cluster.vms["vm-2"]
     cluster.network.reset_node(dead.process)
     dead.process.kill()
-    passed = 0.0
-    while passed < _LONGEST_S:
-        believing = [
+    waited = 0.0
+    while waited < _TIMEOUT_S:
+        uninformed = [
             node
             for node in cluster.vms.values()
             if node.hall == dead.hall
             and node is not dead
             and dead.name in node.agent.knowledge.live_in_hall()
         ]
-        if not believing:
-            return passed
-        await asyncio.sleep(_TICK_S)
-        passed += _TICK_S
-    return passed
+        if not uninformed:
+            return waited
+        await asyncio.sleep(_POLL_S)
+        waited += _POLL_S
+    return waited
 
 
 def _measure_real(size: int) -> dict[str, float]:
@@ -198,7 +198,7 @@
         time.sleep(_SETTLE_S + size * 0.1)
         before = {name: run.measure_cpu_s(f"agent {name}") for name in names}
         time.sleep(_MEASURE_S)
-        used = [
+        cpu_s = [
             run.measure_cpu_s(f"agent {name}") - before[name] for name in names
         ]
         memory = [run.measure_memory_mb(f"agent {name}") for name in names]
@@ -207,12 +207,12 @@
         path.unlink()
         folder.rmdir()
     return {
-        "cpu_percent_a_node": sum(used) / size / _MEASURE_S * 100.0,
+        "cpu_percent_a_node": sum(cpu_s) / size / _MEASURE_S * 100.0,
         "memory_mb_a_node": sum(memory) / size,
     }
 
 
-def _measure_polls(size: int) -> dict[str, float]:
+def _measure_load_polls(size: int) -> dict[str, float]:
     """Runs one agent before some targets; returns what it costs."""
     folder = pathlib.Path(processes.tempfile.mkdtemp())
     path = folder / "tree.json"
@@ -225,12 +225,12 @@
         time.sleep(_SETTLE_S)
         before = run.measure_cpu_s("agent vm-1")
         time.sleep(_MEASURE_S)
-        used = run.measure_cpu_s("agent vm-1") - before
+        cpu_s = run.measure_cpu_s("agent vm-1") - before
     finally:
         run.close()
         path.unlink()
         folder.rmdir()
-    return {"cpu_percent_of_polls": used / _MEASURE_S * 100.0}
+    return {"cpu_percent_of_polls": cpu_s / _MEASURE_S * 100.0}
 
 
 def _make_listing(nodes: int, replicas: int) -> listings.Listing:
@@ -310,12 +310,12 @@
         virtual_process.run(lambda size=size: _measure_virtual(size))
         for size in SIZES
     ]
-    figures = _print_table(SIZES, rows, _FULL_SIZE)
+    figures = _print_table(SIZES, rows, _FULL_DIGEST_SIZE)
     if real:
         print("real agents", _REAL_SIZES)
         _print_table(_REAL_SIZES, [_measure_real(x) for x in _REAL_SIZES])
         print("targets of one agent", _TARGET_SIZES)
-        rows = [_measure_polls(size) for size in _TARGET_SIZES]
+        rows = [_measure_load_polls(size) for size in _TARGET_SIZES]
         _print_table(_TARGET_SIZES, rows, at=_SUBSET)
     print("state")
     sizes = {
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -13,38 +13,38 @@
 
 
 class AtMostOnceModelTest(unittest.TestCase):
-    def explore(self, bounds: ledger.Bounds, lag: int) -> explore.Explored:
+    def explore(self, bounds: ledger.Bounds, lag: int) -> explore.Exploration:
         return explore.explore(
-            models.first_key_state(),
-            lambda state: models.key_steps(state, bounds, lag),
+            models.make_first_key_state(),
+            lambda state: models.find_key_steps(state, bounds, lag),
             lambda state: state.runs <= 1,
         )
 
     def test_no_interleaving_runs_twice(self) -> None:
         found = self.explore(_BOUNDS, _LAG)
-        self.assertEqual(found.trail, ())
+        self.assertEqual(found.counterexample, ())
         self.assertGreater(found.states, 10_000)
 
     def test_runs_twice_without_the_margin(self) -> None:
         found = self.explore(ledger.Bounds(1, 0), _LAG)
-        self.assertTrue(found.trail)
+        self.assertTrue(found.counterexample)
 
     def test_runs_twice_with_an_old_list(self) -> None:
         found = self.explore(ledger.Bounds(100, 2), _LAG)
-        self.assertTrue(found.trail)
+        self.assertTrue(found.counterexample)
 
 
 class AdoptionModelTest(unittest.TestCase):
-    def explore(self) -> explore.Explored:
+    def explore(self) -> explore.Exploration:
         return explore.explore(
-            models.first_adoption_state(),
-            lambda state: models.adoption_steps(state, True),
+            models.make_first_adoption_state(),
+            lambda state: models.find_adoption_steps(state, True),
             lambda state: not state.reverted,
         )
 
     def test_no_interleaving_reverts_an_entry(self) -> None:
         found = self.explore()
-        self.assertEqual(found.trail, ())
+        self.assertEqual(found.counterexample, ())
         self.assertGreater(found.states, 1_000)
 
     def test_reverts_without_the_rule(self) -> None:
@@ -54,4 +54,4 @@
             lambda current, revision: revision != current.manifest.revision,
         ):
             found = self.explore()
-        self.assertTrue(found.trail)
+        self.assertTrue(found.counterexample)
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -242,7 +242,7 @@
     def late_executions(self, lines: list) -> int:
         """Returns runs on engine-1 of what was sent 6 s after it left."""
         cluster = mock.Mock()
-        original = virtual.clusters.Cluster.executions
+        original = virtual.clusters.Cluster.count_executions
 
         def executions(self: virtual.clusters.Cluster) -> dict[str, int]:
             cluster.found = self
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -18,8 +18,8 @@
 from ruddergate.messages import news
 from standins import epoch_model
 from standins import explore
+from standins import freshness_model
 from standins import gateway_cluster
-from standins import proof_model
 from tests import gateway_scene
 
 _HALL = 9
@@ -29,34 +29,38 @@
     """Every interleaving of a reader and a VM that asks it."""
 
     def explore(
-        self, find_proven: proof_model.FindProven, **fields: bool
-    ) -> explore.Explored:
+        self,
+        find_current_as_of: freshness_model.FindCurrentAsOf,
+        **fields: bool,
+    ) -> explore.Exploration:
         return explore.explore(
-            proof_model.ProofState(),
-            lambda state: proof_model.steps(state, find_proven, **fields),
-            proof_model.is_true,
+            freshness_model.FreshnessState(),
+            lambda state: freshness_model.find_steps(
+                state, find_current_as_of, **fields
+            ),
+            freshness_model.is_claim_valid,
         )
 
     def test_no_interleaving_proves_what_is_not_true(self) -> None:
         found = self.explore(freshness.find_current_as_of_ms)
-        self.assertEqual(found.trail, ())
+        self.assertEqual(found.counterexample, ())
         self.assertGreater(found.states, 10_000)
 
     def test_answers_of_earlier_questions_would(self) -> None:
         found = self.explore(
-            freshness.find_current_as_of_ms, matches_questions=False
+            freshness.find_current_as_of_ms, matches_requests=False
         )
-        self.assertTrue(found.trail)
+        self.assertTrue(found.counterexample)
 
     def test_trust_in_a_younger_age_would(self) -> None:
         found = self.explore(lambda asked_ms, age_ms: asked_ms - age_ms + 1.0)
-        self.assertTrue(found.trail)
+        self.assertTrue(found.counterexample)
 
     def test_clock_that_stands_still_in_a_suspension_would(self) -> None:
         found = self.explore(
-            freshness.find_current_as_of_ms, counts_sleep=False
+            freshness.find_current_as_of_ms, counts_suspension=False
         )
-        self.assertIn("sleeps", " ".join(found.trail))
+        self.assertIn("sleeps", " ".join(found.counterexample))
 
     def test_ages_that_cannot_be_true(self) -> None:
         for age_ms in (-1.0, math.nan, math.inf):
@@ -72,20 +76,20 @@
 class EpochModelTest(unittest.TestCase):
     """Every interleaving of a reader, a follower and a restore of the store."""
 
-    def explore(self, compares_epochs: bool) -> explore.Explored:
+    def explore(self, compares_within_epoch: bool) -> explore.Exploration:
         return explore.explore(
-            epoch_model.make_first(),
-            lambda state: epoch_model.steps(state, compares_epochs),
-            epoch_model.is_true,
+            epoch_model.make_first_state(),
+            lambda state: epoch_model.find_steps(state, compares_within_epoch),
+            epoch_model.is_claim_valid,
         )
 
     def test_no_change_is_missed_across_a_restore(self) -> None:
         found = self.explore(True)
-        self.assertEqual(found.trail, ())
+        self.assertEqual(found.counterexample, ())
         self.assertGreater(found.states, 10_000)
 
     def test_one_would_be_by_revisions_alone(self) -> None:
-        self.assertIn("restore", self.explore(False).trail)
+        self.assertIn("restore", self.explore(False).counterexample)
 
 
 def _make_target(name: str, state: condition.Condition) -> targets.Target:
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -33,16 +33,16 @@
     lines: list[trace.Line],
     layout: clusters.Layout = LAYOUT,
     tree: dict | None = None,
-) -> replay.Replayed:
+) -> replay.ReplayResult:
     """Replays lines in any order of writing."""
     ordered = sorted(lines, key=lambda line: line.at_ms)
     return replay.replay(tuple(ordered), layout, tree)
 
 
-broken_promises = schedules.find_broken
+broken_promises = schedules.find_violations
 
 
-def statuses(found: replay.Replayed) -> dict[str, int]:
+def statuses(found: replay.ReplayResult) -> dict[str, int]:
     """Returns how many requests ended in which way."""
     counts: dict[str, int] = {}
     for each in found.outcomes:
