--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -249,7 +249,7 @@
             return original(self)
 
         with mock.patch.object(
-            virtual.clusters.Cluster, "executions", executions
+            virtual.clusters.Cluster, "count_executions", executions
         ):
             virtual.play(lines)
         late = {
