--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for outside systems; no part of the product."""
+"""Fakes of external systems, and test tools; not part of the product."""
--- a/standins/_private.py
+++ b/standins/_private.py
@@ -1,4 +1,4 @@
-"""Helpers that the stand-ins share."""
+"""Helpers shared by the stand-ins."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -12,17 +12,17 @@
 NON_NEGATIVE = cyclopts.Parameter(validator=cyclopts.validators.Number(gte=0))
 
 
-# Below the range from which the system takes ports for outgoing connections
-# (32,768 on): one of those may take a port between its choice and its use.
+# Below the ephemeral ports (from 32,768 on): an outgoing connection could take
+# one of those between the check here and its use.
 _PORT_RANGE = range(10_000, 32_000)
-# Each process chooses from a range of its own, so that two that run at once
-# hardly ever meet; the step is more than a run of one process takes.
+# Each process starts at a different offset, so that concurrent processes rarely
+# choose the same port; a process takes fewer ports than this.
 _PORTS_PER_PROCESS = 97
 _PORT_NUMBERS = itertools.count(os.getpid() * _PORTS_PER_PROCESS)
 
 
 def find_free_port() -> int:
-    """Returns a port that nobody listens at, another one at each call."""
+    """Returns a port at which nobody listens, a different one at each call."""
     for number in _PORT_NUMBERS:
         port = _PORT_RANGE[number % len(_PORT_RANGE)]
         with socket.socket() as probe:
@@ -31,7 +31,7 @@
             except OSError:
                 continue
         return port
-    raise AssertionError("the numbers do not end")
+    raise AssertionError("the port numbers are infinite")
 
 
 def run_until_signal(coroutine: Coroutine) -> None:
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -1,4 +1,4 @@
-"""Wires the product's own tasks to the stand-ins in one virtual-time loop."""
+"""Runs the product's tasks with the fakes in one virtual-time event loop."""
 
 import asyncio
 import dataclasses
@@ -31,22 +31,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Layout:
-    """Sizes of a run.
+    """Sizes and settings of a run.
 
     Attributes:
-        vms: Entry VMs.
-        halls: Data halls, over which VMs and targets are dealt in turn.
-        engines: Engines.
-        services: Plain services.
+        vms: Number of entry VMs.
+        halls: Number of data halls, to which VMs and targets are assigned
+            round-robin.
+        engines: Number of engines.
+        services: Number of plain services.
         engine_pool: Pool of the engines.
         service_pool: Pool of the services.
         policy: Routing policy of the entries.
-        seed: Seed of all chance.
+        seed: Seed of the random number generators.
         list_lag_ms: Lag of the VM list.
-        latency: Latencies.
+        latency: Latencies of the network.
         engine: Rates and sizes of an engine.
-        stop_lag_ms: Time for the balancer to see a planned stop.
-        with_entries: Whether VMs have entries, or agents alone.
+        stop_lag_ms: Time until the load balancer notices a planned stop.
+        runs_entries: Whether VMs run entries besides their agents.
     """
 
     vms: int = 8
@@ -68,18 +69,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Node:
-    """A node and what runs on it now.
+    """A node and its running processes.
 
     Attributes:
-        name: Its name.
-        hall: Its hall.
-        incarnation: How often it was started.
+        name: Name.
+        hall: Data hall.
+        incarnation: Number of starts so far.
         process: Its running process.
-        agent: The agent, on a VM.
-        entry: The entry, on a VM.
-        target: The engine or service, on a target node.
-        stop: Begins the planned stop of a VM.
-        entry_task: Ends with the planned stop of a VM's entry.
+        agent: The agent, if it is a VM.
+        entry: The entry, if it is a VM with one.
+        target: The engine or service, if it is a target.
+        stop: Event that begins the planned stop of a VM.
+        entry_task: Task of a VM's entry, done once its planned stop ended.
     """
 
     name: str
@@ -94,16 +95,17 @@
 
 
 class Cluster:
-    """One run: platform, targets and VMs, with faults.
+    """A cluster of platform services, targets and VMs.
 
     Attributes:
-        layout: Sizes.
-        network: Streams and cuts.
+        layout: Sizes and settings.
+        network: Virtual network with its partitions.
         configuration: The configuration service.
         vm_list: The VM list.
         vms: VMs by name.
         targets: Engines and services by name.
-        all_targets: Every incarnation of every target, for counting.
+        all_targets: Name and every incarnation of every target, to count
+            executions.
     """
 
     def __init__(self, layout: Layout) -> None:
@@ -177,7 +179,7 @@
             self.start_node(node)
 
     def start_node(self, node: Node) -> None:
-        """Starts a fresh incarnation of a node."""
+        """Starts a new incarnation of a node."""
         node.incarnation += 1
         node.process = processes.VirtualProcess(node.name, node.hall)
         env = self.network.make_environment(node.process, node.incarnation)
@@ -228,25 +230,25 @@
         tracer = traces.Tracer(None)
         node.entry = entry_programs.Entry(env, entry_config, tracer)
         entry = node.entry
-        # The agent goes on until the entry has ended its planned stop.
+        # The agent runs on, because the entry needs it during its planned stop.
         node.process.start(lambda: agent.run(asyncio.Event()))
         node.entry_task = node.process.start(lambda: entry.run(stop))
 
     def kill(self, node: Node) -> None:
-        """Ends a node at once; the list drops it some time later."""
+        """Kills a node; the VM list drops it after its lag."""
         node.process.kill()
         self.network.reset_node(node.process)
         self._set_listed(node, is_listed=False)
 
     def restart(self, node: Node) -> None:
-        """Starts a killed or stopped node afresh."""
+        """Starts a node again; kills it before if it still runs."""
         if not node.process.is_dead:
             self.kill(node)
         self.start_node(node)
         self._set_listed(node, is_listed=True)
 
     def start_drain(self, node: Node) -> None:
-        """Begins the planned stop of a VM, or has a target leave."""
+        """Starts the planned stop of a VM, or drains a target."""
         row = self._make_row(node)
         setter = self._find_setter(node)
         setter(node.name, **{**row, "state": "leaving"})
@@ -256,7 +258,7 @@
             node.target.draining = True
 
     def has_drained(self, node: Node) -> bool:
-        """Returns whether a node has left as planned."""
+        """Returns whether a VM's planned stop ended or a target is draining."""
         if node.entry_task is not None:
             return node.entry_task.done()
         return node.target is not None and node.target.draining
@@ -274,7 +276,7 @@
         return self.vm_list.set_vm if is_vm else self.vm_list.set_target
 
     def count_executions(self) -> dict[str, int]:
-        """Returns how often each prompt or body was run, by its text."""
+        """Returns how often each prompt or body was executed."""
         total: dict[str, int] = {}
         for _, target in self.all_targets:
             for text, count in target.executions.items():
@@ -282,7 +284,7 @@
         return total
 
     def held_tokens(self) -> int:
-        """Returns the memory in use on all engines that run."""
+        """Returns the memory in use on all running engines."""
         return sum(
             node.target.held_tokens()
             for node in self.targets.values()
@@ -292,12 +294,15 @@
 
 
 def hash_key(key: str) -> str:
-    """Returns the digest under which the tree keeps a workspace's key."""
+    """Returns the hash of a workspace's key as the settings tree has it."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def make_default_tree(engine: engine_state.EngineSettings) -> dict:
-    """Returns a tree with one class, one pool of each kind, no workspace."""
+    """Returns a settings tree without workspaces.
+
+    It has one class and one pool of each kind.
+    """
     return {
         "branches": {
             "root": {
@@ -331,7 +336,7 @@
 
 
 def add_workload(tree: dict, workspace: str, workload: str, pool: str) -> None:
-    """Adds a workspace and a workload that the tree does not have."""
+    """Adds a workspace and a workload if the tree does not have them."""
     branches = tree["branches"]
     if workspace not in branches:
         branches[workspace] = {
@@ -345,10 +350,10 @@
 
 
 def make_key(workspace: str) -> str:
-    """Returns the key that callers of a workspace use in virtual runs."""
+    """Returns the API key that callers of a workspace use in virtual runs."""
     return f"demo-{workspace}"
 
 
 def encode_tree(tree: dict) -> dict[str, bytes]:
-    """Returns a tree as the shards of one revision."""
+    """Returns a tree as the shards of a revision."""
     return {"main": orjson.dumps(tree)}
--- a/standins/configuration.py
+++ b/standins/configuration.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's configuration service."""
+"""Fake of the platform's configuration service."""
 
 import asyncio
 import pathlib
@@ -15,11 +15,12 @@
 
 
 class Configuration:
-    """Revisions of a tree; may serve an older state than it has.
+    """Revisions of a settings tree; can serve an older one than the newest.
 
     Attributes:
-        calls: Calls answered or waiting, by kind.
-        serves_behind: How many revisions behind the newest it serves.
+        calls: Number of requests by kind, including waiting ones.
+        revisions_behind: How many revisions the served one is behind the
+            newest.
     """
 
     def __init__(self) -> None:
@@ -31,7 +32,7 @@
 
     @property
     def newest_revision(self) -> int:
-        """The newest revision published."""
+        """The newest published revision."""
         return self._manifests[-1].revision
 
     def publish(self, shards: dict[str, bytes]) -> int:
@@ -49,7 +50,7 @@
         return {shard.name: self._shards[shard.digest] for shard in shards}
 
     def notify_watchers(self) -> None:
-        """Lets waiting watches look again."""
+        """Makes waiting watches check the served revision again."""
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -110,11 +111,11 @@
 
 
 def main(*, listen: str, tree: pathlib.Path) -> None:
-    """Runs the configuration stand-in.
+    """Runs the fake configuration service.
 
     Args:
-        listen: Where to serve (HOST:PORT).
-        tree: File with the first revision's only shard.
+        listen: Address to listen at (HOST:PORT).
+        tree: File with the only shard of the first revision.
     """
     configuration = Configuration()
     configuration.publish({"main": tree.read_bytes()})
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,8 +1,8 @@
-"""Stand-in of a model engine with continuous batching.
+"""Fake model engine with continuous batching.
 
-In each step it decodes one token of every running stream and prefills a chunk
-of waiting prompts, highest priority first; the two slow each other. A stream
-holds its memory until it was read to its end or is cancelled.
+Each step decodes one token of every running stream and prefills a chunk of
+waiting prompts, highest priority first; decoding and prefill slow each other
+down. A stream holds its memory until it was read to its end or is cancelled.
 """
 
 import asyncio
@@ -31,9 +31,9 @@
     """One engine.
 
     Attributes:
-        executions: Streams taken in, by prompt.
-        revisions: Fences of the orders taken, in order.
-        draining: Whether it takes no new work.
+        executions: Number of accepted streams by prompt.
+        revisions: Fencing tokens (revisions) of accepted orders, in order.
+        draining: Whether it refuses new work.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         return self._batch.held_tokens()
 
     async def run(self) -> None:
-        """Does steps for as long as there is work."""
+        """Runs batch steps while there is work, else waits for work."""
         while True:
             self._work_available.clear()
             took_ms = self._batch.step()
@@ -137,14 +137,16 @@
             allocation_id in self._tombstones
             or allocation_id in self._allocations
         ):
-            return _make_refusal(409, "a stream of that name came before")
+            return _make_refusal(409, "a stream with this id was seen before")
         key = document["key"]
         if key and self._settings.checks_key:
             if key in self._keys:
-                return _make_refusal(409, "a key seen before")
+                return _make_refusal(409, "the idempotency key was seen before")
             self._keys.add(key)
         if not await self._import_kv_parts(document):
-            return _make_refusal(409, "a part of the prompt is missing")
+            return _make_refusal(
+                409, "a KV part of the prompt could not be imported"
+            )
         allocation = self._make_stream(document)
         prompt = document["prompt"]
         self.executions[prompt] = self.executions.get(prompt, 0) + 1
@@ -215,7 +217,7 @@
     async def _stream_tokens(
         self, allocation: states.Allocation, sent: int
     ) -> AsyncIterator[bytes]:
-        # An early sign of life: the head goes out with the first part.
+        # Sent at once, because the response head goes out with the first chunk.
         yield b": taken\n\n"
         while not allocation.is_released:
             changed = allocation.changed
@@ -245,7 +247,7 @@
     def _handle_resume(self, path: str, query: dict) -> message.Response:
         allocation = self._allocations.get(path.rpartition("/")[2])
         if allocation is None:
-            return _make_refusal(404, "no such stream")
+            return _make_refusal(404, "unknown stream")
         return self._respond(allocation, int(query["after"]))
 
     def _handle_kv(self, path: str) -> message.Response:
@@ -255,7 +257,7 @@
 
     def _handle_cancel(self, document: dict) -> message.Response:
         for allocation_id in document["ids"]:
-            # A cancel may overtake the start of what it cancels.
+            # A cancel may arrive before the request that it cancels.
             self._tombstones[allocation_id] = None
             if len(self._tombstones) > _MAX_TOMBSTONES:
                 del self._tombstones[next(iter(self._tombstones))]
@@ -275,7 +277,7 @@
             return _make_refusal(503, "draining")
         free = self._settings.memory_tokens - self.held_tokens()
         if document["tokens"] > free:
-            return _make_refusal(409, "no memory")
+            return _make_refusal(409, "not enough memory")
         allocation = self._make_allocation(
             allocation_id, document, document["tokens"]
         )
@@ -287,7 +289,7 @@
     async def _handle_prefill(self, document: dict) -> message.Response:
         allocation = self._allocations.get(document["reservation"])
         if allocation is None or not await self._import_kv_parts(document):
-            return _make_refusal(409, "nothing reserved or imported")
+            return _make_refusal(409, "unknown reservation or failed KV import")
         allocation.prefill_tokens_left = document["tokens"]
         self._work_available.set()
         while allocation.prefill_tokens_left > 0 and not allocation.is_released:
@@ -302,7 +304,7 @@
             newest = max(self.revisions, default=0)
             stale = revision < newest
             if stale or document["generation"] != self._generation:
-                return _make_refusal(409, "an old fence")
+                return _make_refusal(409, "stale fencing token")
         self.revisions.append(revision)
         if self._loading is not None:
             self._loading.cancel()
@@ -388,13 +390,13 @@
     memory_tokens: int = 400_000,
     step_ms: float = 18.0,
 ) -> None:
-    """Runs one engine stand-in.
+    """Runs one fake engine.
 
     Args:
-        listen: Where to serve (HOST:PORT).
-        flush_ms: Least time between two writes of one stream.
+        listen: Address to listen at (HOST:PORT).
+        flush_ms: Minimum time between two writes of one stream.
         memory_tokens: KV memory.
-        step_ms: Time of a step without any work.
+        step_ms: Duration of a step without any work.
     """
     settings = states.EngineSettings(
         flush_ms=flush_ms, memory_tokens=memory_tokens, step_ms=step_ms
--- a/standins/engine_state.py
+++ b/standins/engine_state.py
@@ -1,4 +1,4 @@
-"""The state of an engine: streams, reservations, memory and prefix cache."""
+"""State of the fake engine: streams, reservations, memory and prefix cache."""
 
 import asyncio
 import collections
@@ -13,18 +13,18 @@
 
     Attributes:
         memory_tokens: KV memory.
-        cache_tokens: Part of it kept for shared prefixes.
-        chunk_tokens: Most prompt tokens prefilled in one step.
+        cache_tokens: Capacity of the cache of shared prefixes.
+        chunk_tokens: Maximum prompt tokens prefilled in one step.
         prefill_tokens_per_s: Rate of prefill inside a step.
-        step_ms: Time of a step without any work.
-        decode_ms: What one decoding stream adds to a step.
-        report_ms: Time between two load accounts.
+        step_ms: Duration of a step without any work.
+        decode_ms: Time that each decoding stream adds to a step.
+        report_ms: Time between two load reports.
         event_lag_ms: Delay of cache events.
-        event_loss: Part of cache events that is lost.
-        flush_ms: Least time between two writes of one stream.
+        event_loss_ratio: Share of cache events that is lost.
+        flush_ms: Minimum time between two writes of one stream.
         load_ms: Time to load a model once its weights are read.
-        checks_fence: Whether orders with an old fence are refused.
-        checks_key: Whether a key seen before is refused.
+        checks_fence: Whether orders with a stale fencing token are refused.
+        checks_key: Whether a reused idempotency key is refused.
     """
 
     memory_tokens: int = 400_000
@@ -47,23 +47,25 @@
     """A stream or a reservation in an engine's memory.
 
     Attributes:
-        item_id: Name given by the caller.
+        allocation_id: Id given by the caller.
         owner: Owner given by the caller.
-        lapse_ms: Time after which nobody needs it.
-        began_ms: When it came.
-        held_tokens: Memory that it takes up once admitted.
+        expiry_ms: Time after which it is no longer needed.
+        started_ms: Time of arrival.
+        held_tokens: Memory that it uses once admitted.
         priority: Higher goes first.
         number: Order of arrival.
         prompt: Prompt text.
         prefix: Name of its shared prefix.
         prefix_tokens: Length of the prefix.
-        to_prefill: Prompt tokens not yet prefilled.
-        position: Tokens generated, those delivered earlier included.
-        last_position: Tokens of the whole answer.
-        first_position: Where this engine began.
-        is_stream: Whether it generates; else it only holds a part.
-        is_admitted: Whether it has its memory.
-        is_freed: Whether it is gone.
+        prefill_tokens_left: Prompt tokens not yet prefilled.
+        generated_tokens: Tokens generated, including those that another engine
+            delivered before.
+        output_tokens: Tokens of the complete answer.
+        first_token: Position of the first token that this engine generates.
+        is_stream: Whether it generates; otherwise it is a reservation that only
+            holds memory for a part of a prompt.
+        is_admitted: Whether its memory is allocated.
+        is_released: Whether its memory was released.
         changed: Set when there is something new to send.
     """
 
@@ -87,17 +89,17 @@
     changed: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
     def is_decoding(self) -> bool:
-        """Returns whether it has a token to come in the next step."""
+        """Returns whether the next step generates a token for it."""
         is_prefilled = self.is_stream and self.prefill_tokens_left == 0
         return is_prefilled and self.generated_tokens < self.output_tokens
 
     def notify(self) -> None:
-        """Wakes whoever waits for news of the item."""
+        """Wakes all tasks that wait for a change."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     def make_token_texts(self, first: int, end: int) -> list[str]:
-        """Returns the tokens from `first` up to `end`."""
+        """Returns the tokens from `first` up to, not including, `end`."""
         return [
             answers.make_token_text(self.prompt, each)
             for each in range(first, end)
@@ -105,7 +107,7 @@
 
 
 class PrefixCache:
-    """Shared prefixes; the least recently used goes first."""
+    """LRU cache of shared prefixes."""
 
     def __init__(self, tokens_max: int) -> None:
         self._tokens_max = tokens_max
@@ -114,14 +116,18 @@
         )
 
     def find_cached_tokens(self, prefix: str, tokens: int) -> int:
-        """Returns how many tokens of a prefix need no prefill."""
+        """Returns how many tokens of a prefix are cached; marks it as used."""
         if prefix not in self._prefixes:
             return 0
         self._prefixes.move_to_end(prefix)
         return min(tokens, self._prefixes[prefix])
 
     def add(self, prefix: str, tokens: int) -> list[tuple[str, int]]:
-        """Stores a prefix; returns the changes as prefix and tokens."""
+        """Adds a prefix, evicting others if needed.
+
+        Returns:
+            Each changed prefix with its cached tokens, 0 if it was evicted.
+        """
         if not prefix or tokens > self._tokens_max:
             return []
         if self._prefixes.get(prefix, 0) >= tokens:
--- a/standins/epoch_model.py
+++ b/standins/epoch_model.py
@@ -1,9 +1,9 @@
 """A model of positions in a store that is restored from an older copy.
 
-A reader asks the store; a follower tells the reader its position and goes by
-what has changed since. Changes, a restore that loses the last change, calls and
-datagrams come in any order, late or never. The follower's claims are checked
-against what the store holds.
+A reader reads the store; a follower sends the reader its position and applies
+the changes since then. Changes, a restore that loses the last change, calls and
+datagrams happen in any order, late or never. The follower's claims are checked
+against the store.
 """
 
 from collections.abc import Iterator
@@ -22,8 +22,8 @@
     """A change in the store.
 
     Attributes:
-        number: Its name; what is written again has another.
-        at: The tick at which it was published.
+        number: Id; a change that is written again gets a new one.
+        at: Tick at which it was published.
     """
 
     number: int
@@ -32,13 +32,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KnownState:
-    """What a VM knows, and since when that was certainly all.
+    """A VM's copy of the store, and as of when it is known to be complete.
 
     Attributes:
-        epoch: The store's epoch of its position.
-        changes: What the store held at its position, as far as it was told.
-        revision: The store's revision of its position.
-        proven: The tick at which that was certainly all.
+        epoch: Store epoch of its position.
+        changes: Changes that it knows.
+        revision: Store revision of its position.
+        current_as_of: Tick as of which it claims to know all changes.
     """
 
     epoch: int = 1
@@ -47,19 +47,19 @@
     current_as_of: int = 0
 
     def position(self) -> store_position.StorePosition:
-        """Returns up to where the VM knows the store."""
+        """Returns the store position up to which the VM knows the changes."""
         return store_position.StorePosition(self.epoch, self.revision)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer under way to the follower.
+    """A reply in flight to the follower.
 
     Attributes:
-        asked_at: The tick of the question.
-        asked: The position in the question.
-        told: What the reader knew as it answered, in order.
-        held: What the reader held then.
+        requested_at: Tick of the request.
+        requested_position: Position in the request.
+        reader_changes: All changes that the reader knew, in order.
+        known: The reader's state.
     """
 
     requested_at: int
@@ -70,20 +70,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EpochState:
-    """One state; times are whole ticks.
+    """State of the model; times are whole ticks.
 
     Attributes:
         now: Current tick.
         epoch: The store's epoch.
-        store: What the store holds, in order of revisions.
-        written: How many changes were ever published.
-        calls: Ticks at which the reader's calls under way began.
-        reader: What the reader knows.
-        reader_log: The same in order of revisions.
-        questions: Questions under way: tick and position.
-        asked: How many were asked.
-        news: Answers under way.
-        follower: What the follower knows.
+        store: Changes in the store, in order of revisions.
+        written: Number of changes ever published.
+        calls: Ticks at which the reader's calls in flight began.
+        reader: The reader's state.
+        reader_log: Changes that the reader knows, in order of revisions.
+        requests: Requests in flight, as tick and position.
+        requests_sent: Number of requests ever sent.
+        replies: Replies in flight.
+        follower: The follower's state.
     """
 
     now: int = 0
@@ -100,7 +100,7 @@
 
 
 def make_first_state() -> EpochState:
-    """Returns the state in which all know the first change."""
+    """Returns the state in which both VMs know the first change."""
     first = Change(0, 0)
     known = KnownState(1, frozenset((first,)), 1, 0)
     return EpochState(
@@ -113,7 +113,7 @@
 
 
 def is_claim_valid(state: EpochState) -> bool:
-    """Returns whether the follower knows all that it claims to know."""
+    """Returns whether the follower knows all changes that it claims to."""
     current_as_of = state.follower.current_as_of
     return all(
         change in state.follower.changes
@@ -125,11 +125,12 @@
 def find_steps(
     state: EpochState, compares_within_epoch: bool = True
 ) -> Iterator[explore.Step[EpochState]]:
-    """Yields all that can happen next.
+    """Yields all possible next steps.
 
     Args:
         state: The state.
-        compares_epochs: Whether positions are compared within an epoch only.
+        compares_within_epoch: Whether revisions are compared only within one
+            epoch.
     """
     if state.now < _MAX_TICKS:
         yield explore.Step(
@@ -144,7 +145,7 @@
         known = _apply_reply(state.follower, reply, compares_within_epoch)
         if known is not None:
             yield explore.Step(
-                "take", dataclasses.replace(arrived, follower=known)
+                "apply reply", dataclasses.replace(arrived, follower=known)
             )
 
 
@@ -167,7 +168,7 @@
 
 
 def _read_store(state: EpochState) -> Iterator[explore.Step[EpochState]]:
-    """The reader's call begins, and is answered at any time later."""
+    """Yields the start of the reader's store call, and its late response."""
     if not state.calls:
         yield explore.Step(
             "call store", dataclasses.replace(state, calls=(state.now,))
@@ -177,7 +178,7 @@
             state.epoch, frozenset(state.store), len(state.store), began
         )
         yield explore.Step(
-            "store answers",
+            "store responds",
             dataclasses.replace(
                 state, reader=known, reader_log=state.store, calls=()
             ),
@@ -188,7 +189,7 @@
     if state.requests_sent < _MAX_REQUESTS:
         request = (state.now, state.follower.position())
         yield explore.Step(
-            "ask",
+            "send request",
             dataclasses.replace(
                 state,
                 requests=(*state.requests, request),
@@ -199,7 +200,7 @@
         rest = state.requests[:index] + state.requests[index + 1 :]
         reply = Reply(requested_at, position, state.reader_log, state.reader)
         yield explore.Step(
-            "answer",
+            "send reply",
             dataclasses.replace(
                 state, requests=rest, replies=(*state.replies, reply)
             ),
@@ -209,10 +210,10 @@
 def _apply_reply(
     own: KnownState, reply: Reply, compares_within_epoch: bool
 ) -> KnownState | None:
-    """Returns what a follower knows after an answer, None if nothing new."""
+    """Returns a follower's state after a reply; None if it must be ignored."""
     reported = reply.known.position()
     if own.position() != reply.requested_position:
-        # It answers an earlier question.
+        # The reply belongs to an earlier request.
         return None
     if (
         compares_within_epoch
--- a/standins/explore.py
+++ b/standins/explore.py
@@ -1,4 +1,4 @@
-"""A small explicit-state model checker: tries every interleaving."""
+"""A small explicit-state model checker that tries every interleaving."""
 
 import collections
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step(Generic[State]):
-    """One step of a model: what happens, and the state after it."""
+    """One step of a model: its name and the state after it."""
 
     name: str
     state: State
@@ -23,12 +23,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Exploration:
-    """What an exploration found.
+    """The result of an exploration.
 
     Attributes:
-        states: Distinct states reached.
-        trail: Steps to the first state that breaks the invariant; empty if
-            none does.
+        states: Number of distinct states reached.
+        counterexample: Steps to the first state found that violates the
+            invariant; empty if none does.
     """
 
     states: int
@@ -40,7 +40,7 @@
     find_steps: Callable[[State], Iterable[Step[State]]],
     is_valid: Callable[[State], bool],
 ) -> Exploration:
-    """Visits all states breadth first; the trail found is a shortest one."""
+    """Visits all states breadth first, so that counterexamples are shortest."""
     predecessors: dict[State, tuple[State, str] | None] = {first: None}
     frontier = collections.deque([first])
     while frontier:
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""Carries out the fault lines of a trace on a cluster."""
+"""Injects the faults of a trace into a cluster."""
 
 from ruddergate.experiments import trace
 from standins import cluster as clusters
@@ -6,13 +6,13 @@
 
 
 class FaultInjector:
-    """Faults in force on one cluster."""
+    """Injects and clears faults of one cluster."""
 
     def __init__(self, cluster: clusters.Cluster) -> None:
         self._cluster = cluster
 
     def apply(self, fault: trace.TracedFault) -> None:
-        """Carries out one fault."""
+        """Injects one fault, or clears one if the line says so."""
         if fault.on == "config":
             self._apply_to_platform(fault)
             return
@@ -27,7 +27,7 @@
                     self._apply_to_node(fault.fault, node)
 
     def clear_faults(self) -> None:
-        """Ends every fault that can end; the dead stay dead."""
+        """Clears all faults, except that killed nodes stay down."""
         self._cluster.network.cuts.clear()
         self._set_stale(False)
         nodes = [*self._cluster.vms.values(), *self._cluster.targets.values()]
@@ -70,7 +70,7 @@
                 self._heal(fault)
 
     def _publish_again(self) -> None:
-        """Publishes the newest tree as a further revision."""
+        """Publishes the newest tree again, as the next revision."""
         configuration = self._cluster.configuration
         configuration.publish(configuration.find_newest_shards())
 
--- a/standins/freshness_model.py
+++ b/standins/freshness_model.py
@@ -1,10 +1,10 @@
-"""A model of proofs of freshness that one VM hands to another.
+"""A model of the freshness that one VM derives from another VM's reply.
 
-A reader asks the store; a follower asks the reader and goes by its answer.
-Calls and datagrams take any time, come in any order, late or never, each VM
-may stand still between any two steps, and the follower may start again. The
-follower's claims are checked against what was published. The model calls the
-product's own decision.
+A reader reads the store; a follower requests the reader's state and uses its
+reply. Calls and datagrams can be delayed, reordered or lost, each VM can be
+suspended between any two steps, and the follower can restart. The follower's
+claims are checked against what was published. The model calls the product's
+own decision function.
 """
 
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 _MAX_TICKS = 3
 _MAX_CHANGES = 1
 _MAX_REQUESTS = 2
-# The reader's clock shows this when the follower's shows 0: they share none.
+# Reader's clock when the follower's is 0, because VMs share no clock.
 _READER_CLOCK_OFFSET = 100
 
 FindCurrentAsOf: TypeAlias = Callable[[float, float], float | None]
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KnownState:
-    """What a VM knows, and since when that was certainly the newest."""
+    """A VM's revision, and as of when it is known to be the newest."""
 
     revision: int
     current_as_of: int
@@ -33,12 +33,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """A datagram under way to the follower.
+    """A reply in flight to the follower.
 
     Attributes:
-        question: Number of the question that it answers.
-        revision: What the reader knew.
-        age: Age of the reader's proof as it answered.
+        request: Number of the request that it answers.
+        revision: The reader's revision.
+        age: Time since the reader's state was known to be current.
     """
 
     request: int
@@ -48,22 +48,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FreshnessState:
-    """One state; times are whole ticks.
+    """State of the model; times are whole ticks.
 
     Attributes:
-        now: Current tick, on the follower's clock.
+        now: Current tick.
         published: When each revision from 1 on was published.
-        reader: What the reader knows, on its own clock.
-        calls: Calls of the store under way: when each began on the reader's
-            clock, and the revision in its answer.
-        asked: When the follower asked each question, by number.
-        is_open: Whether the last question waits for its answer.
-        heard: Questions that have reached the reader and are not answered yet.
-        under_way: Answers under way.
-        follower: What the follower knows.
-        starts: How often the follower started again.
-        follower_slept: Ticks that the follower's clock did not count.
-        reader_slept: Ticks that the reader's clock did not count.
+        reader: The reader's state, in times of its own clock.
+        calls: Store calls in flight: when each began on the reader's clock, and
+            the revision in its response.
+        requested_at: When the follower sent each request, on its own clock.
+        is_awaiting_reply: Whether the last request is still awaiting a reply.
+        received: Numbers of requests that the reader has not answered yet.
+        in_flight: Replies in flight.
+        follower: The follower's state, in times of its own clock.
+        restarts: How often the follower restarted.
+        follower_suspended: Ticks that the follower's clock did not count.
+        reader_suspended: Ticks that the reader's clock did not count.
     """
 
     now: int = 0
@@ -80,16 +80,16 @@
     reader_suspended: int = 0
 
     def read_follower_clock(self) -> int:
-        """Returns what the follower's clock shows."""
+        """Returns the time on the follower's clock."""
         return self.now - self.follower_suspended
 
     def read_reader_clock(self) -> int:
-        """Returns what the reader's clock shows."""
+        """Returns the time on the reader's clock."""
         return self.now + _READER_CLOCK_OFFSET - self.reader_suspended
 
 
 def is_claim_valid(state: FreshnessState) -> bool:
-    """Returns whether nothing newer was published than the follower claims."""
+    """Returns whether nothing newer was published before the claimed time."""
     claimed_as_of = state.follower.current_as_of + state.follower_suspended
     newest = sum(at < claimed_as_of for at in state.published)
     return newest <= state.follower.revision
@@ -101,15 +101,16 @@
     matches_requests: bool = True,
     counts_suspension: bool = True,
 ) -> Iterator[explore.Step[FreshnessState]]:
-    """Yields all that can happen next.
+    """Yields all possible next steps.
 
     Args:
         state: The state.
-        find_proven: The decision: what an answer proves, from when it was
-            asked for and the age that it tells.
-        matches_questions: Whether an answer must fit the open question.
-        counts_sleep: Whether the VMs' clocks count the time for which they
-            are suspended; if they do, that is a tick like any other.
+        find_current_as_of: Returns as of when a reply is known to be current,
+            given the time of its request and the age that it states; None if
+            it can't be used.
+        matches_requests: Whether a reply must match the last request.
+        counts_suspension: Whether the VMs' clocks count time in which they are
+            suspended; if they do, a suspension is a tick like any other.
     """
     if state.now < _MAX_TICKS:
         yield explore.Step(
@@ -135,7 +136,7 @@
         if state.requested_at and (matches or not matches_requests):
             yield from _apply_reply(arrived, reply, find_current_as_of)
     if state.restarts == 0 and state.now > 0:
-        # It reads the store as it starts.
+        # The follower reads the store when it starts.
         initial = KnownState(len(state.published), state.read_follower_clock())
         yield explore.Step(
             "restart",
@@ -146,9 +147,9 @@
 
 
 def _suspend(state: FreshnessState) -> Iterator[explore.Step[FreshnessState]]:
-    """A VM is suspended for a tick, and its clock stands still."""
+    """Yields suspensions of a VM by one tick that its clock does not count."""
     yield explore.Step(
-        "follower sleeps",
+        "follower suspended",
         dataclasses.replace(
             state,
             now=state.now + 1,
@@ -156,7 +157,7 @@
         ),
     )
     yield explore.Step(
-        "reader sleeps",
+        "reader suspended",
         dataclasses.replace(
             state,
             now=state.now + 1,
@@ -168,7 +169,7 @@
 def _read_store(
     state: FreshnessState,
 ) -> Iterator[explore.Step[FreshnessState]]:
-    """The reader's call begins, and its answer comes at any time later."""
+    """Yields the start of the reader's store call, and its late response."""
     clock = state.read_reader_clock()
     if not state.calls:
         call = (clock, len(state.published))
@@ -179,7 +180,7 @@
         newest = max(revision, state.reader.revision)
         current_as_of = max(began, state.reader.current_as_of)
         yield explore.Step(
-            "store answers",
+            "store responds",
             dataclasses.replace(
                 state, reader=KnownState(newest, current_as_of), calls=()
             ),
@@ -191,7 +192,7 @@
 ) -> Iterator[explore.Step[FreshnessState]]:
     if len(state.requested_at) < _MAX_REQUESTS:
         yield explore.Step(
-            "ask",
+            "send request",
             dataclasses.replace(
                 state,
                 requested_at=(*state.requested_at, state.read_follower_clock()),
@@ -214,7 +215,7 @@
         age = clock - state.reader.current_as_of
         reply = Reply(request, state.reader.revision, age)
         yield explore.Step(
-            "answer",
+            "send reply",
             dataclasses.replace(
                 state, received=rest, in_flight=(*state.in_flight, reply)
             ),
@@ -234,6 +235,6 @@
         max(state.follower.current_as_of, int(current_as_of)),
     )
     yield explore.Step(
-        "take",
+        "apply reply",
         dataclasses.replace(state, follower=known, is_awaiting_reply=False),
     )
--- a/standins/models.py
+++ b/standins/models.py
@@ -1,7 +1,8 @@
-"""Models of the two protocols where interleavings matter most.
+"""Models of at-most-once execution by key and of settings adoption.
 
-They call the product's own decisions for every choice that matters, so that a
-change there changes the model.
+These are the two protocols whose outcome depends most on the interleaving of
+events. The models call the product's own decision functions, so that a change
+there changes the model.
 """
 
 from collections.abc import Iterator
@@ -23,12 +24,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyState:
-    """At most once: two VMs, one key, resends, a changing list.
+    """State of the at-most-once model: two VMs, one key, a changing VM list.
 
-    Times are whole ticks. A VM is (view, seen_at, settled_at, began_at,
-    ledger): the list version it goes by, when the platform last confirmed
-    it, since when its VMs are the same, when the process began, and whether
-    its ledger holds the key.
+    Times are whole ticks. A VM is a tuple (view, confirmed_at, unchanged_since,
+    started_at, has_key): the list version that it uses, when the platform last
+    confirmed this version, since when the VMs in the list are the same, when
+    the process started, and whether its ledger has the key.
 
     Attributes:
         now: Current tick.
@@ -36,9 +37,9 @@
         published_at: When it was published.
         vms: The VMs.
         sends: How often the caller has sent the request.
-        first_sent: When it sent it first; -1 for not yet.
-        under_way: VMs to which an entry has forwarded the key.
-        runs: How often it has run.
+        first_sent: When the caller first sent it; -1 if it did not yet.
+        in_flight: VMs to which an entry has forwarded the request.
+        runs: How often the request was executed.
     """
 
     now: int
@@ -58,7 +59,7 @@
 
 @functools.cache
 def _make_listing(version: int) -> listings.Listing:
-    """Version 1 lists both VMs; version 2 only the one not the home."""
+    """Returns a list: version 1 has both VMs, version 2 lacks the home."""
     both = [
         vms.Vm(
             name, "h", _NOWHERE, _NOWHERE, _NOWHERE, condition.Condition.LIVE
@@ -74,12 +75,12 @@
 
 @functools.cache
 def _find_home(version: int) -> str:
-    """Returns the home of the key under a version of the list."""
+    """Returns the home VM of the key in a version of the list."""
     return ledger.find_home(_KEY, _make_listing(version)) or ""
 
 
 def make_first_key_state() -> KeyState:
-    """Returns the state in which both VMs have long known each other."""
+    """Returns the state after both VMs have known each other for 10 ticks."""
     vm = (1, 0, -10, -10, False)
     return KeyState(0, 1, 0, (vm, vm), 0, -1, (), 0)
 
@@ -87,12 +88,12 @@
 def find_key_steps(
     state: KeyState, bounds: ledger.Bounds, lag_ticks: int
 ) -> Iterator[explore.Step[KeyState]]:
-    """Yields all that can happen next.
+    """Yields all possible next steps.
 
     Args:
         state: The state.
-        bounds: Bounds of the promise, in ticks for milliseconds.
-        lag: Ticks within which the platform serves a new list to all.
+        bounds: Bounds of the guarantee, in ticks instead of milliseconds.
+        lag_ticks: Ticks after which the platform serves a new list to all VMs.
     """
     if state.now < _MAX_TICKS:
         yield explore.Step(
@@ -186,17 +187,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdoptionState:
-    """Adoption: agents, entries, a service that may go back.
+    """State of the adoption model: agents, entries, a service that may revert.
 
     Attributes:
         served: Revision that the service serves now.
-        newest: Newest revision published.
+        newest: Newest published revision.
         agents: Revision in force at each agent; -1 while it starts.
         entries: Revision in force at each entry; -1 while it starts.
-        messages: Revisions under way, as (agent, revision).
-        highest: Highest revision that each VM's entry ever had in force
-            since its VM began.
-        reverted: Whether an entry went back.
+        messages: Messages in flight, as (receiving agent, revision).
+        reverted: Whether an entry ever went back to an older revision.
     """
 
     served: int
@@ -219,11 +218,11 @@
 def find_adoption_steps(
     state: AdoptionState, asks_first: bool
 ) -> Iterator[explore.Step[AdoptionState]]:
-    """Yields all that can happen next.
+    """Yields all possible next steps.
 
     Args:
         state: The state.
-        asks_first: Whether a fresh agent asks its entry and peers before it
+        asks_first: Whether a starting agent asks its entry and peers before it
             trusts the service.
     """
     if state.newest < _MAX_REVISIONS:
@@ -239,7 +238,7 @@
     for position, (index, revision) in enumerate(state.messages):
         rest = state.messages[:position] + state.messages[position + 1 :]
         arrived = dataclasses.replace(state, messages=rest)
-        yield explore.Step("arrive", _adopt(arrived, index, revision))
+        yield explore.Step("deliver", _adopt(arrived, index, revision))
 
 
 def _find_agent_steps(
@@ -251,7 +250,9 @@
         known = [state.served]
         if asks_first:
             known += [state.entries[index], other]
-        yield explore.Step(f"begin {index}", _adopt(state, index, max(known)))
+        yield explore.Step(
+            f"start agent {index}", _adopt(state, index, max(known))
+        )
         return
     yield explore.Step(f"watch {index}", _adopt(state, index, state.served))
     stopped = _replace(state.agents, index, -1)
@@ -260,7 +261,7 @@
     )
     if len(state.messages) < _MAX_MESSAGES and other >= 0:
         sent = tuple(sorted((*state.messages, (1 - index, agent))))
-        yield explore.Step("tell", dataclasses.replace(state, messages=sent))
+        yield explore.Step("gossip", dataclasses.replace(state, messages=sent))
     fed = feed_entry(state.entries[index], agent)
     yield explore.Step(
         f"feed {index}",
@@ -283,7 +284,7 @@
 
 
 def feed_entry(entry: int, agent: int) -> int:
-    """Returns what an entry has in force after its agent fed it."""
+    """Returns the entry's revision in force after an update by its agent."""
     is_newer = adoption.is_wanted(_in_force(max(0, entry)), agent)
     return agent if is_newer else entry
 
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Starts the product's programs and the stand-ins as real processes."""
+"""Starts the product's programs and the fakes as real processes."""
 
 import dataclasses
 import json
@@ -22,12 +22,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole HTTP answer.
+    """An HTTP response.
 
     Attributes:
-        status: HTTP status; 0 if the connection broke off.
+        status: HTTP status; 0 if the connection failed.
         headers: Headers by lower-case name.
-        body: Body as far as it came.
+        body: Body as far as it was received.
     """
 
     status: int
@@ -40,11 +40,11 @@
 
 
 class Processes:
-    """Processes of one run on loopback; all are ended at its close.
+    """Processes of one run on loopback; `close` ends all of them.
 
     Attributes:
         entries: Ports of the entries by VM.
-        ports: Ports of stand-ins by name.
+        ports: Ports of the fakes by name.
     """
 
     def __init__(self, tree: pathlib.Path) -> None:
@@ -62,13 +62,13 @@
         vms: dict[str, str],
         *engine_settings: str,
     ) -> None:
-        """Starts targets, configuration service and VM list.
+        """Starts targets, the configuration service and the VM list.
 
         Args:
             pools: Pool of each target by its name; a name that begins with
                 `engine` is an engine, any other a plain service.
             vms: Hall of each VM by its name.
-            engine_settings: Further flags of the engines.
+            engine_settings: Additional flags of the engines.
         """
         targets = []
         for name, pool in pools.items():
@@ -124,19 +124,21 @@
         )
 
     def wait_ready(self) -> None:
-        """Returns when all entries are ready and know their targets."""
+        """Waits until all entries are ready and know their targets."""
         until_s = time.monotonic() + _READY_TIMEOUT_S
         waiting = set(self.entries)
         while waiting:
             if time.monotonic() > until_s:
-                raise TimeoutError(f"not ready: {waiting}; {self.read_logs()}")
+                raise TimeoutError(
+                    f"entries not ready: {waiting}; {self.read_logs()}"
+                )
             for name in list(waiting):
                 if self._is_ready(name):
                     waiting.discard(name)
             time.sleep(0.05)
 
     def signal(self, name: str, number: int) -> None:
-        """Sends a signal to a process that this run has started."""
+        """Sends a signal to a process of this run."""
         self._processes[name].send_signal(number)
 
     def wait(self, name: str, timeout_s: float = 30.0) -> int:
@@ -144,32 +146,32 @@
         return self._processes[name].wait(timeout_s)
 
     def measure_cpu_s(self, name: str) -> float:
-        """Returns the processor time that a process has used."""
+        """Returns the CPU time that a process has used."""
         stat = pathlib.Path(f"/proc/{self._processes[name].pid}/stat")
         fields = stat.read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def measure_memory_mb(self, name: str) -> float:
-        """Returns the memory that a process holds, in megabytes."""
+        """Returns the resident memory of a process in megabytes."""
         statm = pathlib.Path(f"/proc/{self._processes[name].pid}/statm")
         pages = int(statm.read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE") / 1e6
 
     def is_running(self, name: str) -> bool:
-        """Returns whether a process has not ended."""
+        """Returns whether a process still runs."""
         return self._processes[name].poll() is None
 
     def read_logs(self) -> str:
-        """Returns what the processes have logged."""
+        """Returns the last 2000 characters of each process's log."""
         files = sorted(self._log_folder.glob("*.log"))
         return "\n".join(each.read_text()[-2000:] for each in files)
 
     def read_log(self, name: str) -> str:
-        """Returns what one process has logged."""
+        """Returns the log of one process."""
         return (self._log_folder / f"{name}.log").read_text()
 
     def close(self) -> None:
-        """Ends all processes: as planned at first, then by force."""
+        """Terminates all processes, and kills those that don't end in 10 s."""
         for process in self._processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -198,7 +200,8 @@
     def _start_program(
         self, name: str, program: str, row: dict, **settings: str
     ) -> None:
-        # Settings go by variables here and by flags in the README.
+        # Settings are passed as environment variables here, so that these are
+        # tested too; the README passes flags.
         settings = {
             "vm_id": row["id"],
             "hall": row["hall"],
@@ -246,7 +249,7 @@
     body: bytes = b"",
     timeout_s: float = 60.0,
 ) -> Reply:
-    """Sends one request on loopback and returns the whole answer."""
+    """Sends one request on loopback and returns the whole response."""
     connection = h11.Connection(h11.CLIENT)
     fields = {
         "host": _HOST,
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service."""
+"""Fake plain service."""
 
 import asyncio
 
@@ -15,8 +15,8 @@
     """A service that answers with a digest of the body.
 
     Attributes:
-        executions: Calls begun, by body.
-        draining: Whether it takes no new work.
+        executions: Number of started requests by body.
+        draining: Whether it refuses new work.
     """
 
     def __init__(
@@ -70,11 +70,11 @@
 
 
 def main(*, listen: str, work_ms: float = 15.0) -> None:
-    """Runs one service stand-in.
+    """Runs one fake service.
 
     Args:
-        listen: Where to serve (HOST:PORT).
-        work_ms: Time that a call takes.
+        listen: Address to listen at (HOST:PORT).
+        work_ms: Time that a request takes.
     """
     env = environment.make_system_environment()
     service = Service(env, work_ms)
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -1,9 +1,9 @@
-"""A randomized soak: real gateways as processes, faults from outside them.
+"""Randomized soak test of real gateway processes with injected faults.
 
-`python -m standins.soak --first 1 --count 50` plays many seeds and prints those
-whose promises were broken. The store, the replicas and the callers run in this
-process; everything between them goes through proxies on loopback. Only the
-gateways that it started are stopped, paused and killed, by their ids.
+`python -m standins.soak --first 1 --count 50` runs many seeds and prints the
+guarantees that were violated. The store, the replicas and the callers run in
+this process; all traffic between them goes through proxies on loopback. Only
+gateways that the soak started are stopped, paused or killed, by process id.
 """
 
 import asyncio
@@ -39,12 +39,13 @@
 _LOG_FOLDER = _ROOT / "soak-logs"
 _STARTUP_S = 2.0
 _RUN_S = 6.0
-# Leavings bind after some seconds without trouble, and keys after five.
+# Longer, because drains are enforced only after some seconds without faults,
+# and removed keys after five seconds.
 _FLEET_RUN_S = 12.0
-# Gateways that are seeds of the others; one more seed is dead.
+# Gateways that the others use as seeds; one further seed is unreachable.
 _SEED_GATEWAYS = 2
 _UNREACHABLE_SEED = "127.0.1.250"
-# The last calls end, and what was set aside lapses by itself.
+# Time for the last calls to end and for unused reservations to expire.
 _SETTLE_S = 4.0
 _LOOPBACK = "127.0.0.1"
 _ROUTES = ("short", "short", "long", "once", "unsafe", "safe")
@@ -52,30 +53,33 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SoakOptions:
-    """How much runs in one seed."""
+    """Sizes and optional scenarios of one seed."""
 
     gateways: int = 2
     engines: int = 4
     services: int = 3
     callers: int = 8
-    # Whether replicas leave, and want quiet, and say so in their answers alone.
+    # Whether replicas drain and ask for backoff in response headers only, while
+    # the store does not list it.
     withdraws: bool = False
-    # Whether replicas name rate limits.
+    # Whether replicas announce rate limits.
     limits: bool = False
-    # Whether gateways know each other, and the store is restored from copies.
+    # Whether gateways are peers of each other and the store is restored from
+    # older copies.
     fleet: bool = False
-    # What gateways run without, see soak_ablations; empty for nothing.
+    # Mechanism that the gateways run without, see soak_ablations; empty for
+    # none.
     without: str = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SoakResult:
-    """What came of a seed.
+    """The result of a seed.
 
     Attributes:
-        broken: What went wrong, a sentence each.
-        statuses: How often callers got each status.
-        counts: What was brought about, and how often promises were tested.
+        violations: Violated guarantees, one sentence each.
+        statuses: Number of responses to callers by HTTP status.
+        counts: Number of injected events and of checks that applied, by name.
     """
 
     violations: list[str]
@@ -84,21 +88,21 @@
 
 
 class SoakRun:
-    """One seed."""
+    """The run of one seed."""
 
     def __init__(
         self, seed: int, options: SoakOptions, folder: pathlib.Path
     ) -> None:
         self._rng = random.Random(seed)
         self._options = options
-        # Callers' keys; one of them goes in a fleet.
+        # Callers' keys; with `fleet`, one of them is removed during the run.
         self._keys = [gateway_cluster.KEY] * 3
         if options.fleet:
             self._keys.append(soak_store.REMOVED_KEY)
         self._env = environment.make_system_environment()
         self._soak_store = soak_store.SoakStore(self._rng)
         self._store = self._soak_store.store
-        # Each gateway's own way to the store, in a fleet.
+        # With `fleet`, each gateway reaches the store through its own proxy.
         self._store_proxies: list[soak_proxy.Proxy] = []
         self._tasks: list[asyncio.Task] = []
         self.counts = self._soak_store.counts
@@ -112,11 +116,11 @@
         self._drain_periods: list[soak_draining.DrainPeriod] = []
 
     async def run(self) -> tuple[list[str], dict[int, int]]:
-        """Returns broken promises and counts of statuses."""
+        """Returns violated guarantees and the number of each status."""
         try:
             await self._run_faults_and_callers()
         finally:
-            # Also when the soak itself fails: nothing of it may stay behind.
+            # Also if the soak itself fails, so that no process is left over.
             await self._stop()
         all_responses = [response for _, response in self._responses]
         violations = gateway_promises.find_broken_by(
@@ -157,8 +161,8 @@
         await asyncio.sleep(_SETTLE_S)
 
     def _was_disturbed(self, response: gateway_caller.Got) -> bool:
-        # Everything goes through proxies, any of which may hold bytes back, so
-        # lateness tells nothing here; schedules in virtual time check it.
+        # Any proxy may hold bytes back, so deadlines can't be checked here; the
+        # schedules in virtual time check them.
         return True
 
     async def _start(self) -> None:
@@ -254,7 +258,7 @@
         )
 
     async def _inject_faults(self, until_s: float) -> None:
-        """Plays faults in series; two of these overlap."""
+        """Injects one fault after another; two such tasks run at once."""
         faults = (
             self._disrupt_proxy,
             self._disrupt_proxy,
@@ -286,16 +290,19 @@
         proxy.mode = soak_proxy.Mode.FORWARD
 
     async def _inject_replica_errors(self) -> None:
-        wrong = self._rng.choice(self._replicas).wrong
+        replica_faults = self._rng.choice(self._replicas).wrong
         name = self._rng.choice(
             ("refuse", "fail", "lose", "break_off", "unsigned", "foreign")
         )
-        setattr(wrong, name, self._rng.uniform(0.3, 1.0))
+        setattr(replica_faults, name, self._rng.uniform(0.3, 1.0))
         await asyncio.sleep(self._rng.uniform(0.3, 1.5))
-        setattr(wrong, name, 0.0)
+        setattr(replica_faults, name, 0.0)
 
     async def _drain_by_hint(self) -> None:
-        """Has a replica leave, or shed calls, while the store is away."""
+        """Drains a replica, or makes it shed load, by response headers only.
+
+        A drain happens during an outage of the store.
+        """
         replica = self._rng.choice(self._replicas)
         if self._rng.random() < 0.4:
             replica.wrong.retry_after = self._rng.choice(("0.5", "2", "x"))
@@ -311,7 +318,7 @@
         self._replace_replica(replica, from_s)
 
     async def _drain_by_store(self) -> None:
-        """Has a replica leave by the list, and another take its place."""
+        """Drains or removes a replica in the store, then replaces it."""
         replica = self._rng.choice(self._replicas)
         if self._soak_store.states[replica.name] != soak_store.READY:
             return
@@ -324,10 +331,10 @@
         self._replace_replica(replica, from_s)
 
     async def _partition_from_store(self) -> None:
-        """Keeps one gateway from the store for a while."""
+        """Partitions one gateway from the store for 0.5 s to 3 s."""
         number = self._rng.randrange(len(self._store_proxies))
         proxy = self._store_proxies[number]
-        self.counts["gateways parted from the store"] += 1
+        self.counts["gateways partitioned from the store"] += 1
         self._gateways.record_interruption(number)
         proxy.mode = self._rng.choice(
             (soak_proxy.Mode.STALL, soak_proxy.Mode.STALL_RESPONSES)
@@ -338,12 +345,12 @@
         self._gateways.record_interruption(number)
 
     async def _remove_key_early(self) -> None:
-        """Removes a key, so early that its time ends while callers call."""
+        """Removes a key early, so that callers still run once it is revoked."""
         await asyncio.sleep(self._rng.uniform(0.5, 4.0))
         self._soak_store.publish_settings(removes_key=True)
 
     async def _limit_replica_rate(self) -> None:
-        """Has a replica name a rate limit for longer than until it binds."""
+        """Announces a rate limit for longer than its enforcement delay."""
         replica = self._rng.choice(self._replicas)
         if replica.rate_limit:
             return
@@ -354,7 +361,7 @@
     def _replace_replica(
         self, replica: platform_replica.PlatformReplica, from_s: float
     ) -> None:
-        """Lists another replica in the place of one that has left."""
+        """Replaces a drained replica by one under a new name."""
         self._drain_periods.append(
             soak_draining.DrainPeriod(
                 replica, replica.name, from_s, time.monotonic()
@@ -390,7 +397,7 @@
     options: SoakOptions = SoakOptions(),
     log_folder: pathlib.Path | None = None,
 ) -> SoakResult:
-    """Plays one seed; logs are kept in a folder if one is given."""
+    """Runs one seed; the logs stay in `log_folder` if one is given."""
     with tempfile.TemporaryDirectory() as folder:
         path = log_folder if log_folder is not None else pathlib.Path(folder)
         path.mkdir(parents=True, exist_ok=True)
@@ -402,14 +409,14 @@
 
 def _find_tracebacks(folder: pathlib.Path) -> list[str]:
     return [
-        f"{path.name} holds a traceback"
+        f"{path.name} contains a traceback"
         for path in sorted(folder.glob("*.log"))
         if "Traceback" in path.read_text(errors="replace")
     ]
 
 
 def _make_rerun_command(seed: int, options: SoakOptions) -> str:
-    """Returns the command that plays a seed once more."""
+    """Returns the command that runs a seed again."""
     arguments = [
         "python -m standins.soak",
         f"--first {seed} --count 1",
@@ -436,19 +443,19 @@
     without: str = "",
     logs: pathlib.Path = _LOG_FOLDER,
 ) -> int:
-    """Plays many seeds; logs of those that fail are kept.
+    """Runs many seeds and keeps the logs of those that fail.
 
     Args:
         first: First seed.
         count: Number of seeds.
-        gateways: Gateway processes in each.
-        engines: Engines in each.
-        callers: Callers in each.
-        withdraws: Whether replicas leave and say so in their answers alone.
-        limits: Whether replicas name rate limits.
-        fleet: Whether gateways know each other, and the store is restored.
-        without: What gateways run without, see soak_ablations.
-        logs: Folder for the logs of seeds that fail, a folder each.
+        gateways: Gateway processes of each seed.
+        engines: Engines of each seed.
+        callers: Callers of each seed.
+        withdraws: Whether replicas drain and announce it in responses only.
+        limits: Whether replicas announce rate limits.
+        fleet: Whether gateways are peers and the store is restored.
+        without: Mechanism that gateways run without, see soak_ablations.
+        logs: Folder for the logs of failed seeds, one subfolder each.
     """
     loguru.logger.remove()
     options = SoakOptions(
@@ -479,7 +486,7 @@
         (folder / "broken.txt").write_text("\n".join(lines) + "\n")
         print("\n".join(lines), flush=True)
     for name, number in sorted(counts.items()):
-        print(f"{name}: {number}{'' if number else ' (not shown)'}")
+        print(f"{name}: {number}{'' if number else ' (did not occur)'}")
     print(f"{count} seeds, statuses: {dict(sorted(total.items()))}")
     print(f"{count - failed} passed, {failed} failed")
     return 1 if failed else 0
--- a/standins/soak_ablations.py
+++ b/standins/soak_ablations.py
@@ -1,7 +1,8 @@
-"""Gateways with one mechanism taken out, which the soak is to notice.
+"""Gateways with one mechanism disabled, which the soak must detect.
 
 `python -m standins.soak_ablations NAME FLAGS` runs ruddergate-gateway without
-it; `python -m standins.soak --fleet --without NAME` plays such a fleet.
+the mechanism; `python -m standins.soak --fleet --without NAME` runs the soak
+with such gateways.
 """
 
 from collections.abc import Callable
@@ -20,7 +21,7 @@
 
 
 def _ignore_epochs() -> None:
-    """Has positions ordered by their revisions alone."""
+    """Makes store positions compare by revision, whatever their epoch."""
     find_since = change_log.ChangeLog.find_since
 
     def find(
@@ -37,7 +38,7 @@
 
 
 def _keep_keys() -> None:
-    """Has keys work that were removed."""
+    """Makes removed keys stay valid."""
     take = views.View.apply_catalog
 
     def apply_catalog(view: views.View, offered: object) -> bool:
@@ -51,27 +52,27 @@
 
 
 def _ignore_ages() -> None:
-    """Has a peer's proof count as of the moment of the question."""
+    """Makes a peer's reply count as current as of the request time."""
     freshness.find_current_as_of_ms = lambda asked_ms, age_ms: asked_ms
 
 
 def _keep_leavings() -> None:
-    """Has no peer told of targets that say in answers that they leave."""
+    """Stops gossip of targets that announce draining in responses."""
     draining.DrainState.summarize = lambda self, now_ms: ()
 
 
 def _keep_limits() -> None:
-    """Has no peer told of rate limits."""
+    """Stops gossip of rate limits."""
     rate_limiter.RateLimiter.summarize = lambda self: ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ablation:
-    """A mechanism that can be taken out.
+    """A mechanism that can be disabled.
 
     Attributes:
-        name: Its name on the command line.
-        apply: Takes it out of this process.
+        name: Name on the command line.
+        apply: Disables it in this process.
     """
 
     name: str
@@ -88,7 +89,7 @@
 
 
 def main() -> None:
-    """Runs a gateway; the first argument names what is taken out."""
+    """Runs a gateway; the first argument names the disabled mechanism."""
     name = sys.argv.pop(1)
     for each in ABLATIONS:
         if each.name == name:
--- a/standins/soak_caller.py
+++ b/standins/soak_caller.py
@@ -1,4 +1,4 @@
-"""Callers of the soak, who go on using a connection until it is closed."""
+"""Callers of the soak with keep-alive connections."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 
 
 class KeepAliveCaller:
-    """Sends one call after the other over one connection while it lasts."""
+    """Sends calls one by one and reuses the connection until it is closed."""
 
     def __init__(self, port: int) -> None:
         self._port = port
@@ -21,7 +21,7 @@
         self._protocol: h11.Connection | None = None
 
     async def send(self, call: gateway_caller.Call) -> gateway_caller.Got:
-        """Sends a call and reads its answer to the end."""
+        """Sends a call and reads its response to the end."""
         sent_s = time.monotonic()
         chunks: list[bytes] = []
         head: list = [0, {}, False]
@@ -40,7 +40,7 @@
         )
 
     def close(self) -> None:
-        """Closes the connection, if there is one."""
+        """Closes the connection, if one is open."""
         if self._connection is not None:
             self._connection[1].close()
             self._connection = None
--- a/standins/soak_draining.py
+++ b/standins/soak_draining.py
@@ -1,4 +1,4 @@
-"""What the soak checks of targets that say in answers alone that they leave."""
+"""Checks of the soak for replicas that drain by response headers only."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -11,13 +11,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainPeriod:
-    """A time in which all answers of a replica said that it leaves.
+    """A time in which a replica was draining, until it was replaced.
 
     Attributes:
         replica: The replica.
-        name: Its name then.
-        from_s: When it began, on the loop's clock.
-        to_s: When it ended.
+        name: Name of the replica at that time.
+        from_s: Begin, on the monotonic clock.
+        to_s: End, on the monotonic clock.
     """
 
     replica: platform_replica.PlatformReplica
@@ -28,7 +28,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Interruption:
-    """A moment at which a gateway was stopped, paused or killed."""
+    """A time at which a gateway was disturbed or came back.
+
+    Gateways are stopped, paused, killed, started again, or partitioned from the
+    store.
+    """
 
     gateway: int
     at_s: float
@@ -39,12 +43,12 @@
     interruptions: Sequence[Interruption],
     all_responses: Sequence[tuple[int, gateway_caller.Got]],
 ) -> list[str]:
-    """Returns calls that a gateway sent on although it had been told.
+    """Returns calls sent to a draining replica by a gateway that knew of it.
 
     Args:
-        leavings: What replicas said, and when.
-        upsets: What befell gateways.
-        all_got: What callers got, with the gateway that they asked.
+        drain_periods: Times in which replicas drained.
+        interruptions: Interruptions of gateways.
+        all_responses: Responses to callers, with the gateway that sent them.
     """
     by_id = {
         response.call.request_id: each
@@ -68,7 +72,7 @@
             if late_s > withdrawal_schedules.LEAVE_S and not was_interrupted:
                 violations.append(
                     f"{arrival.request_id} reached {period.name} "
-                    f"{late_s:.1f} s after gateway {gateway} was told"
+                    f"{late_s:.1f} s after gateway {gateway} saw it draining"
                 )
     return violations
 
@@ -78,7 +82,7 @@
     gateway: int,
     all_responses: Iterable[tuple[int, gateway_caller.Got]],
 ) -> float:
-    """Returns when a gateway had passed the first such answer on."""
+    """Returns when a gateway had first relayed a response that announced it."""
     ends_s = [
         response.sent_s + response.took_ms / 1_000.0
         for asked_gateway, response in all_responses
--- a/standins/soak_fleet.py
+++ b/standins/soak_fleet.py
@@ -1,7 +1,8 @@
-"""What the soak checks of gateways that know each other.
+"""Checks of the soak for gateways that are peers of each other.
 
-Promises that rest on the store bind a gateway that nothing has disturbed for a
-while; each such excuse is narrow, and what was checked is counted.
+Guarantees that rest on the store hold for a gateway only if neither it nor the
+store was disturbed for 3 s. The number of checks that applied is counted, so
+that a run in which every check was excused shows up.
 """
 
 import collections
@@ -14,7 +15,7 @@
 
 _UNDISTURBED_S = 3.0
 _DRAIN_DEADLINE_S = 2.0
-DRAIN_CHECKS = "calls due to keep off a target that left"
+DRAIN_CHECKS = "calls that must avoid a drained target"
 KEY_REMOVAL_CHECKS = "calls with a removed key"
 
 
@@ -25,14 +26,14 @@
     all_responses: Sequence[tuple[int, gateway_caller.Got]],
     counts: collections.Counter[str],
 ) -> list[str]:
-    """Returns calls that reached what they were not to reach.
+    """Returns calls to drained replicas and calls served with a removed key.
 
     Args:
         store: What was published, and when.
-        leavings: Replicas that left.
-        upsets: What befell gateways.
-        all_got: What callers got, with the gateway that they asked.
-        counts: Is told how often each promise was put to the test.
+        drain_periods: Times in which replicas drained.
+        interruptions: Interruptions of gateways.
+        all_responses: Responses to callers, with the gateway that sent them.
+        counts: Gets the number of checks that applied, by name.
     """
     by_id = {
         response.call.request_id: (vm, response)
@@ -60,7 +61,7 @@
                 late_s = response.sent_s - due_s + _DRAIN_DEADLINE_S
                 violations.append(
                     f"{arrival.request_id} reached {period.name} "
-                    f"{late_s:.2f} s after the store told that it leaves, by "
+                    f"{late_s:.2f} s after the store listed it as draining, by "
                     f"gateway {gateway}"
                 )
     return violations
@@ -71,7 +72,7 @@
     all_responses: Sequence[tuple[int, gateway_caller.Got]],
     counts: collections.Counter[str],
 ) -> list[str]:
-    """Returns calls that were served with a key that was to be refused."""
+    """Returns calls that were served with a revoked key."""
     until_s = store.key_removed_s + gateway_cluster.REVOKE_MS / 1_000.0
     late = [
         (gateway, response)
@@ -93,7 +94,7 @@
     gateway: int,
     at_s: float,
 ) -> bool:
-    """Returns whether a gateway is bound by what the store tells."""
+    """Returns whether neither the store nor the gateway was disturbed."""
     from_s = at_s - _UNDISTURBED_S
     if any(from_s < each < at_s for each in store.disrupted_s):
         return False
--- a/standins/soak_gateways.py
+++ b/standins/soak_gateways.py
@@ -1,4 +1,4 @@
-"""The gateway processes of a soak; only these are signalled, by their ids."""
+"""The gateway processes of a soak; only these get signals, by process id."""
 
 import asyncio
 import contextlib
@@ -13,20 +13,20 @@
 
 _ROOT = pathlib.Path(__file__).parent.parent
 GRACE_S = 3.0
-# 100 gateways on five cores listen after some ten seconds.
+# 100 gateways on five cores take about 10 s until they listen.
 _START_TIMEOUT_S = 60.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LaunchConfig:
-    """Where a gateway runs.
+    """How to launch a gateway.
 
     Attributes:
-        host: Its address.
-        hall: Its data hall.
-        ports: For callers, readiness, metrics and peers.
-        store_port: Where it reaches the store.
-        seeds: Where it looks for peers; empty for nowhere.
+        host: Address to listen at.
+        hall: Data hall.
+        ports: Ports for callers, readiness, metrics and peers.
+        store_port: Port of the store, or of a proxy before it.
+        seeds: Addresses of seed peers, comma-separated; empty for none.
     """
 
     host: str
@@ -40,12 +40,13 @@
     """Starts, pauses, stops and kills gateways.
 
     Args:
-        chance: Source of all chance.
-        folder: Where their logs go.
-        without: What they run without, see soak_ablations.
+        rng: Source of randomness.
+        folder: Folder for their logs.
+        without: Mechanism that they run without, see soak_ablations; empty for
+            none.
 
     Attributes:
-        upsets: What befell them.
+        interruptions: Interruptions of gateways so far.
     """
 
     def __init__(
@@ -65,11 +66,11 @@
         self._processes.append(await self._start_process(len(self._processes)))
 
     async def wait_until_listening(self) -> None:
-        """Returns once all listen; many of them start slowly."""
+        """Waits until all gateways listen, each for at most 60 s."""
         await asyncio.gather(*map(_wait_until_listening, self._configs))
 
     async def pause(self) -> None:
-        """Stops one for a while, as a suspended VM does."""
+        """Suspends a random gateway for 0.2 s to 2 s, like a suspended VM."""
         number = self._choose_gateway()
         process = self._processes[number]
         self.record_interruption(number)
@@ -79,22 +80,22 @@
             self.record_interruption(number)
 
     async def kill(self) -> None:
-        """Ends one at once, and starts it again."""
+        """Kills a random gateway and starts it again."""
         await self._restart(self._choose_gateway(), signal.SIGKILL)
 
     async def stop(self) -> None:
-        """Ends one as planned, and starts it again."""
+        """Stops a random gateway gracefully and starts it again."""
         number = self._choose_gateway()
         _signal(self._processes[number], signal.SIGHUP)
         await self._restart(number, signal.SIGTERM)
 
     def record_interruption(self, number: int) -> None:
-        """Notes that something befell a gateway."""
+        """Records an interruption of a gateway that happens now."""
         interruption = soak_draining.Interruption(number, time.monotonic())
         self.interruptions.append(interruption)
 
     async def kill_all(self) -> None:
-        """Ends all for good."""
+        """Kills all gateways and waits for them to end."""
         for process in self._processes:
             _signal(process, signal.SIGCONT)
             _signal(process, signal.SIGKILL)
@@ -105,7 +106,8 @@
 
     async def _restart(self, number: int, how: signal.Signals) -> None:
         if number in self._restarting:
-            # It is on its way out: another signal, but one new start.
+            # It is already being restarted: send the signal, but don't start
+            # it twice.
             _signal(self._processes[number], how)
             return
         self._restarting.add(number)
@@ -142,7 +144,7 @@
 
 
 def _signal(process: asyncio.subprocess.Process, how: signal.Signals) -> bool:
-    """Sends a signal to a process of ours that still runs."""
+    """Sends a signal to a process; returns False if it has ended."""
     if process.returncode is not None:
         return False
     try:
--- a/standins/soak_proxy.py
+++ b/standins/soak_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback that misbehaves as the network does."""
+"""A TCP proxy on loopback that simulates network faults."""
 
 import asyncio
 import contextlib
@@ -6,7 +6,15 @@
 
 
 class Mode(enum.Enum):
-    """What the proxy does with its connections."""
+    """What the proxy does with the bytes of its connections.
+
+    Attributes:
+        FORWARD: Forwards them at once.
+        DELAY: Forwards each chunk 0.15 s later.
+        STALL: Holds back both directions.
+        STALL_REQUESTS: Holds back bytes to the upstream server.
+        STALL_RESPONSES: Holds back bytes to the client.
+    """
 
     FORWARD = "pass"
     DELAY = "delay"
@@ -21,11 +29,11 @@
 
 
 class Proxy:
-    """Passes connections on to one address.
+    """Forwards connections to one address.
 
     Attributes:
-        mode: What it does with bytes on their way.
-        port: Where it listens.
+        mode: What it does with the bytes of connections.
+        port: Port at which it listens.
     """
 
     def __init__(self, upstream_port: int, host: str = "127.0.0.1") -> None:
@@ -37,12 +45,12 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Begins to listen at a free port."""
+        """Starts to listen at a free port."""
         self._server = await asyncio.start_server(self._forward, "127.0.0.1")
         self.port = self._server.sockets[0].getsockname()[1]
 
     def set_upstream_port(self, port: int) -> None:
-        """Has new connections go to another port."""
+        """Sets the port to which new connections go."""
         self._upstream_port = port
 
     def reset_connections(self) -> None:
@@ -51,7 +59,7 @@
             writer.transport.abort()
 
     async def stop(self) -> None:
-        """Stops listening and resets what is open."""
+        """Stops listening and resets every open connection."""
         self._server.close()
         self.reset_connections()
 
@@ -92,5 +100,5 @@
                 await writer.drain()
             writer.write_eof()
             return
-        # One side was reset; the other must see more than a proper end.
+        # One side was reset, so the other must see a reset and not a clean end.
         writer.transport.abort()
--- a/standins/soak_rate_limits.py
+++ b/standins/soak_rate_limits.py
@@ -1,4 +1,4 @@
-"""What the soak checks of replicas that name rate limits."""
+"""Checks of the soak for replicas that announce rate limits."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -17,9 +17,9 @@
     """Returns windows in which gateways sent more than a limit allows.
 
     Args:
-        replicas: All that ran.
-        upsets: What befell gateways.
-        all_got: What callers got, with the gateway that they asked.
+        replicas: All replicas that ran.
+        interruptions: Interruptions of gateways.
+        all_responses: Responses to callers, with the gateway that sent them.
     """
     gateways = {
         response.call.request_id: gateway for gateway, response in all_responses
@@ -45,7 +45,7 @@
     replica: platform_replica.PlatformReplica,
     all_responses: Iterable[tuple[int, gateway_caller.Got]],
 ) -> dict[int, float]:
-    """Returns when each gateway first passed on an answer with a limit."""
+    """Returns when each gateway first relayed a response with a limit."""
     relayed_s: dict[int, float] = {}
     for gateway, response in all_responses:
         is_its_own = response.call.request_id in replica.limits_told
--- a/standins/soak_store.py
+++ b/standins/soak_store.py
@@ -1,4 +1,4 @@
-"""The store of a soak: heartbeats of replicas, leavings and restores."""
+"""The store of a soak: replica heartbeats, drains, outages and restores."""
 
 import asyncio
 import collections
@@ -12,7 +12,8 @@
 READY = "ready"
 DRAINING = "draining"
 REMOVED = ""
-# What a restored store has lost is written again within this time.
+# Replicas and operators write lost entries again within this time after a
+# restore.
 _REWRITE_S = 0.5
 _COPY_INTERVAL_S = 0.5
 _MAX_COPIES = 10
@@ -20,21 +21,22 @@
 
 
 class SoakStore:
-    """Writes what replicas and operators publish.
+    """Writes what replicas and operators publish, and injects store faults.
 
     Args:
-        chance: Source of all chance.
+        rng: Source of randomness.
 
     Attributes:
-        store: What gateways read.
-        addresses: Where each replica is reached, by its identity.
-        states: What each replica's entry says, by the replica's name.
-        published_s: When the store was last told that a replica leaves, by its
-            name then; infinity from a restore until it is told again.
-        troubled_s: When the store was away, began or ended being so, or was
+        store: The store that gateways read.
+        addresses: Address of each replica by its `id()`.
+        states: State in each replica's entry, by the replica's name.
+        drain_published_s: When the drain or removal of a replica was last
+            written, by the replica's name at that time; infinity from a restore
+            until it is written again.
+        disrupted_s: Times at which an outage began or ended, or the store was
             restored.
-        key_removed_s: When the key that goes was removed.
-        counts: What was brought about, by name.
+        key_removed_s: When the key was removed; infinity before.
+        counts: Number of injected events by name.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -55,7 +57,7 @@
         self._revision = 0
 
     async def run(self) -> None:
-        """Writes heartbeats and takes copies until cancelled."""
+        """Writes heartbeats and takes copies of the store until cancelled."""
         heartbeat_s = 0.0
         while True:
             self._copies.append(self.store.take_copy())
@@ -68,20 +70,20 @@
     def add_replica(
         self, replica: platform_replica.PlatformReplica, address: str
     ) -> None:
-        """Lists a replica."""
+        """Adds a replica at an address and lists it."""
         self._replicas.append(replica)
         self.addresses[id(replica)] = address
         self.list_replica(replica)
 
     def list_replica(self, replica: platform_replica.PlatformReplica) -> None:
-        """Lists a replica under the name that it has now."""
+        """Lists a replica as ready under its current name."""
         self.states[replica.name] = READY
         self._write_replica(replica)
 
     def start_drain(
         self, replica: platform_replica.PlatformReplica, state: str
     ) -> None:
-        """Has a replica leave, with a word in the list or without."""
+        """Lists a replica as draining, or removes it without notice."""
         name = replica.name
         self.counts[f"leavings, {'drained' if state else 'removed'}"] += 1
         self.states[name] = state
@@ -89,12 +91,12 @@
         self._write_replica(replica)
 
     def delist_replica(self, replica: platform_replica.PlatformReplica) -> None:
-        """Removes a replica's entry, as it has ended."""
+        """Removes the entry of a replica that has ended."""
         self.states[replica.name] = REMOVED
         self._write_replica(replica)
 
     def publish_settings(self, removes_key: bool = False) -> None:
-        """Publishes the next settings."""
+        """Publishes the next settings revision."""
         if removes_key and self._keys.pop("w2", None):
             self.counts["removed keys"] += 1
             self.key_removed_s = time.monotonic()
@@ -102,7 +104,7 @@
         self._write_settings()
 
     async def inject_restore(self) -> None:
-        """Has the store go back, at times after a while of being away."""
+        """Restores the store from an older copy, sometimes after an outage."""
         outage_s = self._rng.choice((0.0, 0.0, 0.5, 1.5))
         copy = self._rng.choice(self._copies)
         if outage_s:
@@ -110,7 +112,7 @@
         self.counts["restores of the store"] += 1
         self.disrupted_s.append(time.monotonic())
         self.store.restore(copy)
-        # No copy of what was lost is left.
+        # Later copies hold writes that this restore has lost.
         self._copies = [copy]
         for name in self.drain_published_s:
             self.drain_published_s[name] = float("inf")
@@ -124,7 +126,7 @@
             )
 
     async def inject_outage(self, outage_s: float) -> None:
-        """Has the store answer nobody for a while."""
+        """Makes the store fail every request for a time."""
         self.counts["outages of the store"] += 1
         self.disrupted_s.append(time.monotonic())
         self.store.trouble = self._rng.choice(("busy", "reset", "silent"))
--- a/standins/vm_list.py
+++ b/standins/vm_list.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's lagging list of VMs and targets."""
+"""Fake of the platform's list of VMs and targets, which lags behind."""
 
 import asyncio
 import pathlib
@@ -13,12 +13,12 @@
 
 
 class VmList:
-    """The list; serves what was true some time ago.
+    """The list; serves its state of `lag_ms` ago.
 
     Attributes:
-        calls: Calls answered.
-        lag_ms: How long a change takes to show.
-        is_stale: Whether no change shows at all.
+        calls: Number of list requests.
+        lag_ms: Delay until a change is visible.
+        is_frozen: Whether changes stay invisible.
     """
 
     def __init__(
@@ -39,15 +39,15 @@
         self._frozen_body = b""
 
     def set_vm(self, vm_id: str, **fields: object) -> None:
-        """Changes a VM's row; with no fields, takes it off the list."""
+        """Changes a VM's row; removes it if no fields are given."""
         self._set(self._vms, vm_id, fields)
 
     def set_target(self, target_id: str, **fields: object) -> None:
-        """Changes a target's row; with no fields, takes it off."""
+        """Changes a target's row; removes it if no fields are given."""
         self._set(self._targets, target_id, fields)
 
     def set_frozen(self, is_frozen: bool) -> None:
-        """Freezes what is served, or lets it go on."""
+        """Freezes the served state, or unfreezes it."""
         self._frozen_body = self._find_visible() if is_frozen else b""
         self.is_frozen = is_frozen
 
@@ -101,12 +101,12 @@
 
 
 def main(*, listen: str, listing: pathlib.Path, lag_ms: float = 0.0) -> None:
-    """Runs the VM list stand-in.
+    """Runs the fake VM list.
 
     Args:
-        listen: Where to serve (HOST:PORT).
-        listing: File with `vms` and `targets`.
-        lag_ms: How long a change takes to show.
+        listen: Address to listen at (HOST:PORT).
+        listing: JSON file with `vms` and `targets`.
+        lag_ms: Delay until a change is visible.
     """
     env = environment.make_system_environment()
     rows = orjson.loads(listing.read_bytes())
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -60,7 +60,7 @@
         found = self.explore(
             freshness.find_current_as_of_ms, counts_suspension=False
         )
-        self.assertIn("sleeps", " ".join(found.counterexample))
+        self.assertIn("suspended", " ".join(found.counterexample))
 
     def test_ages_that_cannot_be_true(self) -> None:
         for age_ms in (-1.0, math.nan, math.inf):
