--- a/standins/bench.py
+++ b/standins/bench.py
@@ -1,7 +1,8 @@
-"""Measures the entry's own cost against the same engine called directly.
+"""Measures the overhead of the entry compared with direct engine calls.
 
-Latency: pairs of requests for one token, direct and through the entry, in
-turn. Requests: workers at once. Tokens: many slow streams at once.
+Latency is measured with pairs of one-token requests, one direct and one through
+the entry, in turn; request throughput with concurrent workers; token throughput
+with many slow concurrent streams.
 """
 
 import asyncio
@@ -59,7 +60,7 @@
     began_ms = env.now_ms()
     answer = await client.fetch(env, address, request, _TIMEOUT_MS)
     if isinstance(answer, client.Fault) or answer.status != 200:
-        raise RuntimeError(f"no answer: {answer}")
+        raise RuntimeError(f"request failed: {answer}")
     return env.now_ms() - began_ms
 
 
@@ -161,10 +162,10 @@
     """Prints the figures as JSON.
 
     Args:
-        pairs: Pairs of requests for the latency.
-        workers: Requests at once for the throughput.
-        seconds: Time for the throughput.
-        streams: Streams at once for the tokens.
+        pairs: Pairs of requests to measure the latency.
+        workers: Concurrent requests to measure the request throughput.
+        seconds: Duration of the request throughput measurement.
+        streams: Concurrent streams to measure the token throughput.
         tokens: Tokens of each stream.
     """
     tree = json.loads((_EXAMPLES / "stanovanjski-signal.json").read_text())
--- a/standins/decision_cost.py
+++ b/standins/decision_cost.py
@@ -1,4 +1,4 @@
-"""Measures what one routing decision costs at different numbers of targets."""
+"""Measures the time of a routing decision for different numbers of targets."""
 
 import random
 import time
@@ -15,7 +15,7 @@
 
 
 def main() -> None:
-    """Prints microseconds a decision for each policy and size."""
+    """Prints microseconds per decision for each policy and size."""
     job = jobs.Job(1_500, 1_700, "w:p1", 800, False, 0.0)
     print(f"{'policy':<16}" + "".join(f"{size:>10}" for size in _SIZES))
     for name in sorted(by_name.FACTORIES):
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""Shows the whole path with real processes on loopback."""
+"""Demonstrates the complete request path with real processes on loopback."""
 
 import json
 import pathlib
@@ -15,12 +15,12 @@
 
 
 def main() -> int:
-    """Runs the demo; returns 0 if every answer was right."""
+    """Runs the demo; returns 0 if every answer was correct, else 1."""
     run = processes.Processes(_EXAMPLES / "stanovanjski-signal.json")
     try:
         return _show(run)
     finally:
-        print("Stopping as planned.")
+        print("Stopping gracefully.")
         run.close()
 
 
@@ -32,7 +32,7 @@
     for name in vms:
         run.start_vm(name, stop_lag_ms="200", traces_to="console")
     run.wait_ready()
-    right = [
+    results = [
         _show_prompt(run, "vm-1", "repairs", _SHORT, stream=False),
         _show_prompt(run, "vm-2", "archives", _LONG, stream=True),
         _show_service(run, "vm-2"),
@@ -42,8 +42,12 @@
         _show_status(run, name)
     _stop_entries(run, vms)
     _show_spans(run, "vm-2")
-    print("All answers right." if all(right) else "SOME ANSWERS WRONG.")
-    return 0 if all(right) else 1
+    print(
+        "All answers are correct."
+        if all(results)
+        else "SOME ANSWERS ARE WRONG."
+    )
+    return 0 if all(results) else 1
 
 
 def _make_headers(workload: str) -> dict[str, str]:
@@ -104,7 +108,7 @@
 
 
 def _show_keyed(run: processes.Processes) -> bool:
-    """Sends one ticket's request to both VMs: it runs once."""
+    """Sends a request with the same ticket to both VMs; it must run once."""
     ticket = processes.send_request(
         run.entries["vm-1"], "POST", "/v1/tickets", _make_headers("")
     ).json()["ticket"]
@@ -130,7 +134,9 @@
     for name in vms:
         run.signal(f"entry {name}", 15)
     for name in vms:
-        print(f"Entry of {name} ended with {run.wait(f'entry {name}')}.")
+        print(
+            f"Entry of {name} exited with status {run.wait(f'entry {name}')}."
+        )
 
 
 def _show_spans(run: processes.Processes, vm: str) -> None:
@@ -138,7 +144,7 @@
     spans = [
         line.strip(' ",') for line in log.splitlines() if "span_id" in line
     ]
-    print(f"Spans of {vm}: {len(spans)}, the first: {spans[:2]}")
+    print(f"Spans of {vm}: {len(spans)}, first spans: {spans[:2]}")
 
 
 if __name__ == "__main__":
--- a/standins/make_overload.py
+++ b/standins/make_overload.py
@@ -1,4 +1,4 @@
-"""Makes a trace of like prompts in three classes at a steady rate."""
+"""Makes a trace of equal prompts of three workloads at a constant rate."""
 
 import pathlib
 import random
@@ -24,9 +24,9 @@
 
     Args:
         path: File to write.
-        rate_per_s: Requests a second.
-        duration_ms: Length of the trace.
-        seed: Seed of all chance.
+        rate_per_s: Mean number of requests per second.
+        duration_ms: Duration of the trace.
+        seed: Seed of the random number generator.
     """
     rng = random.Random(seed)
     lines = []
--- a/standins/make_traces.py
+++ b/standins/make_traces.py
@@ -1,4 +1,4 @@
-"""Makes traces in the shape of the two users' traffic, from a seed."""
+"""Generates traces that resemble the traffic of the two users, from a seed."""
 
 import dataclasses
 import math
@@ -9,7 +9,8 @@
 
 from ruddergate.experiments import trace
 
-# Length bands of prompts in tokens with their shares; one in fifty is long.
+# Share, minimum and maximum of each length band of prompts, in tokens; one
+# prompt in fifty is long.
 _BANDS = (
     (0.55, 1_000, 2_500),
     (0.20, 2_500, 4_096),
@@ -17,8 +18,8 @@
     (0.08, 16_000, 64_000),
     (0.02, 100_000, 1_000_000),
 )
-# What 20 stand-in engines can prefill of this mix, in requests a second;
-# found by replaying the mix at rising rates (docs/MEASUREMENTS.md).
+# Requests per second of this mix that 20 fake engines can prefill, found by
+# replaying the mix at rising rates (docs/MEASUREMENTS.md).
 CAPACITY_PER_S = 36.0
 _BURST_EVERY_MS = 20_000.0
 _BURST_MS = 1_500.0
@@ -28,16 +29,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class User:
-    """How one user's requests look.
+    """The shape of one user's traffic.
 
     Attributes:
-        workspaces: Its workspaces.
-        weights: Part of the requests that each of them sends.
+        workspaces: Workspaces.
+        weights: Relative request rate of each workspace.
         short: Workload of short prompts.
-        middle: Workload of middling prompts.
-        long: Workload of archives.
+        medium: Workload of medium prompts.
+        long: Workload of long prompts.
         service: Workload of a plain service.
-        output: Least and greatest length of an answer, in tokens.
+        output: Minimum and maximum length of an answer, in tokens.
     """
 
     workspaces: tuple[str, ...]
@@ -97,7 +98,7 @@
 def make_trace(
     user: User, load: float, duration_ms: float, seed: int
 ) -> list[trace.Line]:
-    """Returns a trace at a part of the fleet's capacity."""
+    """Returns a trace whose load is a share of the fleet's capacity."""
     rng = random.Random(seed)
     lines: list[trace.Line] = []
     at_ms = 0.0
@@ -110,7 +111,10 @@
 
 
 def _find_rate_factor(at_ms: float, duration_ms: float) -> float:
-    """Rises and falls once, with bursts; its mean is about 1."""
+    """Returns a rate factor that rises and falls once, with bursts.
+
+    Its mean over the duration is about 1.
+    """
     slope = 0.9 + 0.2 * math.sin(math.pi * at_ms / duration_ms)
     in_burst = at_ms % _BURST_EVERY_MS < _BURST_MS
     return slope * (_BURST_FACTOR if in_burst else 0.94)
@@ -173,9 +177,9 @@
     """Writes the traces of both users at five loads.
 
     Args:
-        folder: Where to write them.
-        duration_ms: Length of a trace.
-        seed: Seed of all chance.
+        folder: Folder for the traces.
+        duration_ms: Duration of a trace.
+        seed: Seed of the random number generator.
     """
     for name, user in USERS.items():
         for percent in (50, 70, 85, 100, 130):
--- a/standins/paper_table.py
+++ b/standins/paper_table.py
@@ -1,9 +1,10 @@
-"""The table of the MOSN article, to check the policies against it.
+"""Simulates the table of the MOSN article, to check the policies against it.
 
-Ten servers whose mean response time is drawn from N(50, 10) ms, each response
-from N(mean, 5) ms; one server adds 1000 ms to one response in ten; eight at
-once a server; 16 requests in flight. With `--fast-failures` that server fails
-one request in two at once instead, which looks fast.
+There are ten servers whose mean response time is drawn from N(50, 10) ms; each
+response time is drawn from N(mean, 5) ms. One server adds 1000 ms to one
+response in ten. A server works on eight requests at once, and 16 requests are
+in flight. With fast failures, the faulty server instead fails half of its
+requests immediately, which looks like a fast response.
 """
 
 import heapq
@@ -41,7 +42,7 @@
     def serve(
         self, now_ms: float, rng: random.Random, fast_failures: bool
     ) -> tuple[float, bool]:
-        """Returns when a request ends and whether it failed."""
+        """Returns the time at which a request ends, and whether it failed."""
         if self.is_faulty and fast_failures and rng.random() < 0.5:
             return now_ms + _FAILURE_MS, True
         took_ms = max(1.0, rng.gauss(self.mean_ms, 5.0))
@@ -63,7 +64,7 @@
 
 
 def make_estimates(count: int) -> list[estimates.Estimate]:
-    """Returns the believed load of idle targets."""
+    """Returns the estimated load of idle targets."""
     address = environment.Address("127.0.0.1", 1)
     live = condition.Condition.LIVE
     pool = make_pool()
@@ -114,7 +115,8 @@
 ) -> None:
     if failed and fault_guard:
         loads.note_fault(now_ms)
-        # This table has no circuit breaker: only the guarded average counts.
+        # The table has no circuit breaker; only the effect of faults on the
+        # latency average is measured.
         loads.open_until_ms = 0.0
     else:
         loads.note_first_token(name, now_ms)
@@ -122,11 +124,11 @@
 
 
 def main(*, requests: int = 20_000, seed: int = 1) -> None:
-    """Prints the 99th percentile and the failures of each policy.
+    """Prints latency percentiles of each policy, and the rate of failures.
 
     Args:
-        requests: Requests of each run.
-        seed: Seed of all chance.
+        requests: Number of requests of each run.
+        seed: Seed of the random number generator.
     """
     for name in _POLICIES:
         times, _ = simulate(name, seed, requests, False, True)
@@ -136,7 +138,8 @@
         _, failures = simulate("peak_ewma_p2c", seed, requests, True, guard)
         failure_ratio = failures / requests
         print(
-            f"peak_ewma_p2c, fast failures, guard {guard}: {failure_ratio:.1%} failed"
+            f"peak_ewma_p2c, fast failures, guard {guard}: "
+            f"{failure_ratio:.1%} failed"
         )
 
 
--- a/standins/replay.py
+++ b/standins/replay.py
@@ -1,6 +1,6 @@
 """Replays a trace against the product's own tasks in virtual time.
 
-The same trace, settings and seed give the same bytes.
+The same trace, settings and seed give byte-identical results.
 """
 
 import asyncio
@@ -42,11 +42,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplayResult:
-    """What a replay gave.
+    """The result of a replay.
 
     Attributes:
-        outcomes: One for each request line.
-        held_tokens: Memory still held on engines at the end.
+        outcomes: Outcome of each request line.
+        held_tokens: Memory still in use on engines at the end.
     """
 
     outcomes: tuple[outcomes.TracedOutcome, ...]
@@ -54,7 +54,7 @@
 
 
 class Replay:
-    """One replay: sends the requests, carries out the faults, counts."""
+    """One replay: sends the requests, injects the faults, counts executions."""
 
     def __init__(
         self, lines: tuple[trace.Line, ...], layout: clusters.Layout, tree: dict
@@ -64,12 +64,14 @@
         self._tree = tree
         self._first_sent_ms: dict[str, float] = {}
         requests = [x for x in lines if isinstance(x, trace.TracedRequest)]
-        names = [request.id for request in requests]
-        counts = collections.Counter(names)
-        self._resent_ids = {name for name, count in counts.items() if count > 1}
+        request_ids = [request.id for request in requests]
+        counts = collections.Counter(request_ids)
+        self._resent_ids = {
+            request_id for request_id, count in counts.items() if count > 1
+        }
 
     async def run(self) -> ReplayResult:
-        """Runs the whole trace and waits for what it leaves."""
+        """Runs the whole trace and waits until the engines are drained."""
         cluster = clusters.Cluster(self._layout)
         cluster.configuration.publish(clusters.encode_tree(self._tree))
         cluster.start()
@@ -83,13 +85,13 @@
         process.start(balancer.run)
         await process.start(balancer.wait_ready)
         await asyncio.sleep(_SETTLE_MS / 1000.0)
-        found = await self._send_requests(cluster, process, balancer, env)
+        results = await self._send_requests(cluster, process, balancer, env)
         fault_types.FaultInjector(cluster).clear_faults()
         await self._drain(cluster)
         executions = cluster.count_executions()
         counted = tuple(
             dataclasses.replace(each, executions=executions.get(each.id, 0))
-            for each in found
+            for each in results
         )
         return ReplayResult(counted, cluster.held_tokens())
 
@@ -121,19 +123,19 @@
     ) -> Callable[[], Awaitable[outcomes.TracedOutcome]]:
         async def send() -> outcomes.TracedOutcome:
             outgoing = self._make_outgoing(request, env.now_ms())
-            picked = balancer.pick()
+            entries = balancer.pick()
             if request.vm:
-                picked = [environment.Address(request.vm, clusters.ENTRY_PORT)]
-            for address in picked:
-                found = await caller.send(
+                entries = [environment.Address(request.vm, clusters.ENTRY_PORT)]
+            for address in entries:
+                outcome = await caller.send(
                     env,
                     address,
                     request,
                     outgoing,
                     lambda text: _is_expected_answer(request, text),
                 )
-                if found is not None:
-                    return found
+                if outcome is not None:
+                    return outcome
             return caller.make_unsent(request)
 
         return send
@@ -151,7 +153,7 @@
         )
 
     async def _drain(self, cluster: clusters.Cluster) -> None:
-        """Waits until nothing is held, or for as long as a sweep may take."""
+        """Waits until no memory is held, or for as long as a sweep may take."""
         waited_ms = 0.0
         time_limit_max_ms = max(
             (
@@ -180,7 +182,7 @@
 def add_missing_workloads(
     tree: dict, lines: tuple[trace.Line, ...], layout: clusters.Layout
 ) -> dict:
-    """Adds what the trace names and the tree does not have."""
+    """Adds the workspaces and workloads of a trace that the tree lacks."""
     for line in lines:
         if isinstance(line, trace.TracedRequest):
             is_service = not line.prompt_tokens
@@ -190,7 +192,7 @@
 
 
 def apply_pool_names(tree: dict, layout: clusters.Layout) -> clusters.Layout:
-    """Takes the names of the pools from a tree."""
+    """Returns the layout with the names of the pools in a tree."""
     checked = check.parse_tree(1, clusters.encode_tree(tree))
     if not isinstance(checked, trees.Tree):
         sys.exit("\n".join(str(each) for each in checked))
@@ -207,7 +209,7 @@
     layout: clusters.Layout,
     tree: dict | None = None,
 ) -> ReplayResult:
-    """Replays a trace in a fresh virtual loop."""
+    """Replays a trace in a new virtual-time event loop."""
     logs.configure("CRITICAL", False)
     tree = tree or clusters.make_default_tree(layout.engine)
     layout = apply_pool_names(tree, layout)
@@ -239,19 +241,19 @@
     expect: pathlib.Path | None = None,
     slowdown: bool = False,
 ) -> int:
-    """Replays a trace in virtual time; the same seed gives the same bytes.
+    """Replays a trace in virtual time; results are byte-identical for a seed.
 
     Args:
         trace_file: Trace, JSON lines.
         out: Folder for outcomes.jsonl and summary.json.
-        vms: Entry VMs.
-        halls: Data halls.
-        engines: Engines.
-        services: Plain services.
+        vms: Number of entry VMs.
+        halls: Number of data halls.
+        engines: Number of engines.
+        services: Number of plain services.
         policy: Routing policy.
-        seed: Seed of all chance.
-        tree: Settings tree; what the trace names beyond it is added.
-        expect: Stated outcomes to check; failing ones give status 1.
+        seed: Seed of the random number generators.
+        tree: Settings tree; workspaces and workloads that it lacks are added.
+        expect: File of expected outcomes; the exit status is 1 if one fails.
         slowdown: Also replay the trace without its long requests.
     """
     lines = trace.read_trace(trace_file)
@@ -266,21 +268,23 @@
         seed=seed,
     )
     document = orjson.loads(tree.read_bytes()) if tree else None
-    found = replay(lines, layout, document)
-    alone: tuple[outcomes.TracedOutcome, ...] = ()
+    result = replay(lines, layout, document)
+    without_long: tuple[outcomes.TracedOutcome, ...] = ()
     if slowdown:
-        alone = replay(drop_long_requests(lines), layout, document).outcomes
+        without_long = replay(
+            drop_long_requests(lines), layout, document
+        ).outcomes
     once = frozenset(
         line.id
         for line in lines
         if isinstance(line, trace.TracedRequest) and not line.repeatable
     )
-    summary = summaries.summarize(found.outcomes, once, alone)
+    summary = summaries.summarize(result.outcomes, once, without_long)
     out.mkdir(parents=True, exist_ok=True)
-    outcomes.write_outcomes(out / "outcomes.jsonl", found.outcomes)
+    outcomes.write_outcomes(out / "outcomes.jsonl", result.outcomes)
     written = {
         **dataclasses.asdict(summary),
-        "held_tokens": found.held_tokens,
+        "held_tokens": result.held_tokens,
         "policy": policy,
         "seed": seed,
         "trace": trace_file.name,
@@ -288,7 +292,7 @@
     options = orjson.OPT_INDENT_2
     (out / "summary.json").write_bytes(orjson.dumps(written, option=options))
     print(summaries.render_table(summary))
-    print(f"held tokens at the end {found.held_tokens}")
+    print(f"held tokens at the end {result.held_tokens}")
     if expect is None:
         return 0
     return expectation.check_file(expect, written)
--- a/standins/schedules.py
+++ b/standins/schedules.py
@@ -1,7 +1,7 @@
-"""Random schedules of requests and faults, each from a seed.
+"""Random schedules of requests and faults, each generated from a seed.
 
-`python -m standins.schedules --first 1 --count 100` plays many and prints the
-seeds whose promises were broken.
+`python -m standins.schedules --first 1 --count 100` runs many schedules and
+prints the guarantees that were violated, by seed.
 """
 
 import dataclasses
@@ -28,7 +28,7 @@
 def make_schedule(
     seed: int,
 ) -> tuple[list[trace.Line], clusters.Layout]:
-    """Returns the lines of one schedule and the layout to play it on."""
+    """Returns the lines of one schedule and the layout to run it on."""
     rng = random.Random(seed)
     layout = dataclasses.replace(rng.choice(_LAYOUTS), seed=seed)
     lines: list[trace.Line] = [
@@ -67,7 +67,7 @@
 def _make_fault(
     rng: random.Random, layout: clusters.Layout
 ) -> list[trace.TracedFault]:
-    """Returns a fault and its end."""
+    """Returns a fault and the line that ends it."""
     at_ms = round(rng.uniform(0.0, _DURATION_MS), 1)
     end_ms = at_ms + rng.choice((400.0, 3_000.0, _MAX_FAULT_MS))
     vm = f"vm-{rng.randint(1, layout.vms)}"
@@ -96,7 +96,7 @@
 def find_violations(
     result: replay.ReplayResult, lines: list[trace.Line]
 ) -> list[str]:
-    """Returns what broke one of the promises that hold in any replay."""
+    """Returns violations of the guarantees that hold in every replay."""
     once = {
         line.id
         for line in lines
@@ -106,12 +106,12 @@
     violations = []
     for outcome in result.outcomes:
         if outcome.status == "finished" and not outcome.answer_ok:
-            violations.append(f"{outcome.id}: a wrong answer")
-        # A resend may run after a first sending that did not.
+            violations.append(f"{outcome.id}: wrong answer")
+        # If an id was sent twice, the second request may have run.
         is_single = names.count(outcome.id) == 1
         if outcome.ran == "not_run" and outcome.executions and is_single:
             violations.append(
-                f"{outcome.id}: told not run, ran {outcome.executions}"
+                f"{outcome.id}: reported as not run, ran {outcome.executions}"
             )
         if outcome.id in once and outcome.executions > 1:
             violations.append(f"{outcome.id}: ran {outcome.executions} times")
@@ -120,12 +120,12 @@
                 f"{outcome.id}: {outcome.reason} after {outcome.total_ms}"
             )
     if result.held_tokens:
-        violations.append(f"{result.held_tokens} tokens held at the end")
+        violations.append(f"{result.held_tokens} tokens still held at the end")
     return violations
 
 
 def _is_late(outcome: outcomes.TracedOutcome) -> bool:
-    # A caller whose entry is gone gives up by itself; no one could tell it.
+    # A caller whose entry was killed gets no answer and gives up by itself.
     if outcome.reason == "no_answer" or outcome.total_ms is None:
         return False
     return outcome.total_ms > outcome.time_limit_ms + 250.0
@@ -134,9 +134,9 @@
 def _was_unreachable(
     outcome: outcomes.TracedOutcome, lines: list[trace.Line]
 ) -> bool:
-    """Returns whether an entry was frozen or cut from callers meanwhile.
+    """Returns whether an entry was paused or partitioned meanwhile.
 
-    Then its answer can't arrive in time, whatever it does.
+    Such an entry can't answer in time.
     """
     sent_ms = [
         line.at_ms
@@ -159,7 +159,7 @@
 
 
 def main(*, first: int = 1, count: int = 20) -> int:
-    """Plays many schedules.
+    """Runs many schedules.
 
     Args:
         first: First seed.
--- a/standins/slopes.py
+++ b/standins/slopes.py
@@ -1,8 +1,9 @@
-"""Measures how the control's cost grows with the fleet, on one machine.
+"""Measures how the cost of the control plane grows with the fleet.
 
-Messages, bytes and convergence: agents of the product in one virtual-time
-loop. Processor time and memory: agents as real processes. State: the
-product's own codec. `docs/CAPACITY.md` quotes what this prints.
+All measurements run on one machine. Messages, bytes and convergence are
+measured with the product's agents in one virtual-time loop, CPU time and memory
+with agents as real processes, and sizes of state with the product's own codec.
+`docs/CAPACITY.md` quotes the printed figures.
 """
 
 import asyncio
@@ -30,11 +31,12 @@
 from standins import virtual_process
 
 SIZES = (8, 40, 80, 120, 160)
-# From this size on a hall has more members than a digest has rows.
+# From this size on, a hall has more members than a digest has rows; lines are
+# fitted to these sizes only.
 _FULL_DIGEST_SIZE = 40
 _REAL_SIZES = (8, 24, 48, 96)
 _TARGET_SIZES = (4, 8, 16, 32)
-# At 940 nodes a hall has 78, as it has here at 234.
+# At 940 nodes in 12 halls, a hall has 78, as it has here at 234 nodes.
 _HALLS = 3
 _SETTLE_S = 8.0
 _MEASURE_S = 20.0
@@ -48,12 +50,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fit:
-    """A line through measured points.
+    """A line fitted to measured points.
 
     Attributes:
         base: Value at size 0.
-        slope: Growth for each one more.
-        error: Greatest distance of a point from the line, as a part of it.
+        slope: Growth per unit of size.
+        error: Largest distance of a point from the line, relative to the point.
     """
 
     base: float
@@ -61,11 +63,11 @@
     error: float
 
     def at(self, size: float) -> float:
-        """Returns the value on the line."""
+        """Returns the value of the line at a size."""
         return self.base + self.slope * size
 
 
-# What a busy entry has on its targets.
+# The work that a busy entry has dispatched to its targets.
 _BUSY_ENTRY_LOAD = tuple(
     dispatched.Dispatched(f"engine-{n}", (9_000, 4_000, 0, 0, 0), 70_000, 12)
     for n in range(32)
@@ -73,7 +75,7 @@
 
 
 def fit_line(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """Returns the least-squares line."""
+    """Returns the least-squares line through the points."""
     count = len(sizes)
     mean_x = sum(sizes) / count
     mean_y = sum(values) / count
@@ -91,7 +93,7 @@
 
 
 def make_layout(size: int) -> clusters.Layout:
-    """Returns a layout of agents alone."""
+    """Returns a layout of agents without entries and targets."""
     return clusters.Layout(
         vms=size,
         halls=_HALLS,
@@ -103,7 +105,7 @@
 
 
 def make_tree(weight: float, workspaces: int = 20) -> dict:
-    """Returns a tree with some workspaces."""
+    """Returns a settings tree; `weight` is that of the first workspace."""
     tree = clusters.make_default_tree(clusters.Layout().engine)
     for number in range(workspaces):
         clusters.add_workload(tree, f"w{number}", "a", "engines")
@@ -125,7 +127,8 @@
     began = time.process_time()
     await asyncio.sleep(_MEASURE_S)
     cpu_s = time.process_time() - began
-    # Both ends count a byte, so the sum is what goes in and out of nodes.
+    # Sender and receiver both count a byte, so the sum is the incoming and
+    # outgoing traffic of all nodes.
     peer_bytes = sum(agent.peer_bytes() for agent in agents) - before
     calls = sum(cluster.configuration.calls.values()) - calls
     list_calls = cluster.vm_list.calls - list_calls
@@ -185,7 +188,7 @@
 
 
 def _measure_real(size: int) -> dict[str, float]:
-    """Runs agents as processes; returns the mean of a node."""
+    """Runs agents as processes and returns the means per node."""
     folder = pathlib.Path(processes.tempfile.mkdtemp())
     path = folder / "tree.json"
     path.write_bytes(orjson.dumps(make_tree(1.0)))
@@ -213,7 +216,7 @@
 
 
 def _measure_load_polls(size: int) -> dict[str, float]:
-    """Runs one agent before some targets; returns what it costs."""
+    """Runs one agent with targets and returns the CPU use of its polls."""
     folder = pathlib.Path(processes.tempfile.mkdtemp())
     path = folder / "tree.json"
     path.write_bytes(orjson.dumps(make_tree(1.0)))
@@ -250,7 +253,7 @@
 
 
 def _measure_state() -> dict[str, Fit]:
-    """Returns bytes for each VM, target and workspace, and their decoding."""
+    """Returns bytes per VM, target and workspace, and tree parsing times."""
     nodes = (50, 100, 200, 400)
     node_bytes = [
         len(codec.encode(fleet_view.FleetView(_make_listing(n, 0), 0.0, 0.0)))
@@ -298,11 +301,11 @@
 def main(
     *, out: pathlib.Path = pathlib.Path("out/slopes"), real: bool = True
 ) -> None:
-    """Prints the measured table and writes slopes.json.
+    """Prints the measured figures and writes slopes.json.
 
     Args:
         out: Folder for slopes.json, which `ruddergatectl report` draws.
-        real: Whether to run agents as processes as well.
+        real: Whether to measure agents as real processes, too.
     """
     logs.configure("CRITICAL", False)
     print("virtual agents", SIZES)
