--- a/standins/configuration.py
+++ b/standins/configuration.py
@@ -18,13 +18,13 @@
     """Revisions of a settings tree; can serve an older one than the newest.
 
     Attributes:
-        calls: Number of requests by kind, including waiting ones.
+        request_counts: Number of requests by kind, including waiting ones.
         revisions_behind: How many revisions the served one is behind the
             newest.
     """
 
     def __init__(self) -> None:
-        self.calls: dict[str, int] = {}
+        self.request_counts: dict[str, int] = {}
         self.revisions_behind = 0
         self._manifests: list[manifests.Manifest] = [manifests.EMPTY]
         self._shards: dict[str, bytes] = {}
@@ -59,12 +59,12 @@
     ) -> message.Response:
         """Answers one HTTP request."""
         if incoming.path == "/v1/manifest":
-            self._count("manifest")
+            self._count_request("manifest")
             query = dict(urllib.parse.parse_qsl(incoming.query))
             after = int(query.get("after", 0))
             return await self._watch(after, float(query.get("wait_ms", 0)))
         if incoming.path.startswith("/v1/shards/"):
-            self._count("shard")
+            self._count_request("shard")
             data = self._shards.get(incoming.path.rpartition("/")[2])
             if data is not None:
                 headers = {"content-type": message.JSON_TYPE}
@@ -94,8 +94,8 @@
         behind = min(self.revisions_behind, len(self._manifests) - 1)
         return self._manifests[-1 - behind]
 
-    def _count(self, kind: str) -> None:
-        self.calls[kind] = self.calls.get(kind, 0) + 1
+    def _count_request(self, kind: str) -> None:
+        self.request_counts[kind] = self.request_counts.get(kind, 0) + 1
 
 
 async def serve(
--- a/standins/models.py
+++ b/standins/models.py
@@ -275,7 +275,7 @@
 
 def _adopt(state: AdoptionState, index: int, revision: int) -> AdoptionState:
     agent = state.agents[index]
-    current = _in_force(max(0, agent))
+    current = _make_in_force(max(0, agent))
     if not adoption.is_wanted(current, revision):
         return state
     return dataclasses.replace(
@@ -285,11 +285,11 @@
 
 def feed_entry(entry: int, agent: int) -> int:
     """Returns the entry's revision in force after an update by its agent."""
-    is_newer = adoption.is_wanted(_in_force(max(0, entry)), agent)
+    is_newer = adoption.is_wanted(_make_in_force(max(0, entry)), agent)
     return agent if is_newer else entry
 
 
-def _in_force(revision: int) -> adoption.InForce:
+def _make_in_force(revision: int) -> adoption.InForce:
     return dataclasses.replace(
         adoption.NOTHING, manifest=manifests.Manifest(revision, ())
     )
--- a/standins/slopes.py
+++ b/standins/slopes.py
@@ -122,16 +122,16 @@
     for agent in agents:
         agent.knowledge.own_dispatched = _BUSY_ENTRY_LOAD
     before = sum(agent.peer_bytes() for agent in agents)
-    calls = sum(cluster.configuration.calls.values())
-    list_calls = cluster.vm_list.calls
+    calls = sum(cluster.configuration.request_counts.values())
+    list_calls = cluster.vm_list.request_count
     began = time.process_time()
     await asyncio.sleep(_MEASURE_S)
     cpu_s = time.process_time() - began
     # Sender and receiver both count a byte, so the sum is the incoming and
     # outgoing traffic of all nodes.
     peer_bytes = sum(agent.peer_bytes() for agent in agents) - before
-    calls = sum(cluster.configuration.calls.values()) - calls
-    list_calls = cluster.vm_list.calls - list_calls
+    calls = sum(cluster.configuration.request_counts.values()) - calls
+    list_calls = cluster.vm_list.request_count - list_calls
     wrongly_suspected = sum(
         len(cluster.vms) // _HALLS - len(agent.knowledge.live_in_hall())
         for agent in agents
--- a/standins/soak_ablations.py
+++ b/standins/soak_ablations.py
@@ -24,7 +24,7 @@
     """Makes store positions compare by revision, whatever their epoch."""
     find_since = change_log.ChangeLog.find_since
 
-    def find(
+    def find_by_revision(
         log: change_log.ChangeLog, position: int, until: int
     ) -> change_log.Step | None:
         if position > until:
@@ -32,36 +32,36 @@
         return find_since(log, position, until)
 
     store._read_epoch = lambda fields: 0
-    change_log.ChangeLog.find_since = find
+    change_log.ChangeLog.find_since = find_by_revision
     store_epochs.check_epoch = lambda found, since, known_epoch: found
     store_sync._is_behind = lambda found, position: False
 
 
-def _keep_keys() -> None:
+def _keep_removed_keys() -> None:
     """Makes removed keys stay valid."""
-    take = views.View.apply_catalog
+    original = views.View.apply_catalog
 
     def apply_catalog(view: views.View, offered: object) -> bool:
         before = view.catalog.workspaces
-        is_taken = take(view, offered)
-        if is_taken:
+        is_applied = original(view, offered)
+        if is_applied:
             view.catalog.workspaces = {**before, **view.catalog.workspaces}
-        return is_taken
+        return is_applied
 
     views.View.apply_catalog = apply_catalog
 
 
-def _ignore_ages() -> None:
+def _ignore_reply_ages() -> None:
     """Makes a peer's reply count as current as of the request time."""
     freshness.find_current_as_of_ms = lambda asked_ms, age_ms: asked_ms
 
 
-def _keep_leavings() -> None:
+def _stop_drain_gossip() -> None:
     """Stops gossip of targets that announce draining in responses."""
     draining.DrainState.summarize = lambda self, now_ms: ()
 
 
-def _keep_limits() -> None:
+def _stop_limit_gossip() -> None:
     """Stops gossip of rate limits."""
     rate_limiter.RateLimiter.summarize = lambda self: ()
 
@@ -81,10 +81,10 @@
 
 ABLATIONS = (
     Ablation("epochs", _ignore_epochs),
-    Ablation("key-removals", _keep_keys),
-    Ablation("proof-ages", _ignore_ages),
-    Ablation("leavings", _keep_leavings),
-    Ablation("limits", _keep_limits),
+    Ablation("key-removals", _keep_removed_keys),
+    Ablation("proof-ages", _ignore_reply_ages),
+    Ablation("leavings", _stop_drain_gossip),
+    Ablation("limits", _stop_limit_gossip),
 )
 
 
--- a/standins/soak_caller.py
+++ b/standins/soak_caller.py
@@ -24,6 +24,7 @@
         """Sends a call and reads its response to the end."""
         sent_s = time.monotonic()
         chunks: list[bytes] = []
+        # Status, headers, and whether the response is complete.
         head: list = [0, {}, False]
         limit_s = (call.leaves_after_ms or call.time_limit_ms + 1_000.0) / 1000
         try:
--- a/standins/soak_gateways.py
+++ b/standins/soak_gateways.py
@@ -104,16 +104,16 @@
     def _choose_gateway(self) -> int:
         return self._rng.randrange(len(self._processes))
 
-    async def _restart(self, number: int, how: signal.Signals) -> None:
+    async def _restart(self, number: int, signum: signal.Signals) -> None:
         if number in self._restarting:
             # It is already being restarted: send the signal, but don't start
             # it twice.
-            _signal(self._processes[number], how)
+            _signal(self._processes[number], signum)
             return
         self._restarting.add(number)
         process = self._processes[number]
         self.record_interruption(number)
-        _signal(process, how)
+        _signal(process, signum)
         try:
             await asyncio.wait_for(process.wait(), GRACE_S)
         except TimeoutError:
@@ -143,12 +143,14 @@
         await asyncio.sleep(0.1)
 
 
-def _signal(process: asyncio.subprocess.Process, how: signal.Signals) -> bool:
+def _signal(
+    process: asyncio.subprocess.Process, signum: signal.Signals
+) -> bool:
     """Sends a signal to a process; returns False if it has ended."""
     if process.returncode is not None:
         return False
     try:
-        process.send_signal(how)
+        process.send_signal(signum)
     except ProcessLookupError:
         return False
     return True
--- a/standins/vm_list.py
+++ b/standins/vm_list.py
@@ -16,7 +16,7 @@
     """The list; serves its state of `lag_ms` ago.
 
     Attributes:
-        calls: Number of list requests.
+        request_count: Number of list requests.
         lag_ms: Delay until a change is visible.
         is_frozen: Whether changes stay invisible.
     """
@@ -28,7 +28,7 @@
         targets: list[dict],
         lag_ms: float = 0.0,
     ) -> None:
-        self.calls = 0
+        self.request_count = 0
         self.lag_ms = lag_ms
         self.is_frozen = False
         self._env = env
@@ -40,18 +40,18 @@
 
     def set_vm(self, vm_id: str, **fields: object) -> None:
         """Changes a VM's row; removes it if no fields are given."""
-        self._set(self._vms, vm_id, fields)
+        self._update_row(self._vms, vm_id, fields)
 
     def set_target(self, target_id: str, **fields: object) -> None:
         """Changes a target's row; removes it if no fields are given."""
-        self._set(self._targets, target_id, fields)
+        self._update_row(self._targets, target_id, fields)
 
     def set_frozen(self, is_frozen: bool) -> None:
         """Freezes the served state, or unfreezes it."""
         self._frozen_body = self._find_visible() if is_frozen else b""
         self.is_frozen = is_frozen
 
-    def _set(self, rows: dict, name: str, fields: dict) -> None:
+    def _update_row(self, rows: dict, name: str, fields: dict) -> None:
         if fields:
             rows[name] = {**rows.get(name, {"id": name}), **fields}
         else:
@@ -84,7 +84,7 @@
             name = change.get("vm") or change["target"]
             setter(name, **change.get("fields", {}))
             return message.make_json_response(200, {})
-        self.calls += 1
+        self.request_count += 1
         body = self._frozen_body if self.is_frozen else self._find_visible()
         return message.Response(200, {"content-type": message.JSON_TYPE}, body)
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -148,14 +148,14 @@
             async def story(
                 cluster: clusters.Cluster, _: faults.FaultInjector
             ) -> None:
-                cluster.configuration.calls.clear()
+                cluster.configuration.request_counts.clear()
                 for number in range(5):
                     cluster.configuration.publish(_tree(2.0 + number))
                     await asyncio.sleep(6.0)
                 self.assertEqual(_revisions(cluster), {6})
 
             cluster = _run(story, layout)
-            calls[vms] = sum(cluster.configuration.calls.values())
+            calls[vms] = sum(cluster.configuration.request_counts.values())
         self.assertLessEqual(calls[80], 1.5 * calls[8])
 
     def test_death_is_known_within_seconds(self) -> None:
