--- a/standins/bench.py
+++ b/standins/bench.py
@@ -92,24 +92,24 @@
     env = environment.make_system_environment()
     entry = environment.Address("127.0.0.1", run.entries["vm-1"])
     done = 0
-    until = time.monotonic() + seconds
+    until_s = time.monotonic() + seconds
 
     async def work(worker: int) -> None:
         nonlocal done
-        while time.monotonic() < until:
+        while time.monotonic() < until_s:
             request = _make_entry_request(
                 worker * 1_000_000 + done, 1, stream=False
             )
             await _time_request(env, entry, request)
             done += 1
 
-    began, cpu = time.monotonic(), run.measure_cpu_s("entry vm-1")
+    started_s, cpu_before_s = time.monotonic(), run.measure_cpu_s("entry vm-1")
     await asyncio.gather(*(work(number) for number in range(workers)))
-    took = time.monotonic() - began
-    cpu_used_s = run.measure_cpu_s("entry vm-1") - cpu
+    elapsed_s = time.monotonic() - started_s
+    cpu_used_s = run.measure_cpu_s("entry vm-1") - cpu_before_s
     return {
-        "requests_per_s": round(done / took, 1),
-        "entry_core": round(cpu_used_s / took, 3),
+        "requests_per_s": round(done / elapsed_s, 1),
+        "entry_core": round(cpu_used_s / elapsed_s, 3),
         "entry_ms_per_request": round(cpu_used_s / done * 1000.0, 3),
     }
 
@@ -119,7 +119,7 @@
 ) -> dict[str, float]:
     env = environment.make_system_environment()
     entry = environment.Address("127.0.0.1", run.entries["vm-1"])
-    began, cpu = time.monotonic(), run.measure_cpu_s("entry vm-1")
+    started_s, cpu_before_s = time.monotonic(), run.measure_cpu_s("entry vm-1")
     await asyncio.gather(
         *(
             _time_request(
@@ -128,11 +128,11 @@
             for number in range(streams)
         )
     )
-    took = time.monotonic() - began
-    cpu_used_s = run.measure_cpu_s("entry vm-1") - cpu
+    elapsed_s = time.monotonic() - started_s
+    cpu_used_s = run.measure_cpu_s("entry vm-1") - cpu_before_s
     return {
-        "tokens_per_s": round(streams * tokens / took, 1),
-        "entry_core": round(cpu_used_s / took, 3),
+        "tokens_per_s": round(streams * tokens / elapsed_s, 1),
+        "entry_core": round(cpu_used_s / elapsed_s, 3),
         "entry_us_per_token": round(cpu_used_s / (streams * tokens) * 1e6, 2),
         "entry_memory_mb": round(run.measure_memory_mb("entry vm-1"), 1),
     }
--- a/standins/decision_cost.py
+++ b/standins/decision_cost.py
@@ -24,11 +24,11 @@
         for size in _SIZES:
             loads = _make_busy_targets(size)
             rng = random.Random(1)
-            began = time.perf_counter()
+            started_s = time.perf_counter()
             for number in range(_DECISIONS):
                 policy.choose(job, loads, 10.0 + number, rng)
-            took = time.perf_counter() - began
-            cells += f"{took / _DECISIONS * 1e6:>10.1f}"
+            elapsed_s = time.perf_counter() - started_s
+            cells += f"{elapsed_s / _DECISIONS * 1e6:>10.1f}"
         print(f"{name:<16}{cells} us")
 
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -157,7 +157,7 @@
     def _make_stream(self, document: dict) -> states.Allocation:
         delivered = len(document["delivered"])
         reserved = self._allocations.get(document["reservation"])
-        fresh_tokens = (
+        tokens_to_prefill = (
             document["prompt_tokens"] - document["first_token"] + delivered
         )
         held = document["prompt_tokens"] + document["output_tokens_max"]
@@ -166,7 +166,7 @@
         allocation.prompt = document["prompt"]
         allocation.prefix = document["prefix"]
         allocation.prefix_tokens = document["prefix_tokens"]
-        allocation.prefill_tokens_left = max(1, fresh_tokens)
+        allocation.prefill_tokens_left = max(1, tokens_to_prefill)
         allocation.generated_tokens = allocation.first_token = delivered
         allocation.output_tokens = document["output_tokens_max"]
         if reserved is not None:
--- a/standins/models.py
+++ b/standins/models.py
@@ -69,8 +69,8 @@
     if version == 1:
         return listings.Listing(1, tuple(both), ())
     home = ledger.find_home(_KEY, listings.Listing(1, tuple(both), ()))
-    kept = tuple(vm for vm in both if vm.vm_id != home)
-    return listings.Listing(2, kept, ())
+    remaining = tuple(vm for vm in both if vm.vm_id != home)
+    return listings.Listing(2, remaining, ())
 
 
 @functools.cache
--- a/standins/paper_table.py
+++ b/standins/paper_table.py
@@ -48,9 +48,9 @@
         took_ms = max(1.0, rng.gauss(self.mean_ms, 5.0))
         if self.is_faulty and not fast_failures and rng.random() < 0.1:
             took_ms += _FAULT_MS
-        begin_ms = max(now_ms, heapq.heappop(self.worker_free_ms))
-        heapq.heappush(self.worker_free_ms, begin_ms + took_ms)
-        return begin_ms + took_ms, False
+        start_ms = max(now_ms, heapq.heappop(self.worker_free_ms))
+        heapq.heappush(self.worker_free_ms, start_ms + took_ms)
+        return start_ms + took_ms, False
 
 
 def make_pool() -> effective.Pool:
@@ -92,8 +92,8 @@
     times, failures, now_ms = [], 0, 0.0
     for number in range(requests):
         while len(in_flight) >= _IN_FLIGHT:
-            now_ms, done, index, began_ms, failed = heapq.heappop(in_flight)
-            times.append(now_ms - began_ms)
+            now_ms, done, index, started_ms, failed = heapq.heappop(in_flight)
+            times.append(now_ms - started_ms)
             failures += failed
             _record_outcome(
                 loads[index], str(done), now_ms, failed, fault_guard
--- a/standins/slopes.py
+++ b/standins/slopes.py
@@ -124,9 +124,9 @@
     before = sum(agent.peer_bytes() for agent in agents)
     calls = sum(cluster.configuration.request_counts.values())
     list_calls = cluster.vm_list.request_count
-    began = time.process_time()
+    started_s = time.process_time()
     await asyncio.sleep(_MEASURE_S)
-    cpu_s = time.process_time() - began
+    cpu_s = time.process_time() - started_s
     # Sender and receiver both count a byte, so the sum is the incoming and
     # outgoing traffic of all nodes.
     peer_bytes = sum(agent.peer_bytes() for agent in agents) - before
@@ -266,10 +266,10 @@
     trees = [orjson.dumps(make_tree(1.0, n)) for n in nodes]
     times = []
     for data in trees:
-        began = time.process_time()
+        started_s = time.process_time()
         for _ in range(5):
             check.parse_tree(1, {"main": data})
-        times.append((time.process_time() - began) / 5 * 1000.0)
+        times.append((time.process_time() - started_s) / 5 * 1000.0)
     return {
         "list_bytes_a_vm": fit_line(nodes, node_bytes),
         "list_bytes_a_target": fit_line(nodes, replica_bytes),
--- a/standins/soak_store.py
+++ b/standins/soak_store.py
@@ -15,8 +15,8 @@
 # Replicas and operators write lost entries again within this time after a
 # restore.
 _REWRITE_S = 0.5
-_COPY_INTERVAL_S = 0.5
-_MAX_COPIES = 10
+_SNAPSHOT_INTERVAL_S = 0.5
+_MAX_SNAPSHOTS = 10
 REMOVED_KEY = "removed-key"
 
 
@@ -52,20 +52,20 @@
         self._heartbeat_numbers: collections.Counter[str] = (
             collections.Counter()
         )
-        self._copies: list[platform_store.Copy] = []
+        self._snapshots: list[platform_store.Copy] = []
         self._keys = {"w1": [gateway_cluster.KEY], "w2": [REMOVED_KEY]}
         self._revision = 0
 
     async def run(self) -> None:
-        """Writes heartbeats and takes copies of the store until cancelled."""
+        """Writes heartbeats and takes snapshots of the store until cancelled."""
         heartbeat_s = 0.0
         while True:
-            self._copies.append(self.store.take_copy())
-            del self._copies[:-_MAX_COPIES]
+            self._snapshots.append(self.store.take_copy())
+            del self._snapshots[:-_MAX_SNAPSHOTS]
             if time.monotonic() >= heartbeat_s + gateway_cluster.HEARTBEAT_S:
                 heartbeat_s = time.monotonic()
                 self._write_replicas()
-            await asyncio.sleep(_COPY_INTERVAL_S)
+            await asyncio.sleep(_SNAPSHOT_INTERVAL_S)
 
     def add_replica(
         self, replica: platform_replica.PlatformReplica, address: str
@@ -104,16 +104,16 @@
         self._write_settings()
 
     async def inject_restore(self) -> None:
-        """Restores the store from an older copy, sometimes after an outage."""
+        """Restores the store from an older snapshot, sometimes after an outage."""
         outage_s = self._rng.choice((0.0, 0.0, 0.5, 1.5))
-        copy = self._rng.choice(self._copies)
+        snapshot = self._rng.choice(self._snapshots)
         if outage_s:
             await self.inject_outage(outage_s)
         self.counts["restores of the store"] += 1
         self.disrupted_s.append(time.monotonic())
-        self.store.restore(copy)
-        # Later copies hold writes that this restore has lost.
-        self._copies = [copy]
+        self.store.restore(snapshot)
+        # Later snapshots hold writes that this restore has lost.
+        self._snapshots = [snapshot]
         for name in self.drain_published_s:
             self.drain_published_s[name] = float("inf")
         await asyncio.sleep(self._rng.uniform(0.0, _REWRITE_S))
@@ -126,7 +126,7 @@
             )
 
     async def inject_outage(self, outage_s: float) -> None:
-        """Makes the store fail every request for a time."""
+        """Makes the store fail every request for a given time."""
         self.counts["outages of the store"] += 1
         self.disrupted_s.append(time.monotonic())
         self.store.trouble = self._rng.choice(("busy", "reset", "silent"))
