--- a/standins/soak.py
+++ b/standins/soak.py
@@ -79,7 +79,8 @@
     Attributes:
         violations: Violated guarantees, one sentence each.
         statuses: Number of responses to callers by HTTP status.
-        counts: Number of injected events and of checks that applied, by name.
+        counts: Number of injected events, and of calls to which the guarantees
+            of soak_fleet can apply, by name.
     """
 
     violations: list[str]
--- a/standins/soak_fleet.py
+++ b/standins/soak_fleet.py
@@ -1,8 +1,8 @@
 """Checks of the soak for gateways that are peers of each other.
 
 Guarantees that rest on the store hold for a gateway only if neither it nor the
-store was disturbed for 3 s. The number of checks that applied is counted, so
-that a run in which every check was excused shows up.
+store was disturbed for 3 s. Calls to which a guarantee can apply are counted, so
+that runs without any such call can be recognized.
 """
 
 import collections
@@ -33,7 +33,8 @@
         drain_periods: Times in which replicas drained.
         interruptions: Interruptions of gateways.
         all_responses: Responses to callers, with the gateway that sent them.
-        counts: Gets the number of checks that applied, by name.
+        counts: Counters by name, to which calls that a guarantee can apply to
+            are added.
     """
     by_id = {
         response.call.request_id: (vm, response)
@@ -61,8 +62,8 @@
                 late_s = response.sent_s - due_s + _DRAIN_DEADLINE_S
                 violations.append(
                     f"{arrival.request_id} reached {period.name} "
-                    f"{late_s:.2f} s after the store listed it as draining, by "
-                    f"gateway {gateway}"
+                    f"{late_s:.2f} s after its drain was published, by gateway "
+                    f"{gateway}"
                 )
     return violations
 
--- a/standins/soak_store.py
+++ b/standins/soak_store.py
@@ -57,7 +57,7 @@
         self._revision = 0
 
     async def run(self) -> None:
-        """Writes heartbeats and takes snapshots of the store until cancelled."""
+        """Writes heartbeats and takes snapshots until cancelled."""
         heartbeat_s = 0.0
         while True:
             self._snapshots.append(self.store.take_copy())
@@ -104,7 +104,7 @@
         self._write_settings()
 
     async def inject_restore(self) -> None:
-        """Restores the store from an older snapshot, sometimes after an outage."""
+        """Restores an older snapshot of the store, at times after an outage."""
         outage_s = self._rng.choice((0.0, 0.0, 0.5, 1.5))
         snapshot = self._rng.choice(self._snapshots)
         if outage_s:
