--- a/standins/soak_fleet.py
+++ b/standins/soak_fleet.py
@@ -1,8 +1,8 @@
 """Checks of the soak for gateways that are peers of each other.
 
 Guarantees that rest on the store hold for a gateway only if neither it nor the
-store was disturbed for 3 s. Calls to which a guarantee can apply are counted, so
-that runs without any such call can be recognized.
+store was disturbed for 3 s. Calls to which a guarantee can apply are counted,
+so that runs without any such call can be recognized.
 """
 
 import collections
