--- a/standins/processes.py
+++ b/standins/processes.py
@@ -200,8 +200,8 @@
     def _start_program(
         self, name: str, program: str, row: dict, **settings: str
     ) -> None:
-        # Settings are passed as environment variables here, so that these are
-        # tested too; the README passes flags.
+        # Settings are passed as environment variables here; the README passes
+        # them as flags.
         settings = {
             "vm_id": row["id"],
             "hall": row["hall"],
