--- a/standins/bench.py
+++ b/standins/bench.py
@@ -1,7 +1,8 @@
-"""Measures the entry's own cost against the same engine called directly.
+"""Measures the overhead of the entry compared with direct engine calls.
 
-Latency: pairs of requests for one token, direct and through the entry, in
-turn. Requests: workers at once. Tokens: many slow streams at once.
+Latency is measured with pairs of one-token requests, one direct and one through
+the entry, in turn; request throughput with concurrent workers; token throughput
+with many slow concurrent streams.
 """
 
 import asyncio
@@ -17,13 +18,13 @@
 from ruddergate.http import client
 from standins import processes
 
-_TREE = pathlib.Path(__file__).parent.parent / "examples"
+_EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
 _KEY = "demo-bezigrad"
 _STEP_MS = 50.0
 _TIMEOUT_MS = 120_000.0
 
 
-def _direct(number: int) -> client.message.OutgoingRequest:
+def _make_direct_request(number: int) -> client.message.OutgoingRequest:
     document = {
         "stream": f"direct-{number}",
         "owner": "bench",
@@ -44,7 +45,7 @@
     return client.make_json_request("POST", "/v1/generate", document)
 
 
-def _through(number: int, tokens: int, stream: bool):  # noqa: ANN202
+def _make_entry_request(number: int, tokens: int, stream: bool):  # noqa: ANN202
     document = {"prompt": f"p{number}", "max_tokens": tokens, "stream": stream}
     headers = {
         "authorization": f"Bearer {_KEY}",
@@ -55,11 +56,11 @@
     )
 
 
-async def _time(env, address, request) -> float:  # noqa: ANN001
+async def _time_request(env, address, request) -> float:  # noqa: ANN001
     began_ms = env.now_ms()
     answer = await client.fetch(env, address, request, _TIMEOUT_MS)
     if isinstance(answer, client.Fault) or answer.status != 200:
-        raise RuntimeError(f"no answer: {answer}")
+        raise RuntimeError(f"request failed: {answer}")
     return env.now_ms() - began_ms
 
 
@@ -69,15 +70,17 @@
     env = environment.make_system_environment()
     engine = environment.Address("127.0.0.1", run.ports["engine-1"])
     entry = environment.Address("127.0.0.1", run.entries["vm-1"])
-    direct, through = [], []
+    direct, through_entry = [], []
     for number in range(pairs):
-        direct.append(await _time(env, engine, _direct(number)))
-        request = _through(number, 1, stream=True)
-        through.append(await _time(env, entry, request))
+        direct.append(
+            await _time_request(env, engine, _make_direct_request(number))
+        )
+        request = _make_entry_request(number, 1, stream=True)
+        through_entry.append(await _time_request(env, entry, request))
     figures = {}
     for percent in (50, 99):
         own = summary.percentile(direct, percent)
-        added = summary.percentile(through, percent) - own
+        added = summary.percentile(through_entry, percent) - own
         figures[f"direct_p{percent}_ms"] = own
         figures[f"added_p{percent}_ms"] = round(added, 3)
     return figures
@@ -89,23 +92,25 @@
     env = environment.make_system_environment()
     entry = environment.Address("127.0.0.1", run.entries["vm-1"])
     done = 0
-    until = time.monotonic() + seconds
+    until_s = time.monotonic() + seconds
 
     async def work(worker: int) -> None:
         nonlocal done
-        while time.monotonic() < until:
-            request = _through(worker * 1_000_000 + done, 1, stream=False)
-            await _time(env, entry, request)
+        while time.monotonic() < until_s:
+            request = _make_entry_request(
+                worker * 1_000_000 + done, 1, stream=False
+            )
+            await _time_request(env, entry, request)
             done += 1
 
-    began, cpu = time.monotonic(), run.cpu_s("entry vm-1")
+    started_s, cpu_before_s = time.monotonic(), run.measure_cpu_s("entry vm-1")
     await asyncio.gather(*(work(number) for number in range(workers)))
-    took = time.monotonic() - began
-    used = run.cpu_s("entry vm-1") - cpu
+    elapsed_s = time.monotonic() - started_s
+    cpu_used_s = run.measure_cpu_s("entry vm-1") - cpu_before_s
     return {
-        "requests_per_s": round(done / took, 1),
-        "entry_core": round(used / took, 3),
-        "entry_ms_per_request": round(used / done * 1000.0, 3),
+        "requests_per_s": round(done / elapsed_s, 1),
+        "entry_core": round(cpu_used_s / elapsed_s, 3),
+        "entry_ms_per_request": round(cpu_used_s / done * 1000.0, 3),
     }
 
 
@@ -114,20 +119,22 @@
 ) -> dict[str, float]:
     env = environment.make_system_environment()
     entry = environment.Address("127.0.0.1", run.entries["vm-1"])
-    began, cpu = time.monotonic(), run.cpu_s("entry vm-1")
+    started_s, cpu_before_s = time.monotonic(), run.measure_cpu_s("entry vm-1")
     await asyncio.gather(
         *(
-            _time(env, entry, _through(number, tokens, stream=True))
+            _time_request(
+                env, entry, _make_entry_request(number, tokens, stream=True)
+            )
             for number in range(streams)
         )
     )
-    took = time.monotonic() - began
-    used = run.cpu_s("entry vm-1") - cpu
+    elapsed_s = time.monotonic() - started_s
+    cpu_used_s = run.measure_cpu_s("entry vm-1") - cpu_before_s
     return {
-        "tokens_per_s": round(streams * tokens / took, 1),
-        "entry_core": round(used / took, 3),
-        "entry_us_per_token": round(used / (streams * tokens) * 1e6, 2),
-        "entry_memory_mb": round(run.memory_mb("entry vm-1"), 1),
+        "tokens_per_s": round(streams * tokens / elapsed_s, 1),
+        "entry_core": round(cpu_used_s / elapsed_s, 3),
+        "entry_us_per_token": round(cpu_used_s / (streams * tokens) * 1e6, 2),
+        "entry_memory_mb": round(run.measure_memory_mb("entry vm-1"), 1),
     }
 
 
@@ -155,13 +162,13 @@
     """Prints the figures as JSON.
 
     Args:
-        pairs: Pairs of requests for the latency.
-        workers: Requests at once for the throughput.
-        seconds: Time for the throughput.
-        streams: Streams at once for the tokens.
+        pairs: Pairs of requests to measure the latency.
+        workers: Concurrent requests to measure the request throughput.
+        seconds: Duration of the request throughput measurement.
+        streams: Concurrent streams to measure the token throughput.
         tokens: Tokens of each stream.
     """
-    tree = json.loads((_TREE / "stanovanjski-signal.json").read_text())
+    tree = json.loads((_EXAMPLES / "stanovanjski-signal.json").read_text())
     for branch in tree["branches"].values():
         settings = branch.get("settings", {})
         settings.pop("requests_per_s_max", None)
--- a/standins/configuration.py
+++ b/standins/configuration.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's configuration service."""
+"""Fake of the platform's configuration service."""
 
 import asyncio
 import pathlib
@@ -15,41 +15,42 @@
 
 
 class Configuration:
-    """Revisions of a tree; may serve an older state than it has.
+    """Revisions of a settings tree; can serve an older one than the newest.
 
     Attributes:
-        calls: Calls answered or waiting, by kind.
-        serves_behind: How many revisions behind the newest it serves.
+        request_counts: Number of requests by kind, including waiting ones.
+        revisions_behind: How many revisions the served one is behind the
+            newest.
     """
 
     def __init__(self) -> None:
-        self.calls: dict[str, int] = {}
-        self.serves_behind = 0
+        self.request_counts: dict[str, int] = {}
+        self.revisions_behind = 0
         self._manifests: list[manifests.Manifest] = [manifests.EMPTY]
         self._shards: dict[str, bytes] = {}
         self._changed = asyncio.Event()
 
     @property
-    def newest(self) -> int:
-        """The newest revision published."""
+    def newest_revision(self) -> int:
+        """The newest published revision."""
         return self._manifests[-1].revision
 
     def publish(self, shards: dict[str, bytes]) -> int:
         """Publishes the next revision and returns its number."""
-        revision = self.newest + 1
+        revision = self.newest_revision + 1
         self._manifests.append(manifests.make_manifest(revision, shards))
         for data in shards.values():
             self._shards[manifests.digest(data)] = data
-        self.wake()
+        self.notify_watchers()
         return revision
 
-    def newest_shards(self) -> dict[str, bytes]:
+    def find_newest_shards(self) -> dict[str, bytes]:
         """Returns the shards of the newest revision by name."""
         shards = self._manifests[-1].shards
         return {shard.name: self._shards[shard.digest] for shard in shards}
 
-    def wake(self) -> None:
-        """Lets waiting watches look again."""
+    def notify_watchers(self) -> None:
+        """Makes waiting watches check the served revision again."""
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -58,12 +59,12 @@
     ) -> message.Response:
         """Answers one HTTP request."""
         if incoming.path == "/v1/manifest":
-            self._count("manifest")
+            self._count_request("manifest")
             query = dict(urllib.parse.parse_qsl(incoming.query))
             after = int(query.get("after", 0))
             return await self._watch(after, float(query.get("wait_ms", 0)))
         if incoming.path.startswith("/v1/shards/"):
-            self._count("shard")
+            self._count_request("shard")
             data = self._shards.get(incoming.path.rpartition("/")[2])
             if data is not None:
                 headers = {"content-type": message.JSON_TYPE}
@@ -80,21 +81,21 @@
     async def _watch(self, after: int, wait_ms: float) -> message.Response:
         try:
             async with asyncio.timeout(wait_ms / 1000.0):
-                while self._served().revision <= after:
+                while self._find_served().revision <= after:
                     await self._changed.wait()
         except TimeoutError:
             return message.Response(204, {}, b"")
-        served = self._served()
+        served = self._find_served()
         shards = {shard.name: shard.digest for shard in served.shards}
         document = {"revision": served.revision, "shards": shards}
         return message.make_json_response(200, document)
 
-    def _served(self) -> manifests.Manifest:
-        behind = min(self.serves_behind, len(self._manifests) - 1)
+    def _find_served(self) -> manifests.Manifest:
+        behind = min(self.revisions_behind, len(self._manifests) - 1)
         return self._manifests[-1 - behind]
 
-    def _count(self, kind: str) -> None:
-        self.calls[kind] = self.calls.get(kind, 0) + 1
+    def _count_request(self, kind: str) -> None:
+        self.request_counts[kind] = self.request_counts.get(kind, 0) + 1
 
 
 async def serve(
@@ -110,11 +111,11 @@
 
 
 def main(*, listen: str, tree: pathlib.Path) -> None:
-    """Runs the configuration stand-in.
+    """Runs the fake configuration service.
 
     Args:
-        listen: Where to serve (HOST:PORT).
-        tree: File with the first revision's only shard.
+        listen: Address to listen at (HOST:PORT).
+        tree: File with the only shard of the first revision.
     """
     configuration = Configuration()
     configuration.publish({"main": tree.read_bytes()})
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""Shows the whole path with real processes on loopback."""
+"""Demonstrates the complete request path with real processes on loopback."""
 
 import json
 import pathlib
@@ -7,7 +7,7 @@
 from standins import answers
 from standins import processes
 
-_EXAMPLE = pathlib.Path(__file__).parent.parent / "examples"
+_EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
 _KEY = "demo-bezigrad"
 _SHORT = "Water is dripping from the ceiling in flat 12."
 _LONG = "Minutes of the owners' assembly, article by article. " * 2_000
@@ -15,12 +15,12 @@
 
 
 def main() -> int:
-    """Runs the demo; returns 0 if every answer was right."""
-    run = processes.Processes(_EXAMPLE / "stanovanjski-signal.json")
+    """Runs the demo; returns 0 if every answer was correct, else 1."""
+    run = processes.Processes(_EXAMPLES / "stanovanjski-signal.json")
     try:
         return _show(run)
     finally:
-        print("Stopping as planned.")
+        print("Stopping gracefully.")
         run.close()
 
 
@@ -32,7 +32,7 @@
     for name in vms:
         run.start_vm(name, stop_lag_ms="200", traces_to="console")
     run.wait_ready()
-    right = [
+    results = [
         _show_prompt(run, "vm-1", "repairs", _SHORT, stream=False),
         _show_prompt(run, "vm-2", "archives", _LONG, stream=True),
         _show_service(run, "vm-2"),
@@ -42,11 +42,15 @@
         _show_status(run, name)
     _stop_entries(run, vms)
     _show_spans(run, "vm-2")
-    print("All answers right." if all(right) else "SOME ANSWERS WRONG.")
-    return 0 if all(right) else 1
+    print(
+        "All answers are correct."
+        if all(results)
+        else "SOME ANSWERS ARE WRONG."
+    )
+    return 0 if all(results) else 1
 
 
-def _headers(workload: str) -> dict[str, str]:
+def _make_headers(workload: str) -> dict[str, str]:
     return {
         "authorization": f"Bearer {_KEY}",
         "ruddergate-workload": workload,
@@ -58,27 +62,27 @@
     run: processes.Processes, vm: str, workload: str, prompt: str, stream: bool
 ) -> bool:
     document = {"prompt": prompt, "max_tokens": 8, "stream": stream}
-    reply = processes.request(
+    reply = processes.send_request(
         run.entries[vm],
         "POST",
         "/v1/completions",
-        _headers(workload),
+        _make_headers(workload),
         json.dumps(document).encode(),
     )
-    text = _read_stream(reply) if stream else _read_text(reply)
+    text = _parse_stream(reply) if stream else _parse_text(reply)
     form = "streamed" if stream else "plain"
     size = len(prompt)
     print(f"{vm} {workload} ({form}, {size} bytes): {reply.status} {text!r}")
     return text == answers.make_answer(prompt, 8)
 
 
-def _read_text(reply: processes.Reply) -> str:
+def _parse_text(reply: processes.Reply) -> str:
     if reply.status != 200:
         return reply.body.decode()
     return reply.json()["choices"][0]["text"]
 
 
-def _read_stream(reply: processes.Reply) -> str:
+def _parse_stream(reply: processes.Reply) -> str:
     events = reply.body.decode().split("\n\n")
     if "data: [DONE]" not in events:
         return reply.body.decode()
@@ -92,11 +96,11 @@
 
 def _show_service(run: processes.Processes, vm: str) -> bool:
     body = '{"flat": 12, "fault": "burst pipe"}'
-    reply = processes.request(
+    reply = processes.send_request(
         run.entries[vm],
         "POST",
         "/services/plumbers/dispatch",
-        _headers("plumbers"),
+        _make_headers("plumbers"),
         body.encode(),
     )
     print(f"{vm} plumbers: {reply.status} {reply.body.decode()}")
@@ -104,13 +108,13 @@
 
 
 def _show_keyed(run: processes.Processes) -> bool:
-    """Sends one ticket's request to both VMs: it runs once."""
-    ticket = processes.request(
-        run.entries["vm-1"], "POST", "/v1/tickets", _headers("")
+    """Sends a request with the same ticket to both VMs; it must run once."""
+    ticket = processes.send_request(
+        run.entries["vm-1"], "POST", "/v1/tickets", _make_headers("")
     ).json()["ticket"]
-    headers = {**_headers("plumbers"), "ruddergate-ticket": ticket}
+    headers = {**_make_headers("plumbers"), "ruddergate-ticket": ticket}
     bodies = [
-        processes.request(
+        processes.send_request(
             port, "POST", "/services/plumbers/dispatch", headers, b"once"
         ).body
         for port in run.entries.values()
@@ -120,7 +124,7 @@
 
 
 def _show_status(run: processes.Processes, vm: str) -> None:
-    status = processes.request(run.entries[vm], "GET", "/status").json()
+    status = processes.send_request(run.entries[vm], "GET", "/status").json()
     shown = ("vm", "hall", "revision", "view_age_ms", "agent_connected")
     row = {key: status[key] for key in shown}
     print(f"Status: {row}, {len(status['targets'])} targets")
@@ -130,7 +134,9 @@
     for name in vms:
         run.signal(f"entry {name}", 15)
     for name in vms:
-        print(f"Entry of {name} ended with {run.wait(f'entry {name}')}.")
+        print(
+            f"Entry of {name} exited with status {run.wait(f'entry {name}')}."
+        )
 
 
 def _show_spans(run: processes.Processes, vm: str) -> None:
@@ -138,7 +144,7 @@
     spans = [
         line.strip(' ",') for line in log.splitlines() if "span_id" in line
     ]
-    print(f"Spans of {vm}: {len(spans)}, the first: {spans[:2]}")
+    print(f"Spans of {vm}: {len(spans)}, first spans: {spans[:2]}")
 
 
 if __name__ == "__main__":
--- a/standins/epoch_model.py
+++ b/standins/epoch_model.py
@@ -1,9 +1,9 @@
 """A model of positions in a store that is restored from an older copy.
 
-A reader asks the store; a follower tells the reader its position and goes by
-what has changed since. Changes, a restore that loses the last change, calls and
-datagrams come in any order, late or never. The follower's claims are checked
-against what the store holds.
+A reader reads the store; a follower sends the reader its position and applies
+the changes since then. Changes, a restore that loses the last change, calls and
+datagrams happen in any order, late or never. The follower's claims are checked
+against the store.
 """
 
 from collections.abc import Iterator
@@ -12,9 +12,9 @@
 from ruddergate.fleet import store_position
 from standins import explore
 
-_TICKS = 2
-_CHANGES = 2
-_QUESTIONS = 2
+_MAX_TICKS = 2
+_MAX_CHANGES = 2
+_MAX_REQUESTS = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -22,8 +22,8 @@
     """A change in the store.
 
     Attributes:
-        number: Its name; what is written again has another.
-        at: The tick at which it was published.
+        number: Id; a change that is written again gets a new one.
+        at: Tick at which it was published.
     """
 
     number: int
@@ -31,59 +31,59 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Held:
-    """What a VM knows, and since when that was certainly all.
+class KnownState:
+    """A VM's copy of the store, and as of when it is known to be complete.
 
     Attributes:
-        epoch: The store's epoch of its position.
-        changes: What the store held at its position, as far as it was told.
-        revision: The store's revision of its position.
-        proven: The tick at which that was certainly all.
+        epoch: Store epoch of its position.
+        changes: Changes that it knows.
+        revision: Store revision of its position.
+        current_as_of: Tick as of which it claims to know all changes.
     """
 
     epoch: int = 1
     changes: frozenset[Change] = frozenset()
     revision: int = 0
-    proven: int = 0
+    current_as_of: int = 0
 
     def position(self) -> store_position.StorePosition:
-        """Returns up to where the VM knows the store."""
+        """Returns the store position up to which the VM knows the changes."""
         return store_position.StorePosition(self.epoch, self.revision)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoreChangesReply:
-    """An answer under way to the follower.
+class Reply:
+    """A reply in flight to the follower.
 
     Attributes:
-        asked_at: The tick of the question.
-        asked: The position in the question.
-        told: What the reader knew as it answered, in order.
-        held: What the reader held then.
+        requested_at: Tick of the request.
+        requested_position: Position in the request.
+        reader_changes: All changes that the reader knew, in order.
+        known: The reader's state.
     """
 
-    asked_at: int
-    asked: store_position.StorePosition
-    told: tuple[Change, ...]
-    held: Held
+    requested_at: int
+    requested_position: store_position.StorePosition
+    reader_changes: tuple[Change, ...]
+    known: KnownState
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EpochState:
-    """One state; times are whole ticks.
+    """State of the model; times are whole ticks.
 
     Attributes:
         now: Current tick.
         epoch: The store's epoch.
-        store: What the store holds, in order of revisions.
-        written: How many changes were ever published.
-        calls: Ticks at which the reader's calls under way began.
-        reader: What the reader knows.
-        reader_log: The same in order of revisions.
-        questions: Questions under way: tick and position.
-        asked: How many were asked.
-        news: Answers under way.
-        follower: What the follower knows.
+        store: Changes in the store, in order of revisions.
+        written: Number of changes ever published.
+        calls: Ticks at which the reader's calls in flight began.
+        reader: The reader's state.
+        reader_log: Changes that the reader knows, in order of revisions.
+        requests: Requests in flight, as tick and position.
+        requests_sent: Number of requests ever sent.
+        replies: Replies in flight.
+        follower: The follower's state.
     """
 
     now: int = 0
@@ -91,65 +91,66 @@
     store: tuple[Change, ...] = ()
     written: int = 0
     calls: tuple[int, ...] = ()
-    reader: Held = Held()
+    reader: KnownState = KnownState()
     reader_log: tuple[Change, ...] = ()
-    questions: tuple[tuple[int, store_position.StorePosition], ...] = ()
-    asked: int = 0
-    news: tuple[StoreChangesReply, ...] = ()
-    follower: Held = Held()
+    requests: tuple[tuple[int, store_position.StorePosition], ...] = ()
+    requests_sent: int = 0
+    replies: tuple[Reply, ...] = ()
+    follower: KnownState = KnownState()
 
 
-def make_first() -> EpochState:
-    """Returns the state in which all know the first change."""
+def make_first_state() -> EpochState:
+    """Returns the state in which both VMs know the first change."""
     first = Change(0, 0)
-    held = Held(1, frozenset((first,)), 1, 0)
+    known = KnownState(1, frozenset((first,)), 1, 0)
     return EpochState(
         store=(first,),
         written=1,
-        reader=held,
+        reader=known,
         reader_log=(first,),
-        follower=held,
+        follower=known,
     )
 
 
-def is_true(state: EpochState) -> bool:
-    """Returns whether the follower knows all that it claims to know."""
-    proven = state.follower.proven
+def is_claim_valid(state: EpochState) -> bool:
+    """Returns whether the follower knows all changes that it claims to."""
+    current_as_of = state.follower.current_as_of
     return all(
         change in state.follower.changes
         for change in state.store
-        if change.at < proven
+        if change.at < current_as_of
     )
 
 
-def steps(
-    state: EpochState, compares_epochs: bool = True
+def find_steps(
+    state: EpochState, compares_within_epoch: bool = True
 ) -> Iterator[explore.Step[EpochState]]:
-    """Yields all that can happen next.
+    """Yields all possible next steps.
 
     Args:
         state: The state.
-        compares_epochs: Whether positions are compared within an epoch only.
+        compares_within_epoch: Whether revisions are compared only within one
+            epoch.
     """
-    if state.now < _TICKS:
+    if state.now < _MAX_TICKS:
         yield explore.Step(
             "tick", dataclasses.replace(state, now=state.now + 1)
         )
-    yield from _write(state)
-    yield from _read(state)
-    yield from _ask(state)
-    for index, news in enumerate(state.news):
-        rest = state.news[:index] + state.news[index + 1 :]
-        arrived = dataclasses.replace(state, news=rest)
-        held = _take(state.follower, news, compares_epochs)
-        if held is not None:
+    yield from _change_store(state)
+    yield from _read_store(state)
+    yield from _exchange(state)
+    for index, reply in enumerate(state.replies):
+        rest = state.replies[:index] + state.replies[index + 1 :]
+        arrived = dataclasses.replace(state, replies=rest)
+        known = _apply_reply(state.follower, reply, compares_within_epoch)
+        if known is not None:
             yield explore.Step(
-                "take", dataclasses.replace(arrived, follower=held)
+                "apply reply", dataclasses.replace(arrived, follower=known)
             )
 
 
-def _write(state: EpochState) -> Iterator[explore.Step[EpochState]]:
-    if state.written < _CHANGES:
+def _change_store(state: EpochState) -> Iterator[explore.Step[EpochState]]:
+    if state.written < _MAX_CHANGES:
         change = Change(state.written, state.now)
         yield explore.Step(
             "publish",
@@ -166,71 +167,82 @@
         )
 
 
-def _read(state: EpochState) -> Iterator[explore.Step[EpochState]]:
-    """The reader's call begins, and is answered at any time later."""
+def _read_store(state: EpochState) -> Iterator[explore.Step[EpochState]]:
+    """Yields the start of the reader's store call, and its late response."""
     if not state.calls:
         yield explore.Step(
             "call store", dataclasses.replace(state, calls=(state.now,))
         )
     for began in state.calls:
-        held = Held(
+        known = KnownState(
             state.epoch, frozenset(state.store), len(state.store), began
         )
         yield explore.Step(
-            "store answers",
+            "store responds",
             dataclasses.replace(
-                state, reader=held, reader_log=state.store, calls=()
+                state, reader=known, reader_log=state.store, calls=()
             ),
         )
 
 
-def _ask(state: EpochState) -> Iterator[explore.Step[EpochState]]:
-    if state.asked < _QUESTIONS:
-        question = (state.now, state.follower.position())
+def _exchange(state: EpochState) -> Iterator[explore.Step[EpochState]]:
+    if state.requests_sent < _MAX_REQUESTS:
+        request = (state.now, state.follower.position())
         yield explore.Step(
-            "ask",
+            "send request",
             dataclasses.replace(
                 state,
-                questions=(*state.questions, question),
-                asked=state.asked + 1,
+                requests=(*state.requests, request),
+                requests_sent=state.requests_sent + 1,
             ),
         )
-    for index, (asked_at, position) in enumerate(state.questions):
-        rest = state.questions[:index] + state.questions[index + 1 :]
-        news = StoreChangesReply(
-            asked_at, position, state.reader_log, state.reader
-        )
+    for index, (requested_at, position) in enumerate(state.requests):
+        rest = state.requests[:index] + state.requests[index + 1 :]
+        reply = Reply(requested_at, position, state.reader_log, state.reader)
         yield explore.Step(
-            "answer",
+            "send reply",
             dataclasses.replace(
-                state, questions=rest, news=(*state.news, news)
+                state, requests=rest, replies=(*state.replies, reply)
             ),
         )
 
 
-def _take(
-    own: Held, news: StoreChangesReply, compares_epochs: bool
-) -> Held | None:
-    """Returns what a follower knows after an answer, None if nothing new."""
-    told = news.held.position()
-    if own.position() != news.asked:
-        # It answers an earlier question.
+def _apply_reply(
+    own: KnownState, reply: Reply, compares_within_epoch: bool
+) -> KnownState | None:
+    """Returns a follower's state after a reply; None if it must be ignored."""
+    reported = reply.known.position()
+    if own.position() != reply.requested_position:
+        # The reply belongs to an earlier request.
         return None
-    if compares_epochs and told.epoch == news.asked.epoch and told < news.asked:
+    if (
+        compares_within_epoch
+        and reported.epoch == reply.requested_position.epoch
+        and reported < reply.requested_position
+    ):
         return None
-    if compares_epochs and told.epoch < news.asked.epoch:
+    if (
+        compares_within_epoch
+        and reported.epoch < reply.requested_position.epoch
+    ):
         return None
-    since = news.asked.revision
-    if compares_epochs and told.epoch > news.asked.epoch:
+    since = reply.requested_position.revision
+    if (
+        compares_within_epoch
+        and reported.epoch > reply.requested_position.epoch
+    ):
         since = 0
-    position = max(own.position(), told)
-    if not compares_epochs:
+    position = max(own.position(), reported)
+    if not compares_within_epoch:
         position = dataclasses.replace(
-            position, revision=max(own.revision, told.revision)
+            position, revision=max(own.revision, reported.revision)
         )
-    return Held(
+    return KnownState(
         position.epoch,
-        own.changes | frozenset(news.told[since:]),
+        own.changes | frozenset(reply.reader_changes[since:]),
         position.revision,
-        max(own.proven, min(news.asked_at, news.held.proven)),
+        max(
+            own.current_as_of,
+            min(reply.requested_at, reply.known.current_as_of),
+        ),
     )
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,18 +1,18 @@
-"""Carries out the fault lines of a trace on a cluster."""
+"""Injects the faults of a trace into a cluster."""
 
 from ruddergate.experiments import trace
 from standins import cluster as clusters
 from standins import virtual_network
 
 
-class Faults:
-    """Faults in force on one cluster."""
+class FaultInjector:
+    """Injects and clears faults of one cluster."""
 
     def __init__(self, cluster: clusters.Cluster) -> None:
         self._cluster = cluster
 
     def apply(self, fault: trace.TracedFault) -> None:
-        """Carries out one fault."""
+        """Injects one fault, or clears one if the line says so."""
         if fault.on == "config":
             self._apply_to_platform(fault)
             return
@@ -26,8 +26,8 @@
                 for node in self._find(fault.on):
                     self._apply_to_node(fault.fault, node)
 
-    def heal_all(self) -> None:
-        """Ends every fault that can end; the dead stay dead."""
+    def clear_faults(self) -> None:
+        """Clears all faults, except that killed nodes stay down."""
         self._cluster.network.cuts.clear()
         self._set_stale(False)
         nodes = [*self._cluster.vms.values(), *self._cluster.targets.values()]
@@ -49,9 +49,9 @@
                 node.process.freeze()
             case "leave":
                 if not node.process.is_dead:
-                    self._cluster.leave(node)
+                    self._cluster.start_drain(node)
             case "resume":
-                if node.process.is_dead or self._cluster.has_left(node):
+                if node.process.is_dead or self._cluster.has_drained(node):
                     self._cluster.restart(node)
                 else:
                     node.process.resume()
@@ -70,14 +70,14 @@
                 self._heal(fault)
 
     def _publish_again(self) -> None:
-        """Publishes the newest tree as a further revision."""
+        """Publishes the newest tree again, as the next revision."""
         configuration = self._cluster.configuration
-        configuration.publish(configuration.newest_shards())
+        configuration.publish(configuration.find_newest_shards())
 
     def _set_stale(self, is_stale: bool) -> None:
-        self._cluster.configuration.serves_behind = 1 if is_stale else 0
-        self._cluster.vm_list.set_stale(is_stale)
-        self._cluster.configuration.wake()
+        self._cluster.configuration.revisions_behind = 1 if is_stale else 0
+        self._cluster.vm_list.set_frozen(is_stale)
+        self._cluster.configuration.notify_watchers()
 
     def _heal(self, fault: trace.TracedFault) -> None:
         network = self._cluster.network
--- a/standins/make_overload.py
+++ b/standins/make_overload.py
@@ -1,4 +1,4 @@
-"""Makes a trace of like prompts in three classes at a steady rate."""
+"""Makes a trace of equal prompts of three workloads at a constant rate."""
 
 import pathlib
 import random
@@ -24,21 +24,21 @@
 
     Args:
         path: File to write.
-        rate_per_s: Requests a second.
-        duration_ms: Length of the trace.
-        seed: Seed of all chance.
+        rate_per_s: Mean number of requests per second.
+        duration_ms: Duration of the trace.
+        seed: Seed of the random number generator.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     lines = []
     at_ms = 0.0
     while at_ms < duration_ms:
-        at_ms += chance.expovariate(rate_per_s) * 1000.0
+        at_ms += rng.expovariate(rate_per_s) * 1000.0
         lines.append(
             trace.TracedRequest(
                 round(at_ms, 3),
                 f"r{len(lines)}",
-                chance.choice(("ljubljana-center", "bezigrad", "siska")),
-                chance.choice(_WORKLOADS),
+                rng.choice(("ljubljana-center", "bezigrad", "siska")),
+                rng.choice(_WORKLOADS),
                 prompt_tokens=_TOKENS,
                 output_tokens=_OUTPUT_TOKENS,
                 time_limit_ms=_TIME_LIMIT_MS,
--- a/standins/models.py
+++ b/standins/models.py
@@ -1,7 +1,8 @@
-"""Models of the two protocols where interleavings matter most.
+"""Models of at-most-once execution by key and of settings adoption.
 
-They call the product's own decisions for every choice that matters, so that a
-change there changes the model.
+These are the two protocols whose outcome depends most on the interleaving of
+events. The models call the product's own decision functions, so that a change
+there changes the model.
 """
 
 from collections.abc import Iterator
@@ -23,12 +24,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyState:
-    """At most once: two VMs, one key, resends, a changing list.
+    """State of the at-most-once model: two VMs, one key, a changing VM list.
 
-    Times are whole ticks. A VM is (view, seen_at, settled_at, began_at,
-    ledger): the list version it goes by, when the platform last confirmed
-    it, since when its VMs are the same, when the process began, and whether
-    its ledger holds the key.
+    Times are whole ticks. A VM is a tuple (view, confirmed_at, unchanged_since,
+    started_at, has_key): the list version that it uses, when the platform last
+    confirmed this version, since when the VMs in the list are the same, when
+    the process started, and whether its ledger has the key.
 
     Attributes:
         now: Current tick.
@@ -36,9 +37,9 @@
         published_at: When it was published.
         vms: The VMs.
         sends: How often the caller has sent the request.
-        first_sent: When it sent it first; -1 for not yet.
-        under_way: VMs to which an entry has forwarded the key.
-        runs: How often it has run.
+        first_sent: When the caller first sent it; -1 if it did not yet.
+        in_flight: VMs to which an entry has forwarded the request.
+        runs: How often the request was executed.
     """
 
     now: int
@@ -47,18 +48,18 @@
     vms: tuple[tuple[int, int, int, int, bool], ...]
     sends: int
     first_sent: int
-    under_way: tuple[int, ...]
+    in_flight: tuple[int, ...]
     runs: int
 
 
-_TICKS = 4
-_SENDS = 2
+_MAX_TICKS = 4
+_MAX_SENDS = 2
 _NAMES = ("vm-1", "vm-2")
 
 
 @functools.cache
 def _make_listing(version: int) -> listings.Listing:
-    """Version 1 lists both VMs; version 2 only the one not the home."""
+    """Returns a list: version 1 has both VMs, version 2 lacks the home."""
     both = [
         vms.Vm(
             name, "h", _NOWHERE, _NOWHERE, _NOWHERE, condition.Condition.LIVE
@@ -68,33 +69,33 @@
     if version == 1:
         return listings.Listing(1, tuple(both), ())
     home = ledger.find_home(_KEY, listings.Listing(1, tuple(both), ()))
-    kept = tuple(vm for vm in both if vm.vm_id != home)
-    return listings.Listing(2, kept, ())
+    remaining = tuple(vm for vm in both if vm.vm_id != home)
+    return listings.Listing(2, remaining, ())
 
 
 @functools.cache
 def _find_home(version: int) -> str:
-    """Returns the home of the key under a version of the list."""
+    """Returns the home VM of the key in a version of the list."""
     return ledger.find_home(_KEY, _make_listing(version)) or ""
 
 
-def first_key_state() -> KeyState:
-    """Returns the state in which both VMs have long known each other."""
+def make_first_key_state() -> KeyState:
+    """Returns the state after both VMs have known each other for 10 ticks."""
     vm = (1, 0, -10, -10, False)
     return KeyState(0, 1, 0, (vm, vm), 0, -1, (), 0)
 
 
-def key_steps(
-    state: KeyState, bounds: ledger.Bounds, lag: int
+def find_key_steps(
+    state: KeyState, bounds: ledger.Bounds, lag_ticks: int
 ) -> Iterator[explore.Step[KeyState]]:
-    """Yields all that can happen next.
+    """Yields all possible next steps.
 
     Args:
         state: The state.
-        bounds: Bounds of the promise, in ticks for milliseconds.
-        lag: Ticks within which the platform serves a new list to all.
+        bounds: Bounds of the guarantee, in ticks instead of milliseconds.
+        lag_ticks: Ticks after which the platform serves a new list to all VMs.
     """
-    if state.now < _TICKS:
+    if state.now < _MAX_TICKS:
         yield explore.Step(
             "tick", dataclasses.replace(state, now=state.now + 1)
         )
@@ -104,38 +105,42 @@
         )
         yield explore.Step("publish", changed)
     for index in range(len(state.vms)):
-        yield from _refresh(state, index, lag)
-        yield from _restart(state, index)
-        yield from _send(state, index)
-    for position, index in enumerate(state.under_way):
-        rest = state.under_way[:position] + state.under_way[position + 1 :]
-        arrived = dataclasses.replace(state, under_way=rest)
-        yield from _decide(arrived, index, bounds)
+        yield from _refresh_list(state, index, lag_ticks)
+        yield from _restart_vm(state, index)
+        yield from _send_request(state, index)
+    for position, index in enumerate(state.in_flight):
+        rest = state.in_flight[:position] + state.in_flight[position + 1 :]
+        arrived = dataclasses.replace(state, in_flight=rest)
+        yield from _decide_run(arrived, index, bounds)
 
 
-def _refresh(
-    state: KeyState, index: int, lag: int
+def _refresh_list(
+    state: KeyState, index: int, lag_ticks: int
 ) -> Iterator[explore.Step[KeyState]]:
-    view, seen, settled, began, holds = state.vms[index]
-    is_all = state.now - state.published_at >= lag
+    view, confirmed_at, unchanged_since, started_at, has_key = state.vms[index]
+    is_all = state.now - state.published_at >= lag_ticks
     served = [state.published] if is_all else [1, state.published]
     for version in sorted(set(served)):
         if version < view:
             continue
-        since = settled if version == view else state.now
-        vm = (version, state.now, since, began, holds)
+        since = unchanged_since if version == view else state.now
+        vm = (version, state.now, since, started_at, has_key)
         yield explore.Step(f"refresh {index}", _with_vm(state, index, vm))
 
 
-def _restart(state: KeyState, index: int) -> Iterator[explore.Step[KeyState]]:
+def _restart_vm(
+    state: KeyState, index: int
+) -> Iterator[explore.Step[KeyState]]:
     if state.vms[index][3] < 0 and state.now > 0:
         served = state.published
         vm = (served, state.now, state.now, state.now, False)
         yield explore.Step(f"restart {index}", _with_vm(state, index, vm))
 
 
-def _send(state: KeyState, index: int) -> Iterator[explore.Step[KeyState]]:
-    if state.sends >= _SENDS:
+def _send_request(
+    state: KeyState, index: int
+) -> Iterator[explore.Step[KeyState]]:
+    if state.sends >= _MAX_SENDS:
         return
     view = state.vms[index][0]
     home = _find_home(view)
@@ -144,31 +149,31 @@
         state,
         sends=state.sends + 1,
         first_sent=first,
-        under_way=tuple(sorted((*state.under_way, _NAMES.index(home)))),
+        in_flight=tuple(sorted((*state.in_flight, _NAMES.index(home)))),
     )
     yield explore.Step(f"send by {index}", sent)
 
 
-def _decide(
+def _decide_run(
     state: KeyState, index: int, bounds: ledger.Bounds
 ) -> Iterator[explore.Step[KeyState]]:
-    view, seen, settled, began, holds = state.vms[index]
-    if holds:
+    view, confirmed_at, unchanged_since, started_at, has_key = state.vms[index]
+    if has_key:
         yield explore.Step(f"join at {index}", state)
         return
-    standing = ledger.judge_key(
+    verdict = ledger.judge_key(
         _KEY,
         state.now - state.first_sent,
         _NAMES[index],
         _make_listing(view),
-        state.now - seen,
-        state.now - max(settled, began),
+        state.now - confirmed_at,
+        state.now - max(unchanged_since, started_at),
         bounds,
     )
-    if standing is not ledger.KeyVerdict.MAY_RUN:
+    if verdict is not ledger.KeyVerdict.MAY_RUN:
         yield explore.Step(f"refuse at {index}", state)
         return
-    vm = (view, seen, settled, began, True)
+    vm = (view, confirmed_at, unchanged_since, started_at, True)
     ran = dataclasses.replace(state, runs=state.runs + 1)
     yield explore.Step(f"run at {index}", _with_vm(ran, index, vm))
 
@@ -182,17 +187,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdoptionState:
-    """Adoption: agents, entries, a service that may go back.
+    """State of the adoption model: agents, entries, a service that may revert.
 
     Attributes:
         served: Revision that the service serves now.
-        newest: Newest revision published.
+        newest: Newest published revision.
         agents: Revision in force at each agent; -1 while it starts.
         entries: Revision in force at each entry; -1 while it starts.
-        messages: Revisions under way, as (agent, revision).
-        highest: Highest revision that each VM's entry ever had in force
-            since its VM began.
-        reverted: Whether an entry went back.
+        messages: Messages in flight, as (receiving agent, revision).
+        reverted: Whether an entry ever went back to an older revision.
     """
 
     served: int
@@ -203,26 +206,26 @@
     reverted: bool
 
 
-_REVISIONS = 3
-_MESSAGES_MAX = 2
+_MAX_REVISIONS = 3
+_MAX_MESSAGES = 2
 
 
-def first_adoption_state() -> AdoptionState:
+def make_first_adoption_state() -> AdoptionState:
     """Returns the state with revision 1 in force everywhere."""
     return AdoptionState(1, 1, (1, 1), (1, 1), (), False)
 
 
-def adoption_steps(
+def find_adoption_steps(
     state: AdoptionState, asks_first: bool
 ) -> Iterator[explore.Step[AdoptionState]]:
-    """Yields all that can happen next.
+    """Yields all possible next steps.
 
     Args:
         state: The state.
-        asks_first: Whether a fresh agent asks its entry and peers before it
+        asks_first: Whether a starting agent asks its entry and peers before it
             trusts the service.
     """
-    if state.newest < _REVISIONS:
+    if state.newest < _MAX_REVISIONS:
         newest = state.newest + 1
         yield explore.Step(
             "publish", dataclasses.replace(state, newest=newest, served=newest)
@@ -231,14 +234,14 @@
         moved = dataclasses.replace(state, served=revision)
         yield explore.Step(f"serve {revision}", moved)
     for index in range(len(state.agents)):
-        yield from _agent_steps(state, index, asks_first)
+        yield from _find_agent_steps(state, index, asks_first)
     for position, (index, revision) in enumerate(state.messages):
         rest = state.messages[:position] + state.messages[position + 1 :]
         arrived = dataclasses.replace(state, messages=rest)
-        yield explore.Step("arrive", _adopt(arrived, index, revision))
+        yield explore.Step("deliver", _adopt(arrived, index, revision))
 
 
-def _agent_steps(
+def _find_agent_steps(
     state: AdoptionState, index: int, asks_first: bool
 ) -> Iterator[explore.Step[AdoptionState]]:
     agent = state.agents[index]
@@ -247,16 +250,18 @@
         known = [state.served]
         if asks_first:
             known += [state.entries[index], other]
-        yield explore.Step(f"begin {index}", _adopt(state, index, max(known)))
+        yield explore.Step(
+            f"start agent {index}", _adopt(state, index, max(known))
+        )
         return
     yield explore.Step(f"watch {index}", _adopt(state, index, state.served))
     stopped = _replace(state.agents, index, -1)
     yield explore.Step(
         f"agent {index} dies", dataclasses.replace(state, agents=stopped)
     )
-    if len(state.messages) < _MESSAGES_MAX and other >= 0:
+    if len(state.messages) < _MAX_MESSAGES and other >= 0:
         sent = tuple(sorted((*state.messages, (1 - index, agent))))
-        yield explore.Step("tell", dataclasses.replace(state, messages=sent))
+        yield explore.Step("gossip", dataclasses.replace(state, messages=sent))
     fed = feed_entry(state.entries[index], agent)
     yield explore.Step(
         f"feed {index}",
@@ -270,7 +275,7 @@
 
 def _adopt(state: AdoptionState, index: int, revision: int) -> AdoptionState:
     agent = state.agents[index]
-    current = _in_force(max(0, agent))
+    current = _make_in_force(max(0, agent))
     if not adoption.is_wanted(current, revision):
         return state
     return dataclasses.replace(
@@ -279,12 +284,12 @@
 
 
 def feed_entry(entry: int, agent: int) -> int:
-    """Returns what an entry has in force after its agent fed it."""
-    wanted = adoption.is_wanted(_in_force(max(0, entry)), agent)
-    return agent if wanted else entry
+    """Returns the entry's revision in force after an update by its agent."""
+    is_newer = adoption.is_wanted(_make_in_force(max(0, entry)), agent)
+    return agent if is_newer else entry
 
 
-def _in_force(revision: int) -> adoption.InForce:
+def _make_in_force(revision: int) -> adoption.InForce:
     return dataclasses.replace(
         adoption.NOTHING, manifest=manifests.Manifest(revision, ())
     )
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service."""
+"""Fake plain service."""
 
 import asyncio
 
@@ -15,8 +15,8 @@
     """A service that answers with a digest of the body.
 
     Attributes:
-        executions: Calls begun, by body.
-        draining: Whether it takes no new work.
+        executions: Number of started requests by body.
+        draining: Whether it refuses new work.
     """
 
     def __init__(
@@ -45,9 +45,9 @@
         if self.draining:
             document = {"reason": "draining", "started": False}
             return message.make_json_response(503, document)
-        return await self._work(incoming.body.decode())
+        return await self._process(incoming.body.decode())
 
-    async def _work(self, body: str) -> message.Response:
+    async def _process(self, body: str) -> message.Response:
         self.executions[body] = self.executions.get(body, 0) + 1
         self._running += 1
         try:
@@ -70,11 +70,11 @@
 
 
 def main(*, listen: str, work_ms: float = 15.0) -> None:
-    """Runs one service stand-in.
+    """Runs one fake service.
 
     Args:
-        listen: Where to serve (HOST:PORT).
-        work_ms: Time that a call takes.
+        listen: Address to listen at (HOST:PORT).
+        work_ms: Time that a request takes.
     """
     env = environment.make_system_environment()
     service = Service(env, work_ms)
--- a/standins/slopes.py
+++ b/standins/slopes.py
@@ -1,8 +1,9 @@
-"""Measures how the control's cost grows with the fleet, on one machine.
+"""Measures how the cost of the control plane grows with the fleet.
 
-Messages, bytes and convergence: agents of the product in one virtual-time
-loop. Processor time and memory: agents as real processes. State: the
-product's own codec. `docs/CAPACITY.md` quotes what this prints.
+All measurements run on one machine. Messages, bytes and convergence are
+measured with the product's agents in one virtual-time loop, CPU time and memory
+with agents as real processes, and sizes of state with the product's own codec.
+`docs/CAPACITY.md` quotes the printed figures.
 """
 
 import asyncio
@@ -30,16 +31,17 @@
 from standins import virtual_process
 
 SIZES = (8, 40, 80, 120, 160)
-# From this size on a hall has more members than a digest has rows.
-_FULL_SIZE = 40
+# From this size on, a hall has more members than a digest has rows; lines are
+# fitted to these sizes only.
+_FULL_DIGEST_SIZE = 40
 _REAL_SIZES = (8, 24, 48, 96)
 _TARGET_SIZES = (4, 8, 16, 32)
-# At 940 nodes a hall has 78, as it has here at 234.
+# At 940 nodes in 12 halls, a hall has 78, as it has here at 234 nodes.
 _HALLS = 3
 _SETTLE_S = 8.0
 _MEASURE_S = 20.0
-_LONGEST_S = 30.0
-_TICK_S = 0.05
+_TIMEOUT_S = 30.0
+_POLL_S = 0.05
 _TARGET_NODES = 940
 _TARGET_REPLICAS = 12_000
 _TARGET_WORKSPACES = 600
@@ -48,12 +50,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fit:
-    """A line through measured points.
+    """A line fitted to measured points.
 
     Attributes:
         base: Value at size 0.
-        slope: Growth for each one more.
-        error: Greatest distance of a point from the line, as a part of it.
+        slope: Growth per unit of size.
+        error: Largest distance of a point from the line, relative to the point.
     """
 
     base: float
@@ -61,27 +63,27 @@
     error: float
 
     def at(self, size: float) -> float:
-        """Returns the value on the line."""
+        """Returns the value of the line at a size."""
         return self.base + self.slope * size
 
 
-# What a busy entry has on its targets.
-_BUSY = tuple(
+# The work that a busy entry has dispatched to its targets.
+_BUSY_ENTRY_LOAD = tuple(
     dispatched.Dispatched(f"engine-{n}", (9_000, 4_000, 0, 0, 0), 70_000, 12)
     for n in range(32)
 )
 
 
 def fit_line(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """Returns the least-squares line."""
+    """Returns the least-squares line through the points."""
     count = len(sizes)
     mean_x = sum(sizes) / count
     mean_y = sum(values) / count
-    spread = sum((x - mean_x) ** 2 for x in sizes)
-    shared = sum(
+    sum_xx = sum((x - mean_x) ** 2 for x in sizes)
+    sum_xy = sum(
         (x - mean_x) * (y - mean_y) for x, y in zip(sizes, values, strict=True)
     )
-    slope = shared / spread
+    slope = sum_xy / sum_xx
     base = mean_y - slope * mean_x
     error = max(
         abs(base + slope * x - y) / max(1e-9, abs(y))
@@ -91,19 +93,19 @@
 
 
 def make_layout(size: int) -> clusters.Layout:
-    """Returns a layout of agents alone."""
+    """Returns a layout of agents without entries and targets."""
     return clusters.Layout(
         vms=size,
         halls=_HALLS,
         engines=0,
         services=0,
-        with_entries=False,
+        runs_entries=False,
         list_lag_ms=0.0,
     )
 
 
 def make_tree(weight: float, workspaces: int = 20) -> dict:
-    """Returns a tree with some workspaces."""
+    """Returns a settings tree; `weight` is that of the first workspace."""
     tree = clusters.make_default_tree(clusters.Layout().engine)
     for number in range(workspaces):
         clusters.add_workload(tree, f"w{number}", "a", "engines")
@@ -118,29 +120,30 @@
     await asyncio.sleep(_SETTLE_S)
     agents = [node.agent for node in cluster.vms.values()]
     for agent in agents:
-        agent.state.own_dispatched = _BUSY
+        agent.state.own_dispatched = _BUSY_ENTRY_LOAD
     before = sum(agent.peer_bytes() for agent in agents)
-    calls = sum(cluster.configuration.calls.values())
-    list_calls = cluster.vm_list.calls
-    began = time.process_time()
+    calls = sum(cluster.configuration.request_counts.values())
+    list_calls = cluster.vm_list.request_count
+    started_s = time.process_time()
     await asyncio.sleep(_MEASURE_S)
-    used = time.process_time() - began
-    # Both ends count a byte, so the sum is what goes in and out of nodes.
-    moved = sum(agent.peer_bytes() for agent in agents) - before
-    calls = sum(cluster.configuration.calls.values()) - calls
-    list_calls = cluster.vm_list.calls - list_calls
-    wrongly = sum(
+    cpu_s = time.process_time() - started_s
+    # Sender and receiver both count a byte, so the sum is the incoming and
+    # outgoing traffic of all nodes.
+    peer_bytes = sum(agent.peer_bytes() for agent in agents) - before
+    calls = sum(cluster.configuration.request_counts.values()) - calls
+    list_calls = cluster.vm_list.request_count - list_calls
+    wrongly_suspected = sum(
         len(cluster.vms) // _HALLS - len(agent.state.live_in_hall())
         for agent in agents
     )
     change_s = await _wait_for_change(cluster)
     death_s = await _wait_for_death(cluster)
     return {
-        "peer_bytes_per_s_a_node": moved / size / _MEASURE_S,
+        "peer_bytes_per_s_a_node": peer_bytes / size / _MEASURE_S,
         "service_calls_per_s": calls / _MEASURE_S,
         "list_calls_per_s": list_calls / _MEASURE_S,
-        "virtual_cpu_ms_per_s_a_node": used * 1000.0 / size / _MEASURE_S,
-        "wrongly_suspected_a_node": max(0, wrongly) / size,
+        "virtual_cpu_ms_per_s_a_node": cpu_s * 1000.0 / size / _MEASURE_S,
+        "wrongly_suspected_a_node": max(0, wrongly_suspected) / size,
         "change_everywhere_s": change_s,
         "death_known_s": death_s,
     }
@@ -150,42 +153,42 @@
     revision = cluster.configuration.publish(
         clusters.encode_tree(make_tree(2.0))
     )
-    passed = 0.0
-    while passed < _LONGEST_S:
+    waited = 0.0
+    while waited < _TIMEOUT_S:
         behind = [
             node
             for node in cluster.vms.values()
             if node.agent.state.in_force.manifest.revision < revision
         ]
         if not behind:
-            return passed
-        await asyncio.sleep(_TICK_S)
-        passed += _TICK_S
-    return passed
+            return waited
+        await asyncio.sleep(_POLL_S)
+        waited += _POLL_S
+    return waited
 
 
 async def _wait_for_death(cluster: clusters.Cluster) -> float:
     dead = cluster.vms["vm-2"]
     cluster.network.reset_node(dead.process)
     dead.process.kill()
-    passed = 0.0
-    while passed < _LONGEST_S:
-        believing = [
+    waited = 0.0
+    while waited < _TIMEOUT_S:
+        uninformed = [
             node
             for node in cluster.vms.values()
             if node.hall == dead.hall
             and node is not dead
             and dead.name in node.agent.state.live_in_hall()
         ]
-        if not believing:
-            return passed
-        await asyncio.sleep(_TICK_S)
-        passed += _TICK_S
-    return passed
+        if not uninformed:
+            return waited
+        await asyncio.sleep(_POLL_S)
+        waited += _POLL_S
+    return waited
 
 
 def _measure_real(size: int) -> dict[str, float]:
-    """Runs agents as processes; returns the mean of a node."""
+    """Runs agents as processes and returns the means per node."""
     folder = pathlib.Path(processes.tempfile.mkdtemp())
     path = folder / "tree.json"
     path.write_bytes(orjson.dumps(make_tree(1.0)))
@@ -196,22 +199,24 @@
         for name in names:
             run.start_agent(name, log_level="ERROR")
         time.sleep(_SETTLE_S + size * 0.1)
-        before = {name: run.cpu_s(f"agent {name}") for name in names}
+        before = {name: run.measure_cpu_s(f"agent {name}") for name in names}
         time.sleep(_MEASURE_S)
-        used = [run.cpu_s(f"agent {name}") - before[name] for name in names]
-        memory = [run.memory_mb(f"agent {name}") for name in names]
+        cpu_s = [
+            run.measure_cpu_s(f"agent {name}") - before[name] for name in names
+        ]
+        memory = [run.measure_memory_mb(f"agent {name}") for name in names]
     finally:
         run.close()
         path.unlink()
         folder.rmdir()
     return {
-        "cpu_percent_a_node": sum(used) / size / _MEASURE_S * 100.0,
+        "cpu_percent_a_node": sum(cpu_s) / size / _MEASURE_S * 100.0,
         "memory_mb_a_node": sum(memory) / size,
     }
 
 
-def _measure_polls(size: int) -> dict[str, float]:
-    """Runs one agent before some targets; returns what it costs."""
+def _measure_load_polls(size: int) -> dict[str, float]:
+    """Runs one agent with targets and returns the CPU use of its polls."""
     folder = pathlib.Path(processes.tempfile.mkdtemp())
     path = folder / "tree.json"
     path.write_bytes(orjson.dumps(make_tree(1.0)))
@@ -221,14 +226,14 @@
         run.start_platform(pools, {"vm-1": "hall-1"})
         run.start_agent("vm-1", log_level="ERROR")
         time.sleep(_SETTLE_S)
-        before = run.cpu_s("agent vm-1")
+        before = run.measure_cpu_s("agent vm-1")
         time.sleep(_MEASURE_S)
-        used = run.cpu_s("agent vm-1") - before
+        cpu_s = run.measure_cpu_s("agent vm-1") - before
     finally:
         run.close()
         path.unlink()
         folder.rmdir()
-    return {"cpu_percent_of_polls": used / _MEASURE_S * 100.0}
+    return {"cpu_percent_of_polls": cpu_s / _MEASURE_S * 100.0}
 
 
 def _make_listing(nodes: int, replicas: int) -> listings.Listing:
@@ -248,7 +253,7 @@
 
 
 def _measure_state() -> dict[str, Fit]:
-    """Returns bytes for each VM, target and workspace, and their decoding."""
+    """Returns bytes per VM, target and workspace, and tree parsing times."""
     nodes = (50, 100, 200, 400)
     node_bytes = [
         len(codec.encode(fleet_view.FleetView(_make_listing(n, 0), 0.0, 0.0)))
@@ -261,10 +266,10 @@
     trees = [orjson.dumps(make_tree(1.0, n)) for n in nodes]
     times = []
     for data in trees:
-        began = time.process_time()
+        started_s = time.process_time()
         for _ in range(5):
             check.parse_tree(1, {"main": data})
-        times.append((time.process_time() - began) / 5 * 1000.0)
+        times.append((time.process_time() - started_s) / 5 * 1000.0)
     return {
         "list_bytes_a_vm": fit_line(nodes, node_bytes),
         "list_bytes_a_target": fit_line(nodes, replica_bytes),
@@ -296,11 +301,11 @@
 def main(
     *, out: pathlib.Path = pathlib.Path("out/slopes"), real: bool = True
 ) -> None:
-    """Prints the measured table and writes slopes.json.
+    """Prints the measured figures and writes slopes.json.
 
     Args:
         out: Folder for slopes.json, which `ruddergatectl report` draws.
-        real: Whether to run agents as processes as well.
+        real: Whether to measure agents as real processes, too.
     """
     logs.configure("CRITICAL", False)
     print("virtual agents", SIZES)
@@ -308,12 +313,12 @@
         virtual_process.run(lambda size=size: _measure_virtual(size))
         for size in SIZES
     ]
-    figures = _print_table(SIZES, rows, _FULL_SIZE)
+    figures = _print_table(SIZES, rows, _FULL_DIGEST_SIZE)
     if real:
         print("real agents", _REAL_SIZES)
         _print_table(_REAL_SIZES, [_measure_real(x) for x in _REAL_SIZES])
         print("targets of one agent", _TARGET_SIZES)
-        rows = [_measure_polls(size) for size in _TARGET_SIZES]
+        rows = [_measure_load_polls(size) for size in _TARGET_SIZES]
         _print_table(_TARGET_SIZES, rows, at=_SUBSET)
     print("state")
     sizes = {
--- a/standins/soak_ablations.py
+++ b/standins/soak_ablations.py
@@ -1,7 +1,8 @@
-"""Gateways with one mechanism taken out, which the soak is to notice.
+"""Gateways with one mechanism disabled, which the soak must detect.
 
 `python -m standins.soak_ablations NAME FLAGS` runs ruddergate-gateway without
-it; `python -m standins.soak --fleet --without NAME` plays such a fleet.
+the mechanism; `python -m standins.soak --fleet --without NAME` runs the soak
+with such gateways.
 """
 
 from collections.abc import Callable
@@ -20,10 +21,10 @@
 
 
 def _ignore_epochs() -> None:
-    """Has positions ordered by their revisions alone."""
+    """Makes store positions compare by revision, whatever their epoch."""
     find_since = change_log.ChangeLog.find_since
 
-    def find(
+    def find_by_revision(
         log: change_log.ChangeLog, position: int, until: int
     ) -> change_log.Step | None:
         if position > until:
@@ -31,47 +32,47 @@
         return find_since(log, position, until)
 
     store._read_epoch = lambda fields: 0
-    change_log.ChangeLog.find_since = find
+    change_log.ChangeLog.find_since = find_by_revision
     store_epochs.check_epoch = lambda found, since, known_epoch: found
     store_sync._is_behind = lambda found, position: False
 
 
-def _keep_keys() -> None:
-    """Has keys work that were removed."""
-    take = views.View.apply_catalog
+def _keep_removed_keys() -> None:
+    """Makes removed keys stay valid."""
+    original = views.View.apply_catalog
 
     def apply_catalog(view: views.View, offered: object) -> bool:
         before = view.catalog.workspaces
-        is_taken = take(view, offered)
-        if is_taken:
+        is_applied = original(view, offered)
+        if is_applied:
             view.catalog.workspaces = {**before, **view.catalog.workspaces}
-        return is_taken
+        return is_applied
 
     views.View.apply_catalog = apply_catalog
 
 
-def _ignore_ages() -> None:
-    """Has a peer's proof count as of the moment of the question."""
+def _ignore_reply_ages() -> None:
+    """Makes a peer's reply count as current as of the request time."""
     freshness.find_current_as_of_ms = lambda asked_ms, age_ms: asked_ms
 
 
-def _keep_leavings() -> None:
-    """Has no peer told of targets that say in answers that they leave."""
+def _stop_drain_gossip() -> None:
+    """Stops gossip of targets that announce draining in responses."""
     draining.DrainState.summarize = lambda self, now_ms: ()
 
 
-def _keep_limits() -> None:
-    """Has no peer told of rate limits."""
+def _stop_limit_gossip() -> None:
+    """Stops gossip of rate limits."""
     rate_limiter.RateLimiter.summarize = lambda self: ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ablation:
-    """A mechanism that can be taken out.
+    """A mechanism that can be disabled.
 
     Attributes:
-        name: Its name on the command line.
-        apply: Takes it out of this process.
+        name: Name on the command line.
+        apply: Disables it in this process.
     """
 
     name: str
@@ -80,15 +81,15 @@
 
 ABLATIONS = (
     Ablation("epochs", _ignore_epochs),
-    Ablation("key-removals", _keep_keys),
-    Ablation("proof-ages", _ignore_ages),
-    Ablation("leavings", _keep_leavings),
-    Ablation("limits", _keep_limits),
+    Ablation("key-removals", _keep_removed_keys),
+    Ablation("proof-ages", _ignore_reply_ages),
+    Ablation("leavings", _stop_drain_gossip),
+    Ablation("limits", _stop_limit_gossip),
 )
 
 
 def main() -> None:
-    """Runs a gateway; the first argument names what is taken out."""
+    """Runs a gateway; the first argument names the disabled mechanism."""
     name = sys.argv.pop(1)
     for each in ABLATIONS:
         if each.name == name:
--- a/standins/soak_gateways.py
+++ b/standins/soak_gateways.py
@@ -1,4 +1,4 @@
-"""The gateway processes of a soak; only these are signalled, by their ids."""
+"""The gateway processes of a soak; only these get signals, by process id."""
 
 import asyncio
 import contextlib
@@ -9,24 +9,24 @@
 import sys
 import time
 
-from standins import soak_withdrawals
+from standins import soak_draining
 
 _ROOT = pathlib.Path(__file__).parent.parent
 GRACE_S = 3.0
-# 100 gateways on five cores listen after some ten seconds.
-_START_MOST_S = 60.0
+# 100 gateways on five cores take about 10 s until they listen.
+_START_TIMEOUT_S = 60.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
-    """Where a gateway runs.
+class LaunchConfig:
+    """How to launch a gateway.
 
     Attributes:
-        host: Its address.
-        hall: Its data hall.
-        ports: For callers, readiness, metrics and peers.
-        store_port: Where it reaches the store.
-        seeds: Where it looks for peers; empty for nowhere.
+        host: Address to listen at.
+        hall: Data hall.
+        ports: Ports for callers, readiness, metrics and peers.
+        store_port: Port of the store, or of a proxy before it.
+        seeds: Addresses of seed peers, comma-separated; empty for none.
     """
 
     host: str
@@ -40,134 +40,138 @@
     """Starts, pauses, stops and kills gateways.
 
     Args:
-        chance: Source of all chance.
-        folder: Where their logs go.
-        without: What they run without, see soak_ablations.
+        rng: Source of randomness.
+        folder: Folder for their logs.
+        without: Mechanism that they run without, see soak_ablations; empty for
+            none.
 
     Attributes:
-        upsets: What befell them.
+        interruptions: Interruptions of gateways so far.
     """
 
     def __init__(
-        self, chance: random.Random, folder: pathlib.Path, without: str
+        self, rng: random.Random, folder: pathlib.Path, without: str
     ) -> None:
-        self.upsets: list[soak_withdrawals.Upset] = []
-        self._chance = chance
+        self.interruptions: list[soak_draining.Interruption] = []
+        self._rng = rng
         self._folder = folder
         self._without = without
-        self._places: list[Place] = []
+        self._configs: list[LaunchConfig] = []
         self._processes: list[asyncio.subprocess.Process] = []
-        self._ending: set[int] = set()
+        self._restarting: set[int] = set()
 
-    async def add(self, place: Place) -> None:
+    async def add(self, config: LaunchConfig) -> None:
         """Starts one more gateway."""
-        self._places.append(place)
-        self._processes.append(await self._run(len(self._processes)))
+        self._configs.append(config)
+        self._processes.append(await self._start_process(len(self._processes)))
 
-    async def await_listening(self) -> None:
-        """Returns once all listen; many of them start slowly."""
-        await asyncio.gather(*map(_await_listening, self._places))
+    async def wait_until_listening(self) -> None:
+        """Waits until all gateways listen, each for at most 60 s."""
+        await asyncio.gather(*map(_wait_until_listening, self._configs))
 
     async def pause(self) -> None:
-        """Stops one for a while, as a suspended VM does."""
-        number = self._choose()
+        """Suspends a random gateway for 0.2 s to 2 s, like a suspended VM."""
+        number = self._choose_gateway()
         process = self._processes[number]
-        self.note_upset(number)
+        self.record_interruption(number)
         if _signal(process, signal.SIGSTOP):
-            await asyncio.sleep(self._chance.uniform(0.2, 2.0))
+            await asyncio.sleep(self._rng.uniform(0.2, 2.0))
             _signal(process, signal.SIGCONT)
-            self.note_upset(number)
+            self.record_interruption(number)
 
     async def kill(self) -> None:
-        """Ends one at once, and starts it again."""
-        await self._end(self._choose(), signal.SIGKILL)
+        """Kills a random gateway and starts it again."""
+        await self._restart(self._choose_gateway(), signal.SIGKILL)
 
     async def stop(self) -> None:
-        """Ends one as planned, and starts it again."""
-        number = self._choose()
+        """Stops a random gateway gracefully and starts it again."""
+        number = self._choose_gateway()
         _signal(self._processes[number], signal.SIGHUP)
-        await self._end(number, signal.SIGTERM)
+        await self._restart(number, signal.SIGTERM)
 
-    def note_upset(self, number: int) -> None:
-        """Notes that something befell a gateway."""
-        upset = soak_withdrawals.Upset(number, time.monotonic())
-        self.upsets.append(upset)
+    def record_interruption(self, number: int) -> None:
+        """Records an interruption of a gateway that happens now."""
+        interruption = soak_draining.Interruption(number, time.monotonic())
+        self.interruptions.append(interruption)
 
-    async def end_all(self) -> None:
-        """Ends all for good."""
+    async def kill_all(self) -> None:
+        """Kills all gateways and waits for them to end."""
         for process in self._processes:
             _signal(process, signal.SIGCONT)
             _signal(process, signal.SIGKILL)
             await process.wait()
 
-    def _choose(self) -> int:
-        return self._chance.randrange(len(self._processes))
+    def _choose_gateway(self) -> int:
+        return self._rng.randrange(len(self._processes))
 
-    async def _end(self, number: int, how: signal.Signals) -> None:
-        if number in self._ending:
-            # It is on its way out: another signal, but one new start.
-            _signal(self._processes[number], how)
+    async def _restart(self, number: int, signum: signal.Signals) -> None:
+        if number in self._restarting:
+            # It is already being restarted: send the signal, but don't start
+            # it twice.
+            _signal(self._processes[number], signum)
             return
-        self._ending.add(number)
+        self._restarting.add(number)
         process = self._processes[number]
-        self.note_upset(number)
-        _signal(process, how)
+        self.record_interruption(number)
+        _signal(process, signum)
         try:
             await asyncio.wait_for(process.wait(), GRACE_S)
         except TimeoutError:
             _signal(process, signal.SIGKILL)
             await process.wait()
-        self._processes[number] = await self._run(number)
-        self.note_upset(number)
-        self._ending.discard(number)
+        self._processes[number] = await self._start_process(number)
+        self.record_interruption(number)
+        self._restarting.discard(number)
 
-    async def _run(self, number: int) -> asyncio.subprocess.Process:
-        command = _make_command(number, self._places[number], self._without)
+    async def _start_process(self, number: int) -> asyncio.subprocess.Process:
+        command = _make_command(number, self._configs[number], self._without)
         log = open(self._folder / f"gateway-{number}.log", "ab")  # noqa: SIM115
         return await asyncio.create_subprocess_exec(
             *command, stdout=log, stderr=log, cwd=_ROOT
         )
 
 
-async def _await_listening(place: Place) -> None:
-    until_s = time.monotonic() + _START_MOST_S
+async def _wait_until_listening(config: LaunchConfig) -> None:
+    until_s = time.monotonic() + _START_TIMEOUT_S
     while time.monotonic() < until_s:
         with contextlib.suppress(OSError):
             _, writer = await asyncio.open_connection(
-                place.host, place.ports[1]
+                config.host, config.ports[1]
             )
             writer.close()
             return
         await asyncio.sleep(0.1)
 
 
-def _signal(process: asyncio.subprocess.Process, how: signal.Signals) -> bool:
-    """Sends a signal to a process of ours that still runs."""
+def _signal(
+    process: asyncio.subprocess.Process, signum: signal.Signals
+) -> bool:
+    """Sends a signal to a process; returns False if it has ended."""
     if process.returncode is not None:
         return False
     try:
-        process.send_signal(how)
+        process.send_signal(signum)
     except ProcessLookupError:
         return False
     return True
 
 
-def _make_command(number: int, place: Place, without: str) -> list[str]:
-    front, ready, metrics, peers = place.ports
+def _make_command(number: int, config: LaunchConfig, without: str) -> list[str]:
+    caller_port, ready, metrics, peers = config.ports
     flags = {
         "--vm-id": f"vm-{number}",
-        "--hall": place.hall,
-        "--listen": f"{place.host}:{front}",
-        "--ready-listen": f"{place.host}:{ready}",
-        "--metrics-listen": f"{place.host}:{metrics}",
-        "--peer-listen": f"{place.host}:{peers}",
-        "--store-address": f"127.0.0.1:{place.store_port}",
+        "--hall": config.hall,
+        "--listen": f"{config.host}:{caller_port}",
+        "--ready-listen": f"{config.host}:{ready}",
+        "--metrics-listen": f"{config.host}:{metrics}",
+        "--peer-listen": f"{config.host}:{peers}",
+        "--store-address": f"127.0.0.1:{config.store_port}",
         "--grace-s": str(GRACE_S),
     }
-    if place.seeds:
-        flags["--seeds"] = place.seeds
-    words = [word for pair in flags.items() for word in pair]
+    if config.seeds:
+        flags["--seeds"] = config.seeds
+    arguments = [argument for pair in flags.items() for argument in pair]
     program = [str(_ROOT / "deploy" / "gateway.py")]
     if without:
         program = ["-m", "standins.soak_ablations", without]
-    return [sys.executable, *program, *words]
+    return [sys.executable, *program, *arguments]
--- a/standins/vm_list.py
+++ b/standins/vm_list.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's lagging list of VMs and targets."""
+"""Fake of the platform's list of VMs and targets, which lags behind."""
 
 import asyncio
 import pathlib
@@ -13,12 +13,12 @@
 
 
 class VmList:
-    """The list; serves what was true some time ago.
+    """The list; serves its state of `lag_ms` ago.
 
     Attributes:
-        calls: Calls answered.
-        lag_ms: How long a change takes to show.
-        is_stale: Whether no change shows at all.
+        request_count: Number of list requests.
+        lag_ms: Delay until a change is visible.
+        is_frozen: Whether changes stay invisible.
     """
 
     def __init__(
@@ -28,37 +28,37 @@
         targets: list[dict],
         lag_ms: float = 0.0,
     ) -> None:
-        self.calls = 0
+        self.request_count = 0
         self.lag_ms = lag_ms
-        self.is_stale = False
+        self.is_frozen = False
         self._env = env
         self._vms = {row["id"]: row for row in vms}
         self._targets = {row["id"]: row for row in targets}
         self._version = 1
-        self._states = [(float("-inf"), self._encode())]
-        self._stale_body = b""
+        self._snapshots = [(float("-inf"), self._encode())]
+        self._frozen_body = b""
 
     def set_vm(self, vm_id: str, **fields: object) -> None:
-        """Changes a VM's row; with no fields, takes it off the list."""
-        self._set(self._vms, vm_id, fields)
+        """Changes a VM's row; removes it if no fields are given."""
+        self._update_row(self._vms, vm_id, fields)
 
     def set_target(self, target_id: str, **fields: object) -> None:
-        """Changes a target's row; with no fields, takes it off."""
-        self._set(self._targets, target_id, fields)
+        """Changes a target's row; removes it if no fields are given."""
+        self._update_row(self._targets, target_id, fields)
 
-    def set_stale(self, is_stale: bool) -> None:
-        """Freezes what is served, or lets it go on."""
-        self._stale_body = self._current() if is_stale else b""
-        self.is_stale = is_stale
+    def set_frozen(self, is_frozen: bool) -> None:
+        """Freezes the served state, or unfreezes it."""
+        self._frozen_body = self._find_visible() if is_frozen else b""
+        self.is_frozen = is_frozen
 
-    def _set(self, rows: dict, name: str, fields: dict) -> None:
+    def _update_row(self, rows: dict, name: str, fields: dict) -> None:
         if fields:
             rows[name] = {**rows.get(name, {"id": name}), **fields}
         else:
             rows.pop(name, None)
         self._version += 1
         visible_ms = self._env.now_ms() + self.lag_ms
-        self._states.append((visible_ms, self._encode()))
+        self._snapshots.append((visible_ms, self._encode()))
 
     def _encode(self) -> bytes:
         document = {
@@ -68,11 +68,11 @@
         }
         return orjson.dumps(document)
 
-    def _current(self) -> bytes:
+    def _find_visible(self) -> bytes:
         now_ms = self._env.now_ms()
-        while len(self._states) > 1 and self._states[1][0] <= now_ms:
-            del self._states[0]
-        return self._states[0][1]
+        while len(self._snapshots) > 1 and self._snapshots[1][0] <= now_ms:
+            del self._snapshots[0]
+        return self._snapshots[0][1]
 
     async def handle(
         self, incoming: message.IncomingRequest
@@ -84,8 +84,8 @@
             name = change.get("vm") or change["target"]
             setter(name, **change.get("fields", {}))
             return message.make_json_response(200, {})
-        self.calls += 1
-        body = self._stale_body if self.is_stale else self._current()
+        self.request_count += 1
+        body = self._frozen_body if self.is_frozen else self._find_visible()
         return message.Response(200, {"content-type": message.JSON_TYPE}, body)
 
 
@@ -101,12 +101,12 @@
 
 
 def main(*, listen: str, listing: pathlib.Path, lag_ms: float = 0.0) -> None:
-    """Runs the VM list stand-in.
+    """Runs the fake VM list.
 
     Args:
-        listen: Where to serve (HOST:PORT).
-        listing: File with `vms` and `targets`.
-        lag_ms: How long a change takes to show.
+        listen: Address to listen at (HOST:PORT).
+        listing: JSON file with `vms` and `targets`.
+        lag_ms: Delay until a change is visible.
     """
     env = environment.make_system_environment()
     rows = orjson.loads(listing.read_bytes())
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -12,7 +12,7 @@
 from standins import virtual_process
 
 _AGENTS_ONLY = clusters.Layout(
-    vms=8, halls=3, engines=0, services=0, with_entries=False
+    vms=8, halls=3, engines=0, services=0, runs_entries=False
 )
 _MAX_DELAY_S = 4.0
 
@@ -25,7 +25,7 @@
     return clusters.encode_tree(tree)
 
 
-Scenario = Callable[[clusters.Cluster, faults.Faults], Awaitable[None]]
+Scenario = Callable[[clusters.Cluster, faults.FaultInjector], Awaitable[None]]
 
 
 def _run_scenario(
@@ -36,7 +36,7 @@
         cluster.configuration.publish(_make_tree(1.0))
         cluster.start()
         await asyncio.sleep(10.0)
-        await scenario(cluster, faults.Faults(cluster))
+        await scenario(cluster, faults.FaultInjector(cluster))
         return cluster
 
     return virtual_process.run(run)
@@ -51,14 +51,16 @@
 
 
 def _apply_fault(
-    injector: faults.Faults, fault: str, on: str, from_: str = ""
+    injector: faults.FaultInjector, fault: str, on: str, from_: str = ""
 ) -> None:
     injector.apply(trace.TracedFault(0.0, fault, on, from_))
 
 
 class ConfigurationTest(unittest.TestCase):
     def test_change_is_applied_everywhere_within_seconds(self) -> None:
-        async def scenario(cluster: clusters.Cluster, _: faults.Faults) -> None:
+        async def scenario(
+            cluster: clusters.Cluster, _: faults.FaultInjector
+        ) -> None:
             cluster.configuration.publish(_make_tree(2.0))
             await asyncio.sleep(_MAX_DELAY_S)
             self.assertEqual(_collect_revisions(cluster), {2})
@@ -67,7 +69,7 @@
 
     def test_configuration_service_outage_of_hours(self) -> None:
         async def scenario(
-            cluster: clusters.Cluster, injector: faults.Faults
+            cluster: clusters.Cluster, injector: faults.FaultInjector
         ) -> None:
             _apply_fault(injector, "outage", "config")
             await asyncio.sleep(3 * 3600.0)
@@ -82,11 +84,11 @@
 
     def test_stale_service_reverts_no_agent_even_after_a_restart(self) -> None:
         async def scenario(
-            cluster: clusters.Cluster, injector: faults.Faults
+            cluster: clusters.Cluster, injector: faults.FaultInjector
         ) -> None:
             cluster.configuration.publish(_make_tree(2.0))
             await asyncio.sleep(_MAX_DELAY_S)
-            cluster.configuration.serves_behind = 1
+            cluster.configuration.revisions_behind = 1
             for name in ("vm-1", "vm-5"):
                 _apply_fault(injector, "kill", name)
                 await asyncio.sleep(1.0)
@@ -98,7 +100,7 @@
 
     def test_partitioned_hall_keeps_its_settings_and_catches_up(self) -> None:
         async def scenario(
-            cluster: clusters.Cluster, injector: faults.Faults
+            cluster: clusters.Cluster, injector: faults.FaultInjector
         ) -> None:
             _apply_fault(injector, "cut", "hall-2")
             cluster.configuration.publish(_make_tree(2.0))
@@ -112,7 +114,9 @@
         _run_scenario(scenario)
 
     def test_of_two_changes_at_once_the_later_is_applied(self) -> None:
-        async def scenario(cluster: clusters.Cluster, _: faults.Faults) -> None:
+        async def scenario(
+            cluster: clusters.Cluster, _: faults.FaultInjector
+        ) -> None:
             cluster.configuration.publish(_make_tree(2.0))
             cluster.configuration.publish(_make_tree(3.0))
             await asyncio.sleep(_MAX_DELAY_S)
@@ -126,7 +130,9 @@
         _run_scenario(scenario)
 
     def test_refused_revision_leaves_the_last_valid_one_in_force(self) -> None:
-        async def scenario(cluster: clusters.Cluster, _: faults.Faults) -> None:
+        async def scenario(
+            cluster: clusters.Cluster, _: faults.FaultInjector
+        ) -> None:
             cluster.configuration.publish({"main": b'{"branches": {}}'})
             await asyncio.sleep(_MAX_DELAY_S)
             self.assertEqual(_collect_revisions(cluster), {1})
@@ -142,21 +148,21 @@
             layout = dataclasses.replace(_AGENTS_ONLY, vms=vms)
 
             async def scenario(
-                cluster: clusters.Cluster, _: faults.Faults
+                cluster: clusters.Cluster, _: faults.FaultInjector
             ) -> None:
-                cluster.configuration.calls.clear()
+                cluster.configuration.request_counts.clear()
                 for number in range(5):
                     cluster.configuration.publish(_make_tree(2.0 + number))
                     await asyncio.sleep(6.0)
                 self.assertEqual(_collect_revisions(cluster), {6})
 
             cluster = _run_scenario(scenario, layout)
-            calls[vms] = sum(cluster.configuration.calls.values())
+            calls[vms] = sum(cluster.configuration.request_counts.values())
         self.assertLessEqual(calls[80], 1.5 * calls[8])
 
     def test_failed_agent_is_detected_within_seconds(self) -> None:
         async def scenario(
-            cluster: clusters.Cluster, injector: faults.Faults
+            cluster: clusters.Cluster, injector: faults.FaultInjector
         ) -> None:
             _apply_fault(injector, "kill", "vm-4")
             await asyncio.sleep(6.0)
@@ -172,7 +178,7 @@
         layout = dataclasses.replace(_AGENTS_ONLY, vms=160, halls=12)
 
         async def scenario(
-            cluster: clusters.Cluster, injector: faults.Faults
+            cluster: clusters.Cluster, injector: faults.FaultInjector
         ) -> None:
             for number in range(5, 160, 10):
                 _apply_fault(injector, "kill", f"vm-{number}")
--- a/tests/test_guarantees.py
+++ b/tests/test_guarantees.py
@@ -258,7 +258,7 @@
     def count_late_executions(self, lines: list) -> int:
         """Counts what engine-1 ran of the requests sent 6 s after it drains."""
         captured = mock.Mock()
-        original = virtual_cluster.clusters.Cluster.executions
+        original = virtual_cluster.clusters.Cluster.count_executions
 
         def executions(
             self: virtual_cluster.clusters.Cluster,
@@ -267,7 +267,7 @@
             return original(self)
 
         with mock.patch.object(
-            virtual_cluster.clusters.Cluster, "executions", executions
+            virtual_cluster.clusters.Cluster, "count_executions", executions
         ):
             virtual_cluster.replay_trace(lines)
         late = {
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -39,7 +39,7 @@
         cluster = clusters.Cluster(layout)
         cluster.configuration.publish(_make_tree("0", checks_fence))
         cluster.start()
-        injector = faults.Faults(cluster)
+        injector = faults.FaultInjector(cluster)
         await asyncio.sleep(20.0)
         for number in range(5):
             name = f"vm-{number % 4 + 1}"
--- a/tests/virtual_cluster.py
+++ b/tests/virtual_cluster.py
@@ -33,16 +33,16 @@
     lines: list[trace.Line],
     layout: clusters.Layout = LAYOUT,
     tree: dict | None = None,
-) -> replay.Replayed:
+) -> replay.ReplayResult:
     """Replays trace lines in time order; they may be given in any order."""
     ordered = sorted(lines, key=lambda line: line.at_ms)
     return replay.replay(tuple(ordered), layout, tree)
 
 
-find_violations = schedules.find_broken
+find_violations = schedules.find_violations
 
 
-def count_statuses(found: replay.Replayed) -> dict[str, int]:
+def count_statuses(found: replay.ReplayResult) -> dict[str, int]:
     """Returns the number of requests for each final status."""
     counts: dict[str, int] = {}
     for each in found.outcomes:
