--- a/src/ruddergate/adapters/callers/parse.py
+++ b/src/ruddergate/adapters/callers/parse.py
@@ -19,11 +19,11 @@
 MAX_BYTES_PER_TOKEN = 64
 # Prompts without a named prefix are compared by their first characters, up to
 # this many.
-PREFIX_BYTES = 4_096
-TOKENS_MAX = 100_000_000
-KEY_LENGTH_MAX = 200
+PREFIX_CHARACTERS = 4_096
+MAX_TOKENS = 100_000_000
+MAX_KEY_LENGTH = 200
 # Assumed if a caller sends a key without its age; see docs/CALLERS.md.
-KEY_AGE_DEFAULT_MS = 30_000.0
+DEFAULT_KEY_AGE_MS = 30_000.0
 
 
 def parse_call(
@@ -81,7 +81,7 @@
     for name in ("max_tokens", "max_completion_tokens"):
         tokens = _read_field(document, name, int, None)
         if tokens is not None:
-            if not 1 <= tokens <= TOKENS_MAX:
+            if not 1 <= tokens <= MAX_TOKENS:
                 raise _BadRequestError(f"{name}: expected at least 1")
             return tokens
     return None
@@ -205,16 +205,16 @@
 
 def _read_idempotency_key(headers: Mapping[str, str]) -> str:
     key = headers.get("idempotency-key", "")
-    if len(key) > KEY_LENGTH_MAX:
+    if len(key) > MAX_KEY_LENGTH:
         raise _BadRequestError(
-            f"idempotency-key: expected at most {KEY_LENGTH_MAX} characters"
+            f"idempotency-key: expected at most {MAX_KEY_LENGTH} characters"
         )
     return key
 
 
 def _read_key_age(headers: Mapping[str, str]) -> float:
     age_ms = _read_number(headers, "ruddergate-key-age-ms")
-    return KEY_AGE_DEFAULT_MS if age_ms is None else age_ms
+    return DEFAULT_KEY_AGE_MS if age_ms is None else age_ms
 
 
 def _count_tokens(headers: Mapping[str, str], prompt: str) -> int:
@@ -222,18 +222,18 @@
     declared = _read_number(headers, "ruddergate-prompt-tokens")
     if declared is None:
         return max(1, size // BYTES_PER_TOKEN)
-    return max(1, size // MAX_BYTES_PER_TOKEN, min(int(declared), TOKENS_MAX))
+    return max(1, size // MAX_BYTES_PER_TOKEN, min(int(declared), MAX_TOKENS))
 
 
 def _read_prefix(headers: Mapping[str, str], prompt: str) -> tuple[str, int]:
     text = headers.get("ruddergate-prefix")
     if text is not None:
         name, _, tokens = text.partition(";tokens=")
-        if not name or not tokens.isdigit() or len(text) > KEY_LENGTH_MAX:
+        if not name or not tokens.isdigit() or len(text) > MAX_KEY_LENGTH:
             raise _BadRequestError("ruddergate-prefix: expected NAME;tokens=N")
         return name, int(tokens)
-    if len(prompt) <= PREFIX_BYTES:
+    if len(prompt) <= PREFIX_CHARACTERS:
         return "", 0
-    prefix = prompt[:PREFIX_BYTES].encode()
+    prefix = prompt[:PREFIX_CHARACTERS].encode()
     digest = hashlib.blake2b(prefix, digest_size=8).hexdigest()
-    return digest, PREFIX_BYTES // BYTES_PER_TOKEN
+    return digest, PREFIX_CHARACTERS // BYTES_PER_TOKEN
--- a/src/ruddergate/adapters/configuration/client.py
+++ b/src/ruddergate/adapters/configuration/client.py
@@ -51,14 +51,14 @@
     """
     target = f"/v1/manifest?after={after_revision}&wait_ms={wait_ms:.0f}"
     request = client.make_json_request("GET", target)
-    answer = await client.fetch(env, address, request, wait_ms + timeout_ms)
-    if isinstance(answer, client.Fault):
-        return Unavailable(answer.detail)
-    if answer.status == _NO_CONTENT:
+    response = await client.fetch(env, address, request, wait_ms + timeout_ms)
+    if isinstance(response, client.Fault):
+        return Unavailable(response.detail)
+    if response.status == _NO_CONTENT:
         return Unchanged()
-    if answer.status != _OK:
-        return Unavailable(f"unexpected status {answer.status}")
-    return _parse_manifest(answer.json())
+    if response.status != _OK:
+        return Unavailable(f"unexpected status {response.status}")
+    return _parse_manifest(response.json())
 
 
 def _parse_manifest(document: object) -> manifests.Manifest | Unavailable:
@@ -81,9 +81,9 @@
 ) -> bytes | Unavailable:
     """Returns the bytes of one shard."""
     request = client.make_json_request("GET", f"/v1/shards/{digest}")
-    answer = await client.fetch(env, address, request, timeout_ms)
-    if isinstance(answer, client.Fault):
-        return Unavailable(answer.detail)
-    if answer.status != _OK:
-        return Unavailable(f"unexpected status {answer.status}")
-    return answer.body
+    response = await client.fetch(env, address, request, timeout_ms)
+    if isinstance(response, client.Fault):
+        return Unavailable(response.detail)
+    if response.status != _OK:
+        return Unavailable(f"unexpected status {response.status}")
+    return response.body
--- a/src/ruddergate/adapters/engines/control.py
+++ b/src/ruddergate/adapters/engines/control.py
@@ -35,7 +35,7 @@
     """The engine executed the request."""
 
 
-Answer = Done | Refused | client.Fault
+ControlResult = Done | Refused | client.Fault
 
 
 async def cancel(
@@ -43,7 +43,7 @@
     target: targets.Target,
     item_ids: Sequence[str],
     timeout_ms: float,
-) -> Answer:
+) -> ControlResult:
     """Frees streams and reservations; unknown IDs count as freed."""
     document = {"ids": list(item_ids)}
     return await _post(env, target, "/v1/cancel", document, timeout_ms)
@@ -57,7 +57,7 @@
     held_tokens: int,
     expiry_age_ms: float,
     timeout_ms: float,
-) -> Answer:
+) -> ControlResult:
     """Reserves memory for one segment of a gang's prompt."""
     document = {
         "reservation": reservation,
@@ -75,7 +75,7 @@
     segment: gangs.Segment,
     kv_parts: Sequence[generation_request.KvPart],
     timeout_ms: float,
-) -> Answer:
+) -> ControlResult:
     """Prefills one segment after importing the KV cache of those before it."""
     document = {
         "reservation": reservation,
@@ -94,7 +94,7 @@
     target: targets.Target,
     new_order: orders.Order,
     timeout_ms: float,
-) -> Answer:
+) -> ControlResult:
     """Sends an engine an order; the engine checks the fencing token."""
     document = dataclasses.asdict(new_order)
     return await _post(env, target, "/v1/orders", document, timeout_ms)
@@ -106,9 +106,9 @@
     path: str,
     document: dict[str, object],
     timeout_ms: float,
-) -> Answer:
+) -> ControlResult:
     request = client.make_json_request("POST", path, document)
-    answer = await client.fetch(env, target.address, request, timeout_ms)
-    if isinstance(answer, client.Fault):
-        return answer
-    return Done() if answer.status == _OK else Refused(answer.status)
+    response = await client.fetch(env, target.address, request, timeout_ms)
+    if isinstance(response, client.Fault):
+        return response
+    return Done() if response.status == _OK else Refused(response.status)
--- a/src/ruddergate/adapters/engines/load.py
+++ b/src/ruddergate/adapters/engines/load.py
@@ -60,12 +60,12 @@
     """
     query = f"after={after_event}" + ("&held=1" if with_held else "")
     request = client.make_json_request("GET", f"/v1/load?{query}")
-    answer = await client.fetch(env, target.address, request, timeout_ms)
-    if isinstance(answer, client.Fault):
-        return answer
-    document = answer.json()
-    if answer.status != _OK or not isinstance(document, Mapping):
-        return client.Fault(True, False, f"unexpected status {answer.status}")
+    response = await client.fetch(env, target.address, request, timeout_ms)
+    if isinstance(response, client.Fault):
+        return response
+    document = response.json()
+    if response.status != _OK or not isinstance(document, Mapping):
+        return client.Fault(True, False, f"unexpected status {response.status}")
     return _parse_poll_result(target.target_id, document)
 
 
--- a/src/ruddergate/adapters/engines/stream.py
+++ b/src/ruddergate/adapters/engines/stream.py
@@ -280,8 +280,8 @@
     body = await exchange.read_all()
     if isinstance(body, client.Fault):
         return _make_lost(outcomes.Reason.TARGET_LOST, body.detail)
-    answer = client.CompleteResponse(exchange.status, exchange.headers, body)
-    document = answer.json()
+    response = client.CompleteResponse(exchange.status, exchange.headers, body)
+    document = response.json()
     started = _private.get(document, "started", bool, True)
     ran = outcomes.Ran.UNKNOWN if started else outcomes.Ran.NOT_RUN
     why = _private.get(document, "reason", str, f"status {exchange.status}")
--- a/src/ruddergate/adapters/services/call.py
+++ b/src/ruddergate/adapters/services/call.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ServiceAnswer:
+class ServiceResponse:
     """A service's complete response, forwarded unchanged.
 
     Attributes:
@@ -33,7 +33,7 @@
     target: targets.Target,
     request: requests.Request,
     timeout_ms: float,
-) -> ServiceAnswer | outcomes.NotServed:
+) -> ServiceResponse | outcomes.NotServed:
     """Calls a service; an outcome with `not_run` guarantees it did not run."""
     headers = {
         "content-type": message.JSON_TYPE,
@@ -46,13 +46,13 @@
     outgoing = message.OutgoingRequest(
         "POST", request.service_path, headers, request.prompt.encode()
     )
-    answer = await client.fetch(env, target.address, outgoing, timeout_ms)
-    if isinstance(answer, client.Fault):
-        return _make_lost(answer)
-    if answer.status >= _SERVER_ERROR:
-        return _make_refused(answer)
-    content_type = answer.headers.get("content-type", message.JSON_TYPE)
-    return ServiceAnswer(answer.status, content_type, answer.body)
+    response = await client.fetch(env, target.address, outgoing, timeout_ms)
+    if isinstance(response, client.Fault):
+        return _make_lost(response)
+    if response.status >= _SERVER_ERROR:
+        return _make_refused(response)
+    content_type = response.headers.get("content-type", message.JSON_TYPE)
+    return ServiceResponse(response.status, content_type, response.body)
 
 
 def _make_lost(fault: client.Fault) -> outcomes.NotServed:
@@ -60,11 +60,11 @@
     return outcomes.NotServed(outcomes.Reason.TARGET_LOST, ran, fault.detail)
 
 
-def _make_refused(answer: client.CompleteResponse) -> outcomes.NotServed:
-    started = _private.get(answer.json(), "started", bool, True)
+def _make_refused(response: client.CompleteResponse) -> outcomes.NotServed:
+    started = _private.get(response.json(), "started", bool, True)
     ran = outcomes.Ran.UNKNOWN if started else outcomes.Ran.NOT_RUN
     return outcomes.NotServed(
         outcomes.Reason.TARGET_REFUSED,
         ran,
-        f"the service responded with status {answer.status}",
+        f"the service responded with status {response.status}",
     )
--- a/src/ruddergate/adapters/vm_list/client.py
+++ b/src/ruddergate/adapters/vm_list/client.py
@@ -38,12 +38,12 @@
 ) -> listings.Listing | Unavailable:
     """Returns the list that the platform publishes now."""
     request = client.make_json_request("GET", "/v1/vms")
-    answer = await client.fetch(env, address, request, timeout_ms)
-    if isinstance(answer, client.Fault):
-        return Unavailable(answer.detail)
-    if answer.status != _OK:
-        return Unavailable(f"unexpected status {answer.status}")
-    return parse_listing(answer.json())
+    response = await client.fetch(env, address, request, timeout_ms)
+    if isinstance(response, client.Fault):
+        return Unavailable(response.detail)
+    if response.status != _OK:
+        return Unavailable(f"unexpected status {response.status}")
+    return parse_listing(response.json())
 
 
 def parse_listing(document: object) -> listings.Listing | Unavailable:
--- a/src/ruddergate/agent/order_task.py
+++ b/src/ruddergate/agent/order_sender.py
@@ -12,7 +12,7 @@
 from ruddergate.telemetry import metrics as metric_types
 
 
-class OrderTask:
+class OrderSender:
     """Decides after each poll of an engine whether to send it an order."""
 
     def __init__(
@@ -49,7 +49,7 @@
         order = orders.make_order(pool, revision, loaded.generation)
         if not orders.is_needed(order, loaded):
             return
-        if self._reads_store(order, loaded) and not self._consume_weight_read(
+        if self._reads_weights(order, loaded) and not self._consume_weight_read(
             pool
         ):
             return
@@ -89,7 +89,7 @@
             self._state.listing_age_ms(),
         )
 
-    def _reads_store(
+    def _reads_weights(
         self, order: orders.Order, loaded: orders.LoadedState
     ) -> bool:
         current = (loaded.model, loaded.version, loaded.adapters)
--- a/src/ruddergate/agent/peer_connections.py
+++ b/src/ruddergate/agent/peer_connections.py
@@ -69,8 +69,8 @@
     ) -> codec.Message | frames.Closed:
         stream = self._open.get(name)
         if stream is None:
-            endpoints = await self._env.connect(vm.agent_peer)
-            stream = frames.FrameStream(*endpoints, self._key)
+            connection = await self._env.connect(vm.agent_peer)
+            stream = frames.FrameStream(*connection, self._key)
             self._open[name] = stream
             closed = await stream.greet()
             if closed is not None:
--- a/src/ruddergate/agent/program.py
+++ b/src/ruddergate/agent/program.py
@@ -9,7 +9,7 @@
 from ruddergate.agent import feed_server
 from ruddergate.agent import gossip_task
 from ruddergate.agent import list_sync
-from ruddergate.agent import order_task
+from ruddergate.agent import order_sender
 from ruddergate.agent import peer_connections
 from ruddergate.agent import peer_server
 from ruddergate.agent import settings_sync
@@ -56,7 +56,7 @@
         self._feed = feed_server.FeedServer(
             *common, self._settings, self._shares
         )
-        self._orders = order_task.OrderTask(*common, self.metrics)
+        self._orders = order_sender.OrderSender(*common, self.metrics)
         self._targets = target_task.TargetPoller(
             *common, self._feed, self._orders, self.metrics
         )
--- a/src/ruddergate/agent/target_task.py
+++ b/src/ruddergate/agent/target_task.py
@@ -8,7 +8,7 @@
 from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
 from ruddergate.agent import feed_server
-from ruddergate.agent import order_task
+from ruddergate.agent import order_sender
 from ruddergate.decisions import rendezvous
 from ruddergate.decisions import subset
 from ruddergate.decisions import sweeping
@@ -29,7 +29,7 @@
         config: configs.AgentConfig,
         state: agent_state.AgentState,
         feed: feed_server.FeedServer,
-        orders: order_task.OrderTask,
+        orders: order_sender.OrderSender,
         metrics: metric_types.AgentMetrics,
     ) -> None:
         self._env = env
--- a/src/ruddergate/cli/_status.py
+++ b/src/ruddergate/cli/_status.py
@@ -10,10 +10,10 @@
     """Returns the lines to print, or an error message."""
     env = environment.make_system_environment()
     request = client.make_json_request("GET", "/status")
-    answer = await client.fetch(env, address, request, _TIMEOUT_MS)
-    if isinstance(answer, client.Fault):
-        return answer.detail
-    document = answer.json()
+    response = await client.fetch(env, address, request, _TIMEOUT_MS)
+    if isinstance(response, client.Fault):
+        return response.detail
+    document = response.json()
     if not isinstance(document, dict) or "targets" not in document:
         return f"{address} is not an entry"
     targets = document.pop("targets")
--- a/src/ruddergate/entry/handler.py
+++ b/src/ruddergate/entry/handler.py
@@ -212,7 +212,7 @@
         text: str,
         event: recording.Event,
     ) -> message.Response:
-        if isinstance(event, service_calls.ServiceAnswer):
+        if isinstance(event, service_calls.ServiceResponse):
             headers = {
                 "content-type": event.content_type,
                 "ruddergate-request-id": response_format.request_id,
--- a/src/ruddergate/entry/recording.py
+++ b/src/ruddergate/entry/recording.py
@@ -10,7 +10,7 @@
 
 Event = (
     parts.Tokens
-    | service_calls.ServiceAnswer
+    | service_calls.ServiceResponse
     | outcomes.Finished
     | outcomes.NotServed
 )
@@ -42,7 +42,7 @@
         for event in self._events:
             if isinstance(event, parts.Tokens):
                 total += sum(len(text) for text in event.texts)
-            elif isinstance(event, service_calls.ServiceAnswer):
+            elif isinstance(event, service_calls.ServiceResponse):
                 total += len(event.body)
         return total
 
--- a/src/ruddergate/entry/service_run.py
+++ b/src/ruddergate/entry/service_run.py
@@ -18,7 +18,7 @@
 
 async def run(
     request: requests.Request, context: contexts.EntryContext
-) -> service_calls.ServiceAnswer | outcomes.NotServed:
+) -> service_calls.ServiceResponse | outcomes.NotServed:
     """Returns the service's whole answer, or the outcome."""
     ran = outcomes.Ran.NOT_RUN
     excluded: frozenset[str] = frozenset()
@@ -31,7 +31,7 @@
         attempts += 1
         placement = grant.placements[0]
         answer = await _call(request, placement, context)
-        if isinstance(answer, service_calls.ServiceAnswer):
+        if isinstance(answer, service_calls.ServiceResponse):
             return answer
         ran = model_run.combine_ran(ran, answer.ran)
         excluded = excluded | {placement.target.target_id}
@@ -53,7 +53,7 @@
     request: requests.Request,
     placement: scheduler_messages.Placement,
     context: contexts.EntryContext,
-) -> service_calls.ServiceAnswer | outcomes.NotServed:
+) -> service_calls.ServiceResponse | outcomes.NotServed:
     is_target_fault = True
     try:
         with context.tracer.span("attempt", request.traceparent):
--- a/src/ruddergate/experiments/summary.py
+++ b/src/ruddergate/experiments/summary.py
@@ -10,7 +10,7 @@
 from ruddergate.telemetry import metrics
 
 LENGTHS = ("1k", "4k", "16k", "64k", "256k", "1M")
-SHORT_TOKENS_MAX = 4_096
+MAX_SHORT_TOKENS = 4_096
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -137,7 +137,7 @@
     times = [
         each.ttft_ms
         for each in found
-        if 0 < each.prompt_tokens <= SHORT_TOKENS_MAX
+        if 0 < each.prompt_tokens <= MAX_SHORT_TOKENS
         and each.ttft_ms is not None
     ]
     return percentile(times, 99)
--- a/src/ruddergate/telemetry/metrics.py
+++ b/src/ruddergate/telemetry/metrics.py
@@ -4,7 +4,7 @@
 
 from ruddergate.http import message
 
-_TTFT_BUCKETS_S = (
+_TIME_BUCKETS_S = (
     0.05,
     0.1,
     0.25,
@@ -44,7 +44,7 @@
             "ruddergate_first_token_seconds",
             "Time to first token, by prompt length.",
             registry=self.registry,
-            buckets=_TTFT_BUCKETS_S,
+            buckets=_TIME_BUCKETS_S,
         )
         self.outcomes = self._counter(
             "ruddergate_outcomes_total",
@@ -131,13 +131,13 @@
             "ruddergate_longest_pause_seconds",
             "Longest pause of each stream, by prompt length.",
             registry=self.registry,
-            buckets=_TTFT_BUCKETS_S,
+            buckets=_TIME_BUCKETS_S,
         )
         self.wait_s = aioprometheus.Histogram(
             "ruddergate_place_wait_seconds",
             "Time until a request was placed on a target, by prompt length.",
             registry=self.registry,
-            buckets=_TTFT_BUCKETS_S,
+            buckets=_TIME_BUCKETS_S,
         )
         self.revision = self._gauge(
             "ruddergate_settings_revision", "Revision of the settings in use."
