--- a/src/ruddergate/adapters/_private.py
+++ b/src/ruddergate/adapters/_private.py
@@ -10,8 +10,8 @@
 
     An integer also counts as a float.
     """
-    # `type(...) is dict` is cheaper than a protocol check, and this runs for
-    # every event of a stream.
+    # This runs for every event of a stream, and `type(...) is dict` is cheaper
+    # than `isinstance` with `Mapping`.
     if type(document) is not dict:
         return default
     value = document.get(key, default)
--- a/src/ruddergate/adapters/callers/call.py
+++ b/src/ruddergate/adapters/callers/call.py
@@ -19,7 +19,7 @@
         repeatable: Whether the caller declares that the call may run more than
             once, or None if it does not say.
         idempotency_key: Idempotency key shared by all resends, or empty.
-        key_age_ms: Time since the caller first used the key.
+        key_age_ms: Time since the caller first used the idempotency key.
         ticket: Ticket under which the call is sent, or empty.
         service_path: Path at a plain service; empty for a model.
         stream: Whether to stream the response.
--- a/src/ruddergate/adapters/callers/parse.py
+++ b/src/ruddergate/adapters/callers/parse.py
@@ -17,8 +17,8 @@
 BYTES_PER_TOKEN = 4
 # A declared prompt length is raised to at least one token per this many bytes.
 MAX_BYTES_PER_TOKEN = 64
-# Prompts without a named prefix are compared by their first characters, up to
-# this many.
+# Prompts that are longer than this and name no prefix share one if their first
+# characters, this many, are the same.
 PREFIX_CHARACTERS = 4_096
 MAX_TOKENS = 100_000_000
 MAX_KEY_LENGTH = 200
@@ -82,7 +82,7 @@
         tokens = _read_field(document, name, int, None)
         if tokens is not None:
             if not 1 <= tokens <= MAX_TOKENS:
-                raise _BadRequestError(f"{name}: expected at least 1")
+                raise _BadRequestError(f"{name}: expected 1 to 100,000,000")
             return tokens
     return None
 
--- a/src/ruddergate/adapters/configuration/client.py
+++ b/src/ruddergate/adapters/configuration/client.py
@@ -49,8 +49,8 @@
         wait_ms: Time for which the service waits for a newer revision.
         timeout_ms: Time beyond that for the request to complete.
     """
-    target = f"/v1/manifest?after={after_revision}&wait_ms={wait_ms:.0f}"
-    request = client.make_json_request("GET", target)
+    path = f"/v1/manifest?after={after_revision}&wait_ms={wait_ms:.0f}"
+    request = client.make_json_request("GET", path)
     response = await client.fetch(env, address, request, wait_ms + timeout_ms)
     if isinstance(response, client.Fault):
         return Unavailable(response.detail)
--- a/src/ruddergate/agent/agent_state.py
+++ b/src/ruddergate/agent/agent_state.py
@@ -1,4 +1,4 @@
-"""State of one agent. All of it is soft state, rebuilt after a restart."""
+"""State of one agent, all in memory and rebuilt after a restart."""
 
 import asyncio
 import itertools
@@ -124,7 +124,7 @@
         return self._env.now_ms() - self._service_answered_ms
 
     def hall_service_age_ms(self) -> float:
-        """Returns the time since it last responded to an agent of the hall."""
+        """Returns the time since the service last responded to the hall."""
         return self._env.now_ms() - self._hall_service_answered_ms
 
     def own_row(self) -> gossip.MemberRow:
--- a/src/ruddergate/agent/order_sender.py
+++ b/src/ruddergate/agent/order_sender.py
@@ -1,4 +1,4 @@
-"""Sends engines the orders that the settings imply."""
+"""Sends engines the orders that follow from the settings."""
 
 from ruddergate import environment
 from ruddergate.adapters.engines import control
@@ -101,8 +101,8 @@
         Returns whether one was available.
         """
         now_ms = self._env.now_ms()
-        listed = max(1, len(self._state.listing.vms))
-        rate = pool.weight_reads_per_s_max / listed
+        vm_count = max(1, len(self._state.listing.vms))
+        rate = pool.weight_reads_per_s_max / vm_count
         budget = self._budgets.get(pool.name)
         if budget is None:
             budget = orders.WeightReadBudget(rate, 0.0, now_ms)
--- a/src/ruddergate/agent/settings_sync.py
+++ b/src/ruddergate/agent/settings_sync.py
@@ -77,10 +77,10 @@
             ]
             count = min(len(peers), _START_PEERS)
             chosen = self._env.random.sample(peers, count)
-            answers = await asyncio.gather(
+            replied = await asyncio.gather(
                 *(self.fetch_from_peer(peer) for peer in chosen)
             )
-            if any(answers):
+            if any(replied):
                 return
             await asyncio.sleep(_RETRY_DELAY_MS / 1000.0)
 
--- a/src/ruddergate/agent/share_task.py
+++ b/src/ruddergate/agent/share_task.py
@@ -7,11 +7,11 @@
 from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
 from ruddergate.agent import peer_connections
-from ruddergate.decisions import shares as decisions
+from ruddergate.decisions import shares as share_decisions
 from ruddergate.fleet import vm as vms
 from ruddergate.messages import entry_load
 from ruddergate.messages import quota_loan
-from ruddergate.messages import shares as messages
+from ruddergate.messages import shares as share_messages
 from ruddergate.settings import kind as kinds
 
 _INTERVAL_MS = 500.0
@@ -41,7 +41,7 @@
         self._config = config
         self._state = state
         self._peer_connections = connections
-        self._loans = decisions.LoanBook()
+        self._loans = share_decisions.LoanBook()
 
     async def run(self) -> None:
         """Borrows for workspaces whose demand exceeds the share.
@@ -57,16 +57,16 @@
         """Replaces the entry's demand."""
         self.demand = {row.workspace: row.fraction for row in rows}
 
-    def make_message(self) -> messages.Shares:
+    def make_message(self) -> share_messages.Shares:
         """Returns this VM's shares, for its entry."""
         now_ms = self._env.now_ms()
         rows = []
         for workspace in sorted(set(self._list_special_workspaces(now_ms))):
             fraction = self._current_fraction(workspace, now_ms)
             until_ms = self._loans.find_next_expiry_ms(workspace, now_ms)
-            valid_ms = min(until_ms - now_ms, decisions.LOAN_VALID_MS)
-            rows.append(messages.Share(workspace, fraction, valid_ms))
-        return messages.Shares(self._base_fraction(""), tuple(rows))
+            valid_ms = min(until_ms - now_ms, share_decisions.LOAN_VALID_MS)
+            rows.append(share_messages.Share(workspace, fraction, valid_ms))
+        return share_messages.Shares(self._base_fraction(""), tuple(rows))
 
     def handle_loan_request(
         self, request: quota_loan.QuotaLoanRequest
@@ -81,7 +81,7 @@
             self._base_fraction(request.workspace),
             self.demand.get(request.workspace, 0.0),
             request.fraction,
-            min(request.valid_ms, decisions.LOAN_VALID_MS),
+            min(request.valid_ms, share_decisions.LOAN_VALID_MS),
             now_ms,
         )
         return quota_loan.QuotaLoanReply(request.workspace, fraction)
@@ -106,7 +106,7 @@
         needed: float,
     ) -> float:
         requested_ms = self._env.now_ms()
-        valid_ms = decisions.LOAN_VALID_MS
+        valid_ms = share_decisions.LOAN_VALID_MS
         request = quota_loan.QuotaLoanRequest(
             self._config.vm_id, workspace, needed, valid_ms
         )
@@ -128,7 +128,7 @@
         """Returns this VM's base share of a workspace's limits."""
         hall = self._config.hall
         listed = {vm.vm_id for vm in self._state.listing.vms if vm.hall == hall}
-        in_hall = decisions.base_fraction(
+        in_hall = share_decisions.base_fraction(
             listed,
             self._state.members.list_known(),
             self._state.answered_peers,
@@ -137,7 +137,7 @@
         branch = self._state.in_force.tree.branches.get(workspace)
         percent = branch.hall_percent if branch is not None else {}
         halls = self._state.seen_halls
-        return in_hall * decisions.hall_fraction(hall, percent, halls)
+        return in_hall * share_decisions.hall_fraction(hall, percent, halls)
 
     def _list_special_workspaces(self, now_ms: float) -> Iterator[str]:
         """Yields the workspaces whose share may differ from the default.
--- a/src/ruddergate/cli/_private.py
+++ b/src/ruddergate/cli/_private.py
@@ -34,10 +34,13 @@
 
 
 def run_app(app: cyclopts.App) -> None:
-    """Runs a command line; an invalid parameter gets one line and status 2.
+    """Runs a command line.
 
-    An empty environment variable counts as unset, since templates of settings
-    leave variables empty for which there is no value.
+    An invalid parameter or an `OSError` prints one line and ends the process
+    with status 2.
+
+    An empty environment variable counts as unset, since templates of
+    environment files leave a variable empty if there is no value for it.
     """
     for name, value in list(os.environ.items()):
         if name.startswith(ENV_PREFIX) and not value:
--- a/src/ruddergate/cli/_tree.py
+++ b/src/ruddergate/cli/_tree.py
@@ -11,8 +11,8 @@
 from ruddergate.settings import problem
 from ruddergate.settings import tree as trees
 
-# Kind whose effective values are shown for a branch; a workload's for all other
-# kinds.
+# Kind of branch whose settings `explain` shows for a branch of the given kind.
+# For all other kinds these are the settings of a workload.
 _EXPLAINED_AS = {
     kinds.Kind.CLASS: kinds.Kind.CLASS,
     kinds.Kind.POOL: kinds.Kind.POOL,
--- a/src/ruddergate/cli/agent.py
+++ b/src/ruddergate/cli/agent.py
@@ -10,7 +10,7 @@
 
 APP = _private.make_app(
     "ruddergate-agent",
-    "Reads the platform, gossips with peers, feeds its entry.",
+    "Fetches settings and lists, gossips with peers, feeds its entry.",
 )
 
 
@@ -34,7 +34,7 @@
     log_level: _private.LogLevel = "INFO",
     log_format: _private.LogFormat = "text",
 ) -> None:
-    """Reads the platform, gossips with peers, feeds its entry.
+    """Fetches settings and lists, gossips with peers, feeds its entry.
 
     Args:
         vm_id: ID of this VM in the platform's list.
--- a/src/ruddergate/cli/ctl.py
+++ b/src/ruddergate/cli/ctl.py
@@ -113,7 +113,7 @@
         return path.read_text(errors="replace").splitlines()
     except OSError as error:
         _private.fail(_PROGRAM, f"{path}: {error}")
-        raise AssertionError("the process has ended") from error
+        raise AssertionError("unreachable: fail() exits") from error
 
 
 @APP.command
@@ -141,10 +141,12 @@
         _private.fail(_PROGRAM, f"{where}: {lines.detail}")
     try:
         addresses = [environment.parse_address(x) for x in entry.split(",")]
-        named = _replay.read_keys(keys)
+        keys_by_workspace = _replay.read_keys(keys)
     except (OSError, ValueError) as error:
         _private.fail(_PROGRAM, str(error))
-    table = asyncio.run(_replay.run(lines, addresses, named, out, speed))
+    table = asyncio.run(
+        _replay.run(lines, addresses, keys_by_workspace, out, speed)
+    )
     print(table)
 
 
@@ -153,7 +155,7 @@
     """Plots time to first token by prompt length, and slowdown by load.
 
     Args:
-        folders: Folders written by replays or by `slopes`.
+        folders: Folders written by replays or by `standins/slopes.py`.
         out: Folder for the plots and report.txt.
     """
     try:
--- a/src/ruddergate/cli/gateway.py
+++ b/src/ruddergate/cli/gateway.py
@@ -25,21 +25,22 @@
 
 APP = _private.make_app(
     "ruddergate-gateway",
-    "Gateway on the platform's store: admits, queues, routes, retries.",
+    "Gateway fed by the platform's store: admits, queues, routes, retries.",
 )
-# Reserve of the time within which a removed key must be refused: the store's
-# watches may be a second late, and responses take time.
+# Margin subtracted from the time within which a removed key must be refused:
+# the store's watches may be a second late, and responses take time.
 _KEY_MARGIN_MS = 1_200.0
-# From this fraction of that time on, a request with a key earns nothing at this
-# VM. It then reports that it is not ready, so that callers go to another VM.
+# Once the settings are older than this fraction of that time, this VM reports
+# that it is not ready, so that callers go to another VM: from then on, serving
+# a request with a key has no value here.
 _READY_FRACTION = 0.5
-# Orders are answered and connections accepted within a few milliseconds;
-# renewals are sent every 800 ms.
+# Targets answer orders and accept connections within a few milliseconds;
+# reservations are renewed every 800 ms.
 _ORDER_TIMEOUTS = client.Timeouts(150.0, 500.0, 500.0)
 # Fraction of the permitted retry ratio that is used. First attempts are counted
 # here when they start, and by the fleet's operators in windows that may differ.
 _RETRY_FRACTION = 0.75
-# Calls of the store are billed, so the poll interval is as long as the bound on
+# Calls to the store are billed, so the poll interval is as long as the bound on
 # applying a change allows: this fraction of it. The rest is for the call itself
 # and for a request in flight.
 _POLL_FRACTION = 0.65
--- a/src/ruddergate/experiments/caller.py
+++ b/src/ruddergate/experiments/caller.py
@@ -32,7 +32,7 @@
 
 
 def make_prompt(request: trace.TracedRequest, full_size: bool) -> str:
-    """Returns a prompt text that is unique to the request."""
+    """Returns a prompt text that starts with the request's ID."""
     if not full_size:
         return request.id
     length = request.prompt_tokens * _BYTES_PER_TOKEN
@@ -173,7 +173,7 @@
     received.is_complete = True
 
 
-def _apply_event(event: bytes, received: _Received, now_ms: float) -> None:
+def _apply_event(event: bytes, received: _Received, elapsed_ms: float) -> None:
     data = event.removeprefix(b"data: ")
     if data == b"[DONE]":
         received.is_complete = received.tokens >= 0
@@ -184,7 +184,7 @@
         return
     text = document["choices"][0]["text"]
     if text and received.ttft_ms is None:
-        received.ttft_ms = now_ms
+        received.ttft_ms = elapsed_ms
     received.text += text
     if "usage" in document:
         received.tokens = document["usage"]["completion_tokens"]
--- a/src/ruddergate/experiments/plots.py
+++ b/src/ruddergate/experiments/plots.py
@@ -1,4 +1,7 @@
-"""Reports of replays and slopes: a text table, and plots with matplotlib."""
+"""Reports of replays and slopes: a text table, and plots with matplotlib.
+
+Slopes are figures by fleet size, as `standins/slopes.py` measures them.
+"""
 
 from collections.abc import Callable
 from collections.abc import Sequence
--- a/src/ruddergate/experiments/summary.py
+++ b/src/ruddergate/experiments/summary.py
@@ -1,4 +1,4 @@
-"""Tables of outcomes, by prompt length and by workload."""
+"""Summary of a replay's outcomes, by prompt length and by workload."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -55,8 +55,8 @@
         run_twice: Requests that are not repeatable, but ran more than once.
         short_ttft_p99_ms: 99th percentile of the time to first token of short
             prompts, or None.
-        short_slowdown_p99: Ratio of that to the same trace without its long
-            requests; None if that was not replayed.
+        short_slowdown_p99: Ratio of that to its value in a replay of the same
+            trace without long requests; None if there was no such replay.
     """
 
     all: Row
--- a/src/ruddergate/telemetry/logs.py
+++ b/src/ruddergate/telemetry/logs.py
@@ -74,8 +74,10 @@
     return orjson.dumps(document, default=str).decode() + "\n"
 
 
-def _render_traceback(fault: "loguru.RecordException") -> str:
-    lines = traceback.format_exception(fault.type, fault.value, fault.traceback)
+def _render_traceback(exception: "loguru.RecordException") -> str:
+    lines = traceback.format_exception(
+        exception.type, exception.value, exception.traceback
+    )
     return "".join(lines)
 
 
--- a/src/ruddergate/telemetry/metrics.py
+++ b/src/ruddergate/telemetry/metrics.py
@@ -99,7 +99,7 @@
         self.skipped_sends = self._counter(
             "ruddergate_sends_withheld_total",
             "Requests not sent because a target accepted none, by reason and "
-            "by whether the target was to answer or to help.",
+            "by whether the target was to answer or to help prefill.",
         )
         self.backing_off_targets = self._gauge(
             "ruddergate_quiet_targets",
