--- a/src/ruddergate/adapters/engines/load.py
+++ b/src/ruddergate/adapters/engines/load.py
@@ -46,7 +46,7 @@
     env: environment.Environment,
     target: targets.Target,
     after_event: int,
-    with_held: bool,
+    include_held: bool,
     timeout_ms: float,
 ) -> PollResult | client.Fault:
     """Polls an engine or a plain service for its load.
@@ -55,10 +55,10 @@
         env: Clock and streams.
         target: The engine or service.
         after_event: Number of the last cache event received, or -1.
-        with_held: Whether to request the items held in memory.
+        include_held: Whether to request the items held in memory.
         timeout_ms: Longest wait for the response.
     """
-    query = f"after={after_event}" + ("&held=1" if with_held else "")
+    query = f"after={after_event}" + ("&held=1" if include_held else "")
     request = client.make_json_request("GET", f"/v1/load?{query}")
     response = await client.fetch(env, target.address, request, timeout_ms)
     if isinstance(response, client.Fault):
--- a/src/ruddergate/adapters/engines/stream.py
+++ b/src/ruddergate/adapters/engines/stream.py
@@ -284,9 +284,9 @@
     document = response.json()
     started = _private.get(document, "started", bool, True)
     ran = outcomes.Ran.UNKNOWN if started else outcomes.Ran.NOT_RUN
-    why = _private.get(document, "reason", str, f"status {exchange.status}")
+    reason = _private.get(document, "reason", str, f"status {exchange.status}")
     return outcomes.NotServed(
-        outcomes.Reason.TARGET_REFUSED, ran, f"the engine refused: {why}"
+        outcomes.Reason.TARGET_REFUSED, ran, f"the engine refused: {reason}"
     )
 
 
--- a/src/ruddergate/agent/agent_state.py
+++ b/src/ruddergate/agent/agent_state.py
@@ -127,8 +127,8 @@
         """Returns the time since the service last responded to the hall."""
         return self._env.now_ms() - self._hall_service_answered_ms
 
-    def own_row(self) -> gossip.MemberRow:
-        """Returns this agent's row; each call increments the heartbeat."""
+    def make_own_row(self) -> gossip.MemberRow:
+        """Returns a new row of this agent, with the next heartbeat."""
         self._heartbeat += 1
         return gossip.MemberRow(
             vm_id=self._config.vm_id,
--- a/src/ruddergate/agent/feed_server.py
+++ b/src/ruddergate/agent/feed_server.py
@@ -41,7 +41,7 @@
         self._config = config
         self._state = state
         self._settings_sync = settings_sync
-        self._shares = shares
+        self._share_task = shares
         self._log = logs.make_logger("feed")
         self._streams: set[frames.FrameStream] = set()
         self._lock = asyncio.Lock()
@@ -87,7 +87,7 @@
                 case entry_load.EntryLoad():
                     self._state.own_dispatched = message.dispatched
                     self._state.is_stopping = message.stopping
-                    self._shares.update_demand(message.demand)
+                    self._share_task.update_demand(message.demand)
                 case tree_parts.TreeParts():
                     self._settings_sync.consider_parts(message)
                 case _:
@@ -116,7 +116,7 @@
                 await stream.send(self._make_view())
                 sent_listing = listing
                 view_sent_ms = self._env.now_ms()
-            await stream.send(self._shares.make_message())
+            await stream.send(self._share_task.make_message())
             peers = self._state.peer_loads()
             if peers:
                 await stream.send(loads.Loads((), peers, ()))
--- a/src/ruddergate/agent/gossip_task.py
+++ b/src/ruddergate/agent/gossip_task.py
@@ -69,7 +69,7 @@
         """Returns this agent's digest."""
         now_ms = self._env.now_ms()
         rows = self._state.members.pick_rows(
-            self._state.own_row(), now_ms, self._env.random
+            self._state.make_own_row(), now_ms, self._env.random
         )
         largest = sorted(
             self._state.own_dispatched,
--- a/src/ruddergate/agent/peer_server.py
+++ b/src/ruddergate/agent/peer_server.py
@@ -34,8 +34,8 @@
         self.total_bytes = 0
         self._config = config
         self._state = state
-        self._gossip = gossip_
-        self._shares = shares
+        self._gossip_task = gossip_
+        self._share_task = shares
         self._log = logs.make_logger("peers")
 
     async def handle(
@@ -68,8 +68,8 @@
     def _handle(self, request: codec.Message) -> codec.Message | None:
         match request:
             case gossip.Gossip():
-                self._gossip.receive_digest(request)
-                return self._gossip.make_digest()
+                self._gossip_task.receive_digest(request)
+                return self._gossip_task.make_digest()
             case tree_request.TreeRequest():
                 return feed_server.make_tree_parts(self._state, request.digests)
             case listing_request.ListingRequest():
@@ -79,7 +79,7 @@
                     self._state.settled_ms(),
                 )
             case quota_loan.QuotaLoanRequest():
-                return self._shares.handle_loan_request(request)
+                return self._share_task.handle_loan_request(request)
             case _:
                 self._log.warning(
                     "Closing the connection of a peer: unexpected message."
--- a/src/ruddergate/agent/program.py
+++ b/src/ruddergate/agent/program.py
@@ -43,40 +43,45 @@
             env, config.peer_key
         )
         common = (env, config, self.state)
-        self._settings = settings_sync.SettingsSync(
+        self._settings_sync = settings_sync.SettingsSync(
             *common, self._peer_connections, self.metrics
         )
-        self._list = list_sync.ListSync(
+        self._list_sync = list_sync.ListSync(
             *common, self._peer_connections, self.metrics
         )
-        self._gossip = gossip_task.GossipTask(
-            *common, self._peer_connections, self._settings, self._list
+        self._gossip_task = gossip_task.GossipTask(
+            *common,
+            self._peer_connections,
+            self._settings_sync,
+            self._list_sync,
         )
-        self._shares = share_task.ShareTask(*common, self._peer_connections)
-        self._feed = feed_server.FeedServer(
-            *common, self._settings, self._shares
+        self._share_task = share_task.ShareTask(*common, self._peer_connections)
+        self._feed_server = feed_server.FeedServer(
+            *common, self._settings_sync, self._share_task
         )
-        self._orders = order_sender.OrderSender(*common, self.metrics)
-        self._targets = target_task.TargetPoller(
-            *common, self._feed, self._orders, self.metrics
+        self._order_sender = order_sender.OrderSender(*common, self.metrics)
+        self._target_poller = target_task.TargetPoller(
+            *common, self._feed_server, self._order_sender, self.metrics
         )
-        self._peers = peer_server.PeerServer(
-            config, self.state, self._gossip, self._shares
+        self._peer_server = peer_server.PeerServer(
+            config, self.state, self._gossip_task, self._share_task
         )
 
     def peer_bytes(self) -> int:
         """Returns the total bytes exchanged with other agents."""
-        return self._peer_connections.total_bytes() + self._peers.total_bytes
+        return (
+            self._peer_connections.total_bytes() + self._peer_server.total_bytes
+        )
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serves until `stop` is set."""
-        feed = await self._env.serve(
-            self._feed.handle, self._config.feed_listen
+        feed_listener = await self._env.serve(
+            self._feed_server.handle, self._config.feed_listen
         )
-        peers = await self._env.serve(
-            self._peers.handle, self._config.peer_listen
+        peer_listener = await self._env.serve(
+            self._peer_server.handle, self._config.peer_listen
         )
-        status_servers = await self._serve_status()
+        status_listeners = await self._serve_status()
         self._log.info(
             "Serving the entry's feed at {}.", self._config.feed_listen
         )
@@ -87,10 +92,10 @@
             for task in tasks:
                 task.cancel()
             self._peer_connections.close()
-            for status_server in status_servers:
-                status_server.close()
-            peers.close()
-            feed.close()
+            for status_listener in status_listeners:
+                status_listener.close()
+            peer_listener.close()
+            feed_listener.close()
         self._log.info("Agent stopped.")
 
     async def _serve_status(self) -> list[asyncio.Server]:
@@ -103,14 +108,14 @@
 
     async def _run_tasks(self) -> None:
         """Fetches the list, which names the peers, and then runs all tasks."""
-        await self._list.fetch()
+        await self._list_sync.fetch()
         while not self.state.listing.vms:
             await asyncio.sleep(_LIST_RETRY_MS / 1000.0)
-            await self._list.fetch()
+            await self._list_sync.fetch()
         await asyncio.gather(
-            self._list.run(),
-            self._gossip.run(),
-            self._settings.run(),
-            self._shares.run(),
-            self._targets.run(),
+            self._list_sync.run(),
+            self._gossip_task.run(),
+            self._settings_sync.run(),
+            self._share_task.run(),
+            self._target_poller.run(),
         )
--- a/src/ruddergate/agent/target_task.py
+++ b/src/ruddergate/agent/target_task.py
@@ -35,8 +35,8 @@
         self._env = env
         self._config = config
         self._state = state
-        self._feed = feed
-        self._orders = orders
+        self._feed_server = feed
+        self._order_sender = orders
         self._metrics = metrics
         self._tasks: dict[targets.Target, asyncio.Future] = {}
 
@@ -81,8 +81,10 @@
             if isinstance(result, loads.PollResult):
                 if result.events:
                     after_event = result.events[-1].sequence
-                await self._feed.push_loads([result.report], result.events)
-                await self._orders.order_if_due(target, result.loaded)
+                await self._feed_server.push_loads(
+                    [result.report], result.events
+                )
+                await self._order_sender.order_if_due(target, result.loaded)
                 if is_sweeping:
                     swept_ms = now_ms
                     await self._sweep(target, result)
--- a/src/ruddergate/entry/model_run.py
+++ b/src/ruddergate/entry/model_run.py
@@ -83,7 +83,7 @@
     context: contexts.EntryContext,
 ) -> outcomes.NotServed | None:
     """Returns the final outcome, or None after the delay before a retry."""
-    context.metrics.attempts.inc({"result": outcome.reason.value})
+    context.metrics.failed_attempts.inc({"result": outcome.reason.value})
     if _lost_memory_race(grant, outcome):
         # Another gang reserved the memory first. No work was lost, and queueing
         # again costs the engines nothing.
--- a/src/ruddergate/entry/relay_run.py
+++ b/src/ruddergate/entry/relay_run.py
@@ -145,7 +145,7 @@
     route = request.payload.route
     placement = grant.placements[0]
     attempt_log.log_failure(request, placement, outcome, progress, context)
-    context.metrics.attempts.inc({"result": outcome.reason.value})
+    context.metrics.failed_attempts.inc({"result": outcome.reason.value})
     progress.ran = model_run.combine_ran(progress.ran, outcome.ran)
     if outcome.reason not in _UNSENT_REASONS:
         progress.sent_targets |= {placement.target.target_id}
--- a/src/ruddergate/telemetry/metrics.py
+++ b/src/ruddergate/telemetry/metrics.py
@@ -50,7 +50,7 @@
             "ruddergate_outcomes_total",
             "Requests that ended, by reason and by whether they ran.",
         )
-        self.attempts = self._counter(
+        self.failed_attempts = self._counter(
             "ruddergate_attempts_total",
             "Failed attempts at targets, by result.",
         )
