--- a/src/ruddergate/adapters/vm_list/client.py
+++ b/src/ruddergate/adapters/vm_list/client.py
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The list could not be fetched, or is malformed.
+    """The list could not be fetched or is malformed.
 
     Attributes:
         detail: Reason, for logs.
@@ -96,7 +96,7 @@
 
 
 def _parse_condition(row: object) -> condition.Condition:
-    """Reads a row's condition; anything but `live` counts as leaving.
+    """Reads a row's condition; anything but `live` counts as draining.
 
     It is safe to send such a VM or target no new work.
     """
