--- a/src/ruddergate/adapters/engines/load.py
+++ b/src/ruddergate/adapters/engines/load.py
@@ -46,7 +46,7 @@
     env: environment.Environment,
     target: targets.Target,
     after_event: int,
-    with_held: bool,
+    include_held: bool,
     timeout_ms: float,
 ) -> PollResult | client.Fault:
     """Polls an engine or a plain service for its load.
@@ -55,17 +55,17 @@
         env: Clock and streams.
         target: The engine or service.
         after_event: Number of the last cache event received, or -1.
-        with_held: Whether to request the items held in memory.
+        include_held: Whether to request the items held in memory.
         timeout_ms: Longest wait for the response.
     """
-    query = f"after={after_event}" + ("&held=1" if with_held else "")
+    query = f"after={after_event}" + ("&held=1" if include_held else "")
     request = client.make_json_request("GET", f"/v1/load?{query}")
-    answer = await client.fetch(env, target.address, request, timeout_ms)
-    if isinstance(answer, client.Fault):
-        return answer
-    document = answer.json()
-    if answer.status != _OK or not isinstance(document, Mapping):
-        return client.Fault(True, False, f"unexpected status {answer.status}")
+    response = await client.fetch(env, target.address, request, timeout_ms)
+    if isinstance(response, client.Fault):
+        return response
+    document = response.json()
+    if response.status != _OK or not isinstance(document, Mapping):
+        return client.Fault(True, False, f"unexpected status {response.status}")
     return _parse_poll_result(target.target_id, document)
 
 
--- a/src/ruddergate/adapters/vm_list/client.py
+++ b/src/ruddergate/adapters/vm_list/client.py
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The list could not be fetched, or is malformed.
+    """The list could not be fetched or is malformed.
 
     Attributes:
         detail: Reason, for logs.
@@ -38,12 +38,12 @@
 ) -> listings.Listing | Unavailable:
     """Returns the list that the platform publishes now."""
     request = client.make_json_request("GET", "/v1/vms")
-    answer = await client.fetch(env, address, request, timeout_ms)
-    if isinstance(answer, client.Fault):
-        return Unavailable(answer.detail)
-    if answer.status != _OK:
-        return Unavailable(f"unexpected status {answer.status}")
-    return parse_listing(answer.json())
+    response = await client.fetch(env, address, request, timeout_ms)
+    if isinstance(response, client.Fault):
+        return Unavailable(response.detail)
+    if response.status != _OK:
+        return Unavailable(f"unexpected status {response.status}")
+    return parse_listing(response.json())
 
 
 def parse_listing(document: object) -> listings.Listing | Unavailable:
@@ -96,7 +96,7 @@
 
 
 def _parse_condition(row: object) -> condition.Condition:
-    """Reads a row's condition; anything but `live` counts as leaving.
+    """Reads a row's condition; anything but `live` counts as draining.
 
     It is safe to send such a VM or target no new work.
     """
