--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -62,7 +62,7 @@
         self,
     ) -> None:
         found = self.explore(
-            freshness.find_current_as_of_ms, counts_sleep=False
+            freshness.find_current_as_of_ms, counts_suspension=False
         )
         self.assertIn("suspended", " ".join(found.counterexample))
 
