--- a/tests/gateway_fixture.py
+++ b/tests/gateway_fixture.py
@@ -35,23 +35,23 @@
         return await self.caller.send(call)
 
     def find_runs(
-        self, got: gateway_caller.CallResult
+        self, result: gateway_caller.CallResult
     ) -> list[platform_replica.Run]:
         """Returns the runs of a request on all replicas."""
         return [
             run
             for replica in self.cluster.all_replicas
             for run in replica.runs
-            if run.request_id == got.call.request_id
+            if run.request_id == result.call.request_id
         ]
 
     async def call_until_draining_hint(
         self, replica: platform_replica.PlatformReplica, route: str
     ) -> None:
-        """Sends requests until vm-0 forwards a draining hint of a replica."""
+        """Sends requests until vm-0 forwards a drain hint of a replica."""
         for _ in range(_MAX_HINT_REQUESTS):
-            got = await self.call(route, "vm-0")
-            if got.headers.get("server-leaving") == "1":
+            result = await self.call(route, "vm-0")
+            if result.headers.get("server-leaving") == "1":
                 return
         raise AssertionError(f"no response of {replica.name} was forwarded")
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -38,7 +38,7 @@
             for _ in range(round(_BACKOFF_S / 0.12)):
                 calls.append(asyncio.ensure_future(fixture.call(route)))
                 await asyncio.sleep(0.12)
-            got = await asyncio.gather(*calls)
+            results = await asyncio.gather(*calls)
             self.assertGreater(len(replica.arrivals), 0)
             first_s = replica.arrivals[0].at_s
             late = [
@@ -50,7 +50,7 @@
             ]
             self.assertLessEqual(len(late), _MAX_REQUESTS)
             # Only the first refused call has no retry budget yet.
-            failed = [each for each in got if each.status != 200]
+            failed = [each for each in results if each.status != 200]
             self.assertLessEqual(len(failed), 1)
 
         gateway_fixture.run_scenario(scenario, vms=1)
@@ -79,11 +79,11 @@
             fixture.inject_faults("service", refuse=1.0, retry_after="3.5")
             for _ in range(4):
                 await fixture.call("open")
-            got = await asyncio.gather(
+            results = await asyncio.gather(
                 *(fixture.call("open") for _ in range(20))
             )
             times = {
-                round(float(each.headers["retry-after"]), 2) for each in got
+                round(float(each.headers["retry-after"]), 2) for each in results
             }
             self.assertGreater(len(times), 8)
             self.assertGreater(min(times), 2.0)
@@ -96,8 +96,8 @@
             for _ in range(3):
                 await fixture.call("open")
             fixture.inject_faults("service", refuse=0.0)
-            got = await fixture.call("open")
-            self.assertEqual(got.status, 200)
+            result = await fixture.call("open")
+            self.assertEqual(result.status, 200)
 
         gateway_fixture.run_scenario(scenario, vms=1)
 
@@ -133,16 +133,16 @@
                 fixture.inject_faults("service", refuse=1.0, retry_after=text)
                 await fixture.call("open")
                 fixture.inject_faults("service", refuse=0.0)
-                got = await fixture.call("open")
-                self.assertEqual(got.status, 200)
+                result = await fixture.call("open")
+                self.assertEqual(result.status, 200)
 
         gateway_fixture.run_scenario(scenario, vms=1)
 
     def test_retry_time_of_a_target_is_not_passed_on(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("service-0", refuse=1.0, retry_after="30")
-            got = await fixture.call("open")
-            self.assertEqual(got.status, 503)
-            self.assertLess(float(got.headers["retry-after"]), 1.0)
+            result = await fixture.call("open")
+            self.assertEqual(result.status, 503)
+            self.assertLess(float(result.headers["retry-after"]), 1.0)
 
         gateway_fixture.run_scenario(scenario, vms=1)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -22,7 +22,7 @@
 
 
 class CrashingRequestTest(unittest.TestCase):
-    """A request that crashes engines must not be sent on without bound.
+    """A request that crashes engines must not reach ever more engines.
 
     Callers repeated two such requests through any VM, each time with a new
     request id. Each attempt went to two engines, and they crashed 20 and 22
@@ -39,10 +39,10 @@
             fixture.cluster.poison_bodies.add(_CRASHING_BODY)
             vms = len(fixture.cluster.vms)
             for number in range(12):
-                got = await fixture.call(
+                result = await fixture.call(
                     "short", f"vm-{number % vms}", body=_CRASHING_BODY
                 )
-                self.assertIn(got.status, (502, 503))
+                self.assertIn(result.status, (502, 503))
                 await asyncio.sleep(0.3 if number % _CALLER_ATTEMPTS else 3.0)
             runs = fixture.cluster.list_runs(_CRASHING_BODY)
             self.assertLessEqual(len(runs), _MAX_CRASHED)
@@ -101,16 +101,18 @@
             await asyncio.sleep(0.1)
             for number in range(4):
                 await fixture.call("short", f"vm-{number}", body=_CRASHING_BODY)
-            got = await asyncio.gather(*concurrent)
-            failed = [each for each in got if not each.is_complete]
+            results = await asyncio.gather(*concurrent)
+            failed = [each for each in results if not each.is_complete]
             self.assertEqual(failed, [])
             self.assertEqual(
-                gateway_guarantees.find_broken(fixture.cluster, got), []
+                gateway_guarantees.find_broken(fixture.cluster, results), []
             )
             # None of them is taken for the cause of a crash either.
             for number in range(24):
-                again = await fixture.call("short", body=b"beside %d" % number)
-                self.assertEqual(again.status, 200)
+                repeated = await fixture.call(
+                    "short", body=b"beside %d" % number
+                )
+                self.assertEqual(repeated.status, 200)
 
         gateway_fixture.run_scenario(scenario, vms=6, engines=12)
 
@@ -144,15 +146,15 @@
                 fixture.cluster.start_vm(node)
             await asyncio.sleep(wait_s)
             for vm in fixture.cluster.vms:
-                got = await fixture.call("short", vm, body=_CRASHING_BODY)
-                self.assertEqual(got.status, 503)
-                self.assertIn("retry-after", got.headers)
+                result = await fixture.call("short", vm, body=_CRASHING_BODY)
+                self.assertEqual(result.status, 503)
+                self.assertIn("retry-after", result.headers)
             runs = fixture.cluster.list_runs(_CRASHING_BODY)
             self.assertEqual(len(runs), runs_before)
 
         gateway_fixture.run_scenario(scenario, vms=4, engines=12)
 
-    def test_hall_learns_of_it_after_a_partition(self) -> None:
+    def test_hall_learns_of_quarantines_after_a_partition(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             cluster.poison_bodies.add(_CRASHING_BODY)
@@ -166,15 +168,17 @@
             await asyncio.sleep(_GOSSIP_S)
             for vm, node in cluster.vms.items():
                 if node.hall == "hall-2":
-                    got = await fixture.call("short", vm, body=_CRASHING_BODY)
-                    self.assertEqual(got.status, 503)
+                    result = await fixture.call(
+                        "short", vm, body=_CRASHING_BODY
+                    )
+                    self.assertEqual(result.status, 503)
             self.assertEqual(
                 len(cluster.list_runs(_CRASHING_BODY)), runs_before
             )
 
         gateway_fixture.run_scenario(scenario, vms=6, engines=12)
 
-    def test_large_fleet_learns_of_it_in_time(self) -> None:
+    def test_large_fleet_learns_of_a_quarantine_in_time(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             cluster.poison_bodies.add(_CRASHING_BODY)
@@ -192,7 +196,7 @@
 
 
 class RandomCrashTest(unittest.TestCase):
-    """Engines that crash by themselves have nothing quarantined."""
+    """Crashes that no request causes quarantine no request."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -215,11 +219,11 @@
                         node = fixture.cluster.targets[name]
                         if not node.process.is_dead:
                             fixture.cluster.crash_target(node)
-            got = await asyncio.gather(*calls)
-            refused = [each for each in got if b"quarantined" in each.body]
+            results = await asyncio.gather(*calls)
+            refused = [each for each in results if b"quarantined" in each.body]
             self.assertEqual(refused, [])
-            served = sum(each.is_complete for each in got)
-            self.assertGreater(served, 0.97 * len(got))
+            served = sum(each.is_complete for each in results)
+            self.assertGreater(served, 0.97 * len(results))
 
         gateway_fixture.run_scenario(scenario, vms=6, engines=len(_ENGINES))
 
@@ -235,16 +239,17 @@
             ]
             await asyncio.sleep(0.03)
             fixture.cluster.crash_target(fixture.cluster.targets["service-0"])
-            got = await asyncio.gather(*calls)
-            self.assertEqual({each.status for each in got}, {200})
+            results = await asyncio.gather(*calls)
+            self.assertEqual({each.status for each in results}, {200})
             for node in fixture.cluster.vms.values():
                 self.assertGreater(len(node.gateway.context.quarantine), 0)
 
         gateway_fixture.run_scenario(scenario)
 
     def test_long_prompts_hit_by_repeated_crashes_are_served(self) -> None:
-        # A prompt whose prefill takes seconds is hit by every second crash. Two
-        # crashes were taken as proof, and the caller's retry was refused.
+        # A prompt whose prefill takes seconds is hit by every second crash.
+        # When two crashes sufficed for a quarantine, the caller's retry was
+        # refused.
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             rng = random.Random(11)
 
@@ -261,7 +266,7 @@
             ) -> list[gateway_caller.CallResult]:
                 attempts = []
                 for vm in (f"vm-{number % 6}", f"vm-{(number + 1) % 6}"):
-                    got = await fixture.call(
+                    result = await fixture.call(
                         "long",
                         vm,
                         body=b"archive %d" % number,
@@ -269,8 +274,8 @@
                         output_tokens=200,
                         time_limit_ms=15_000.0,
                     )
-                    attempts.append(got)
-                    if got.is_complete and got.status == 200:
+                    attempts.append(result)
+                    if result.is_complete and result.status == 200:
                         break
                 return attempts
 
@@ -279,11 +284,11 @@
             for number in range(16):
                 attempts.append(asyncio.ensure_future(send_twice(number)))
                 await asyncio.sleep(1.0)
-            got = [
+            results = [
                 each for one in await asyncio.gather(*attempts) for each in one
             ]
             crashing.cancel()
-            refused = [each for each in got if b"quarantined" in each.body]
+            refused = [each for each in results if b"quarantined" in each.body]
             self.assertEqual(refused, [])
 
         gateway_fixture.run_scenario(scenario, vms=6, engines=len(_ENGINES))
--- a/tests/test_drain_gossip.py
+++ b/tests/test_drain_gossip.py
@@ -1,10 +1,10 @@
-"""Gossip about draining targets is unconfirmed and must not hold for good.
+"""Gossip about draining targets is unconfirmed and must not hold forever.
 
 Guards against two faults. A peer's report was kept for the lifetime of the
 target, listed or not, so that a single false one kept a healthy target from all
 requests (0 of 8), and a false one for all three targets of a service led to 503
-for every caller. And a VM that started more than 10 s after a true report heard
-of it from nobody and sent the target a request.
+for every caller. And a VM that started more than 10 s after a correct report
+did not receive it from any peer and sent the target a request.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 # A target that is falsely reported as draining is used again within this time.
 _MAX_FALSE_REPORT_EFFECT_S = 10.0
-# A VM that forwarded a draining hint sends the target no requests after this.
+# A VM that forwarded a drain hint sends the target no requests after this.
 _MAX_DRAIN_DELAY_S = 2.0
 # For this long, VMs repeat in their gossip that a target is draining.
 _GOSSIP_DURATION_S = 10.0
@@ -41,7 +41,7 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             replica = fixture.cluster.targets["service-0"].replica
             gossiping = asyncio.ensure_future(
-                _gossip_falsely(fixture.cluster, (replica.name,))
+                _send_false_reports(fixture.cluster, (replica.name,))
             )
             await asyncio.sleep(_MAX_FALSE_REPORT_EFFECT_S)
             self.assertGreater(await fixture.count_arrivals(replica, "open"), 0)
@@ -55,12 +55,12 @@
             replicas = [fixture.cluster.targets[name].replica for name in names]
             reports = tuple(each.name for each in replicas)
             gossiping = asyncio.ensure_future(
-                _gossip_falsely(fixture.cluster, reports)
+                _send_false_reports(fixture.cluster, reports)
             )
             await asyncio.sleep(_MAX_FALSE_REPORT_EFFECT_S)
             for number in range(_VMS):
-                got = await fixture.call("open", f"vm-{number}")
-                self.assertEqual(got.status, 200)
+                result = await fixture.call("open", f"vm-{number}")
+                self.assertEqual(result.status, 200)
             gossiping.cancel()
 
         gateway_fixture.run_scenario(scenario, vms=_VMS)
@@ -88,7 +88,7 @@
 
         gateway_fixture.run_scenario(scenario, vms=_VMS, is_strict=False)
 
-    def test_vm_that_starts_later_learns_of_it(self) -> None:
+    def test_vm_that_starts_later_learns_of_the_drain(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             replica = cluster.targets["service-0"].replica
@@ -105,7 +105,7 @@
         gateway_fixture.run_scenario(scenario, vms=_VMS)
 
 
-async def _gossip_falsely(
+async def _send_false_reports(
     cluster: gateway_cluster.GatewayCluster, reports: tuple[str, ...]
 ) -> None:
     """Repeatedly gossips to all VMs that targets are draining."""
--- a/tests/test_drain_hints.py
+++ b/tests/test_drain_hints.py
@@ -17,7 +17,7 @@
 from standins import gateway_cluster
 from tests import gateway_fixture
 
-# A VM that forwarded a draining hint sends the target no requests after this.
+# A VM that forwarded a drain hint sends the target no requests after this.
 _MAX_DRAIN_DELAY_S = 2.0
 _RUN_S = 7.0
 _REQUEST_INTERVAL_S = 0.1
@@ -26,10 +26,10 @@
 class StoreOutageTest(unittest.TestCase):
     """A target that drains during an outage of the store.
 
-    Guards against going by the store's target list alone. A target that drained
-    during an outage said so in each of its responses, and the three VMs went on
-    sending to it at the same rate (21 requests in the 8.5 s before, 21 in the
-    7.5 s after) though two other targets were available.
+    Guards against VMs that rely on the store's target list alone. A target that
+    drained during an outage sent a hint in each of its responses, but the three
+    VMs continued to send it requests at the same rate (21 requests in the 8.5 s
+    before, 21 in the 7.5 s after) though two other targets were available.
     """
 
     @classmethod
@@ -56,22 +56,24 @@
                 vm = f"vm-{number % len(cluster.vms)}"
                 calls.append(asyncio.ensure_future(fixture.call(route, vm)))
                 await asyncio.sleep(_REQUEST_INTERVAL_S)
-            got = await asyncio.gather(*calls)
-            self.assertEqual({each.status for each in got}, {200})
-            hinted = [each for each in got if "server-leaving" in each.headers]
+            results = await asyncio.gather(*calls)
+            self.assertEqual({each.status for each in results}, {200})
+            hinted = [
+                each for each in results if "server-leaving" in each.headers
+            ]
             self.assertGreater(len(hinted), 0)
             arrived = {each.request_id for each in replica.arrivals}
             for vm in cluster.vms:
-                self.assertEqual(_find_late_requests(got, vm, arrived), [])
+                self.assertEqual(_find_late_requests(results, vm, arrived), [])
 
         gateway_fixture.run_scenario(scenario, is_strict=False)
 
 
 def _find_late_requests(
-    got: list[gateway_caller.CallResult], vm: str, arrived: set[str]
+    results: list[gateway_caller.CallResult], vm: str, arrived: set[str]
 ) -> list[str]:
     """Returns requests that a VM sent there too long after a hint."""
-    own = [each for each in got if each.call.vm == vm]
+    own = [each for each in results if each.call.vm == vm]
     hinted_s = [
         each.sent_s + (each.first_ms or each.took_ms) / 1000.0
         for each in own
@@ -86,13 +88,13 @@
 
 
 class DrainHintTest(unittest.TestCase):
-    """Draining hints in responses of every kind, and how they spread."""
+    """Drain hints in responses of every kind, and their gossip."""
 
     @classmethod
     def setUpClass(cls) -> None:
         loguru.logger.remove()
 
-    def test_peers_learn_of_it(self) -> None:
+    def test_peers_learn_of_the_hint(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             cluster.store.failure = "busy"
@@ -103,13 +105,15 @@
             await asyncio.sleep(0.2)
             for _ in range(8):
                 # vm-3 is in the same hall, where this target is the nearest.
-                got = await fixture.call("open", "vm-3")
-                self.assertEqual(got.status, 200)
+                result = await fixture.call("open", "vm-3")
+                self.assertEqual(result.status, 200)
             self.assertEqual(len(replica.arrivals), 1)
 
         gateway_fixture.run_scenario(scenario, vms=6, is_strict=False)
 
-    def test_partitioned_vm_learns_of_it_after_the_partition(self) -> None:
+    def test_partitioned_vm_learns_of_the_hint_after_the_partition(
+        self,
+    ) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             cluster.store.failure = "busy"
@@ -129,18 +133,19 @@
         gateway_fixture.run_scenario(scenario, vms=6, is_strict=False)
 
     def test_helper_that_hints_in_a_reservation_is_not_used(self) -> None:
-        # Memory is reserved on helpers first. A helper that answered the
-        # reservation with a draining hint was named to the writer all the same.
+        # Memory is reserved on helpers first. Guards against a helper that
+        # answers the reservation with a drain hint and is still passed to the
+        # writer.
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             cluster.store.failure = "busy"
             draining_names = ("engine-0", "engine-1", "engine-2")
             for name in draining_names:
                 cluster.targets[name].replica.draining_hint = "1"
-            got = await fixture.call(
+            result = await fixture.call(
                 "long", prompt_tokens=600_000, output_tokens=460
             )
-            self.assertEqual((got.status, got.is_complete), (200, True))
+            self.assertEqual((result.status, result.is_complete), (200, True))
             for name in draining_names:
                 replica = cluster.targets[name].replica
                 self.assertEqual((replica.helped, replica.runs), (0, []))
@@ -148,8 +153,8 @@
         gateway_fixture.run_scenario(scenario, engines=6, is_strict=False)
 
     def test_broken_stream_is_not_resumed_on_a_draining_engine(self) -> None:
-        # Both engines break off and send a draining hint. When no other engine
-        # was left, one that had failed the request was used again.
+        # Both engines break off and send a drain hint. Guards against another
+        # attempt on an engine that failed the request when no other is left.
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
             cluster.store.failure = "busy"
@@ -158,8 +163,8 @@
                 cluster.targets[f"engine-{number}"].replica for number in (0, 1)
             )
             first.draining_hint = other.draining_hint = "1"
-            got = await fixture.call("short")
-            self.assertFalse(got.is_complete)
+            result = await fixture.call("short")
+            self.assertFalse(result.is_complete)
             arrivals = len(first.arrivals) + len(other.arrivals)
             self.assertLessEqual(arrivals, 2)
             for _ in range(4):
@@ -198,12 +203,12 @@
                 await fixture.call("open", vm)
             await asyncio.sleep(0.2)
             for vm in cluster.vms:
-                got = await fixture.call("open", vm)
+                result = await fixture.call("open", vm)
                 self.assertEqual(
-                    (got.status, fixture.find_runs(got)), (503, [])
+                    (result.status, fixture.find_runs(result)), (503, [])
                 )
-                self.assertGreater(float(got.headers["retry-after"]), 0.0)
-                self.assertLess(got.took_ms, 50.0)
+                self.assertGreater(float(result.headers["retry-after"]), 0.0)
+                self.assertLess(result.took_ms, 50.0)
 
         gateway_fixture.run_scenario(scenario, is_strict=False)
 
@@ -214,8 +219,8 @@
                 replica.draining_hint = hint
                 arrivals = len(replica.arrivals)
                 for _ in range(3):
-                    got = await fixture.call("open")
-                    self.assertEqual(got.status, 200)
+                    result = await fixture.call("open")
+                    self.assertEqual(result.status, 200)
                 self.assertEqual(len(replica.arrivals), arrivals + 3)
 
         gateway_fixture.run_scenario(scenario)
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -35,20 +35,24 @@
         self.assertFalse(self.state.note_refuted(_OLD, 11.0))
         self._check_that_only_the_old_one_drains()
 
-    def test_refuted_gossip_of_a_peer_is_ignored_for_a_time(
+    def test_refuted_gossip_of_a_peer_is_ignored_temporarily(
         self,
     ) -> None:
         self.state.note_listed(_OLD, 0.0)
-        self.state.merge_gossip(_OLD, "liar", 0.0, 9.0)
+        self.state.merge_gossip(_OLD, "faulty", 0.0, 9.0)
         self.assertTrue(self.state.note_refuted(_OLD, 10.0))
         self.assertTrue(self.state.accepts_requests(_OLD, 10.0))
-        again_ms = 10.0 + drain_suspects.REFUTED_MS
+        accepted_again_ms = 10.0 + drain_suspects.REFUTED_MS
         self.assertFalse(
-            self.state.merge_gossip(_OLD, "liar", again_ms - 1.0, 1e9)
+            self.state.merge_gossip(
+                _OLD, "faulty", accepted_again_ms - 1.0, 1e9
+            )
         )
         self.assertTrue(self.state.merge_gossip(_OLD, "other", 11.0, 1e9))
         self.assertTrue(self.state.note_refuted(_OLD, 12.0))
-        self.assertTrue(self.state.merge_gossip(_OLD, "liar", again_ms, 1e9))
+        self.assertTrue(
+            self.state.merge_gossip(_OLD, "faulty", accepted_again_ms, 1e9)
+        )
 
     def test_gossip_counts_for_the_listed_incarnation_only(self) -> None:
         unknown = incarnations.Incarnation("i-1")
--- a/tests/test_early_drain_hints.py
+++ b/tests/test_early_drain_hints.py
@@ -1,4 +1,4 @@
-"""A draining hint that arrives before the list shows when the target started.
+"""A drain hint that arrives before the list shows when the target started.
 
 Guards against requests that reach a draining target after the VM forwarded its
 hint (2,730 ms after, and 3.2 s in the emulated fleet). A drain is recorded for
@@ -14,7 +14,7 @@
 
 from tests import gateway_fixture
 
-# A VM that forwarded a draining hint sends the target no requests after this.
+# A VM that forwarded a drain hint sends the target no requests after this.
 _MAX_DRAIN_DELAY_S = 2.0
 # For the target list to be read.
 _LIST_READ_S = 1.5
@@ -24,7 +24,7 @@
 
 
 class EarlyDrainHintTest(unittest.TestCase):
-    """The start time of a target is listed after its draining hint."""
+    """The start time of a target is listed after its drain hint."""
 
     @classmethod
     def setUpClass(cls) -> None:
--- a/tests/test_engine_stream.py
+++ b/tests/test_engine_stream.py
@@ -26,17 +26,17 @@
         """Does nothing."""
 
 
-def _event(**fields: object) -> bytes:
+def _encode_event(**fields: object) -> bytes:
     return b"data: " + orjson.dumps({"stream": "s", **fields}) + b"\n\n"
 
 
 def _read_events(*pieces: bytes, position: int = 0) -> list:
     async def read() -> list:
         exchange = _Exchange(*pieces)
-        found = stream.Stream(exchange, "s", position, None, 1_000.0)
+        engine_stream = stream.Stream(exchange, "s", position, None, 1_000.0)
         events = []
         while True:
-            event = await found.next_event(lambda: 5_000.0)
+            event = await engine_stream.next_event(lambda: 5_000.0)
             events.append(event)
             if not isinstance(event, stream_event.Tokens):
                 return events
@@ -56,54 +56,59 @@
 class StreamTest(unittest.TestCase):
     def test_whole_answer(self) -> None:
         events = _read_events(
-            _event(first=0, tokens=["a", "b"]),
+            _encode_event(first=0, tokens=["a", "b"]),
             b": alive\n\n",
-            _event(first=2, tokens=["c"]) + _event(end="stop", count=3),
+            _encode_event(first=2, tokens=["c"])
+            + _encode_event(end="stop", count=3),
         )
         self.assertEqual(_collect_texts(events), ["a", "b", "c"])
         self.assertEqual(events[-1], stream_event.End("stop", 3))
 
     def test_events_split_at_any_byte(self) -> None:
-        data = _event(first=0, tokens=["a"]) + _event(end="stop", count=1)
+        data = _encode_event(first=0, tokens=["a"]) + _encode_event(
+            end="stop", count=1
+        )
         events = _read_events(*(data[n : n + 1] for n in range(len(data))))
         self.assertEqual(_collect_texts(events), ["a"])
         self.assertIsInstance(events[-1], stream_event.End)
 
     def test_duplicate_tokens_are_dropped(self) -> None:
         events = _read_events(
-            _event(first=0, tokens=["a", "b"]),
-            _event(first=0, tokens=["a", "b"]),
-            _event(first=1, tokens=["b", "c"]),
-            _event(end="stop", count=3),
+            _encode_event(first=0, tokens=["a", "b"]),
+            _encode_event(first=0, tokens=["a", "b"]),
+            _encode_event(first=1, tokens=["b", "c"]),
+            _encode_event(end="stop", count=3),
         )
         self.assertEqual(_collect_texts(events), ["a", "b", "c"])
 
     def test_resumed_stream_skips_delivered_tokens(self) -> None:
         events = _read_events(
-            _event(first=1, tokens=["b", "c", "d"]),
-            _event(end="stop", count=4),
+            _encode_event(first=1, tokens=["b", "c", "d"]),
+            _encode_event(end="stop", count=4),
             position=2,
         )
         self.assertEqual(_collect_texts(events), ["c", "d"])
 
     def test_event_that_does_not_belong_ends_the_stream(self) -> None:
         wrong = {
-            "a gap": _event(first=3, tokens=["x"]),
-            "another stream": _event(stream="t", first=0, tokens=["x"]),
+            "a gap": _encode_event(first=3, tokens=["x"]),
+            "another stream": _encode_event(stream="t", first=0, tokens=["x"]),
             "not JSON": b"data: {\n\n",
-            "no text": _event(first=0, tokens=[1]),
-            "an end too early": _event(end="stop", count=9),
+            "no text": _encode_event(first=0, tokens=[1]),
+            "an end too early": _encode_event(end="stop", count=9),
         }
         for name, piece in wrong.items():
             with self.subTest(name):
-                events = _read_events(_event(first=0, tokens=["a"]), piece)
+                events = _read_events(
+                    _encode_event(first=0, tokens=["a"]), piece
+                )
                 self.assertEqual(_collect_texts(events), ["a"])
                 self.assertIs(
                     events[-1].reason, outcomes.Reason.TARGET_BROKE_PROTOCOL
                 )
 
     def test_truncated_stream_is_a_lost_target(self) -> None:
-        events = _read_events(_event(first=0, tokens=["a"]))
+        events = _read_events(_encode_event(first=0, tokens=["a"]))
         self.assertIs(events[-1].reason, outcomes.Reason.TARGET_LOST)
         self.assertIsNot(events[-1].ran, outcomes.Ran.NOT_RUN)
 
@@ -116,8 +121,8 @@
                 return b": alive\n\n"
 
         async def read() -> object:
-            found = stream.Stream(Endless(), "s", 0, None, 1_000.0)
-            return await found.next_event(
+            engine_stream = stream.Stream(Endless(), "s", 0, None, 1_000.0)
+            return await engine_stream.next_event(
                 lambda: left_ms.pop(0) if len(left_ms) > 1 else left_ms[0]
             )
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -195,8 +195,8 @@
             fixture.cluster.publish()
             await asyncio.sleep(1.9)
             for name, vm in fixture.cluster.vms.items():
-                got = await fixture.call("unsafe", name, key="new")
-                self.assertEqual(got.status, 200)
+                result = await fixture.call("unsafe", name, key="new")
+                self.assertEqual(result.status, 200)
                 view = vm.gateway.context.view
                 (found,) = [
                     each
@@ -223,12 +223,12 @@
             fixture.cluster.publish()
             await asyncio.sleep(gateway_cluster.REVOKE_MS / 1000.0)
             for name in names:
-                got = await fixture.call("unsafe", name)
+                result = await fixture.call("unsafe", name)
                 self.assertEqual(
-                    (got.status, fixture.find_runs(got)), (401, [])
+                    (result.status, fixture.find_runs(result)), (401, [])
                 )
-                got = await fixture.call("unsafe", name, key="another")
-                self.assertEqual(got.status, 200)
+                result = await fixture.call("unsafe", name, key="another")
+                self.assertEqual(result.status, 200)
 
         self._run(scenario)
 
@@ -267,8 +267,8 @@
             fixture.cluster.publish()
             await asyncio.sleep(1.9)
             for name in fixture.cluster.vms:
-                got = await fixture.call("unsafe", name, key="another")
-                self.assertEqual(got.status, 200)
+                result = await fixture.call("unsafe", name, key="another")
+                self.assertEqual(result.status, 200)
 
         self._run(scenario)
 
@@ -353,9 +353,9 @@
             fixture.cluster.publish()
             await asyncio.sleep(gateway_cluster.REVOKE_MS / 1000.0)
             for name in fixture.cluster.vms:
-                got = await fixture.call("unsafe", name)
+                result = await fixture.call("unsafe", name)
                 self.assertEqual(
-                    (got.status, fixture.find_runs(got)), (401, [])
+                    (result.status, fixture.find_runs(result)), (401, [])
                 )
 
         self._run(scenario)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -17,12 +17,15 @@
     def test_requests_are_answered_completely(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             for route in ("short", "once", "unsafe", "safe", "open"):
-                got = await fixture.call(route)
-                self.assertEqual((got.status, got.is_complete), (200, True))
+                result = await fixture.call(route)
                 self.assertEqual(
-                    gateway_guarantees.find_broken(fixture.cluster, [got]), []
+                    (result.status, result.is_complete), (200, True)
                 )
-                self.assertEqual(len(fixture.find_runs(got)), 1)
+                self.assertEqual(
+                    gateway_guarantees.find_broken(fixture.cluster, [result]),
+                    [],
+                )
+                self.assertEqual(len(fixture.find_runs(result)), 1)
 
         gateway_fixture.run_scenario(scenario)
 
@@ -48,8 +51,10 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.cluster.publish(limits={"max-body-bytes": 3})
             await asyncio.sleep(2.0)
-            got = await fixture.call("unsafe")
-            self.assertEqual((got.status, fixture.find_runs(got)), (413, []))
+            result = await fixture.call("unsafe")
+            self.assertEqual(
+                (result.status, fixture.find_runs(result)), (413, [])
+            )
 
         gateway_fixture.run_scenario(scenario)
 
@@ -62,9 +67,9 @@
             fixture.cluster.kill(node)
             fixture.cluster.start_vm(node)
             await asyncio.sleep(0.5)
-            got = await fixture.call("nowhere")
-            self.assertEqual(got.status, 503)
-            self.assertIn("retry-after", got.headers)
+            result = await fixture.call("nowhere")
+            self.assertEqual(result.status, 503)
+            self.assertIn("retry-after", result.headers)
 
         gateway_fixture.run_scenario(scenario)
 
@@ -80,9 +85,9 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("", lose=1.0)
             for route in ("unsafe", "once"):
-                got = await fixture.call(route)
-                self.assertEqual(got.status, 502)
-                self.assertEqual(len(fixture.find_runs(got)), 1)
+                result = await fixture.call(route)
+                self.assertEqual(result.status, 502)
+                self.assertEqual(len(fixture.find_runs(result)), 1)
 
         gateway_fixture.run_scenario(scenario)
 
@@ -90,11 +95,11 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("", refuse=1.0)
             for route in ("unsafe", "once", "safe", "short"):
-                got = await fixture.call(route)
-                self.assertEqual(got.status, 503)
-                self.assertEqual(fixture.find_runs(got), [])
-                self.assertLess(got.took_ms, 400.0)
-                self.assertGreater(float(got.headers["retry-after"]), 0.0)
+                result = await fixture.call(route)
+                self.assertEqual(result.status, 503)
+                self.assertEqual(fixture.find_runs(result), [])
+                self.assertLess(result.took_ms, 400.0)
+                self.assertGreater(float(result.headers["retry-after"]), 0.0)
 
         gateway_fixture.run_scenario(scenario)
 
@@ -105,9 +110,9 @@
             fixture.inject_faults("service", 1, refuse=0.0, lose=1.0)
             statuses = set()
             for _ in range(12):
-                got = await fixture.call("safe")
-                if fixture.find_runs(got):
-                    statuses.add(got.status)
+                result = await fixture.call("safe")
+                if fixture.find_runs(result):
+                    statuses.add(result.status)
             self.assertTrue(statuses)
             self.assertNotIn(503, statuses)
 
@@ -124,10 +129,10 @@
     def test_error_response_of_a_target_is_forwarded(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("service", fail=1.0)
-            got = await fixture.call("unsafe")
-            self.assertEqual((got.status, got.body), (500, b"failed"))
-            self.assertIn("x-replica-signature", got.headers)
-            self.assertEqual(len(fixture.find_runs(got)), 1)
+            result = await fixture.call("unsafe")
+            self.assertEqual((result.status, result.body), (500, b"failed"))
+            self.assertIn("x-replica-signature", result.headers)
+            self.assertEqual(len(fixture.find_runs(result)), 1)
 
         gateway_fixture.run_scenario(scenario)
 
@@ -135,8 +140,8 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("service", fail=1.0)
             calls = [fixture.call("safe") for _ in range(100)]
-            got = await asyncio.gather(*calls)
-            run_count = sum(len(fixture.find_runs(each)) for each in got)
+            results = await asyncio.gather(*calls)
+            run_count = sum(len(fixture.find_runs(each)) for each in results)
             self.assertGreater(run_count, 100)
             self.assertLessEqual(run_count, 100 + 4 + 15)
 
@@ -147,9 +152,9 @@
             for name in ("service-0", "service-1"):
                 fixture.cluster.kill(fixture.cluster.targets[name])
             for _ in range(3):
-                got = await fixture.call("unsafe")
-                self.assertEqual(got.status, 200)
-                self.assertEqual(len(fixture.find_runs(got)), 1)
+                result = await fixture.call("unsafe")
+                self.assertEqual(result.status, 200)
+                self.assertEqual(len(fixture.find_runs(result)), 1)
 
         gateway_fixture.run_scenario(scenario)
 
@@ -167,8 +172,10 @@
             await asyncio.sleep(0.05)
             self.assertEqual(await fixture.caller.check_ready("vm-0"), 503)
             self.assertEqual(await fixture.caller.check_ready("vm-1"), 200)
-            for got in await asyncio.gather(*calls):
-                self.assertEqual((got.status, got.is_complete), (200, True))
+            for result in await asyncio.gather(*calls):
+                self.assertEqual(
+                    (result.status, result.is_complete), (200, True)
+                )
             self.assertEqual(await fixture.caller.check_ready("vm-0"), 200)
 
         gateway_fixture.run_scenario(scenario, connections_max=4)
@@ -192,8 +199,10 @@
             calls += [
                 asyncio.ensure_future(fixture.call("short")) for _ in range(4)
             ]
-            for got in await asyncio.gather(*calls):
-                self.assertEqual((got.status, got.is_complete), (200, True))
+            for result in await asyncio.gather(*calls):
+                self.assertEqual(
+                    (result.status, result.is_complete), (200, True)
+                )
             await asyncio.sleep(5.0)
             self.assertTrue(node.task.done())
 
--- a/tests/test_gateway_store.py
+++ b/tests/test_gateway_store.py
@@ -25,9 +25,9 @@
             fixture.cluster.publish()
             await asyncio.sleep(gateway_cluster.REVOKE_MS / 1000.0)
             for vm in ("vm-0", "vm-1", "vm-2"):
-                got = await fixture.call("unsafe", vm)
-                self.assertIn(got.status, (401, 503))
-                self.assertEqual(fixture.find_runs(got), [])
+                result = await fixture.call("unsafe", vm)
+                self.assertIn(result.status, (401, 503))
+                self.assertEqual(fixture.find_runs(result), [])
 
         gateway_fixture.run_scenario(scenario)
 
@@ -42,8 +42,8 @@
             waiting.append(asyncio.ensure_future(fixture.call("unsafe")))
             await asyncio.sleep(0.1)
             node.process.resume()
-            got = await waiting[0]
-            self.assertEqual(fixture.find_runs(got), [])
+            result = await waiting[0]
+            self.assertEqual(fixture.find_runs(result), [])
 
         gateway_fixture.run_scenario(scenario)
 
@@ -53,10 +53,10 @@
             await asyncio.sleep(2.0)
             self.assertEqual((await fixture.call("unsafe")).status, 200)
             await asyncio.sleep(3.0)
-            got = await fixture.call("unsafe")
-            self.assertEqual(got.status, 503)
-            self.assertIn("retry-after", got.headers)
-            self.assertEqual(got.headers.get("connection"), "close")
+            result = await fixture.call("unsafe")
+            self.assertEqual(result.status, 503)
+            self.assertIn("retry-after", result.headers)
+            self.assertEqual(result.headers.get("connection"), "close")
             # A request without a key needs no fresh settings.
             self.assertEqual((await fixture.call("open")).status, 200)
             fixture.cluster.store.failure = ""
@@ -69,21 +69,25 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.cluster.store.failure = "silent"
             await asyncio.sleep(12.0)
-            got = await fixture.call("unsafe")
-            self.assertEqual(got.status, 200)
-            self.assertNotEqual(got.headers.get("connection"), "close")
+            result = await fixture.call("unsafe")
+            self.assertEqual(result.status, 200)
+            self.assertNotEqual(result.headers.get("connection"), "close")
             self.assertEqual(await fixture.caller.check_ready("vm-0"), 200)
             # An unknown key or route may have been added since settings this
             # old were read.
-            got = await fixture.call("unsafe", key="added-since")
-            self.assertEqual((got.status, fixture.find_runs(got)), (503, []))
+            result = await fixture.call("unsafe", key="added-since")
+            self.assertEqual(
+                (result.status, fixture.find_runs(result)), (503, [])
+            )
             self.assertEqual((await fixture.call("nowhere")).status, 503)
             fixture.cluster.keys = {"w1": ["another"]}
             fixture.cluster.publish()
             fixture.cluster.store.failure = ""
             await asyncio.sleep(2.0)
-            got = await fixture.call("unsafe")
-            self.assertEqual((got.status, fixture.find_runs(got)), (401, []))
+            result = await fixture.call("unsafe")
+            self.assertEqual(
+                (result.status, fixture.find_runs(result)), (401, [])
+            )
 
         gateway_fixture.run_scenario(scenario, is_strict=False)
 
@@ -100,13 +104,13 @@
             fixture.cluster.kill(node)
             fixture.cluster.start_vm(node)
             await asyncio.sleep(0.0)
-            got = await fixture.call("open")
-            self.assertEqual(got.status, 503)
-            self.assertLess(got.took_ms, 900.0)
+            result = await fixture.call("open")
+            self.assertEqual(result.status, 503)
+            self.assertLess(result.took_ms, 900.0)
             await asyncio.sleep(3.0)
-            got = await fixture.call("open")
-            self.assertEqual(got.status, 503)
-            self.assertLess(got.took_ms, 50.0)
+            result = await fixture.call("open")
+            self.assertEqual(result.status, 503)
+            self.assertLess(result.took_ms, 50.0)
 
         gateway_fixture.run_scenario(scenario)
 
@@ -144,8 +148,8 @@
             fixture.cluster.store.compact_history()
             await asyncio.sleep(1.9)
             for vm in fixture.cluster.vms:
-                got = await fixture.call("unsafe", vm, key="new")
-                self.assertEqual(got.status, 200)
+                result = await fixture.call("unsafe", vm, key="new")
+                self.assertEqual(result.status, 200)
 
         gateway_fixture.run_scenario(scenario)
 
@@ -255,9 +259,9 @@
                 fixture.cluster.kill(node)
                 await fixture.cluster.serve_unlisted_replica(node)
             for route in ("unsafe", "safe"):
-                got = await fixture.call(route)
+                result = await fixture.call(route)
                 self.assertEqual(
-                    (got.status, fixture.find_runs(got)), (503, [])
+                    (result.status, fixture.find_runs(result)), (503, [])
                 )
 
         gateway_fixture.run_scenario(scenario)
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -1,4 +1,4 @@
-"""Streams, silent targets, and reserved memory for large prompts."""
+"""Streams, unresponsive targets, and reserved memory for large prompts."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -42,17 +42,17 @@
             for node in fixture.cluster.targets.values():
                 if node.replica.name not in started:
                     node.replica.faults.break_off = 0.0
-            got = await pending
+            result = await pending
             runs = sorted(
-                fixture.find_runs(got), key=lambda each: each.resumed_after
+                fixture.find_runs(result), key=lambda each: each.resumed_after
             )
             self.assertEqual(len(runs), 2)
             self.assertGreater(runs[1].resumed_after, 0)
-            self.assertTrue(got.is_complete)
+            self.assertTrue(result.is_complete)
             self.assertEqual(
-                gateway_guarantees.find_broken(fixture.cluster, [got]), []
+                gateway_guarantees.find_broken(fixture.cluster, [result]), []
             )
-            signature = got.headers["x-replica-signature"]
+            signature = result.headers["x-replica-signature"]
             self.assertTrue(signature.startswith(runs[0].replica))
 
         gateway_fixture.run_scenario(scenario, seed=3)
@@ -60,9 +60,9 @@
     def test_stream_that_cannot_be_resumed_breaks(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("engine", break_off=1.0)
-            got = await fixture.call("once")
-            self.assertEqual(len(fixture.find_runs(got)), 1)
-            self.assertFalse(got.is_complete)
+            result = await fixture.call("once")
+            self.assertEqual(len(fixture.find_runs(result)), 1)
+            self.assertFalse(result.is_complete)
 
         gateway_fixture.run_scenario(scenario, seed=3)
 
@@ -77,15 +77,17 @@
                     name
                 ].replica.faults.is_unfit_helper = True
             for number in range(4):
-                got = await fixture.call(
+                result = await fixture.call(
                     "long",
                     f"vm-{number % 3}",
                     prompt_tokens=300_000,
                     output_tokens=100,
                     time_limit_ms=15_000.0,
                 )
-                self.assertEqual((got.status, got.is_complete), (200, True))
-                self.assertEqual(len(fixture.find_runs(got)), 1)
+                self.assertEqual(
+                    (result.status, result.is_complete), (200, True)
+                )
+                self.assertEqual(len(fixture.find_runs(result)), 1)
 
         gateway_fixture.run_scenario(scenario, engines=8)
 
@@ -100,25 +102,25 @@
             budget = fixture.cluster.vms["vm-0"].gateway.context.budget
             budget.resize(1.0)
             budget.tokens = 1.0
-            got = await fixture.call(
+            result = await fixture.call(
                 "long",
                 prompt_tokens=400_000,
                 output_tokens=100,
                 time_limit_ms=15_000.0,
             )
-            self.assertEqual((got.status, got.is_complete), (200, True))
-            self.assertEqual(len(fixture.find_runs(got)), 1)
-            self.assertLess(got.first_ms, 3_000.0)
+            self.assertEqual((result.status, result.is_complete), (200, True))
+            self.assertEqual(len(fixture.find_runs(result)), 1)
+            self.assertLess(result.first_ms, 3_000.0)
 
         gateway_fixture.run_scenario(scenario, vms=1, engines=16)
 
     def test_prompt_proceeds_at_once_when_a_helper_crashes(self) -> None:
         # An engine whose helper had crashed waited 1.5 s before it refused,
         # though other requests had found the helper unreachable within
-        # milliseconds; archives started 5 to 8 s after their request.
+        # milliseconds; large prompts started 5 to 8 s after their request.
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            got = await self._crash_helper(fixture, is_writer_lost=False)
-            self.assertLess(got.first_ms, 3_000.0)
+            result = await self._crash_helper(fixture, is_writer_lost=False)
+            self.assertLess(result.first_ms, 3_000.0)
             quarantine = fixture.cluster.vms["vm-0"].gateway.context.quarantine
             self.assertEqual(len(quarantine), 0)
 
@@ -141,7 +143,7 @@
         self, fixture: gateway_fixture.Fixture, is_writer_lost: bool
     ) -> gateway_caller.CallResult:
         """Crashes a helper of a long prompt, which another VM detects."""
-        # A VM that has reached no target lately reports no losses.
+        # A VM that has reached no target recently reports no losses.
         await fixture.call("safe", "vm-1")
         pending = asyncio.ensure_future(
             fixture.call(
@@ -174,16 +176,16 @@
         )
         other_scheduler = cluster.vms["vm-1"].gateway.context.scheduler
         other_scheduler.post(scheduler_messages.IncarnationEnded(helper))
-        got = await pending
-        self.assertEqual((got.status, got.is_complete), (200, True))
-        return got
+        result = await pending
+        self.assertEqual((result.status, result.is_complete), (200, True))
+        return result
 
     def test_only_target_of_a_pool_gets_all_allowed_attempts(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("engine", lose=1.0)
-            got = await fixture.call("short")
-            self.assertEqual(got.status, 502)
-            self.assertEqual(len(fixture.find_runs(got)), 2)
+            result = await fixture.call("short")
+            self.assertEqual(result.status, 502)
+            self.assertEqual(len(fixture.find_runs(result)), 2)
 
         gateway_fixture.run_scenario(scenario, engines=1, halls=1)
 
@@ -192,13 +194,13 @@
             for node in fixture.cluster.targets.values():
                 if node.hall == "hall-1":
                     node.replica.faults.is_unfit_helper = True
-            got = await fixture.call(
+            result = await fixture.call(
                 "long",
                 prompt_tokens=400_000,
                 output_tokens=100,
                 time_limit_ms=15_000.0,
             )
-            self.assertEqual((got.status, got.is_complete), (200, True))
+            self.assertEqual((result.status, result.is_complete), (200, True))
             # One attempt on each of two engines shows that it is the hall.
             context = fixture.cluster.vms["vm-0"].gateway.context
             self.assertGreaterEqual(context.budget.tokens, 4.0 - 2.0)
@@ -210,8 +212,8 @@
             for fault in ("unsigned", "foreign"):
                 fixture.inject_faults("", **{fault: 1.0})
                 for route in ("unsafe", "once"):
-                    got = await fixture.call(route)
-                    self.assertEqual(got.status, 502, fault)
+                    result = await fixture.call(route)
+                    self.assertEqual(result.status, 502, fault)
                 fixture.inject_faults("", **{fault: 0.0})
                 await asyncio.sleep(10.0)
 
@@ -222,8 +224,10 @@
             for node in list(fixture.cluster.targets.values())[:1]:
                 node.replica.faults.mute = True
             for _ in range(4):
-                got = await fixture.call("short")
-                self.assertEqual((got.status, got.is_complete), (200, True))
+                result = await fixture.call("short")
+                self.assertEqual(
+                    (result.status, result.is_complete), (200, True)
+                )
 
         gateway_fixture.run_scenario(scenario)
 
@@ -236,11 +240,11 @@
             for node in fixture.cluster.targets.values():
                 if node.replica.runs:
                     node.replica.faults.silent_s = 3_600.0
-            got = await pending
-            self.assertEqual((got.status, got.is_complete), (200, True))
-            self.assertEqual(len(fixture.find_runs(got)), 2)
+            result = await pending
+            self.assertEqual((result.status, result.is_complete), (200, True))
+            self.assertEqual(len(fixture.find_runs(result)), 2)
             self.assertEqual(
-                gateway_guarantees.find_broken(fixture.cluster, [got]), []
+                gateway_guarantees.find_broken(fixture.cluster, [result]), []
             )
 
         gateway_fixture.run_scenario(scenario)
@@ -250,9 +254,9 @@
             # No attempt is left after the second target: abandoning it would
             # only break a stream that goes on after a long batch iteration.
             fixture.inject_faults("engine", silent_s=2.5)
-            got = await fixture.call("short", output_tokens=2_000)
-            self.assertEqual((got.status, got.is_complete), (200, True))
-            self.assertEqual(len(fixture.find_runs(got)), 2)
+            result = await fixture.call("short", output_tokens=2_000)
+            self.assertEqual((result.status, result.is_complete), (200, True))
+            self.assertEqual(len(fixture.find_runs(result)), 2)
 
         gateway_fixture.run_scenario(scenario)
 
@@ -260,9 +264,9 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("engine", silent_s=2.5)
             fixture.cluster.vms["vm-0"].gateway.context.budget.tokens = 0.0
-            got = await fixture.call("short", output_tokens=2_000)
-            self.assertEqual((got.status, got.is_complete), (200, True))
-            self.assertEqual(len(fixture.find_runs(got)), 1)
+            result = await fixture.call("short", output_tokens=2_000)
+            self.assertEqual((result.status, result.is_complete), (200, True))
+            self.assertEqual(len(fixture.find_runs(result)), 1)
 
         gateway_fixture.run_scenario(scenario)
 
@@ -278,10 +282,10 @@
             await asyncio.sleep(1.5)
             slow_count = 0
             for _ in range(40):
-                got = await fixture.call("unsafe")
-                self.assertEqual(got.status, 200)
+                result = await fixture.call("unsafe")
+                self.assertEqual(result.status, 200)
                 # A connection that cannot be established costs 150 ms.
-                slow_count += got.took_ms > 200.0
+                slow_count += result.took_ms > 200.0
             self.assertGreater(slow_count, 0)
             self.assertLessEqual(slow_count, 4)
 
@@ -297,22 +301,22 @@
             # The prompt needs four engines; its own hall has three. Two
             # attempts show that a hall is unreachable, not one for each of its
             # engines.
-            got = await fixture.call(
+            result = await fixture.call(
                 "long",
                 prompt_tokens=900_000,
                 output_tokens=100,
                 time_limit_ms=15_000.0,
             )
-            self.assertEqual((got.status, got.is_complete), (200, True))
+            self.assertEqual((result.status, result.is_complete), (200, True))
 
         gateway_fixture.run_scenario(scenario, engines=9)
 
     def test_silent_target_of_a_non_repeatable_request_is_awaited(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             fixture.inject_faults("service", mute=True)
-            got = await fixture.call("unsafe", time_limit_ms=1_500.0)
-            self.assertEqual(got.status, 504)
-            self.assertAlmostEqual(got.took_ms, 1_500.0, delta=60.0)
+            result = await fixture.call("unsafe", time_limit_ms=1_500.0)
+            self.assertEqual(result.status, 504)
+            self.assertAlmostEqual(result.took_ms, 1_500.0, delta=60.0)
 
         gateway_fixture.run_scenario(scenario)
 
@@ -345,12 +349,12 @@
             for tokens, measured_ms in self._MEASURED:
                 # On the benchmark, one engine prefilled each of these prompts.
                 route = "short" if tokens < 20_000 else "long"
-                got = await fixture.call(
+                result = await fixture.call(
                     route, prompt_tokens=tokens, output_tokens=460
                 )
-                deviation_ms = abs(got.first_ms - measured_ms)
+                deviation_ms = abs(result.first_ms - measured_ms)
                 self.assertLess(
-                    deviation_ms, self._MAX_DEVIATION_MS, (tokens, got)
+                    deviation_ms, self._MAX_DEVIATION_MS, (tokens, result)
                 )
                 await asyncio.sleep(1.0)
 
@@ -387,17 +391,19 @@
                 newer_requests.append(asyncio.ensure_future(call))
             self.assertFalse(late_request.done())
             served = [
-                got
-                for got in await asyncio.gather(*newer_requests)
-                if fixture.find_runs(got)
+                result
+                for result in await asyncio.gather(*newer_requests)
+                if fixture.find_runs(result)
             ]
             self.assertEqual(len(served), 1)
             self.assertLess(served[0].first_ms, 300.0)
-            got = await late_request
-            self.assertEqual((got.status, fixture.find_runs(got)), (503, []))
-            self.assertIn("retry-after", got.headers)
+            result = await late_request
+            self.assertEqual(
+                (result.status, fixture.find_runs(result)), (503, [])
+            )
+            self.assertIn("retry-after", result.headers)
             # It is not queued for longer than a late response is of use.
-            self.assertLess(got.took_ms, 1_500.0)
+            self.assertLess(result.took_ms, 1_500.0)
             await asyncio.gather(*long_streams)
 
         gateway_fixture.run_scenario(scenario, engines=1, vms=1, halls=1)
@@ -420,8 +426,8 @@
 
     def test_prompt_larger_than_one_engine_is_served(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
-            got = await self._call(fixture)
-            self.assertEqual((got.status, got.is_complete), (200, True))
+            result = await self._call(fixture)
+            self.assertEqual((result.status, result.is_complete), (200, True))
             await asyncio.sleep(0.5)
             held = [r.held_tokens() for r in fixture.cluster.all_replicas]
             self.assertEqual(sum(held), 0)
@@ -445,8 +451,8 @@
             await asyncio.sleep(3.0)
             for replica, name in held:
                 self.assertNotIn(name, replica.reservations)
-            got = await pending
-            self.assertEqual((got.status, got.is_complete), (200, True))
+            result = await pending
+            self.assertEqual((result.status, result.is_complete), (200, True))
 
         gateway_fixture.run_scenario(scenario, engines=10)
 
--- a/tests/test_guarantees.py
+++ b/tests/test_guarantees.py
@@ -1,7 +1,7 @@
 """Guarantees under failure, each also with its mechanism switched off.
 
 A test named `..._without_...` shows the fault that the mechanism prevents, and
-so that the test beside it can fail.
+thereby that the corresponding test can fail.
 """
 
 import dataclasses
@@ -136,7 +136,7 @@
 
 
 class NotRunTest(unittest.TestCase):
-    """A request whose caller is told `not_run` was not run."""
+    """A request that is reported as `not_run` to its caller did not run."""
 
     def test_resets_around_the_dispatch(self) -> None:
         for at_ms in (990.0, 1_002.0, 1_011.0, 1_050.0):
--- a/tests/test_hanging_engine.py
+++ b/tests/test_hanging_engine.py
@@ -30,16 +30,18 @@
 
 class OverduePrefillTest(unittest.TestCase):
     def test_overdue_prefill_is_expected_to_go_on(self) -> None:
-        found = _make_estimate()
-        found.begin_attempt("a", own_work.OwnWork(5_000, 5_000, 0.0, 1, 30.0))
-        self.assertEqual(found.remaining_prefill_ms(0.0), 30.0)
-        self.assertEqual(found.remaining_prefill_ms(30.0), 15.0)
-        self.assertEqual(found.remaining_prefill_ms(730.0), 500.0)
+        estimate = _make_estimate()
+        estimate.begin_attempt(
+            "a", own_work.OwnWork(5_000, 5_000, 0.0, 1, 30.0)
+        )
+        self.assertEqual(estimate.remaining_prefill_ms(0.0), 30.0)
+        self.assertEqual(estimate.remaining_prefill_ms(30.0), 15.0)
+        self.assertEqual(estimate.remaining_prefill_ms(730.0), 500.0)
         self.assertEqual(
-            found.remaining_prefill_ms(60_000.0), estimates.MAX_OVERDUE_MS
+            estimate.remaining_prefill_ms(60_000.0), estimates.MAX_OVERDUE_MS
         )
-        found.note_first_token("a", 60_000.0)
-        self.assertEqual(found.remaining_prefill_ms(60_000.0), 0.0)
+        estimate.note_first_token("a", 60_000.0)
+        self.assertEqual(estimate.remaining_prefill_ms(60_000.0), 0.0)
 
 
 class HangingEngineTest(unittest.TestCase):
@@ -52,9 +54,9 @@
             fixture: gateway_fixture.Fixture, number: int
         ) -> None:
             await asyncio.sleep(number * 0.02)
-            got = await fixture.call("short", f"vm-{number % _VMS}")
+            result = await fixture.call("short", f"vm-{number % _VMS}")
             counts["calls"] += 1
-            counts["late"] += got.status != 200 or got.first_ms > 300.0
+            counts["late"] += result.status != 200 or result.first_ms > 300.0
 
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             # The engine that short prompts of the hall prefer.
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -241,7 +241,9 @@
                 cluster.start_target(node)
             await asyncio.sleep(_LIST_READ_S)
             for vm in cluster.vms:
-                got = await fixture.call("short", vm)
-                self.assertEqual((got.status, got.is_complete), (200, True))
+                result = await fixture.call("short", vm)
+                self.assertEqual(
+                    (result.status, result.is_complete), (200, True)
+                )
 
         gateway_fixture.run_scenario(scenario, engines=4, reuses_names=True)
--- a/tests/test_loss_reports.py
+++ b/tests/test_loss_reports.py
@@ -91,12 +91,12 @@
         )
 
     def test_hall_reported_by_peers_is_avoided_once(self) -> None:
-        found = reachability.Reachability()
-        self.assertTrue(found.note_reported(_HALL, 0.0))
-        self.assertFalse(found.note_reported(_HALL, 1.0))
-        self.assertTrue(found.is_suspect(_HALL, 1.0))
+        halls = reachability.Reachability()
+        self.assertTrue(halls.note_reported(_HALL, 0.0))
+        self.assertFalse(halls.note_reported(_HALL, 1.0))
+        self.assertTrue(halls.is_suspect(_HALL, 1.0))
         self.assertFalse(
-            found.is_suspect(_HALL, reachability.MIN_AVOID_MS + 1.0)
+            halls.is_suspect(_HALL, reachability.MIN_AVOID_MS + 1.0)
         )
 
 
@@ -137,8 +137,8 @@
 ) -> None:
     async def send_request(number: int) -> None:
         await asyncio.sleep(number * 0.02)
-        got = await fixture.call("short", f"vm-{number % _VMS}")
-        assert got.status == 200
+        result = await fixture.call("short", f"vm-{number % _VMS}")
+        assert result.status == 200
 
     async with asyncio.TaskGroup() as group:
         for number in range(count):
--- a/tests/test_lost_settings.py
+++ b/tests/test_lost_settings.py
@@ -19,9 +19,9 @@
     """Settings that the store loses before any VM has read them.
 
     Guards against requests with a removed key. It was removed right before an
-    outage; the restored store showed the settings from before, and each read of
-    it counted as proof that they were current. Requests with the key ran until
-    the removal was written again.
+    outage; the restored store held the earlier settings, and each read of it
+    counted as confirmation that they were current. Requests with the key ran
+    until the removal was written again.
     """
 
     @classmethod
@@ -45,11 +45,11 @@
             await asyncio.sleep(bound_s - asyncio.get_running_loop().time())
             for _ in range(10):
                 for vm in cluster.vms:
-                    got = await fixture.call("unsafe", vm)
-                    self.assertEqual(fixture.find_runs(got), [], vm)
+                    result = await fixture.call("unsafe", vm)
+                    self.assertEqual(fixture.find_runs(result), [], vm)
                 await asyncio.sleep(0.1)
-            got = await fixture.call("unsafe", "vm-0", key="another")
-            self.assertEqual(got.status, 200)
+            result = await fixture.call("unsafe", "vm-0", key="another")
+            self.assertEqual(result.status, 200)
 
         gateway_fixture.run_scenario(scenario, vms=9, halls=3)
 
@@ -87,12 +87,12 @@
             await asyncio.sleep(1.5)
             for _ in range(10):
                 for vm in fixture.cluster.vms:
-                    got = await fixture.call("unsafe", vm)
-                    self.assertEqual(fixture.find_runs(got), [], vm)
+                    result = await fixture.call("unsafe", vm)
+                    self.assertEqual(fixture.find_runs(result), [], vm)
                 await asyncio.sleep(0.2)
             for vm in fixture.cluster.vms:
-                got = await fixture.call("unsafe", vm, key="another")
-                self.assertEqual(got.status, 200, vm)
+                result = await fixture.call("unsafe", vm, key="another")
+                self.assertEqual(result.status, 200, vm)
 
         gateway_fixture.run_scenario(scenario, vms=vms, halls=halls)
 
@@ -110,8 +110,8 @@
             for _ in range(20):
                 gateway.note_newer_settings("vm-9:83", 10**6)
                 await asyncio.sleep(0.3)
-                got = await fixture.call("unsafe")
-                self.assertEqual(got.status, 200)
+                result = await fixture.call("unsafe")
+                self.assertEqual(result.status, 200)
 
         gateway_fixture.run_scenario(scenario, vms=3, halls=1)
 
--- a/tests/test_malformed_entries.py
+++ b/tests/test_malformed_entries.py
@@ -1,7 +1,7 @@
 """Malformed or unrecognized entries under the store keys of targets.
 
 Guards against three faults: an unknown state counted as draining, which held
-for that name for good; a missing hall or slot count was read as empty and 0;
+for that name forever; a missing hall or slot count was read as empty and 0;
 and one malformed entry kept a whole reply of the store from confirming that
 settings are fresh, so that keys were refused on every VM while the entry
 changed.
@@ -184,8 +184,8 @@
                 name = rng.choice((*names, "nobody"))
                 entry = {"service": "engines", "state": f"s{number}"}
                 cluster.store.put(f"servers/{name}", entry)
-                got = await fixture.call("short", f"vm-{number % 3}")
-                statuses.append(got.status)
+                result = await fixture.call("short", f"vm-{number % 3}")
+                statuses.append(result.status)
                 await asyncio.sleep(0.1)
             self.assertEqual(set(statuses), {200})
 
--- a/tests/test_peer_gossip.py
+++ b/tests/test_peer_gossip.py
@@ -29,13 +29,13 @@
 )
 
 
-def _row(streams: int = 1, target: str = "e") -> dispatched.Dispatched:
+def _make_row(streams: int = 1, target: str = "e") -> dispatched.Dispatched:
     return dispatched.Dispatched(
         target, (100, 0, 0, 0, 0), 500, streams, (streams, 0, 0), 20.0
     )
 
 
-def _digest(
+def _make_digest(
     sender: str,
     number: int = 1,
     streams: int = 1,
@@ -43,7 +43,7 @@
     hall: str = "h",
 ) -> load_digest.LoadDigest:
     return load_digest.LoadDigest(
-        sender, hall, 20, incarnation, number, (_row(streams),)
+        sender, hall, 20, incarnation, number, (_make_row(streams),)
     )
 
 
@@ -54,8 +54,8 @@
         )
 
     def test_sums_over_peers(self) -> None:
-        self.loads.merge(_digest("1.1.1.2:1"), 0.0)
-        self.loads.merge(_digest("1.1.1.3:1", streams=2), 0.0)
+        self.loads.merge(_make_digest("1.1.1.2:1"), 0.0)
+        self.loads.merge(_make_digest("1.1.1.3:1", streams=2), 0.0)
         (row,) = self.loads.collect_sums()
         self.assertEqual(row.streams, 3)
         self.assertEqual(row.streams_by_pause, (3, 0, 0))
@@ -64,27 +64,29 @@
         self.assertEqual(row.prefill_ms, 40.0)
 
     def test_only_changed_sums_are_returned(self) -> None:
-        self.loads.merge(_digest("1.1.1.2:1"), 0.0)
+        self.loads.merge(_make_digest("1.1.1.2:1"), 0.0)
         self.loads.collect_sums()
-        self.loads.merge(_digest("1.1.1.2:1", number=2), 1.0)
+        self.loads.merge(_make_digest("1.1.1.2:1", number=2), 1.0)
         self.assertEqual(self.loads.collect_sums(), ())
         self.loads.mark_all_changed()
         self.assertEqual(len(self.loads.collect_sums()), 1)
 
     def test_older_digest_is_ignored(self) -> None:
-        self.loads.merge(_digest("1.1.1.2:1", number=5, streams=1), 0.0)
-        older = _digest("1.1.1.2:1", number=4, streams=9)
+        self.loads.merge(_make_digest("1.1.1.2:1", number=5, streams=1), 0.0)
+        older = _make_digest("1.1.1.2:1", number=4, streams=9)
         self.assertFalse(self.loads.merge(older, 1.0))
         self.assertEqual(self.loads.collect_sums()[0].streams, 1)
 
     def test_digest_of_a_restarted_peer_is_merged(self) -> None:
-        self.loads.merge(_digest("1.1.1.2:1", number=5), 0.0)
-        restarted = _digest("1.1.1.2:1", number=0, streams=7, incarnation="b")
+        self.loads.merge(_make_digest("1.1.1.2:1", number=5), 0.0)
+        restarted = _make_digest(
+            "1.1.1.2:1", number=0, streams=7, incarnation="b"
+        )
         self.assertTrue(self.loads.merge(restarted, 1.0))
         self.assertEqual(self.loads.collect_sums()[0].streams, 7)
 
     def test_load_of_a_silent_peer_expires(self) -> None:
-        self.loads.merge(_digest("1.1.1.2:1"), 0.0)
+        self.loads.merge(_make_digest("1.1.1.2:1"), 0.0)
         self.loads.collect_sums()
         self.loads.forget_silent(peer_loads.DIGEST_TTL_MS + 1.0)
         (row,) = self.loads.collect_sums()
@@ -93,12 +95,12 @@
         self.assertEqual(len(self.loads), 0)
 
     def test_own_digest_is_ignored(self) -> None:
-        self.assertFalse(self.loads.merge(_digest("1.1.1.1:1"), 0.0))
+        self.assertFalse(self.loads.merge(_make_digest("1.1.1.1:1"), 0.0))
         self.assertEqual(len(self.loads), 0)
 
     def test_silent_relay_is_replaced_until_it_responds(self) -> None:
         for number in range(2, 20):
-            self.loads.merge(_digest(f"1.1.1.{number}:1"), 0.0)
+            self.loads.merge(_make_digest(f"1.1.1.{number}:1"), 0.0)
         first = self.loads.find_relay(0.0)
         self.assertNotEqual(first, "1.1.1.1:1")
         self.loads.note_sent_to(first, 0.0)
@@ -309,7 +311,7 @@
             1_000,
             "0123456789ab",
             100_000,
-            (_row(), _row(2, "i-7f3a91c2")),
+            (_make_row(), _make_row(2, "i-7f3a91c2")),
         )
         bundle = load_bundle.LoadBundle(
             "10.100.200.30:7341",
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -22,7 +22,7 @@
 )
 
 
-def _headers(workload: str) -> dict[str, str]:
+def _make_headers(workload: str) -> dict[str, str]:
     return {
         "authorization": "Bearer demo-bezigrad",
         "ruddergate-workload": workload,
@@ -33,7 +33,7 @@
     document = {"prompt": prompt, "max_tokens": 8, **fields}
     body = json.dumps(document).encode()
     path = "/v1/completions"
-    return processes.request(port, "POST", path, _headers("repairs"), body)
+    return processes.request(port, "POST", path, _make_headers("repairs"), body)
 
 
 def _run_program(program: str, *arguments: str) -> tuple[int, str]:
@@ -74,7 +74,7 @@
             self.cluster.entries["vm-2"],
             "POST",
             "/services/plumbers/dispatch",
-            _headers("plumbers"),
+            _make_headers("plumbers"),
             b"flat 12",
         )
         expected = answers.make_service_answer("flat 12")
--- a/tests/test_rate_limit_schedules.py
+++ b/tests/test_rate_limit_schedules.py
@@ -24,16 +24,16 @@
     def test_gateways_observe_limits(self) -> None:
         for seed in _REGRESSIONS:
             with self.subTest(seed=seed):
-                played = rate_limit_schedules.run_schedule(seed)
-                self.assertEqual(played.broken, [])
-                self.assertGreater(played.counts["calls under a limit"], 10)
+                result = rate_limit_schedules.run_schedule(seed)
+                self.assertEqual(result.broken, [])
+                self.assertGreater(result.counts["calls under a limit"], 10)
 
     def test_fleets_observe_limits(self) -> None:
         for vms, count in _FLEETS:
             for seed in range(1, count + 1):
                 with self.subTest(vms=vms, seed=seed):
-                    played = rate_limit_fleet.run_schedule(vms, seed)
-                    self.assertEqual(played.broken, [])
+                    result = rate_limit_fleet.run_schedule(vms, seed)
+                    self.assertEqual(result.broken, [])
 
     def test_check_fails_if_each_vm_uses_the_whole_limit(self) -> None:
         broken = [
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -25,11 +25,11 @@
 
 
 async def _send_load(
-    fixture: gateway_fixture.Fixture, for_s: float
+    fixture: gateway_fixture.Fixture, duration_s: float
 ) -> list[gateway_caller.CallResult]:
     """Sends calls to all VMs at a steady rate."""
     loop = asyncio.get_running_loop()
-    until_s = loop.time() + for_s
+    until_s = loop.time() + duration_s
     rates = (("short", _PROMPTS_PER_S), ("open", _PLAIN_CALLS_PER_S))
 
     async def send(vm: str, route: str, pause_s: float) -> list:
@@ -44,7 +44,9 @@
         for vm in fixture.cluster.vms
         for route, rate in rates
     ]
-    return [got for each in await asyncio.gather(*streams) for got in each]
+    return [
+        result for each in await asyncio.gather(*streams) for result in each
+    ]
 
 
 class RateLimitTest(unittest.TestCase):
@@ -56,12 +58,12 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             for name in ("engine-3", "service-0"):
                 fixture.cluster.targets[name].replica.announce_limit("1")
-            got = await _send_load(fixture, 14.0)
+            results = await _send_load(fixture, 14.0)
             self.assertEqual(
-                rate_limit_check.find_excess(fixture.cluster, got), []
+                rate_limit_check.find_excess(fixture.cluster, results), []
             )
             # Other targets serve what exceeds the limits.
-            self.assertEqual({each.status for each in got}, {200})
+            self.assertEqual({each.status for each in results}, {200})
 
         gateway_fixture.run_scenario(scenario, **_FLEET)
 
@@ -73,17 +75,17 @@
             ]
             for replica in replicas:
                 replica.announce_limit("2")
-            got = await _send_load(fixture, 14.0)
+            results = await _send_load(fixture, 14.0)
             self.assertEqual(
-                rate_limit_check.find_excess(fixture.cluster, got), []
+                rate_limit_check.find_excess(fixture.cluster, results), []
             )
             served = [
                 each
-                for each in got
+                for each in results
                 if each.call.route == "open" and each.status == 200
             ]
             self.assertGreater(len(served), 0.9 * 3 * 2.0 * 14.0)
-            refused = [each for each in got if each.status != 200]
+            refused = [each for each in results if each.status != 200]
             self.assertEqual({each.status for each in refused}, {503})
             for each in refused:
                 self.assertEqual(fixture.find_runs(each), [])
@@ -94,7 +96,7 @@
 
         gateway_fixture.run_scenario(scenario, **_FLEET)
 
-    def test_target_with_limit_zero_gets_no_requests_until_it_ends(
+    def test_target_with_limit_zero_gets_no_requests_until_the_limit_ends(
         self,
     ) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
@@ -108,16 +110,16 @@
             self.assertEqual(len(replica.arrivals), before)
             ended_s = loop.time()
             replica.announce_limit("")
-            got = await load
+            results = await load
             self.assertEqual(
-                rate_limit_check.find_excess(fixture.cluster, got), []
+                rate_limit_check.find_excess(fixture.cluster, results), []
             )
             arrivals_s = [
                 each.at_s - ended_s
                 for each in replica.arrivals
                 if each.at_s > ended_s
             ]
-            # A probe learns of it within 4 s, and load is back 2 s later.
+            # A probe finds the limit ended within 4 s; load is back 2 s later.
             self.assertLess(arrivals_s[0], 4.6)
             vms = len(fixture.cluster.vms)
             first = [each for each in arrivals_s if each < arrivals_s[0] + 0.2]
@@ -147,8 +149,8 @@
                 )
                 for n in range(3)
             ]
-            got = await asyncio.gather(*calls)
-            self.assertEqual({each.status for each in got}, {200})
+            results = await asyncio.gather(*calls)
+            self.assertEqual({each.status for each in results}, {200})
             self.assertEqual([each.helped for each in limited], helped)
             self.assertEqual(
                 [len(each.order_times_s) for each in limited], orders
@@ -164,10 +166,10 @@
             for _ in range(_MAX_CALLS_UNTIL_KNOWN):
                 await fixture.call("short", "vm-0")
             await asyncio.sleep(_ENFORCED_AFTER_S)
-            got = await fixture.call(
+            result = await fixture.call(
                 "long", prompt_tokens=210_000, output_tokens=46
             )
-            self.assertEqual(got.status, 200)
+            self.assertEqual(result.status, 200)
 
         gateway_fixture.run_scenario(scenario, **_FLEET)
 
@@ -180,9 +182,9 @@
             node = fixture.cluster.vms["vm-3"]
             fixture.cluster.kill(node)
             fixture.cluster.start_vm(node)
-            got = await load
+            results = await load
             self.assertEqual(
-                rate_limit_check.find_excess(fixture.cluster, got), []
+                rate_limit_check.find_excess(fixture.cluster, results), []
             )
             limits = node.gateway.context.scheduler
             now_ms = node.gateway.context.env.now_ms()
@@ -213,8 +215,8 @@
                 for name in ("engine-3", "service-0"):
                     replica = fixture.cluster.targets[name].replica
                     replica.rate_limit = text
-                got = await _send_load(fixture, 2.0)
-                self.assertEqual({each.status for each in got}, {200})
+                results = await _send_load(fixture, 2.0)
+                self.assertEqual({each.status for each in results}, {200})
             arrived = len(fixture.cluster.targets["service-0"].replica.arrivals)
             self.assertGreater(arrived, 15)
 
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -1,4 +1,4 @@
-"""Halls that seem cut off are avoided for a time."""
+"""Halls that seem unreachable are avoided for a limited time."""
 
 import unittest
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -71,15 +71,15 @@
                 route = ("short", "safe", "unsafe")[number % 3]
                 calls.append(asyncio.ensure_future(fixture.call(route, vm)))
                 await asyncio.sleep(_CALL_INTERVAL_S)
-            got = await asyncio.gather(*calls)
+            results = await asyncio.gather(*calls)
             checking.cancel()
             lost = [
                 (each.call.request_id, each.call.vm, each.status)
-                for each in got
+                for each in results
                 if each.status != 200 or not each.is_complete
             ]
             self.assertEqual(lost, [])
-            self.assertGreater(len(got), 400)
+            self.assertGreater(len(results), 400)
 
         gateway_fixture.run_scenario(scenario, vms=4, engines=9)
 
@@ -187,11 +187,11 @@
 
 
 async def _count_sent(
-    fleet: peer_fleet.PeerFleet, for_s: float
+    fleet: peer_fleet.PeerFleet, duration_s: float
 ) -> dict[str, int]:
     """Returns how many datagrams each VM sends in a time."""
     before = {name: each.sent for name, each in fleet.members.items()}
-    await asyncio.sleep(for_s)
+    await asyncio.sleep(duration_s)
     return {
         name: each.sent - before[name] for name, each in fleet.members.items()
     }
--- a/tests/test_request_timeline.py
+++ b/tests/test_request_timeline.py
@@ -11,7 +11,7 @@
 from ruddergate.telemetry import request_timeline
 
 
-def _line(at: str, request_id: str, event: str, **inputs: object) -> str:
+def _make_line(at: str, request_id: str, event: str, **inputs: object) -> str:
     document = {
         "at": at,
         "level": "INFO",
@@ -26,12 +26,17 @@
 class RequestTimelineTest(unittest.TestCase):
     def test_lines_of_several_vms_in_order(self) -> None:
         one = [
-            _line("2026-01-01T00:00:03", "r1", "Request ended.", took_ms=9),
-            _line("2026-01-01T00:00:01", "r1", "Attempt begins.", target="t"),
-            _line("2026-01-01T00:00:02", "r11", "Attempt begins."),
+            _make_line(
+                "2026-01-01T00:00:03", "r1", "Request ended.", took_ms=9
+            ),
+            _make_line(
+                "2026-01-01T00:00:01", "r1", "Attempt begins.", target="t"
+            ),
+            _make_line("2026-01-01T00:00:02", "r11", "Attempt begins."),
         ]
         two = [
-            "  12.5 vm-2 " + _line("2026-01-01T00:00:02", "r1", "Refused."),
+            "  12.5 vm-2 "
+            + _make_line("2026-01-01T00:00:02", "r1", "Refused."),
             "no log line at all, though it names r1 {",
         ]
         lines = request_timeline.collect_lines(
@@ -46,7 +51,7 @@
     def test_command_prints_the_timeline(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "vm-1.log"
-            path.write_text(_line("1", "r1", "Request ended.") + "\n")
+            path.write_text(_make_line("1", "r1", "Request ended.") + "\n")
             command = [
                 sys.executable,
                 "-c",
@@ -71,8 +76,10 @@
         ended = "Request ended: "
         finished = ended + "finished (ran). "
         lines = [
-            _line(at + "1.000", "r1", "Attempt begins at t.", helpers=["u"]),
-            _line(
+            _make_line(
+                at + "1.000", "r1", "Attempt begins at t.", helpers=["u"]
+            ),
+            _make_line(
                 at + "2.000",
                 "r1",
                 finished,
@@ -80,7 +87,7 @@
                 longest_pause_ms=90,
                 **slos,
             ),
-            _line(
+            _make_line(
                 at + "2.100",
                 "r2",
                 finished,
@@ -88,7 +95,7 @@
                 longest_pause_ms=90,
                 **slos,
             ),
-            _line(
+            _make_line(
                 at + "6.000",
                 "r3",
                 finished,
@@ -96,8 +103,10 @@
                 longest_pause_ms=250,
                 **slos,
             ),
-            _line(at + "6.200", "r4", ended + "target_lost (unknown).", **slos),
-            _line(at + "6.300", "r5", "Request refused: no_target. None."),
+            _make_line(
+                at + "6.200", "r4", ended + "target_lost (unknown).", **slos
+            ),
+            _make_line(at + "6.300", "r5", "Request refused: no_target. None."),
             "no log line: Request ended",
         ]
         outcomes = outcome_summary.read_outcomes([lines])
--- a/tests/test_restore_schedules.py
+++ b/tests/test_restore_schedules.py
@@ -15,9 +15,9 @@
     def test_guarantees_hold(self) -> None:
         for seed in (*_REGRESSIONS, *range(_FIRST, _FIRST + _COUNT)):
             with self.subTest(seed=seed):
-                played = restore_schedules.run_schedule(seed)
-                self.assertEqual(played.broken, [])
-                self.assertGreater(played.statuses.get(200, 0), 40)
+                result = restore_schedules.run_schedule(seed)
+                self.assertEqual(result.broken, [])
+                self.assertGreater(result.statuses.get(200, 0), 40)
 
 
 if __name__ == "__main__":
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -136,9 +136,9 @@
                 # Whichever engine gets the first attempt refuses it.
                 fixture.inject_faults("engine", refuse=1.0)
                 budget.tokens = 0.0
-                got = await fixture.call("long", prompt_tokens=100_000)
-                self.assertEqual(got.status, 200)
-                self.assertEqual(len(fixture.find_runs(got)), 1)
+                result = await fixture.call("long", prompt_tokens=100_000)
+                self.assertEqual(result.status, 200)
+                self.assertEqual(len(fixture.find_runs(result)), 1)
 
         loguru.logger.remove()
         gateway_fixture.run_scenario(scenario, vms=6, halls=1, engines=8)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -67,7 +67,9 @@
     )
 
 
-def _report(generation: str, draining: bool) -> scheduler_messages.LoadReported:
+def _make_report(
+    generation: str, draining: bool
+) -> scheduler_messages.LoadReported:
     report = load_report.LoadReport(
         "engine-1", generation, 0, 0, 0, draining, 0.0
     )
@@ -113,20 +115,20 @@
             scheduler = schedulers.Scheduler(env, config, view)
             running = asyncio.ensure_future(scheduler.run())
             scheduler.post(schedulers.ViewChanged())
-            scheduler.post(_report("a", draining=True))
+            scheduler.post(_make_report("a", draining=True))
             request = _make_request(view)
             scheduler.post(request)
             await asyncio.sleep(0.2)
             if is_cancelled:
                 request.reply.cancel()
-            scheduler.post(_report("b", draining=False))
+            scheduler.post(_make_report("b", draining=False))
             await asyncio.sleep(0.2)
             running.cancel()
             return scheduler.list_own_loads()
 
         return virtual_process.run(run)
 
-    def test_request_is_placed_when_its_target_is_back(self) -> None:
+    def test_request_is_placed_when_its_target_is_ready_again(self) -> None:
         self.assertEqual(self.place_one(is_cancelled=False)[0].streams, 1)
 
     def test_placement_of_a_cancelled_request_is_released(self) -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,7 +13,7 @@
 _EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
 
 
-def _branches() -> dict:
+def _make_branches() -> dict:
     return {
         "root": {"kind": "root", "settings": {"class": "c", "pool": "p"}},
         "c": {"kind": "class", "parent": "root", "settings": {"rank": 1}},
@@ -83,7 +83,7 @@
         }
         for name, (branch, key, value, expected) in cases.items():
             with self.subTest(name):
-                branches = _branches()
+                branches = _make_branches()
                 if key is None:
                     branches[branch] = value
                 else:
@@ -91,12 +91,12 @@
                 self.assertIn(expected, " ".join(_check(branches)))
 
     def test_cycle(self) -> None:
-        branches = _branches()
+        branches = _make_branches()
         branches["w"]["parent"] = "w/a"
         self.assertIn("a cycle", " ".join(_check(branches)))
 
     def test_two_roots(self) -> None:
-        branches = _branches()
+        branches = _make_branches()
         branches["other"] = {"kind": "root"}
         self.assertIn("one branch of kind root", " ".join(_check(branches)))
 
@@ -110,14 +110,14 @@
             self.assertNotIsInstance(checked, tree.Tree)
 
     def test_branch_in_two_shards(self) -> None:
-        data = json.dumps({"branches": _branches()}).encode()
+        data = json.dumps({"branches": _make_branches()}).encode()
         checked = check.parse_tree(1, {"a": data, "b": data})
         self.assertIn("one shard", str(checked[0]))
 
 
 class EffectiveTest(unittest.TestCase):
     def test_branch_overrides_only_what_differs(self) -> None:
-        branches = _branches()
+        branches = _make_branches()
         branches["w"]["settings"] = {"weight": 3, "time_limit_ms": 500}
         branches["w/a"]["settings"] = {"time_limit_ms": 700}
         data = json.dumps({"branches": branches}).encode()
@@ -132,14 +132,18 @@
     def test_workspace_cannot_reach_anothers_workload(self) -> None:
         path = _EXAMPLES / "voltaruta.json"
         settings_tree = check.parse_tree(1, {"main": path.read_bytes()})
-        found = index.Index(settings_tree)
-        self.assertEqual(found.find_workspace("demo-heredia"), "heredia")
-        self.assertIsNone(found.find_workspace("demo-heredi"))
-        self.assertIsNotNone(found.find_workload("heredia", "taps"))
-        self.assertIsNone(found.find_workload("heredia", "cartago/taps"))
+        settings_index = index.Index(settings_tree)
+        self.assertEqual(
+            settings_index.find_workspace("demo-heredia"), "heredia"
+        )
+        self.assertIsNone(settings_index.find_workspace("demo-heredi"))
+        self.assertIsNotNone(settings_index.find_workload("heredia", "taps"))
+        self.assertIsNone(
+            settings_index.find_workload("heredia", "cartago/taps")
+        )
 
     def test_limits_of_workspace_and_workload_both_count(self) -> None:
-        branches = _branches()
+        branches = _make_branches()
         branches["w"]["settings"] = {"concurrency_max": 10}
         branches["w/a"]["settings"] = {"concurrency_max": 2}
         data = json.dumps({"branches": branches}).encode()
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -77,19 +77,19 @@
 class MeterTest(unittest.TestCase):
     def test_rate_stays_below_the_share(self) -> None:
         limit = effective.Limit("w", 10.0, float("inf"))
-        found = meter.Meter(0.0)
+        limit_meter = meter.Meter(0.0)
         started = 0
         for step in range(1_000):
-            if found.start(limit, 0.5, step * 10.0) is None:
+            if limit_meter.start(limit, 0.5, step * 10.0) is None:
                 started += 1
         self.assertLessEqual(started, 50 + 25)
         self.assertGreaterEqual(started, 49)
 
     def test_concurrency(self) -> None:
         limit = effective.Limit("w", float("inf"), 4)
-        found = meter.Meter(0.0)
-        started = [found.start(limit, 0.5, 0.0) for _ in range(3)]
+        limit_meter = meter.Meter(0.0)
+        started = [limit_meter.start(limit, 0.5, 0.0) for _ in range(3)]
         self.assertEqual(started[:2], [None, None])
         self.assertIsNotNone(started[2])
-        found.end()
-        self.assertIsNone(found.start(limit, 0.5, 0.0))
+        limit_meter.end()
+        self.assertIsNone(limit_meter.start(limit, 0.5, 0.0))
--- a/tests/test_simultaneous_prompts.py
+++ b/tests/test_simultaneous_prompts.py
@@ -1,4 +1,4 @@
-"""Long prompts that many VMs place before they learn of each other's."""
+"""Long prompts that VMs place before peers' placements reach them."""
 
 import asyncio
 import collections
@@ -26,14 +26,14 @@
         async def send_prompt(
             fixture: gateway_fixture.Fixture, number: int
         ) -> None:
-            got = await fixture.call(
+            result = await fixture.call(
                 "long",
                 f"vm-{number}",
                 prompt_tokens=45_000,
                 time_limit_ms=10_000.0,
             )
-            self.assertEqual(got.status, 200)
-            first_ms.append(got.first_ms)
+            self.assertEqual(result.status, 200)
+            first_ms.append(result.first_ms)
 
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             async with asyncio.TaskGroup() as group:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -35,6 +35,6 @@
             with self.subTest(seed=seed):
                 self._check(soak.play(seed, soak.Sizes(6, fleet=True)))
 
-    def _check(self, played: soak.Played) -> None:
-        self.assertEqual(played.broken, [])
-        self.assertGreater(played.statuses.get(200, 0), 10)
+    def _check(self, result: soak.Played) -> None:
+        self.assertEqual(result.broken, [])
+        self.assertGreater(result.statuses.get(200, 0), 10)
--- a/tests/test_startup_deadline.py
+++ b/tests/test_startup_deadline.py
@@ -37,8 +37,8 @@
             )
             await asyncio.sleep(_OUTAGE_S)
             cluster.store.failure = ""
-            got = await call
-            self.assertEqual(got.status, 504)
-            self.assertLessEqual(got.took_ms, _TIME_LIMIT_MS + _SLACK_MS)
+            result = await call
+            self.assertEqual(result.status, 504)
+            self.assertLessEqual(result.took_ms, _TIME_LIMIT_MS + _SLACK_MS)
 
         gateway_fixture.run_scenario(scenario)
--- a/tests/test_store_restore.py
+++ b/tests/test_store_restore.py
@@ -1,10 +1,11 @@
 """A store that was restored from an older copy.
 
-A restored store gives out revisions again. If followers compare revisions
-alone, one that knows revision 1,000 and asks a reader at 960 is told that there
-are no changes and that this is current, until the store has passed 1,000 again.
-Followers then learned of no drain for 5 to 7 s after an outage, and requests
-reached a target more than 2 s after the store had acknowledged its drain.
+A restored store assigns the same revisions again. If followers compare
+revisions alone, one at revision 1,000 that asks a reader at 960 gets the reply
+that there are no changes and that its state is current, until the store has
+passed 1,000 again. Followers then learned of no drain for 5 to 7 s after an
+outage, and requests reached a target more than 2 s after the store had
+acknowledged its drain.
 """
 
 import asyncio
@@ -86,11 +87,11 @@
     def test_drain_is_known_when_the_old_revision_is_passed_again(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             store = fixture.cluster.store
-            known = store.revision
+            known_revision = store.revision
             await self._restore(fixture)
             node = fixture.cluster.targets["service-0"]
             fixture.cluster.drain_target(node)
-            while store.revision <= known + 200:
+            while store.revision <= known_revision + 200:
                 store.put("other/key", {})
             # Otherwise its heartbeats would publish the drain again.
             fixture.cluster.kill(node)
@@ -108,9 +109,9 @@
             fixture.cluster.publish()
             await asyncio.sleep(_APPLY_S)
             for vm in fixture.cluster.vms:
-                got = await fixture.call("unsafe", vm)
+                result = await fixture.call("unsafe", vm)
                 self.assertEqual(
-                    (got.status, fixture.find_runs(got)), (401, []), vm
+                    (result.status, fixture.find_runs(result)), (401, []), vm
                 )
 
         gateway_fixture.run_scenario(scenario, vms=9, halls=3)
@@ -136,8 +137,8 @@
             await asyncio.sleep(_LOST_WRITES_S)
             cluster.store.restore(copy)
             for _ in range(40):
-                got = await fixture.call("open", "vm-3")
-                self.assertEqual(got.status, 200)
+                result = await fixture.call("open", "vm-3")
+                self.assertEqual(result.status, 200)
                 await asyncio.sleep(0.1)
 
         gateway_fixture.run_scenario(scenario, vms=9, halls=1)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -82,9 +82,9 @@
         return found[0]
 
     def test_key_removed_during_a_suspension_is_refused(self) -> None:
-        got = self._call_after_sleep(counts_frozen_time=True)
-        self.assertIn(got.status, (401, 503))
+        result = self._call_after_sleep(counts_frozen_time=True)
+        self.assertIn(result.status, (401, 503))
 
     def test_clock_that_stops_in_suspension_would_accept_it(self) -> None:
-        got = self._call_after_sleep(counts_frozen_time=False)
-        self.assertEqual(got.status, 200)
+        result = self._call_after_sleep(counts_frozen_time=False)
+        self.assertEqual(result.status, 200)
--- a/tests/test_virtual_network.py
+++ b/tests/test_virtual_network.py
@@ -13,7 +13,7 @@
 class DatagramTest(unittest.TestCase):
     def test_late_close_does_not_close_the_port_of_a_successor(self) -> None:
         # A killed process cleans up only when its tasks are collected.
-        got: list[bytes] = []
+        received: list[bytes] = []
 
         async def run() -> None:
             network = virtual_network.VirtualNetwork(
@@ -23,13 +23,13 @@
             for number in (1, 2):
                 process = virtual_process.VirtualProcess("vm-0", "h")
                 env = network.make_environment(process, number)
-                ports.append(await env.bind(got.append, _ADDRESS))
+                ports.append(await env.bind(received.append, _ADDRESS))
             ports[0].close()
             ports[1].send(b"news", _ADDRESS)
             await asyncio.sleep(0.1)
 
         virtual_process.run(run)
-        self.assertEqual(got, [b"news"])
+        self.assertEqual(received, [b"news"])
 
 
 class InFlightTest(unittest.TestCase):
@@ -41,7 +41,7 @@
     """
 
     def test_what_was_sent_arrives_after_the_sender_has_ended(self) -> None:
-        got: list[bytes] = []
+        received: list[bytes] = []
 
         async def run() -> None:
             network = virtual_network.VirtualNetwork(
@@ -50,10 +50,12 @@
             sender = virtual_process.VirtualProcess("vm-1", "h")
             receiver = virtual_process.VirtualProcess("vm-0", "h")
             await network.make_environment(receiver, 1).bind(
-                got.append, _ADDRESS
+                received.append, _ADDRESS
             )
             env = network.make_environment(sender, 1)
-            port = await env.bind(got.append, environment.Address("vm-1", 1))
+            port = await env.bind(
+                received.append, environment.Address("vm-1", 1)
+            )
 
             async def send() -> None:
                 port.send(b"last words", _ADDRESS)
@@ -63,4 +65,4 @@
             await asyncio.sleep(0.1)
 
         virtual_process.run(run)
-        self.assertEqual(got, [b"last words"])
+        self.assertEqual(received, [b"last words"])
--- a/tests/test_virtual_process.py
+++ b/tests/test_virtual_process.py
@@ -27,7 +27,7 @@
             await asyncio.sleep(60.0)
             task.cancel()
 
-        async def play() -> None:
+        async def scenario() -> None:
             process = virtual_process.VirtualProcess("vm-0", "hall-0")
             is_due = asyncio.Event()
             process.start(lambda: serve(is_due))
@@ -42,4 +42,4 @@
             await asyncio.sleep(5.0)
             self.assertEqual(steps, ["renewed"])
 
-        virtual_process.run(play)
+        virtual_process.run(scenario)
--- a/tests/test_withdrawal_schedules.py
+++ b/tests/test_withdrawal_schedules.py
@@ -17,6 +17,6 @@
     def test_response_hints_are_observed(self) -> None:
         for seed in (*_REGRESSIONS, *range(_FIRST, _FIRST + _COUNT)):
             with self.subTest(seed=seed):
-                played = withdrawal_schedules.run_schedule(seed)
-                self.assertEqual(played.broken, [])
-                self.assertGreater(played.statuses.get(200, 0), 10)
+                result = withdrawal_schedules.run_schedule(seed)
+                self.assertEqual(result.broken, [])
+                self.assertGreater(result.statuses.get(200, 0), 10)
