--- a/tests/gateway_fixture.py
+++ b/tests/gateway_fixture.py
@@ -1,4 +1,4 @@
-"""A small cluster of gateways in virtual time, and a client of it."""
+"""A small cluster of gateways in virtual time, and a caller of it."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -10,14 +10,14 @@
 from standins import virtual_process
 
 _SHORT_PROMPT = {"prompt_tokens": 5_000, "output_tokens": 460}
-# Within this many requests, every target has answered one.
+# Within this many requests, every target has responded to one.
 _MAX_HINT_REQUESTS = 40
 # Enough requests to reach every target that accepts them.
 _SAMPLE_REQUESTS = 8
 
 
 class Fixture:
-    """A started cluster and a client outside of it."""
+    """A started cluster and a caller outside of it."""
 
     def __init__(self, cluster: gateway_cluster.GatewayCluster) -> None:
         self.cluster = cluster
@@ -88,7 +88,7 @@
 
         Args:
             prefix: Applies to targets whose name starts with this.
-            count: The first so many of them by name; all if None.
+            count: Number of these targets, in name order; all if None.
             **faults: Values of the fault switches, by name.
         """
         names = sorted(self.cluster.targets)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -34,7 +34,7 @@
 
 
 def _run_client(
-    talk: Callable[[environment.Environment], Awaitable[object]],
+    communicate: Callable[[environment.Environment], Awaitable[object]],
     handler: environment.StreamHandler,
 ) -> object:
     """Runs a client against a stream handler in virtual time."""
@@ -45,8 +45,8 @@
         env = network.make_environment(listener, 1)
         await listener.start(lambda: env.serve(handler, _ADDRESS))
         process = virtual_process.VirtualProcess("caller", "")
-        near = network.make_environment(process, 1)
-        return await process.start(lambda: talk(near))
+        caller_env = network.make_environment(process, 1)
+        return await process.start(lambda: communicate(caller_env))
 
     return virtual_process.run(run)
 
@@ -69,11 +69,11 @@
 
 class HttpTest(unittest.TestCase):
     def fetch(self, *pieces: bytes) -> bytes:
-        async def talk(env: environment.Environment) -> bytes:
+        async def communicate(env: environment.Environment) -> bytes:
             return await _exchange(env, *pieces)
 
         handler = server.make_stream_handler(_echo_path, _LIMITS)
-        return _run_client(talk, handler)
+        return _run_client(communicate, handler)
 
     def test_invalid_requests_get_a_4xx(self) -> None:
         post = b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 9000\r\n\r\n"
@@ -95,16 +95,16 @@
         )
 
     def test_connections_over_the_limit_do_not_affect_others(self) -> None:
-        async def talk(env: environment.Environment) -> list[bytes]:
-            held = [await env.connect(_ADDRESS) for _ in range(2)]
+        async def communicate(env: environment.Environment) -> list[bytes]:
+            connections = [await env.connect(_ADDRESS) for _ in range(2)]
             await asyncio.sleep(0.1)
             refused = await _exchange(env, b"")
-            held[0][1].write(_VALID_REQUEST)
-            served = await held[0][0].read(1_000)
+            connections[0][1].write(_VALID_REQUEST)
+            served = await connections[0][0].read(1_000)
             return [refused, served]
 
         handler = server.make_stream_handler(_echo_path, _LIMITS)
-        refused, served = _run_client(talk, handler)
+        refused, served = _run_client(communicate, handler)
         self.assertIn(b"503", refused[:20])
         self.assertIn(b"200", served[:20])
 
@@ -119,14 +119,14 @@
                 raise
             return message.make_json_response(200, {})
 
-        async def talk(env: environment.Environment) -> None:
+        async def communicate(env: environment.Environment) -> None:
             _, writer = await env.connect(_ADDRESS)
             writer.write(_VALID_REQUEST)
             await asyncio.sleep(0.1)
             writer.close()
             await asyncio.sleep(0.1)
 
-        _run_client(talk, server.make_stream_handler(slow, _LIMITS))
+        _run_client(communicate, server.make_stream_handler(slow, _LIMITS))
         self.assertEqual(ended, ["/"])
 
 
@@ -144,19 +144,19 @@
         )
 
     def test_invalid_requests_name_what_was_expected(self) -> None:
-        good = {"prompt": "p"}
+        valid = {"prompt": "p"}
         cases = [
             (b"{", {}, "JSON"),
             ([], {}, "object"),
             ({}, {}, "prompt"),
             ({"prompt": 3}, {}, "prompt"),
-            ({**good, "max_tokens": 0}, {}, "max_tokens"),
-            ({**good, "stream": "yes"}, {}, "stream"),
-            (good, {"authorization": "k"}, "Bearer"),
-            (good, {"ruddergate_time_limit_ms": "-1"}, "whole number"),
-            (good, {"ruddergate_repeatable": "maybe"}, "yes or no"),
-            (good, {"idempotency_key": "k" * 300}, "at most 200"),
-            (good, {"ruddergate_prefix": "p"}, "NAME;tokens=N"),
+            ({**valid, "max_tokens": 0}, {}, "max_tokens"),
+            ({**valid, "stream": "yes"}, {}, "stream"),
+            (valid, {"authorization": "k"}, "Bearer"),
+            (valid, {"ruddergate_time_limit_ms": "-1"}, "whole number"),
+            (valid, {"ruddergate_repeatable": "maybe"}, "yes or no"),
+            (valid, {"idempotency_key": "k" * 300}, "at most 200"),
+            (valid, {"ruddergate_prefix": "p"}, "NAME;tokens=N"),
         ]
         for body, headers, expected in cases:
             with self.subTest(expected):
@@ -189,7 +189,7 @@
                 if isinstance(received[-1], frames.Closed):
                     return
 
-        async def talk(env: environment.Environment) -> None:
+        async def communicate(env: environment.Environment) -> None:
             reader, writer = await env.connect(_ADDRESS)
             stream = frames.FrameStream(reader, writer, key)
             await stream.greet()
@@ -200,7 +200,7 @@
             writer.close()
             await asyncio.sleep(1.0)
 
-        _run_client(talk, serve)
+        _run_client(communicate, serve)
         return received
 
     def test_message_of_a_peer_with_the_key_is_received(self) -> None:
--- a/tests/test_by_region.py
+++ b/tests/test_by_region.py
@@ -173,9 +173,11 @@
                     each.target.target_id, (), 0, 3, (3, 0, 0), 0.0
                 )
                 each.apply_peer_work(row, 0.0)
-            front = 60 - len(boundary.find_long_region(engines, 0.0))
+            short_region_size = 60 - len(
+                boundary.find_long_region(engines, 0.0)
+            )
             self.assertLessEqual(
-                120 / front, boundary.SHORT_REGION_FILL * slots
+                120 / short_region_size, boundary.SHORT_REGION_FILL * slots
             )
 
     def test_streams_of_long_prompts_do_not_move_the_boundary(self) -> None:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -103,8 +103,8 @@
             _apply_fault(injector, "cut", "hall-2")
             cluster.configuration.publish(_make_tree(2.0))
             await asyncio.sleep(60.0)
-            in_hall = cluster.vms["vm-2"].agent.state
-            self.assertEqual(in_hall.in_force.manifest.revision, 1)
+            partitioned_state = cluster.vms["vm-2"].agent.state
+            self.assertEqual(partitioned_state.in_force.manifest.revision, 1)
             _apply_fault(injector, "heal", "hall-2")
             await asyncio.sleep(_MAX_DELAY_S)
             self.assertEqual(_collect_revisions(cluster), {2})
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -22,7 +22,7 @@
 
 
 class CrashingRequestTest(unittest.TestCase):
-    """A request that crashes engines must not reach ever more engines.
+    """A request that crashes engines must reach a bounded number of them.
 
     Callers repeated two such requests through any VM, each time with a new
     request id. Each attempt went to two engines, and they crashed 20 and 22
@@ -107,7 +107,7 @@
             self.assertEqual(
                 gateway_guarantees.find_broken(fixture.cluster, results), []
             )
-            # None of them is taken for the cause of a crash either.
+            # None of them is counted as the cause of a crash either.
             for number in range(24):
                 repeated = await fixture.call(
                     "short", body=b"beside %d" % number
--- a/tests/test_drain_delay.py
+++ b/tests/test_drain_delay.py
@@ -2,8 +2,8 @@
 
 The bound is the sum of the poll intervals of a store reader and of a follower,
 of timeouts of requests to an unreachable reader, and of a call to the store. It
-has to hold for the worst phase of the polls, so each fault is run with several
-start times.
+must hold for any phase of the polls, so each fault is run with several start
+times.
 """
 
 import asyncio
--- a/tests/test_drain_hints.py
+++ b/tests/test_drain_hints.py
@@ -73,16 +73,16 @@
     results: list[gateway_caller.CallResult], vm: str, arrived: set[str]
 ) -> list[str]:
     """Returns requests that a VM sent there too long after a hint."""
-    own = [each for each in results if each.call.vm == vm]
+    vm_results = [each for each in results if each.call.vm == vm]
     hinted_s = [
         each.sent_s + (each.first_ms or each.took_ms) / 1000.0
-        for each in own
+        for each in vm_results
         if "server-leaving" in each.headers
     ]
     bound_s = min(hinted_s, default=float("inf")) + _MAX_DRAIN_DELAY_S
     return [
         each.call.request_id
-        for each in own
+        for each in vm_results
         if each.sent_s > bound_s and each.call.request_id in arrived
     ]
 
@@ -165,13 +165,13 @@
             first.draining_hint = other.draining_hint = "1"
             result = await fixture.call("short")
             self.assertFalse(result.is_complete)
-            arrivals = len(first.arrivals) + len(other.arrivals)
-            self.assertLessEqual(arrivals, 2)
+            arrivals_before = len(first.arrivals) + len(other.arrivals)
+            self.assertLessEqual(arrivals_before, 2)
             for _ in range(4):
                 retried = await fixture.call("short")
                 self.assertEqual(retried.status, 503)
-            arrived = len(first.arrivals) + len(other.arrivals)
-            self.assertEqual(arrived, arrivals)
+            arrivals_after = len(first.arrivals) + len(other.arrivals)
+            self.assertEqual(arrivals_after, arrivals_before)
 
         gateway_fixture.run_scenario(
             scenario, engines=2, halls=1, is_strict=False
--- a/tests/test_engine_stream.py
+++ b/tests/test_engine_stream.py
@@ -54,7 +54,7 @@
 
 
 class StreamTest(unittest.TestCase):
-    def test_whole_answer(self) -> None:
+    def test_whole_response(self) -> None:
         events = _read_events(
             _encode_event(first=0, tokens=["a", "b"]),
             b": alive\n\n",
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -218,7 +218,7 @@
                     (await fixture.call("unsafe", name)).status, 200
                 )
                 self.assertEqual(await fixture.caller.check_ready(name), 200)
-            # These VMs also refuse a key that is removed meanwhile.
+            # These VMs also refuse a key that is removed during the cut.
             fixture.cluster.keys = {"w1": ["another"]}
             fixture.cluster.publish()
             await asyncio.sleep(gateway_cluster.REVOKE_MS / 1000.0)
--- a/tests/test_gap_class.py
+++ b/tests/test_gap_class.py
@@ -1,4 +1,4 @@
-"""Prefill budgets beside running streams follow from the routes' objectives."""
+"""Prefill budgets next to running streams follow the routes' objectives."""
 
 import unittest
 
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -156,19 +156,21 @@
         await asyncio.sleep(0.3)
         cluster = fixture.cluster
         gateway = cluster.vms["vm-0"].gateway
-        placements = [
+        placed_targets = [
             each.target
             for each in gateway.context.scheduler.list_estimates()
             if each.own_streams()
         ]
         writer = _find_writer(fixture)
-        helper = next(each for each in placements if each.target_id != writer)
+        helper = next(
+            each for each in placed_targets if each.target_id != writer
+        )
         if is_writer_lost:
             # It ends silently, and its address refuses connections.
             node = cluster.targets[writer.partition(".")[0]]
             node.process.kill()
             address = next(
-                e for e in placements if e.target_id == writer
+                e for e in placed_targets if e.target_id == writer
             ).address
             cluster.network._unlisten(node.process, address)
         cluster.crash_target(
@@ -252,7 +254,7 @@
     def test_silence_of_the_last_allowed_target_is_tolerated(self) -> None:
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             # No attempt is left after the second target: abandoning it would
-            # only break a stream that goes on after a long batch iteration.
+            # only break a stream that continues after a long batch iteration.
             fixture.inject_faults("engine", silent_s=2.5)
             result = await fixture.call("short", output_tokens=2_000)
             self.assertEqual((result.status, result.is_complete), (200, True))
@@ -324,12 +326,12 @@
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             await fixture.call("short", disconnects_after_ms=150.0)
             await asyncio.sleep(0.5)
-            writing = [
+            stream_counts = [
                 len(node.replica.engine.streams)
                 for node in fixture.cluster.targets.values()
                 if node.replica.engine
             ]
-            self.assertEqual(sum(writing), 0)
+            self.assertEqual(sum(stream_counts), 0)
 
         gateway_fixture.run_scenario(scenario)
 
--- a/tests/test_hanging_engine.py
+++ b/tests/test_hanging_engine.py
@@ -60,8 +60,8 @@
 
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             # The engine that short prompts of the hall prefer.
-            hung = _find_first_choice(fixture)
-            hung.replica.faults.hang = 0.45
+            hanging = _find_first_choice(fixture)
+            hanging.replica.faults.hang = 0.45
             async with asyncio.TaskGroup() as group:
                 for number in range(400):
                     group.create_task(send_request(fixture, number))
--- a/tests/test_idempotency_keys.py
+++ b/tests/test_idempotency_keys.py
@@ -57,7 +57,7 @@
 
 
 class LedgerTest(unittest.TestCase):
-    def test_dropped_recording_is_still_refused(self) -> None:
+    def test_key_of_a_dropped_recording_stays_in_use(self) -> None:
         runs_by_key: ledger.Ledger[str] = ledger.Ledger()
         runs_by_key.open("k", "run", 0.0)
         runs_by_key.keep_recording("k", ledger.MAX_RECORDING_BYTES + 1)
--- a/tests/test_lost_settings.py
+++ b/tests/test_lost_settings.py
@@ -9,9 +9,9 @@
 from standins import gateway_cluster
 from tests import gateway_fixture
 
-# The restore loses what was written in this period.
-_LOST_DURATION_S = 6.0
-# Bound for settings to be applied and for draining targets to be avoided.
+# Writes of this time are lost when the store is restored.
+_LOST_WRITES_S = 6.0
+# Bound for draining targets to get no more requests and settings to be applied.
 _APPLY_S = 2.0
 
 
@@ -74,7 +74,7 @@
         copy = cluster.store.take_snapshot()
         cluster.keys = {"w1": ["another"]}
         cluster.publish()
-        await asyncio.sleep(_LOST_DURATION_S)
+        await asyncio.sleep(_LOST_WRITES_S)
         cluster.store.restore(copy)
         for name in names:
             cluster.kill(cluster.vms[name])
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -232,19 +232,25 @@
         read = configuration.make_reader()
         first = read(self._make_document(1, 100))
         second = read(self._make_document(2, 200))
-        plain = configuration.read_catalog(self._make_document(2, 200))
+        uncached = configuration.read_catalog(self._make_document(2, 200))
         for path in ("/0/", "/1/", "/2/"):
             found = second.find_route("", path)
-            self.assertEqual(found, plain.find_route("", path))
+            self.assertEqual(found, uncached.find_route("", path))
             is_same = found is first.find_route("", path)
             self.assertIs(is_same, path != "/0/")
 
     def test_route_that_was_removed_and_added_again_is_parsed(self) -> None:
         read = configuration.make_reader()
-        whole = self._make_document(1, 100)
-        read(whole)
-        read({**whole, "config-version": 2, "routes": whole["routes"][1:]})
-        restored = read({**whole, "config-version": 3})
+        full_document = self._make_document(1, 100)
+        read(full_document)
+        read(
+            {
+                **full_document,
+                "config-version": 2,
+                "routes": full_document["routes"][1:],
+            }
+        )
+        restored = read({**full_document, "config-version": 3})
         self.assertIsNotNone(restored.find_route("", "/0/"))
 
     def test_only_the_newest_of_several_revisions_is_parsed(self) -> None:
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -95,7 +95,7 @@
         self.table.note_crash("a", _make_incarnation(2), 1.0, _NOW_MS + 2.0)
         self.assertEqual(self.table.count_crashes("a", _NOW_MS + 2.0), 1)
 
-    def test_poison_request_explains_what_was_lost_beside_it(self) -> None:
+    def test_poison_request_explains_losses_of_other_requests(self) -> None:
         # Requests that lose their engine to the poison request may be retried
         # on the same engine as that request, and lose that one as well.
         for number in range(2):
--- a/tests/test_prefill_plan.py
+++ b/tests/test_prefill_plan.py
@@ -34,7 +34,7 @@
 
 
 class PrefillPlanTest(unittest.TestCase):
-    def test_idle_engines_share_until_certainly_in_time(self) -> None:
+    def test_idle_engines_share_until_the_prompt_is_in_time(self) -> None:
         plan = _make_plan([_make_engine(f"e{n}") for n in range(12)])
         self.assertGreater(len(plan.engines), 3)
         self.assertLess(plan.ttft_ms, 1_000.0)
@@ -137,5 +137,5 @@
             return (loop.time() - began_s) * 1000.0
 
         took_ms = virtual_process.run(run)
-        # Each iteration has a fixed cost beside that of its tokens and pairs.
+        # Each iteration has a fixed cost in addition to its tokens and pairs.
         self.assertAlmostEqual(took_ms, _LONG_PROMPT_MS + 95.0, delta=20.0)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -238,8 +238,8 @@
             ("--revoke-ms", "soon"),
         ):
             with self.subTest(f"{name} {value}"):
-                given = {**valid, name: value}
-                pairs = [part for pair in given.items() for part in pair]
+                options = {**valid, name: value}
+                pairs = [part for pair in options.items() for part in pair]
                 status, text = _run_program("ruddergate-gateway", *pairs)
                 self.assertEqual(status, 2, text)
                 self.assertEqual(len(text.splitlines()), 1, text)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -19,7 +19,7 @@
 # Interval of the balancer's health checks, and failed checks in a row after
 # which it takes a VM out.
 _CHECK_S = 1.0
-_MISSES = 2
+_MAX_MISSED_CHECKS = 2
 # A restarted VM reads the list in pages, and then the changes since.
 _MAX_STORE_CALLS = 8
 # Partitioned VMs find each other again through their seeds within this time.
@@ -47,7 +47,7 @@
         while True:
             status = await self._fixture.caller.check_ready(vm)
             missed = 0 if status == 200 else missed + 1
-            if missed >= _MISSES and vm in self.ready:
+            if missed >= _MAX_MISSED_CHECKS and vm in self.ready:
                 self.ready.remove(vm)
             if not missed and vm not in self.ready:
                 self.ready.append(vm)
--- a/tests/test_restored_targets.py
+++ b/tests/test_restored_targets.py
@@ -16,7 +16,7 @@
 
 # Writes of this time are lost when the store is restored.
 _LOST_WRITES_S = 6.0
-# After this time a draining target gets no requests and settings are in force.
+# Bound for draining targets to get no more requests and settings to be applied.
 _APPLY_S = 2.0
 # VMs that have reached the store for this time must observe what it lists.
 _CONTACT_S = 3.0
@@ -127,7 +127,7 @@
     def test_entry_of_the_same_epoch_is_new(self) -> None:
         self.assertTrue(self.tombstones.accept_entry(self._make(5, 7), True))
 
-    def test_entry_of_the_copy_is_stale_whatever_its_sequence(self) -> None:
+    def test_entry_of_the_copy_is_stale_at_any_sequence_number(self) -> None:
         self.tombstones.note_store_restored()
         self.assertFalse(self.tombstones.accept_entry(self._make(5, 9), True))
         self.assertFalse(self.tombstones.accept_entry(self._make(5, 9), True))
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -51,9 +51,9 @@
                 now_ms,
             )
             if rng.random() < 0.7:
-                asked_ms = now_ms - delay_ms
+                requested_ms = now_ms - delay_ms
                 loan_books[borrower].borrow(
-                    "w", lent, asked_ms, shares.LOAN_VALID_MS
+                    "w", lent, requested_ms, shares.LOAN_VALID_MS
                 )
             total = sum(
                 book.find_fraction("w", base, now_ms) for book in loan_books
--- a/tests/test_store_restore.py
+++ b/tests/test_store_restore.py
@@ -25,7 +25,7 @@
 
 # Writes of this time are lost when the store is restored.
 _LOST_WRITES_S = 6.0
-# After this time a draining target gets no requests and settings are in force.
+# Bound for draining targets to get no more requests and settings to be applied.
 _APPLY_S = 2.0
 
 
@@ -231,7 +231,7 @@
 
 
 def _make_faulty(node: gateway_cluster.Node) -> None:
-    """Has a VM report an epoch to its peers that the store never had."""
+    """Makes a VM report an epoch to its peers that the store never had."""
     sync = node.gateway._sync
     answer_changes_request, find_targets = (
         sync.answer_changes_request,
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,8 +1,8 @@
 """A VM that is suspended for some seconds and then wakes.
 
-CLOCK_MONOTONIC stops during a suspension. A VM that uses it takes its settings
-for as fresh as before (0.4 s old after 6 s of sleep, where keys are refused
-after 3.8 s) and accepts a key that was removed meanwhile.
+CLOCK_MONOTONIC stops during a suspension. A VM that uses it computes too low an
+age of its settings (0.4 s after 6 s of sleep, where keys are refused after
+3.8 s) and accepts a key that was removed during the sleep.
 """
 
 import asyncio
@@ -60,8 +60,8 @@
     def _call_after_sleep(
         self, counts_frozen_time: bool
     ) -> gateway_caller.CallResult:
-        """Returns the response to a caller whose key was removed meanwhile."""
-        found = []
+        """Returns the response to a key that was removed during the sleep."""
+        results = []
 
         async def scenario(fixture: gateway_fixture.Fixture) -> None:
             cluster = fixture.cluster
@@ -73,13 +73,13 @@
             cluster.publish()
             await asyncio.sleep(_SLEEP_S - 0.1)
             # In flight as the VM wakes, before any update can reach it.
-            calling = asyncio.ensure_future(fixture.call("short"))
+            pending = asyncio.ensure_future(fixture.call("short"))
             await asyncio.sleep(0.1)
             node.process.resume()
-            found.append(await calling)
+            results.append(await pending)
 
         gateway_fixture.run_scenario(scenario, vms=2)
-        return found[0]
+        return results[0]
 
     def test_key_removed_during_a_suspension_is_refused(self) -> None:
         result = self._call_after_sleep(counts_frozen_time=True)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -61,7 +61,7 @@
     """Sends a request that is answered shortly after its timeout.
 
     Args:
-        paused_ms: How long this process is paused meanwhile.
+        paused_ms: How long this process is paused before the response.
     """
     network = virtual_network.VirtualNetwork(1, virtual_network.Latency())
     target_process = virtual_process.VirtualProcess("target", "h")
@@ -79,8 +79,8 @@
 
     def now_ms() -> float:
         # The clock runs on while the process and its timers are paused.
-        passed = base_env.now_ms()
-        return passed + (paused_ms if passed > began_ms + 500.0 else 0.0)
+        base_ms = base_env.now_ms()
+        return base_ms + (paused_ms if base_ms > began_ms + 500.0 else 0.0)
 
     env = dataclasses.replace(base_env, now_ms=now_ms)
     send = upstream.make_send(env, hint_types.ignore_hints)
--- a/tests/test_virtual_process.py
+++ b/tests/test_virtual_process.py
@@ -11,7 +11,7 @@
         """Tasks that a woken process starts are its own and end with it.
 
         If the first callbacks after a wake-up run outside of the process, the
-        tasks they start outlive it: a killed gateway then went on renewing
+        tasks they start outlive it: a killed gateway then kept renewing
         reservations of an engine every 800 ms for 5 s.
         """
         steps: list[str] = []
