--- a/tests/test_prefill_plan.py
+++ b/tests/test_prefill_plan.py
@@ -34,7 +34,7 @@
 
 
 class PrefillPlanTest(unittest.TestCase):
-    def test_idle_engines_share_until_the_prompt_is_in_time(self) -> None:
+    def test_idle_engines_share_until_in_time_with_a_margin(self) -> None:
         plan = _make_plan([_make_engine(f"e{n}") for n in range(12)])
         self.assertGreater(len(plan.engines), 3)
         self.assertLess(plan.ttft_ms, 1_000.0)
