--- a/tests/test_drain_delay.py
+++ b/tests/test_drain_delay.py
@@ -123,7 +123,7 @@
             delays_s.append(await _measure_delay_s(fixture, apply_fault))
 
         gateway_fixture.run_scenario(
-            scenario, vms=vms, halls=1, pace=poll or poll_config.PollConfig()
+            scenario, vms=vms, halls=1, polling=poll or poll_config.PollConfig()
         )
     return max(delays_s)
 
