--- a/tests/gateway_fixture.py
+++ b/tests/gateway_fixture.py
@@ -1,4 +1,4 @@
-"""A small cluster of gateways in virtual time, and a client of it."""
+"""A small cluster of gateways in virtual time, and a caller of it."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -10,14 +10,14 @@
 from standins import virtual_process
 
 _SHORT_PROMPT = {"prompt_tokens": 5_000, "output_tokens": 460}
-# Within this many requests, every target has answered one.
+# Within this many requests, every target has responded to one.
 _MAX_HINT_REQUESTS = 40
 # Enough requests to reach every target that accepts them.
 _SAMPLE_REQUESTS = 8
 
 
 class Fixture:
-    """A started cluster and a client outside of it."""
+    """A started cluster and a caller outside of it."""
 
     def __init__(self, cluster: gateway_cluster.GatewayCluster) -> None:
         self.cluster = cluster
@@ -35,23 +35,23 @@
         return await self.caller.send(call)
 
     def find_runs(
-        self, got: gateway_caller.CallResult
+        self, result: gateway_caller.CallResult
     ) -> list[platform_replica.Run]:
         """Returns the runs of a request on all replicas."""
         return [
             run
             for replica in self.cluster.all_replicas
             for run in replica.runs
-            if run.request_id == got.call.request_id
+            if run.request_id == result.call.request_id
         ]
 
     async def call_until_draining_hint(
         self, replica: platform_replica.PlatformReplica, route: str
     ) -> None:
-        """Sends requests until vm-0 forwards a draining hint of a replica."""
+        """Sends requests until vm-0 forwards a drain hint of a replica."""
         for _ in range(_MAX_HINT_REQUESTS):
-            got = await self.call(route, "vm-0")
-            if got.headers.get("server-leaving") == "1":
+            result = await self.call(route, "vm-0")
+            if result.headers.get("server-leaving") == "1":
                 return
         raise AssertionError(f"no response of {replica.name} was forwarded")
 
@@ -88,7 +88,7 @@
 
         Args:
             prefix: Applies to targets whose name starts with this.
-            count: The first so many of them by name; all if None.
+            count: Number of these targets, in name order; all if None.
             **faults: Values of the fault switches, by name.
         """
         names = sorted(self.cluster.targets)
--- a/tests/test_lost_settings.py
+++ b/tests/test_lost_settings.py
@@ -9,9 +9,9 @@
 from standins import gateway_cluster
 from tests import gateway_fixture
 
-# The restore loses what was written in this period.
-_LOST_DURATION_S = 6.0
-# Bound for settings to be applied and for draining targets to be avoided.
+# Writes of this time are lost when the store is restored.
+_LOST_WRITES_S = 6.0
+# Bound for draining targets to get no more requests and settings to be applied.
 _APPLY_S = 2.0
 
 
@@ -19,9 +19,9 @@
     """Settings that the store loses before any VM has read them.
 
     Guards against requests with a removed key. It was removed right before an
-    outage; the restored store showed the settings from before, and each read of
-    it counted as proof that they were current. Requests with the key ran until
-    the removal was written again.
+    outage; the restored store held the earlier settings, and each read of it
+    counted as confirmation that they were current. Requests with the key ran
+    until the removal was written again.
     """
 
     @classmethod
@@ -45,11 +45,11 @@
             await asyncio.sleep(bound_s - asyncio.get_running_loop().time())
             for _ in range(10):
                 for vm in cluster.vms:
-                    got = await fixture.call("unsafe", vm)
-                    self.assertEqual(fixture.find_runs(got), [], vm)
+                    result = await fixture.call("unsafe", vm)
+                    self.assertEqual(fixture.find_runs(result), [], vm)
                 await asyncio.sleep(0.1)
-            got = await fixture.call("unsafe", "vm-0", key="another")
-            self.assertEqual(got.status, 200)
+            result = await fixture.call("unsafe", "vm-0", key="another")
+            self.assertEqual(result.status, 200)
 
         gateway_fixture.run_scenario(scenario, vms=9, halls=3)
 
@@ -74,7 +74,7 @@
         copy = cluster.store.take_snapshot()
         cluster.keys = {"w1": ["another"]}
         cluster.publish()
-        await asyncio.sleep(_LOST_DURATION_S)
+        await asyncio.sleep(_LOST_WRITES_S)
         cluster.store.restore(copy)
         for name in names:
             cluster.kill(cluster.vms[name])
@@ -87,12 +87,12 @@
             await asyncio.sleep(1.5)
             for _ in range(10):
                 for vm in fixture.cluster.vms:
-                    got = await fixture.call("unsafe", vm)
-                    self.assertEqual(fixture.find_runs(got), [], vm)
+                    result = await fixture.call("unsafe", vm)
+                    self.assertEqual(fixture.find_runs(result), [], vm)
                 await asyncio.sleep(0.2)
             for vm in fixture.cluster.vms:
-                got = await fixture.call("unsafe", vm, key="another")
-                self.assertEqual(got.status, 200, vm)
+                result = await fixture.call("unsafe", vm, key="another")
+                self.assertEqual(result.status, 200, vm)
 
         gateway_fixture.run_scenario(scenario, vms=vms, halls=halls)
 
@@ -110,8 +110,8 @@
             for _ in range(20):
                 gateway.note_newer_settings("vm-9:83", 10**6)
                 await asyncio.sleep(0.3)
-                got = await fixture.call("unsafe")
-                self.assertEqual(got.status, 200)
+                result = await fixture.call("unsafe")
+                self.assertEqual(result.status, 200)
 
         gateway_fixture.run_scenario(scenario, vms=3, halls=1)
 
