--- a/src/ruddergate/agent/agent_state.py
+++ b/src/ruddergate/agent/agent_state.py
@@ -1,4 +1,4 @@
-"""State of one agent. All of it is soft state, rebuilt after a restart."""
+"""State of one agent, all in memory and rebuilt after a restart."""
 
 import asyncio
 import itertools
@@ -124,11 +124,11 @@
         return self._env.now_ms() - self._service_answered_ms
 
     def hall_service_age_ms(self) -> float:
-        """Returns the time since it last responded to an agent of the hall."""
+        """Returns the time since the service last responded to the hall."""
         return self._env.now_ms() - self._hall_service_answered_ms
 
-    def own_row(self) -> gossip.MemberRow:
-        """Returns this agent's row; each call increments the heartbeat."""
+    def make_own_row(self) -> gossip.MemberRow:
+        """Returns a new row of this agent, with the next heartbeat."""
         self._heartbeat += 1
         return gossip.MemberRow(
             vm_id=self._config.vm_id,
--- a/src/ruddergate/agent/order_task.py
+++ b/src/ruddergate/agent/order_sender.py
@@ -1,4 +1,4 @@
-"""Sends engines the orders that the settings imply."""
+"""Sends engines the orders that follow from the settings."""
 
 from ruddergate import environment
 from ruddergate.adapters.engines import control
@@ -12,7 +12,7 @@
 from ruddergate.telemetry import metrics as metric_types
 
 
-class OrderTask:
+class OrderSender:
     """Decides after each poll of an engine whether to send it an order."""
 
     def __init__(
@@ -49,7 +49,7 @@
         order = orders.make_order(pool, revision, loaded.generation)
         if not orders.is_needed(order, loaded):
             return
-        if self._reads_store(order, loaded) and not self._consume_weight_read(
+        if self._reads_weights(order, loaded) and not self._consume_weight_read(
             pool
         ):
             return
@@ -89,7 +89,7 @@
             self._state.listing_age_ms(),
         )
 
-    def _reads_store(
+    def _reads_weights(
         self, order: orders.Order, loaded: orders.LoadedState
     ) -> bool:
         current = (loaded.model, loaded.version, loaded.adapters)
@@ -101,8 +101,8 @@
         Returns whether one was available.
         """
         now_ms = self._env.now_ms()
-        listed = max(1, len(self._state.listing.vms))
-        rate = pool.weight_reads_per_s_max / listed
+        vm_count = max(1, len(self._state.listing.vms))
+        rate = pool.weight_reads_per_s_max / vm_count
         budget = self._budgets.get(pool.name)
         if budget is None:
             budget = orders.WeightReadBudget(rate, 0.0, now_ms)
--- a/src/ruddergate/agent/target_task.py
+++ b/src/ruddergate/agent/target_task.py
@@ -8,7 +8,7 @@
 from ruddergate.agent import agent_state
 from ruddergate.agent import config as configs
 from ruddergate.agent import feed_server
-from ruddergate.agent import order_task
+from ruddergate.agent import order_sender
 from ruddergate.decisions import rendezvous
 from ruddergate.decisions import subset
 from ruddergate.decisions import sweeping
@@ -29,14 +29,14 @@
         config: configs.AgentConfig,
         state: agent_state.AgentState,
         feed: feed_server.FeedServer,
-        orders: order_task.OrderTask,
+        orders: order_sender.OrderSender,
         metrics: metric_types.AgentMetrics,
     ) -> None:
         self._env = env
         self._config = config
         self._state = state
-        self._feed = feed
-        self._orders = orders
+        self._feed_server = feed
+        self._order_sender = orders
         self._metrics = metrics
         self._tasks: dict[targets.Target, asyncio.Future] = {}
 
@@ -81,8 +81,10 @@
             if isinstance(result, loads.PollResult):
                 if result.events:
                     after_event = result.events[-1].sequence
-                await self._feed.push_loads([result.report], result.events)
-                await self._orders.order_if_due(target, result.loaded)
+                await self._feed_server.push_loads(
+                    [result.report], result.events
+                )
+                await self._order_sender.order_if_due(target, result.loaded)
                 if is_sweeping:
                     swept_ms = now_ms
                     await self._sweep(target, result)
--- a/src/ruddergate/experiments/summary.py
+++ b/src/ruddergate/experiments/summary.py
@@ -1,4 +1,4 @@
-"""Tables of outcomes, by prompt length and by workload."""
+"""Summary of a replay's outcomes, by prompt length and by workload."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -10,7 +10,7 @@
 from ruddergate.telemetry import metrics
 
 LENGTHS = ("1k", "4k", "16k", "64k", "256k", "1M")
-SHORT_TOKENS_MAX = 4_096
+MAX_SHORT_TOKENS = 4_096
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -55,8 +55,8 @@
         run_twice: Requests that are not repeatable, but ran more than once.
         short_ttft_p99_ms: 99th percentile of the time to first token of short
             prompts, or None.
-        short_slowdown_p99: Ratio of that to the same trace without its long
-            requests; None if that was not replayed.
+        short_slowdown_p99: Ratio of that to its value in a replay of the same
+            trace without long requests; None if there was no such replay.
     """
 
     all: Row
@@ -137,7 +137,7 @@
     times = [
         each.ttft_ms
         for each in found
-        if 0 < each.prompt_tokens <= SHORT_TOKENS_MAX
+        if 0 < each.prompt_tokens <= MAX_SHORT_TOKENS
         and each.ttft_ms is not None
     ]
     return percentile(times, 99)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -62,7 +62,7 @@
         self,
     ) -> None:
         found = self.explore(
-            freshness.find_current_as_of_ms, counts_sleep=False
+            freshness.find_current_as_of_ms, counts_suspension=False
         )
         self.assertIn("suspended", " ".join(found.counterexample))
 
@@ -197,8 +197,8 @@
             fixture.cluster.publish()
             await asyncio.sleep(1.9)
             for name, vm in fixture.cluster.vms.items():
-                got = await fixture.call("unsafe", name, key="new")
-                self.assertEqual(got.status, 200)
+                result = await fixture.call("unsafe", name, key="new")
+                self.assertEqual(result.status, 200)
                 view = vm.gateway.context.view
                 (found,) = [
                     each
@@ -220,17 +220,17 @@
                     (await fixture.call("unsafe", name)).status, 200
                 )
                 self.assertEqual(await fixture.caller.check_ready(name), 200)
-            # These VMs also refuse a key that is removed meanwhile.
+            # These VMs also refuse a key that is removed during the cut.
             fixture.cluster.keys = {"w1": ["another"]}
             fixture.cluster.publish()
             await asyncio.sleep(gateway_cluster.REVOKE_MS / 1000.0)
             for name in names:
-                got = await fixture.call("unsafe", name)
+                result = await fixture.call("unsafe", name)
                 self.assertEqual(
-                    (got.status, fixture.find_runs(got)), (401, [])
+                    (result.status, fixture.find_runs(result)), (401, [])
                 )
-                got = await fixture.call("unsafe", name, key="another")
-                self.assertEqual(got.status, 200)
+                result = await fixture.call("unsafe", name, key="another")
+                self.assertEqual(result.status, 200)
 
         self._run(scenario)
 
@@ -269,8 +269,8 @@
             fixture.cluster.publish()
             await asyncio.sleep(1.9)
             for name in fixture.cluster.vms:
-                got = await fixture.call("unsafe", name, key="another")
-                self.assertEqual(got.status, 200)
+                result = await fixture.call("unsafe", name, key="another")
+                self.assertEqual(result.status, 200)
 
         self._run(scenario)
 
@@ -355,9 +355,9 @@
             fixture.cluster.publish()
             await asyncio.sleep(gateway_cluster.REVOKE_MS / 1000.0)
             for name in fixture.cluster.vms:
-                got = await fixture.call("unsafe", name)
+                result = await fixture.call("unsafe", name)
                 self.assertEqual(
-                    (got.status, fixture.find_runs(got)), (401, [])
+                    (result.status, fixture.find_runs(result)), (401, [])
                 )
 
         self._run(scenario)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -22,7 +22,7 @@
 )
 
 
-def _headers(workload: str) -> dict[str, str]:
+def _make_headers(workload: str) -> dict[str, str]:
     return {
         "authorization": "Bearer demo-bezigrad",
         "ruddergate-workload": workload,
@@ -33,7 +33,9 @@
     document = {"prompt": prompt, "max_tokens": 8, **fields}
     body = json.dumps(document).encode()
     path = "/v1/completions"
-    return processes.send_request(port, "POST", path, _headers("repairs"), body)
+    return processes.send_request(
+        port, "POST", path, _make_headers("repairs"), body
+    )
 
 
 def _run_program(program: str, *arguments: str) -> tuple[int, str]:
@@ -74,7 +76,7 @@
             self.cluster.entries["vm-2"],
             "POST",
             "/services/plumbers/dispatch",
-            _headers("plumbers"),
+            _make_headers("plumbers"),
             b"flat 12",
         )
         expected = answers.make_service_answer("flat 12")
@@ -238,8 +240,8 @@
             ("--revoke-ms", "soon"),
         ):
             with self.subTest(f"{name} {value}"):
-                given = {**valid, name: value}
-                pairs = [part for pair in given.items() for part in pair]
+                options = {**valid, name: value}
+                pairs = [part for pair in options.items() for part in pair]
                 status, text = _run_program("ruddergate-gateway", *pairs)
                 self.assertEqual(status, 2, text)
                 self.assertEqual(len(text.splitlines()), 1, text)
--- a/tests/test_virtual_process.py
+++ b/tests/test_virtual_process.py
@@ -11,7 +11,7 @@
         """Tasks that a woken process starts are its own and end with it.
 
         If the first callbacks after a wake-up run outside of the process, the
-        tasks they start outlive it: a killed gateway then went on renewing
+        tasks they start outlive it: a killed gateway then kept renewing
         reservations of an engine every 800 ms for 5 s.
         """
         steps: list[str] = []
@@ -27,7 +27,7 @@
             await asyncio.sleep(60.0)
             task.cancel()
 
-        async def play() -> None:
+        async def scenario() -> None:
             process = virtual_process.VirtualProcess("vm-0", "hall-0")
             is_due = asyncio.Event()
             process.start(lambda: serve(is_due))
@@ -42,4 +42,4 @@
             await asyncio.sleep(5.0)
             self.assertEqual(steps, ["renewed"])
 
-        virtual_process.run(play)
+        virtual_process.run(scenario)
